--- a/crates/dispatcher/tests/hunt/main.rs
+++ b/crates/dispatcher/tests/fault_injection/main.rs
@@ -1,5 +1,5 @@
-//! What the hunt before the rollout found, each as a test that forces it: failing and interrupted system calls, steps of
-//! the wall clock, deadlines that grew old in a queue, forgotten connections, and starts under failures that pass.
+//! Fault injection around the real program: failing and interrupted system calls, steps of the wall clock, deadlines
+//! that pass while an attempt is queued, connections that engines drop without a reset, and transient start failures.
 
 #![allow(
     clippy::unwrap_used,
--- a/crates/dispatcher/tests/hunt/support.rs
+++ b/crates/dispatcher/tests/fault_injection/support.rs
@@ -1,4 +1,4 @@
-//! What the tests of the hunt share: the program under the fault shim, and clients on connections of their own.
+//! Support of the fault injection tests: the program under the fault shim, and clients on connections of their own.
 
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
--- a/crates/simulator/tests/small.rs
+++ b/crates/simulator/tests/small.rs
@@ -10,7 +10,7 @@
 
 fn zone_cut(seeds: u32, seconds: f64) -> Experiment {
     let mut experiment =
-        experiment::read(include_str!("../experiments/hall-cut.textproto")).unwrap();
+        experiment::read(include_str!("../experiments/zone-cut.textproto")).unwrap();
     experiment.seeds = Some(seeds);
     experiment.seconds = Some(seconds);
     experiment
--- a/crates/testbed/src/zone_routing.rs
+++ b/crates/testbed/src/zone_routing.rs
@@ -25,7 +25,7 @@
 const ZONES: [&str; 2] = ["east", "west"];
 const ENGINES_PER_ZONE: usize = 3;
 const CORES: f64 = 8.0;
-const OPERATOR: &str = include_str!("../../../deploy/halls.textproto");
+const OPERATOR: &str = include_str!("../../../deploy/zones.textproto");
 /// The cut's begin and end, as fractions of the run.
 const CUT_BEGIN: f64 = 0.25;
 const CUT_END: f64 = 0.5;
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -3,6 +3,7 @@
 //! They arrive as a flat map of paths and values ([`SettingsMap`]) whose keys are the platform's. Only this module and
 //! programs that need a raw value know those keys. A malformed value counts as absent, unless the key is required.
 
+pub mod keys;
 mod raw;
 
 pub use raw::{
