--- a/src/settings/keys.rs
+++ b/src/settings/keys.rs
@@ -79,7 +79,7 @@
 
 /// Keys of one resource group, below its place in [`GROUPS`].
 pub mod group {
-    /// The name that queries give.
+    /// The name that queries carry.
     pub const NAME: &str = "name";
     /// What running a query twice does; [`effect`](super::effect) has the values.
     pub const EFFECT: &str = "effect";
@@ -103,7 +103,7 @@
 
 /// Keys of one tenant, below its place in [`TENANTS`].
 pub mod tenant {
-    /// The name that queries give.
+    /// The name that queries carry.
     pub const NAME: &str = "name";
     /// Queries a second, over all dispatchers.
     pub const QUOTA_PER_S: &str = "allowance-per-s";
--- a/src/settings/raw.rs
+++ b/src/settings/raw.rs
@@ -1,5 +1,6 @@
-//! Settings as they arrive, a flat map of paths and values, and the errors that reading them can give.
+//! The flat map of paths and values in which settings arrive, and the errors of reading it.
 
+use super::keys;
 use std::collections::BTreeMap;
 
 /// Settings as they arrive: path and value.
@@ -14,7 +15,7 @@
         /// Path of the setting.
         key: String,
     },
-    /// The key is there, but its value is not one that is allowed.
+    /// The key has a value that is not allowed.
     #[error("setting {key}={value} is invalid: expected {expected}")]
     Invalid {
         /// Path of the setting.
@@ -32,7 +33,7 @@
     },
 }
 
-/// Reads values out of a [`SettingsMap`]. A value that is there but malformed counts as absent, but for `required`.
+/// Reads values out of a [`SettingsMap`]. A malformed value counts as absent, except in `required`.
 pub trait RawSettings {
     /// A number.
     fn number(&self, name: &str) -> Option<f64>;
@@ -70,18 +71,19 @@
     }
 
     fn is_on(&self, name: &str) -> bool {
-        self.get(name).is_some_and(|v| is_true(v))
+        self.get(name).is_some_and(|value| is_true(value))
     }
 
     fn list(&self, name: &str) -> Vec<&str> {
-        self.get(name).map_or(Vec::new(), |v| {
-            v.split(',').filter(|s| !s.is_empty()).collect()
+        self.get(name).map_or(Vec::new(), |list| {
+            list.split(',').filter(|item| !item.is_empty()).collect()
         })
     }
 
     fn for_kind(&self, kind: &str, name: &str) -> Option<f64> {
-        let place = self.list("kinds").iter().position(|k| *k == kind)?;
-        self.list(name).get(place)?.parse().ok()
+        let kinds = self.list(keys::ENGINE_KINDS);
+        let index = kinds.iter().position(|known| *known == kind)?;
+        self.list(name).get(index)?.parse().ok()
     }
 }
 
@@ -90,7 +92,7 @@
     map.insert(path.to_owned(), value.replace([' ', ','], "_"));
 }
 
-/// Whether `known`, a value as [`insert`] stored it, stands for this name.
+/// Whether `known`, a value that [`insert`] stored, is this name.
 pub fn matches_name(known: &str, name: &str) -> bool {
     let stored = |c: char| if matches!(c, ' ' | ',') { '_' } else { c };
     known.chars().eq(name.chars().map(stored))
@@ -128,7 +130,7 @@
     Ok(settings)
 }
 
-/// Whether a value stands for true.
+/// Whether a value means true.
 pub fn is_true(value: &str) -> bool {
     matches!(value, "true" | "1")
 }
