--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -16,6 +16,8 @@
 mod pressure;
 mod retry;
 mod slow_start;
+#[cfg(test)]
+mod tests;
 
 use crate::events::DecisionSink;
 pub use crate::model::{Control, EventSource};
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -18,6 +18,3 @@
 pub mod zone_plan;
 
 pub use model::LevelEffects;
-
-#[cfg(test)]
-mod tests;
