--- a/src/control/admission.rs
+++ b/src/control/admission.rs
@@ -1,8 +1,7 @@
 //! Admission: the lane, cost and quota of a query that comes in, and whether it can complete in time at all.
 
-use crate::control::pressure::LEARNING;
 use crate::events::{DecisionSink, EndReason, QueryArrived, UnknownResourceGroup};
-use crate::model::{Control, GroupIndex, Lane, Query, QueryCost, QueryIndex};
+use crate::model::{Control, GroupIndex, Lane, Query, QueryCost, QueryIndex, LEARNING};
 
 const DEMOTION_FACTOR: f64 = 4.0; // Times its group's mean; a costlier query goes to the low lane.
 const SHORT_WAIT_FRACTION: f64 = 0.5; // Of its group's usual time; a client that gives less gives little.
@@ -23,7 +22,7 @@
         if group.0 >= self.groups.len() {
             return Err(UnknownResourceGroup::new(event.group));
         }
-        self.retry_counts.arrivals.push(self.now_ms);
+        self.retry_budget.record_arrival(self.now_ms);
         let query = self.admit(group, event);
         let is_hopeless = self.is_hopeless(query);
         if self.is_first_of_key(query) && !is_hopeless {
@@ -39,7 +38,7 @@
         let effect = self.groups[group].effect_of(event.statement);
         if lane == Lane::Low {
             let work_per_thread_ms = cost.work_ms / self.groups[group].threads();
-            self.low_work_ms += LEARNING.mean * (work_per_thread_ms - self.low_work_ms);
+            self.low_lane.record_work(work_per_thread_ms);
         }
         let mut query = Query::new(event, group, lane, effect, cost);
         query.is_over_quota = self.is_over_quota(event.tenant);
--- a/src/control/completion.rs
+++ b/src/control/completion.rs
@@ -2,9 +2,9 @@
 //! answer that is not an engine's passes here.
 
 use crate::control::outlier::STALL_STEP;
-use crate::control::pressure::{CROWD_PER_CORE, LEARNING, MEMORY};
+use crate::control::pressure::{CROWD_PER_CORE, MEMORY};
 use crate::events::{AttemptEnded, DecisionSink, EndReason, Outcome, ProgressNote};
-use crate::model::{ClosedAttempt, Control, Lane, QueryIndex};
+use crate::model::{ClosedAttempt, Control, Lane, QueryIndex, LEARNING};
 
 const RETRY_AFTER_MS: f64 = 1000.0; // A rejected client may come back then; cut to what clients follow.
 const QUICK_FRACTION: f64 = 0.5; // Of the objective; quicker low answers raise the limit,
--- a/src/control/periodic.rs
+++ b/src/control/periodic.rs
@@ -3,11 +3,9 @@
 use crate::control::outlier::STALL_STEP;
 use crate::control::pressure::MEMORY;
 use crate::events::{DecisionSink, EndReason};
-use crate::model::{Attempt, Control, QueryIndex};
+use crate::model::{Attempt, Control, QueryIndex, CHECK_INTERVAL_MS};
 
-pub(super) const CHECK_INTERVAL_MS: f64 = 20.0; // Between two rounds of checks.
 const TIMER_SLACK_MS: f64 = 1.0; // A timer counts as due so much before its time.
-const MAX_CREDIT_MS: f64 = 12_000.0; // Thread time that the low lane saves up or overdraws at most.
 const MIGRATION_GAIN: f64 = 2.5; // A query migrates when what is left is this many times a new run.
 const OVERDUE_RUNS: f64 = 5.0; // Without notes an attempt is overdue after this many expected runs
 const OVERDUE_MIN_MS: f64 = 400.0; // and this time.
@@ -20,8 +18,7 @@
         if elapsed_ms < CHECK_INTERVAL_MS {
             return;
         }
-        let credit_ms = self.low_credit_ms + self.pool_headroom() * elapsed_ms.min(MAX_CREDIT_MS);
-        self.low_credit_ms = credit_ms.clamp(-MAX_CREDIT_MS, MAX_CREDIT_MS);
+        self.low_lane.refill(self.pool_headroom(), elapsed_ms);
         self.checked_ms = self.now_ms;
         self.request_endpoints(out);
         self.check_engines(out);
--- a/src/control/placement.rs
+++ b/src/control/placement.rs
@@ -112,7 +112,7 @@
     /// Whether the sum of our limits has room for a low query. Where that is less than one query, one may
     /// enter while none is in flight, as often as keeps to the sum over time.
     fn pool_has_room(&self, query: QueryIndex) -> bool {
-        let has_credit = self.low_credit_ms >= 0.0 && !self.has_low_attempts();
-        has_credit || self.pool_headroom() >= self.group_of(query).threads()
+        let may_start_one = self.low_lane.has_tokens() && !self.has_low_attempts();
+        may_start_one || self.pool_headroom() >= self.group_of(query).threads()
     }
 }
--- a/src/control/pressure.rs
+++ b/src/control/pressure.rs
@@ -1,14 +1,12 @@
 //! Pressure: whether an engine's answers, or what is in flight there, show that it has no capacity left.
 
-use crate::model::{ClosedAttempt, Control, EngineIndex, Lane, LearningSteps, SlowdownMemory};
+use crate::model::{ClosedAttempt, Control, EngineIndex, Lane, SlowdownMemory, LEARNING};
 
 const PRESSURE_SLOWDOWN: f64 = 1.5; // Times the best; slower answers are pressure.
 const FULL_COUNTS_MS: f64 = 2000.0; // A refusal as full is pressure for this time.
 pub(super) const CROWD_PER_CORE: f64 = 1.2; // Low threads that are pressure before answers can tell.
 const CROWD_MEMORY: f64 = 0.35; // Fraction of an engine's memory, as estimated, that is pressure.
 const FORGIVEN_SCATTER: f64 = 0.5; // Fraction of a group's least scatter that is no slowness yet.
-/// Steps of medians (log ratio) and means (fraction), answers before a best counts, least time in ratios.
-pub(super) const LEARNING: LearningSteps = LearningSteps::new(0.05, 0.02, 20, 0.1);
 const ANSWER_STEP: f64 = 2.0 * LEARNING.median; // Step of slowdowns; a note moves them by half of that.
 /// Slowdowns (log ratio) are remembered up to a little above pressure; they decay, and move more after a gap.
 pub(super) const MEMORY: SlowdownMemory = SlowdownMemory {
--- a/src/control/retry.rs
+++ b/src/control/retry.rs
@@ -1,6 +1,5 @@
 //! Retries and migrations: whether a query may run again, until when, and within which budget.
 
-use crate::control::periodic::CHECK_INTERVAL_MS;
 use crate::model::{Control, EngineIndex, Lane, QueryIndex};
 use crate::settings::Effect;
 
@@ -9,7 +8,7 @@
     pub(super) fn may_retry_on(&mut self, query: QueryIndex, engine: EngineIndex) -> bool {
         !self.is_retry_withheld(query)
             && !self.lacks_cross_zone_retry(query, engine)
-            && self.has_retry_budget(0.0)
+            && self.retry_budget.allows_retry(self.now_ms)
     }
 
     /// Whether an attempt may be cancelled to run elsewhere.
@@ -17,7 +16,7 @@
         !self.is_retry_withheld(query)
             && self.settings.capabilities.cancellation
             && self.queries[query].attempts.count() < self.settings.max_attempts
-            && self.has_retry_budget(self.retry_counts.migrating)
+            && self.retry_budget.allows_migration(self.now_ms)
             && self.may_repeat(query, None)
     }
 
@@ -25,18 +24,6 @@
         self.level.withhold_low_retries && self.queries[query].lane == Lane::Low
     }
 
-    /// Whether the budget allows one more retry beside `pending` ones; one may go out a check after its
-    /// count.
-    fn has_retry_budget(&mut self, pending: f64) -> bool {
-        let Some(rule) = self.settings.retry_budget else {
-            return true;
-        };
-        let since_ms = self.now_ms - rule.span_ms;
-        let allowed = rule.free + rule.ratio * self.retry_counts.arrivals.count_after(since_ms);
-        let retries = &mut self.retry_counts.retries;
-        retries.count_after(since_ms - CHECK_INTERVAL_MS) + pending + 1.0 <= allowed
-    }
-
     /// Rule 2: whether the query may run again, on `engine` or, without one, by its client after a rejection.
     pub(super) fn may_repeat(&self, query: QueryIndex, engine: Option<EngineIndex>) -> bool {
         let group = self.group_of(query);
--- a/src/model/in_flight.rs
+++ b/src/model/in_flight.rs
@@ -62,7 +62,7 @@
         let group = &self.groups[query.group];
         let engine = &mut self.engines[engine_index];
         if query.attempts.count() > 0 {
-            self.retry_counts.retries.push(self.now_ms);
+            self.retry_budget.record_retry(self.now_ms);
         }
         if is_warming_up {
             engine.slow_start.record(self.now_ms, group.usual_work_ms());
@@ -102,7 +102,7 @@
             .remove(&attempt, query.lane, group.threads(), locked);
         if query.is_migrating {
             query.is_migrating = false;
-            self.retry_counts.migrating -= 1.0;
+            self.retry_budget.finish_migration();
         }
         query.is_over |= event.answer_delivered;
         self.peer_load.is_changed |= query.lane == Lane::Low;
@@ -125,7 +125,7 @@
 
     /// Counts a query as migrating until its attempt has ended.
     pub(crate) fn begin_migration(&mut self, query: QueryIndex) {
-        self.retry_counts.migrating += 1.0;
+        self.retry_budget.begin_migration();
         self.queries[query].is_migrating = true;
     }
 
--- a/src/model/load.rs
+++ b/src/model/load.rs
@@ -12,7 +12,8 @@
     /// The work a core (ms) that an engine would have with a query.
     pub(crate) fn weight(&self, query: QueryIndex, engine: EngineIndex) -> f64 {
         let work_ms = self.queries[query].cost.work_ms;
-        self.engines[engine].work_per_core_ms(work_ms, self.low_work_ms)
+        let peer_thread_ms = self.low_lane.mean_work_per_thread_ms();
+        self.engines[engine].work_per_core_ms(work_ms, peer_thread_ms)
     }
 
     /// Low threads that the concurrency limit leaves this dispatcher on an engine; negative where it is exceeded.
--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -10,6 +10,7 @@
 mod learning;
 mod level_effects;
 mod load;
+mod low_lane;
 mod peer_load;
 mod query;
 mod resource_group;
@@ -25,16 +26,19 @@
 pub(crate) use index::{EngineIndex, GroupIndex, QueryIndex};
 pub(crate) use key_queues::KeyQueues;
 pub use level_effects::LevelEffects;
+pub(crate) use low_lane::LowLane;
 pub(crate) use peer_load::PeerLoad;
 pub(crate) use query::{Lane, Query, QueryCost};
 pub(crate) use resource_group::ResourceGroup;
-pub(crate) use retry_budget::RetryCounts;
+pub(crate) use retry_budget::RetryBudget;
 pub(crate) use slowdown::{
     step_towards, FadingMedian, GroupSlowdown, LaneSlowdowns, LearningSteps, MedianUpdate,
-    SlowdownMemory,
+    SlowdownMemory, LEARNING,
 };
 pub use state::{Control, EventSource};
 pub(crate) use tenants::TenantRates;
 
+/// Time between two rounds of periodic checks (ms).
+pub(crate) const CHECK_INTERVAL_MS: f64 = 20.0;
 /// A time before all others.
 pub(crate) const LONG_AGO: f64 = f64::NEG_INFINITY;
--- a/src/model/retry_budget.rs
+++ b/src/model/retry_budget.rs
@@ -1,27 +1,81 @@
-//! What the retry budget counts.
+//! The retry budget, rule 7: how many retries the dispatcher may send for the queries that arrived.
 
+use crate::model::CHECK_INTERVAL_MS;
+use crate::settings::RetryBudgetRule;
 use std::collections::VecDeque;
 
-/// Arrivals and retries of the budget's span, and migrations that will become retries.
+/// Arrivals and retries within the rule's span, and migrations that are about to become retries.
 #[derive(Debug, Default)]
-pub(crate) struct RetryCounts {
-    pub(crate) arrivals: RecentEvents,
-    pub(crate) retries: RecentEvents,
-    /// Attempts that were cancelled to run elsewhere and have not ended yet.
-    pub(crate) migrating: f64,
+pub(crate) struct RetryBudget {
+    rule: Option<RetryBudgetRule>,
+    arrivals: RecentEvents,
+    retries: RecentEvents,
+    /// Attempts that were cancelled in order to run elsewhere and have not ended yet.
+    pending_migrations: f64,
 }
 
-/// The times of recent events.
+impl RetryBudget {
+    /// An unused budget; without a rule it allows every retry.
+    pub(crate) fn new(rule: Option<RetryBudgetRule>) -> Self {
+        RetryBudget {
+            rule,
+            ..RetryBudget::default()
+        }
+    }
+
+    /// Records that a query arrived.
+    pub(crate) fn record_arrival(&mut self, now_ms: f64) {
+        self.arrivals.push(now_ms);
+    }
+
+    /// Records that a retry is sent.
+    pub(crate) fn record_retry(&mut self, now_ms: f64) {
+        self.retries.push(now_ms);
+    }
+
+    /// Reserves a retry for a query whose attempt is being cancelled.
+    pub(crate) fn begin_migration(&mut self) {
+        self.pending_migrations += 1.0;
+    }
+
+    /// Releases the reservation of [`begin_migration`](Self::begin_migration): the attempt has ended.
+    pub(crate) fn finish_migration(&mut self) {
+        self.pending_migrations -= 1.0;
+    }
+
+    /// Whether one more retry may be sent. Pending migrations do not count: the retry may be that of one of them.
+    pub(crate) fn allows_retry(&mut self, now_ms: f64) -> bool {
+        self.allows_one_more(0.0, now_ms)
+    }
+
+    /// Whether one more query may migrate beside those that already do.
+    pub(crate) fn allows_migration(&mut self, now_ms: f64) -> bool {
+        self.allows_one_more(self.pending_migrations, now_ms)
+    }
+
+    fn allows_one_more(&mut self, pending: f64, now_ms: f64) -> bool {
+        let Some(rule) = self.rule else {
+            return true;
+        };
+        let since_ms = now_ms - rule.span_ms;
+        let allowed = rule.free + rule.ratio * self.arrivals.count_after(since_ms);
+        // A retry that is counted now may be sent up to one periodic check later.
+        let retries = self.retries.count_after(since_ms - CHECK_INTERVAL_MS);
+        retries + pending + 1.0 <= allowed
+    }
+}
+
+/// The times of recent events (ms), in order.
 #[derive(Debug, Default)]
-pub(crate) struct RecentEvents(VecDeque<f64>);
+struct RecentEvents(VecDeque<f64>);
 
 impl RecentEvents {
-    pub(crate) fn push(&mut self, at_ms: f64) {
+    fn push(&mut self, at_ms: f64) {
         self.0.push_back(at_ms);
     }
 
-    /// How many are later than `since_ms`; earlier ones are dropped.
-    pub(crate) fn count_after(&mut self, since_ms: f64) -> f64 {
+    /// The number of events later than `since_ms`; earlier ones are dropped.
+    fn count_after(&mut self, since_ms: f64) -> f64 {
         while self.0.front().is_some_and(|&at_ms| at_ms <= since_ms) {
             self.0.pop_front();
         }
--- a/src/model/slowdown.rs
+++ b/src/model/slowdown.rs
@@ -108,29 +108,26 @@
     pub(crate) min_scatter: f64,
 }
 
-/// The steps by which a [`GroupSlowdown`] learns.
+/// The steps by which run times, costs and slowdowns are learned.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct LearningSteps {
-    /// Of medians (log ratio).
+    /// Step of running medians (log ratio).
     pub(crate) median: f64,
-    /// Of means (fraction of the distance).
+    /// Step of moving means (fraction of the distance).
     pub(crate) mean: f64,
-    /// Samples before best and least scatter are kept.
+    /// Samples after which a group's lowest median and scatter count.
     pub(crate) min_samples: u32,
-    /// Shorter times (ms) count as this one in ratios.
+    /// Lower bound of times in ratios (ms).
     pub(crate) min_time_ms: f64,
 }
 
-impl LearningSteps {
-    pub(crate) const fn new(median: f64, mean: f64, min_samples: u32, min_time_ms: f64) -> Self {
-        LearningSteps {
-            median,
-            mean,
-            min_samples,
-            min_time_ms,
-        }
-    }
-}
+/// The steps by which all groups and engines learn.
+pub(crate) const LEARNING: LearningSteps = LearningSteps {
+    median: 0.05,
+    mean: 0.02,
+    min_samples: 20,
+    min_time_ms: 0.1,
+};
 
 impl GroupSlowdown {
     /// Takes in one answer's ratio and returns how far it lies above the best.
--- a/src/model/state.rs
+++ b/src/model/state.rs
@@ -3,8 +3,8 @@
 use crate::events::{DecisionSink, EndpointUpdate};
 use crate::interner::Interner;
 use crate::model::{
-    Engine, EngineIndex, KeyQueues, LaneSlowdowns, LevelEffects, PeerLoad, Query, QueryIndex,
-    ResourceGroup, RetryCounts, TenantRates,
+    Engine, EngineIndex, KeyQueues, LaneSlowdowns, LevelEffects, LowLane, PeerLoad, Query,
+    QueryIndex, ResourceGroup, RetryBudget, TenantRates,
 };
 use crate::pcg::Pcg;
 use crate::settings::{Settings, SettingsError, SettingsMap};
@@ -33,15 +33,12 @@
     pub(crate) tenants: TenantRates,
     pub(crate) queries: Slab<Query>,
     pub(crate) key_queues: KeyQueues,
-    pub(crate) retry_counts: RetryCounts,
+    pub(crate) retry_budget: RetryBudget,
     pub(crate) engines: Vec<Engine>,
     /// Slowdown by zone, and of the whole pool.
     pub(crate) zone_slowdowns: Vec<LaneSlowdowns>,
     pub(crate) pool_slowdown: LaneSlowdowns,
-    /// Thread time (ms) that low queries have left of the limits' sum; negative when it is overdrawn.
-    pub(crate) low_credit_ms: f64,
-    /// Mean work of low queries, a thread (ms).
-    pub(crate) low_work_ms: f64,
+    pub(crate) low_lane: LowLane,
     pub(crate) peer_load: PeerLoad,
     pub(crate) endpoint_list: EndpointListState,
     pub(crate) level: LevelEffects,
@@ -98,6 +95,7 @@
                 is_wanted: settings.endpoints_on_request,
                 requested_ms: 0.0,
             },
+            retry_budget: RetryBudget::new(settings.retry_budget),
             settings,
             ..Control::default()
         })
