--- a/src/control/dispatch.rs
+++ b/src/control/dispatch.rs
@@ -1,7 +1,7 @@
 //! Dispatch: every attempt passes here, and here the rules are kept.
 
 use crate::events::{AttemptLimits, DecisionSink, EndReason};
-use crate::model::{Control, EngineIndex, Lane, QueryIndex};
+use crate::model::{Control, EngineIndex, GroupIndex, Lane, QueryIndex};
 
 const GENEROUS_GRANT: f64 = 2.0; // Times the memory needed, where what is not needed stays free.
 const FAST_PRIORITY: u8 = 3; // Priorities of the lanes, where engines heed them (the platform's scale).
@@ -37,6 +37,12 @@
         self.key_queues.first(key) == Some(index) && (is_cool || query.attempts.count() > 0)
     }
 
+    fn slow_start_admits(&self, engine: EngineIndex, group: GroupIndex) -> bool {
+        let engine = &self.engines[engine];
+        self.slow_start
+            .admits(engine, &self.groups[group], self.now_ms)
+    }
+
     pub(super) fn submit(
         &mut self,
         index: QueryIndex,
@@ -48,7 +54,7 @@
         }
         let start_by_ms = self.start_by_ms(index);
         let reservation = self.reserve_zone_capacity(index, engine);
-        let is_warming_up = self.warm_up_budget_ms(engine).is_some();
+        let is_warming_up = self.slow_start.limits(&self.engines[engine], self.now_ms);
         let attempt = self.open_attempt(index, engine, reservation, is_warming_up);
         self.grant(index, attempt.memory_mb, out);
         let query = &self.queries[index];
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -15,7 +15,6 @@
 mod placement;
 mod pressure;
 mod retry;
-mod slow_start;
 #[cfg(test)]
 mod tests;
 
@@ -31,7 +30,7 @@
         out: &mut dyn DecisionSink,
     ) {
         self.now_ms = now_ms;
-        self.first_round_ms = self.first_round_ms.min(now_ms);
+        self.slow_start.begin_round(now_ms);
         source.deliver(self, out);
         self.run_periodic_checks(out);
         self.set_timer(out);
--- a/src/control/outlier.rs
+++ b/src/control/outlier.rs
@@ -98,10 +98,8 @@
     /// Starts health checks of engines that are silent for longer than they should be.
     pub(super) fn check_engines(&mut self, out: &mut dyn DecisionSink) {
         let max_silence_ms = CHECK_AFTER_MS + self.settings.usual_silence_ms();
-        let span_ms = self.settings.warm_up.map_or(0.0, |rule| rule.span_ms);
         let now_ms = self.now_ms;
         for engine in &mut self.engines {
-            engine.slow_start.advance(now_ms, span_ms, &mut self.rng);
             let mut wants_check = engine.silent_for_ms(now_ms) > max_silence_ms;
             let health = &mut engine.health;
             if health.is_ejected {
--- a/src/control/periodic.rs
+++ b/src/control/periodic.rs
@@ -21,6 +21,10 @@
         self.low_lane.refill(self.pool_headroom(), elapsed_ms);
         self.checked_ms = self.now_ms;
         self.request_endpoints(out);
+        for engine in &mut self.engines {
+            self.slow_start
+                .advance(&mut engine.warm_up, self.now_ms, &mut self.rng);
+        }
         self.check_engines(out);
         self.exchange_load(out);
         for slot in 0..self.queries.capacity() {
--- a/src/model/engine.rs
+++ b/src/model/engine.rs
@@ -4,7 +4,7 @@
 use crate::interner::Interner;
 use crate::model::engine_health::EngineHealth;
 use crate::model::engine_load::{EngineLoad, LaneLimit};
-use crate::model::slow_start::SlowStart;
+use crate::model::slow_start::WarmUpState;
 use crate::model::{FadingMedian, GroupIndex, LaneSlowdowns, LONG_AGO};
 use crate::settings::Settings;
 
@@ -21,7 +21,7 @@
     pub(crate) load: EngineLoad,
     pub(crate) limit: LaneLimit,
     pub(crate) health: EngineHealth,
-    pub(crate) slow_start: SlowStart,
+    pub(crate) warm_up: WarmUpState,
     pub(crate) slowdown: LaneSlowdowns,
     /// For each resource group how many of its attempts stall there, from none to all.
     stalls: Vec<FadingMedian>,
@@ -63,7 +63,7 @@
             load: EngineLoad::default(),
             limit: LaneLimit::default(),
             health: EngineHealth::default(),
-            slow_start: SlowStart::default(),
+            warm_up: WarmUpState::default(),
             slowdown: LaneSlowdowns::default(),
             stalls: Vec::new(),
         }
--- a/src/model/in_flight.rs
+++ b/src/model/in_flight.rs
@@ -65,7 +65,7 @@
             self.retry_budget.record_retry(self.now_ms);
         }
         if is_warming_up {
-            engine.slow_start.record(self.now_ms, group.usual_work_ms());
+            engine.warm_up.record(self.now_ms, group.usual_work_ms());
         }
         let memory_mb = query.cost.memory_mb * group.cost.memory_factor;
         let mut attempt = Attempt::new(engine_index, self.now_ms, query.cost.work_ms, memory_mb);
--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -31,6 +31,7 @@
 pub(crate) use query::{Lane, Query, QueryCost};
 pub(crate) use resource_group::ResourceGroup;
 pub(crate) use retry_budget::RetryBudget;
+pub(crate) use slow_start::SlowStart;
 pub(crate) use slowdown::{
     step_towards, FadingMedian, GroupSlowdown, LaneSlowdowns, LearningSteps, MedianUpdate,
     SlowdownMemory, LEARNING,
--- a/src/model/state.rs
+++ b/src/model/state.rs
@@ -4,7 +4,7 @@
 use crate::interner::Interner;
 use crate::model::{
     Engine, EngineIndex, KeyQueues, LaneSlowdowns, LevelEffects, LowLane, PeerLoad, Query,
-    QueryIndex, ResourceGroup, RetryBudget, TenantRates,
+    QueryIndex, ResourceGroup, RetryBudget, SlowStart, TenantRates,
 };
 use crate::pcg::Pcg;
 use crate::settings::{Settings, SettingsError, SettingsMap};
@@ -22,9 +22,8 @@
 /// Memory grows with the queries in flight, the engines listed and the keys, tenants and zones named.
 #[derive(Default)]
 pub struct Control {
-    /// The clock of the round (ms), and of the first round.
+    /// The clock of the round (ms).
     pub(crate) now_ms: f64,
-    pub(crate) first_round_ms: f64,
     pub(crate) settings: Settings,
     pub(crate) local_zone: Option<u32>,
     pub(crate) rng: Pcg,
@@ -39,6 +38,7 @@
     pub(crate) zone_slowdowns: Vec<LaneSlowdowns>,
     pub(crate) pool_slowdown: LaneSlowdowns,
     pub(crate) low_lane: LowLane,
+    pub(crate) slow_start: SlowStart,
     pub(crate) peer_load: PeerLoad,
     pub(crate) endpoint_list: EndpointListState,
     pub(crate) level: LevelEffects,
@@ -85,7 +85,6 @@
         );
         let local_zone = settings.local_zone.as_ref();
         Ok(Control {
-            first_round_ms: f64::INFINITY,
             local_zone: local_zone.map(|zone| interner.zones.index(zone)),
             rng: Pcg::new(seed),
             interner,
@@ -95,6 +94,7 @@
                 is_wanted: settings.endpoints_on_request,
                 requested_ms: 0.0,
             },
+            slow_start: SlowStart::new(&settings),
             retry_budget: RetryBudget::new(settings.retry_budget),
             settings,
             ..Control::default()
--- a/src/pool_metrics.rs
+++ b/src/pool_metrics.rs
@@ -61,9 +61,7 @@
 
     /// Fraction of the ready engines that are warming up.
     pub fn warming_fraction(&self) -> f64 {
-        let warm_after_ms = self.settings.warm_up.map_or(0.0, |rule| rule.warm_after_ms);
-        let is_warming =
-            |engine: &&Engine| self.now_ms - engine.endpoint.started_ms < warm_after_ms;
+        let is_warming = |engine: &&Engine| self.slow_start.is_warming_up(engine, self.now_ms);
         let warming = self.ready_engines().filter(is_warming);
         fraction(warming.count(), self.ready_engines().count())
     }
