--- a/src/model/state.rs
+++ b/src/model/state.rs
@@ -3,8 +3,8 @@
 use crate::events::{DecisionSink, EndpointUpdate};
 use crate::interner::Interner;
 use crate::model::{
-    Engine, EngineIndex, KeyQueues, LaneSlowdowns, LevelEffects, PeerLoad, Query, QueryIndex,
-    ResourceGroup, RetryCounts, TenantRates,
+    Engine, EngineIndex, KeyQueues, LaneSlowdowns, LevelEffects, LowLane, PeerLoad, Query,
+    QueryIndex, ResourceGroup, RetryBudget, SlowStart, TenantRates,
 };
 use crate::pcg::Pcg;
 use crate::settings::{Settings, SettingsError, SettingsMap};
@@ -22,9 +22,8 @@
 /// Memory grows with the queries in flight, the engines listed and the keys, tenants and zones named.
 #[derive(Default)]
 pub struct Control {
-    /// The clock of the round (ms), and of the first round.
+    /// The clock of the round (ms).
     pub(crate) now_ms: f64,
-    pub(crate) first_round_ms: f64,
     pub(crate) settings: Settings,
     pub(crate) local_zone: Option<u32>,
     pub(crate) rng: Pcg,
@@ -33,15 +32,13 @@
     pub(crate) tenants: TenantRates,
     pub(crate) queries: Slab<Query>,
     pub(crate) key_queues: KeyQueues,
-    pub(crate) retry_counts: RetryCounts,
+    pub(crate) retry_budget: RetryBudget,
     pub(crate) engines: Vec<Engine>,
     /// Slowdown by zone, and of the whole pool.
     pub(crate) zone_slowdowns: Vec<LaneSlowdowns>,
     pub(crate) pool_slowdown: LaneSlowdowns,
-    /// Thread time (ms) that low queries have left of the limits' sum; negative when it is overdrawn.
-    pub(crate) low_credit_ms: f64,
-    /// Mean work of low queries, a thread (ms).
-    pub(crate) low_work_ms: f64,
+    pub(crate) low_lane: LowLane,
+    pub(crate) slow_start: SlowStart,
     pub(crate) peer_load: PeerLoad,
     pub(crate) endpoint_list: EndpointListState,
     pub(crate) level: LevelEffects,
@@ -88,7 +85,6 @@
         );
         let local_zone = settings.local_zone.as_ref();
         Ok(Control {
-            first_round_ms: f64::INFINITY,
             local_zone: local_zone.map(|zone| interner.zones.index(zone)),
             rng: Pcg::new(seed),
             interner,
@@ -98,6 +94,8 @@
                 is_wanted: settings.endpoints_on_request,
                 requested_ms: 0.0,
             },
+            slow_start: SlowStart::new(&settings),
+            retry_budget: RetryBudget::new(settings.retry_budget),
             settings,
             ..Control::default()
         })
