--- a/crates/dispatcher/src/engine/commands.rs
+++ b/crates/dispatcher/src/engine/commands.rs
@@ -1,9 +1,9 @@
 //! Executes the decisions' commands: submit, withdraw, cancel, set priority, check health.
 
 use super::channel::Channel;
-use super::connection::{Attempt, RequestFields};
+use super::connection::Attempt;
 use super::pool::EnginePool;
-use super::priorities::request_fields;
+use super::protocol::RequestFields;
 use super::reports::AttemptReport;
 use super::settings::MIN_SILENCE_MS;
 use crate::query_registry::{EngineCommand, Pages};
@@ -16,9 +16,9 @@
 const CHECK_AFTER_RUN_TIMES: f64 = 2.0;
 
 /// The connection that carries a query's attempt.
-pub(super) struct Located {
-    pub channel: Rc<Channel>,
-    pub id: Rc<str>,
+struct Located {
+    channel: Rc<Channel>,
+    id: Rc<str>,
 }
 
 /// The command to start an attempt.
@@ -114,7 +114,7 @@
     fn request_of(&self, order: &AttemptOrder) -> Option<Request> {
         self.registry.with_query(order.query_id, |query| Request {
             id: query.id.clone(),
-            fields: request_fields(query),
+            fields: RequestFields::of(query),
             statement: query.statement.clone(),
             cost_ms: query.estimated_cost_ms,
         })
@@ -134,7 +134,7 @@
     }
 
     /// Finds the connection that carries the query's attempt: it is one of the engine that the last attempt went to.
-    pub(super) fn locate(&self, query_id: u64) -> Option<Located> {
+    fn locate(&self, query_id: u64) -> Option<Located> {
         let (id, engine_id) = self
             .registry
             .with_query(query_id, |query| (query.id.clone(), query.engine_id))?;
@@ -149,6 +149,14 @@
         Some(Located { channel, id })
     }
 
+    /// Sends the engine a new priority for an attempt in flight.
+    fn set_priority(&self, query_id: u64, priority: u8) {
+        if let Some(Located { channel, id }) = self.locate(query_id) {
+            channel.connection.borrow_mut().set_priority(&id, priority);
+            channel.notify.notify();
+        }
+    }
+
     /// Cancels an attempt if it is still in flight.
     fn cancel(&self, query_id: u64, number: usize) {
         let Some(Located { channel, id }) = self.locate(query_id) else {
--- a/crates/dispatcher/src/engine/connection.rs
+++ b/crates/dispatcher/src/engine/connection.rs
@@ -9,9 +9,9 @@
 pub use attempt::Attempt;
 pub use receive::FrameEvent;
 
+use super::protocol::{Command, RequestFields};
 use super::protocol_error::ProtocolError;
 use crate::guard::BeginPermit;
-pub use outbox::RequestFields;
 use outbox::{Outbox, Withdrawal};
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::io::IoSlice;
@@ -235,7 +235,8 @@
     pub fn check_health(&mut self, tag: Rc<str>, now_ms: f64, deadline_ms: f64) {
         self.last_used_ms = now_ms;
         self.unused = false;
-        self.outbox.push_command(&[b"alive", tag.as_bytes()]);
+        self.outbox
+            .push_command(&Command::CheckHealth { tag: &tag });
         self.health_checks.push(HealthCheck {
             tag,
             sent_ms: now_ms,
@@ -246,9 +247,8 @@
     /// Queues a new priority for an attempt in flight.
     pub fn set_priority(&mut self, id: &str, priority: u8) {
         if self.attempts.contains_key(id) {
-            let priority = priority.to_string();
             self.outbox
-                .push_command(&[b"renice", id.as_bytes(), priority.as_bytes()]);
+                .push_command(&Command::SetPriority { id, priority });
         }
     }
 
@@ -266,7 +266,7 @@
             Withdrawal::Written => {
                 self.abandoned_ids.insert(id.into());
                 self.retired |= self.abandoned_ids.len() >= MAX_ABANDONED;
-                self.outbox.push_command(&[b"abort", id.as_bytes()]);
+                self.outbox.push_command(&Command::Abort { id });
             }
         }
         Some(Abandoned {
--- a/crates/dispatcher/src/engine/connection/attempt.rs
+++ b/crates/dispatcher/src/engine/connection/attempt.rs
@@ -1,10 +1,9 @@
 //! An attempt in flight on a connection, and the assembly of its result from pages.
 
 use crate::engine::protocol_error::ProtocolError;
-use crate::engine::resp;
 use crate::engine::rows::json_rows;
 use crate::query_registry::Pages;
-use tansymux::events::{AttemptLimits, NoteKind};
+use tansymux::events::AttemptLimits;
 
 /// Pages of one result at most; the protocol's longest result has 8 of them.
 const MAX_PAGES: usize = 64;
@@ -24,7 +23,7 @@
     pub deadline_ms: f64,
     /// Its request is withdrawn if no byte of it was written by then.
     pub start_by_ms: f64,
-    /// Pages by their numbers; empty until the first page gives their count.
+    /// Pages by number; empty until the first page arrives, which announces their count.
     pages: Vec<Option<Vec<u8>>>,
     missing_pages: usize,
 }
@@ -38,15 +37,6 @@
     Incomplete,
 }
 
-/// A progress note from the engine.
-#[derive(Debug, Clone, Copy, PartialEq)]
-pub struct ProgressNote {
-    /// What the note is about.
-    pub kind: NoteKind,
-    /// The note's value; its meaning depends on the kind.
-    pub amount: f64,
-}
-
 impl Attempt {
     /// An attempt that is queued on a connection at `sent_ms`.
     pub fn new(query_id: u64, number: usize, sent_ms: f64, limits: AttemptLimits) -> Self {
@@ -80,27 +70,33 @@
         self.pages.drain(..).flatten().collect()
     }
 
-    /// Adds the first page, whose fields give the number of pages.
+    /// Adds the first page of a result of `page_count` pages.
+    ///
+    /// # Errors
+    /// The number of pages is missing or outside the limits, or the page is malformed.
     pub fn add_first_page(
         &mut self,
-        fields: &[u8],
-        page: &[u8],
+        page_count: Option<usize>,
+        rows: &[u8],
     ) -> Result<ResultProgress, ProtocolError> {
-        let count = number_field(fields, "batches").filter(|count| (1..=MAX_PAGES).contains(count));
+        let count = page_count.filter(|count| (1..=MAX_PAGES).contains(count));
         let count = count.ok_or(ProtocolError::InvalidPageCount)?;
         self.pages.resize(count, None);
         self.missing_pages = count;
-        self.add_page(0, page)
+        self.add_page(0, rows)
     }
 
-    /// Adds one of the other pages, whose fields give its number. A second copy replaces the first.
-    pub fn add_numbered_page(
+    /// Adds a further page. A duplicate replaces the page that arrived before.
+    ///
+    /// # Errors
+    /// The page's number is missing or too large, or the page is malformed.
+    pub fn add_further_page(
         &mut self,
-        fields: &[u8],
-        page: &[u8],
+        page_number: Option<usize>,
+        rows: &[u8],
     ) -> Result<ResultProgress, ProtocolError> {
-        let number = number_field(fields, "batch").ok_or(ProtocolError::MissingPageNumber)?;
-        self.add_page(number, page)
+        let number = page_number.ok_or(ProtocolError::MissingPageNumber)?;
+        self.add_page(number, rows)
     }
 
     fn add_page(&mut self, number: usize, page: &[u8]) -> Result<ResultProgress, ProtocolError> {
@@ -123,19 +119,3 @@
         })
     }
 }
-
-fn number_field(fields: &[u8], name: &str) -> Option<usize> {
-    resp::field(fields, name)?.parse().ok()
-}
-
-/// Parses the fields of a `TELL`; `None` for kinds that are not used here and for malformed notes.
-pub fn parse_progress_note(fields: &[u8]) -> Option<ProgressNote> {
-    let kind = match resp::field(fields, "tell")? {
-        "frac" => NoteKind::Progress,
-        "missing" => NoteKind::Spilling,
-        "parked" => NoteKind::Waiting,
-        _ => return None,
-    };
-    let amount: f64 = resp::field(fields, "num")?.parse().ok()?;
-    amount.is_finite().then_some(ProgressNote { kind, amount })
-}
--- a/crates/dispatcher/src/engine/connection/outbox.rs
+++ b/crates/dispatcher/src/engine/connection/outbox.rs
@@ -1,7 +1,7 @@
 //! The messages queued on one connection, and how much of them is written. A request goes out only with a permit of the
 //! guard, which also gives its time limit.
 
-use crate::engine::resp;
+use crate::engine::protocol::{Command, RequestFields};
 use crate::guard::BeginPermit;
 use std::collections::VecDeque;
 use std::io::IoSlice;
@@ -10,15 +10,6 @@
 /// What a held message counts for beside its own bytes: head and line ends of a request that is not encoded yet.
 const REQUEST_HEAD_BYTES: usize = 96;
 
-/// A request's fields, around the time limit that stands between them.
-#[derive(Debug, Clone, Default)]
-pub struct RequestFields {
-    /// Those before the limit, without the comma behind them.
-    pub before_limit: String,
-    /// Those behind it, each with a comma before it.
-    pub after_limit: String,
-}
-
 /// An attempt's request.
 #[derive(Debug)]
 struct Request {
@@ -31,13 +22,9 @@
 
 impl Request {
     fn encode(&mut self, permit: &BeginPermit) {
-        let RequestFields {
-            before_limit,
-            after_limit,
-        } = &self.fields;
-        let fields = format!("{before_limit},limit={}{after_limit}", permit.limit_ms());
-        let elements = [b"fetch", self.id.as_bytes(), fields.as_bytes()];
-        resp::write(&mut self.head, &elements, Some(self.statement.len()));
+        let statement_len = self.statement.len();
+        self.fields
+            .encode_head(&mut self.head, &self.id, permit.limit_ms(), statement_len);
     }
 
     fn has_permit(&self) -> bool {
@@ -126,10 +113,8 @@
     }
 
     /// Queues a command about an attempt, or a health check.
-    pub fn push_command(&mut self, elements: &[&[u8]]) {
-        let mut bytes = Vec::with_capacity(64);
-        resp::write(&mut bytes, elements, None);
-        self.push(Message::Command(bytes));
+    pub fn push_command(&mut self, command: &Command) {
+        self.push(Message::Command(command.encode()));
     }
 
     fn push(&mut self, message: Message) {
--- a/crates/dispatcher/src/engine/connection/receive.rs
+++ b/crates/dispatcher/src/engine/connection/receive.rs
@@ -1,8 +1,9 @@
 //! Interprets the frames that an engine sends.
 
-use super::attempt::{parse_progress_note, Attempt, ProgressNote, ResultProgress};
+use super::attempt::{Attempt, ResultProgress};
 use super::outbox::Outbox;
 use super::Connection;
+use crate::engine::protocol::{self, Command, EngineReply, HealthReply, ProgressNote};
 use crate::engine::protocol_error::ProtocolError;
 use crate::engine::resp::Frame;
 use crate::query_registry::Pages;
@@ -39,11 +40,11 @@
     Ignored,
 }
 
-/// What a reply means for its attempt.
-enum Reply {
+/// The effect of a reply on its attempt.
+enum ReplyEffect {
     /// The attempt has ended.
     Final(Outcome),
-    /// The attempt goes on.
+    /// The attempt remains in flight.
     Interim(FrameEvent),
 }
 
@@ -54,51 +55,55 @@
     /// The frame violates the protocol. Its attempt stays in flight until the caller closes the connection.
     pub fn receive(&mut self, frame: &Frame, now_ms: f64) -> Result<FrameEvent, ProtocolError> {
         self.last_frame_ms = now_ms;
-        let id = std::str::from_utf8(frame.element(0)).map_err(|_| ProtocolError::InvalidId)?;
+        let id = protocol::reply_id(frame)?;
         let mut health_checks = self.health_checks.iter();
         if let Some(index) = health_checks.position(|check| &*check.tag == id) {
             self.health_checks.swap_remove(index);
-            let outcome = health_outcome(frame.element(1));
+            let outcome = health_outcome(HealthReply::parse(frame));
             return Ok(FrameEvent::HealthChecked(outcome));
         }
-        match self.reply_to(id, frame)? {
-            Reply::Final(outcome) => Ok(self.complete(id, outcome, now_ms)),
-            Reply::Interim(event) => Ok(event),
+        match self.apply_reply(id, frame)? {
+            ReplyEffect::Final(outcome) => Ok(self.complete(id, outcome, now_ms)),
+            ReplyEffect::Interim(event) => Ok(event),
         }
     }
 
-    /// What a reply means for the attempt with this id.
-    fn reply_to(&mut self, id: &str, frame: &Frame) -> Result<Reply, ProtocolError> {
-        let ignored = Reply::Interim(FrameEvent::Ignored);
+    /// Applies a reply to the attempt with this id and returns its effect.
+    fn apply_reply(&mut self, id: &str, frame: &Frame) -> Result<ReplyEffect, ProtocolError> {
+        let ignored = ReplyEffect::Interim(FrameEvent::Ignored);
         let Some(attempt) = self.attempts.get_mut(id) else {
             return Ok(ignored);
         };
-        let fields = frame.element(2);
-        let outcome = match frame.element(1) {
-            b"TELL" => return Ok(Reply::Interim(progress_event(attempt, fields))),
+        let outcome = match EngineReply::parse(frame)? {
+            EngineReply::Progress(note) => {
+                return Ok(ReplyEffect::Interim(progress_event(attempt, note)));
+            }
             // A duplicate of the first page.
-            b"DONE" if attempt.page_count() > 0 => return Ok(ignored),
-            b"DONE" => match attempt.add_first_page(fields, frame.element(3))? {
-                ResultProgress::Complete => Outcome::Completed,
-                ResultProgress::Incomplete => {
-                    let pages = attempt.page_count();
-                    request_remaining_pages(&mut self.outbox, id, pages);
-                    return Ok(ignored);
+            EngineReply::FirstPage { .. } if attempt.page_count() > 0 => return Ok(ignored),
+            EngineReply::FirstPage { page_count, rows } => {
+                match attempt.add_first_page(page_count, rows)? {
+                    ResultProgress::Complete => Outcome::Completed,
+                    ResultProgress::Incomplete => {
+                        let pages = attempt.page_count();
+                        request_further_pages(&mut self.outbox, id, pages);
+                        return Ok(ignored);
+                    }
                 }
-            },
-            b"MORE" => match attempt.add_numbered_page(fields, frame.element(3))? {
-                ResultProgress::Complete => {
-                    self.outbox.push_command(&[b"done", id.as_bytes()]);
-                    Outcome::Completed
+            }
+            EngineReply::FurtherPage { page_number, rows } => {
+                match attempt.add_further_page(page_number, rows)? {
+                    ResultProgress::Complete => {
+                        self.outbox.push_command(&Command::ConfirmResult { id });
+                        Outcome::Completed
+                    }
+                    ResultProgress::Incomplete => return Ok(ignored),
                 }
-                ResultProgress::Incomplete => return Ok(ignored),
-            },
-            b"WAIT" => Outcome::Full,
-            b"PAST" => Outcome::NotSent,
-            b"BROKE" => Outcome::Error,
-            _ => return Err(ProtocolError::UnknownReply),
+            }
+            EngineReply::Full => Outcome::Full,
+            EngineReply::DeadlinePassed => Outcome::NotSent,
+            EngineReply::Failed => Outcome::Error,
         };
-        Ok(Reply::Final(outcome))
+        Ok(ReplyEffect::Final(outcome))
     }
 
     /// The attempt has its final answer.
@@ -117,16 +122,15 @@
     }
 }
 
-fn health_outcome(word: &[u8]) -> Outcome {
-    if word == b"FIT" {
-        Outcome::Completed
-    } else {
-        Outcome::Error
+fn health_outcome(reply: HealthReply) -> Outcome {
+    match reply {
+        HealthReply::Healthy => Outcome::Completed,
+        HealthReply::Unhealthy => Outcome::Error,
     }
 }
 
-fn progress_event(attempt: &Attempt, fields: &[u8]) -> FrameEvent {
-    match parse_progress_note(fields) {
+fn progress_event(attempt: &Attempt, note: Option<ProgressNote>) -> FrameEvent {
+    match note {
         Some(note) => FrameEvent::Progress {
             query_id: attempt.query_id,
             attempt: attempt.number,
@@ -136,9 +140,8 @@
     }
 }
 
-fn request_remaining_pages(outbox: &mut Outbox, id: &str, pages: usize) {
-    for page in 1..pages {
-        let page = page.to_string();
-        outbox.push_command(&[b"more", id.as_bytes(), page.as_bytes()]);
+fn request_further_pages(outbox: &mut Outbox, id: &str, page_count: usize) {
+    for page in 1..page_count {
+        outbox.push_command(&Command::RequestPage { id, page });
     }
 }
--- a/crates/dispatcher/src/engine/connection/tests.rs
+++ b/crates/dispatcher/src/engine/connection/tests.rs
@@ -1,5 +1,5 @@
-use super::attempt::ProgressNote;
 use super::*;
+use crate::engine::protocol::ProgressNote;
 use crate::engine::resp;
 use tansymux::events::{AttemptLimits, NoteKind, Outcome};
 
--- a/crates/dispatcher/src/engine/mod.rs
+++ b/crates/dispatcher/src/engine/mod.rs
@@ -5,7 +5,8 @@
 //! [`Event`](crate::query_registry::Event). The engine side never retries and never chooses another engine by itself.
 //!
 //! Start reading at [`commands`] (execution of the decisions' commands) and [`pool`] (which connections exist, and
-//! which one carries an attempt). [`channel`] runs one connection's task, [`connect`] and [`begin`] are its steps that can fail or be refused, [`connection`] is its state machine,
+//! which one carries an attempt). [`channel`] runs one connection's task, [`connect`] and [`begin`] are its steps that
+//! can fail or be refused, [`connection`] is its state machine, [`protocol`] has the words of the engine protocol.
 //! [`timeouts`] expires attempts and connections, [`health`] finds out whether engines are reachable.
 
 mod begin;
@@ -16,7 +17,7 @@
 mod health;
 mod keep_alive;
 mod pool;
-mod priorities;
+mod protocol;
 mod protocol_error;
 mod reports;
 mod resp;
--- a/crates/dispatcher/src/query_registry/query.rs
+++ b/crates/dispatcher/src/query_registry/query.rs
@@ -63,16 +63,6 @@
 }
 
 impl RequestKeys<'_> {
-    /// Both as fields of a request to an engine, each with a comma before it.
-    pub(super) fn engine_fields(&self) -> Rc<str> {
-        let field = |name: &str, value: Option<&str>| {
-            value.map_or(String::new(), |value| format!(",{name}={value}"))
-        };
-        let nonce = field("nonce", self.idempotency_key);
-        let item = field("item", self.ordering_key);
-        format!("{nonce}{item}").into()
-    }
-
     /// The ordering key as a number.
     pub(super) fn ordering_number(&self) -> Option<u64> {
         let key = self.ordering_key?;
@@ -125,8 +115,10 @@
     pub resource_group: Rc<str>,
     /// Its SQL text.
     pub statement: Rc<[u8]>,
-    /// The client's keys as fields of a request to an engine, each with a comma before it.
-    pub key_fields: Rc<str>,
+    /// Its idempotency key, if the client sent one.
+    pub idempotency_key: Option<Rc<str>>,
+    /// Its ordering key, if the client sent one.
+    pub ordering_key: Option<Rc<str>>,
     /// When its last byte came.
     pub received_ms: f64,
     /// Estimated thread time (ms); 0 where there is no estimate.
@@ -155,7 +147,8 @@
             id,
             resource_group: request.resource_group.into(),
             statement: request.statement.into(),
-            key_fields: request.keys.engine_fields(),
+            idempotency_key: request.keys.idempotency_key.map(Rc::from),
+            ordering_key: request.keys.ordering_key.map(Rc::from),
             received_ms: request.received_ms,
             estimated_cost_ms: request.estimated_cost_ms,
             deadline_ms: request.deadline_ms,
