--- a/crates/dispatcher/src/client/answer_writer.rs
+++ b/crates/dispatcher/src/client/answer_writer.rs
@@ -1,6 +1,7 @@
 //! Writes answers to a client's connection.
 
 use super::http::answer_head;
+use super::protocol::{Status, QUERY_FAILED, TRY_LATER};
 use super::request_error::RequestError;
 use crate::counters::Counters;
 use crate::guard::AnswerPermit;
@@ -34,14 +35,20 @@
         match answer {
             Answer::Completed(pages) => self.result(permit, &pages, keep_alive).await,
             Answer::Rejected { retry_after_ms } => {
-                let body = "{\"error\":\"TryLater\"}";
+                let body = error_body(TRY_LATER);
                 let retry_after_ms = retry_after_ms.max(0.0).ceil() as u64;
-                let head = answer_head(429, body.len(), keep_alive, Some(retry_after_ms));
+                let head = answer_head(
+                    Status::TooManyRequests,
+                    body.len(),
+                    keep_alive,
+                    Some(retry_after_ms),
+                );
                 self.write(permit, &[&head, body.as_bytes()]).await
             }
             Answer::Failed => {
-                let body = "{\"error\":\"Killed\"}";
-                self.json(permit, 500, body, keep_alive).await
+                let body = error_body(QUERY_FAILED);
+                self.json(permit, Status::InternalServerError, &body, keep_alive)
+                    .await
             }
         }
     }
@@ -62,7 +69,7 @@
         }
         body.push(b"]}");
         let body_len = body.iter().map(|part| part.len()).sum();
-        let head = answer_head(200, body_len, keep_alive, None);
+        let head = answer_head(Status::Ok, body_len, keep_alive, None);
         body.insert(0, &head);
         self.write(permit, &body).await
     }
@@ -71,7 +78,7 @@
     pub async fn json(
         &self,
         permit: AnswerPermit,
-        status: u16,
+        status: Status,
         body: &str,
         keep_alive: bool,
     ) -> io::Result<()> {
@@ -79,19 +86,25 @@
         self.write(permit, &[&head, body.as_bytes()]).await
     }
 
-    /// Refuses a request; its connection ends with that. A 503 tells the client when to come back, if that is known.
+    /// Refuses a request; its connection is closed after that. A 503 has the time after which the client may retry, if
+    /// that is known.
     pub async fn error(
         &self,
         permit: AnswerPermit,
         error: RequestError,
         retry_after_ms: Option<f64>,
     ) -> io::Result<()> {
-        let RequestError { status, message } = error;
+        let status = error.status();
+        let message = error.to_string();
         self.counters.requests_rejected.increment();
-        tracing::info!(status, reason = message, "request rejected");
-        let body = format!("{{\"error\":\"{message}\"}}");
+        tracing::info!(
+            status = status.code(),
+            reason = message.as_str(),
+            "request rejected"
+        );
+        let body = error_body(&message);
         let retry_after_ms = retry_after_ms
-            .filter(|_| status == 503)
+            .filter(|_| status == Status::ServiceUnavailable)
             .map(|ms| ms.ceil() as u64);
         let head = answer_head(status, body.len(), false, retry_after_ms);
         self.write(permit, &[&head, body.as_bytes()]).await
@@ -110,3 +123,8 @@
         written
     }
 }
+
+/// The JSON body of an error.
+fn error_body(code: &str) -> String {
+    format!("{{\"error\":\"{code}\"}}")
+}
--- a/crates/dispatcher/src/client/http.rs
+++ b/crates/dispatcher/src/client/http.rs
@@ -1,5 +1,6 @@
 //! HTTP/1.1: parses the heads of requests in place, and writes the heads of answers. Pure functions over bytes.
 
+use super::protocol::{RequestField, Status, RETRY_AFTER_FIELD};
 use super::request_error::RequestError;
 
 /// Bytes of a request's head at most: a bound on memory.
@@ -10,7 +11,7 @@
 const MAX_FIELDS: usize = 64;
 /// Bytes of line ends that are skipped ahead of a request line (RFC 9112, section 2.2).
 const MAX_LEADING_LINE_ENDS: usize = 4;
-/// What ends a head.
+/// The empty line at the end of a head.
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
 /// A request's head, borrowed from the bytes that it came in. Fields that the protocol does not name are ignored.
@@ -65,28 +66,24 @@
         self.head_len + self.body_len
     }
 
-    /// The field of the protocol by this name, in any case of letters; `None` for all others.
-    fn field_mut(&mut self, name: &str) -> Option<&mut Option<&'a str>> {
-        let fields = [
-            ("req-id", &mut self.id),
-            ("req-wait-ms", &mut self.wait_ms),
-            ("req-owner", &mut self.owner),
-            ("req-cost", &mut self.cost_ms),
-            ("x-need-mb", &mut self.memory_mb),
-            ("req-token", &mut self.idempotency_key),
-            ("req-key", &mut self.ordering_key),
-        ];
-        fields
-            .into_iter()
-            .find(|(known, _)| name.eq_ignore_ascii_case(known))
-            .map(|(_, field)| field)
+    /// The place of a field's value.
+    fn value_mut(&mut self, field: RequestField) -> &mut Option<&'a str> {
+        match field {
+            RequestField::QueryId => &mut self.id,
+            RequestField::WaitMs => &mut self.wait_ms,
+            RequestField::Tenant => &mut self.owner,
+            RequestField::CostMs => &mut self.cost_ms,
+            RequestField::MemoryMb => &mut self.memory_mb,
+            RequestField::IdempotencyKey => &mut self.idempotency_key,
+            RequestField::OrderingKey => &mut self.ordering_key,
+        }
     }
 }
 
 /// Parses the head at the start of `bytes`; `None` while it is not complete.
 ///
 /// # Errors
-/// The head is malformed, too long, or asks for what is not supported.
+/// The head is malformed, too long, or uses an unsupported feature.
 pub fn parse(bytes: &[u8]) -> Result<Option<Head<'_>>, RequestError> {
     let skipped = bytes
         .iter()
@@ -99,12 +96,11 @@
         .position(|window| window == HEAD_END);
     let Some(head_end) = head_end else {
         if bytes.len() >= MAX_HEAD_BYTES {
-            return Err(RequestError::new(431, "the head is too long"));
+            return Err(RequestError::HeadTooLong);
         }
         return Ok(None);
     };
-    let text = std::str::from_utf8(&searched[..head_end])
-        .map_err(|_| RequestError::new(400, "the head is not text"))?;
+    let text = std::str::from_utf8(&searched[..head_end]).map_err(|_| RequestError::HeadNotText)?;
     let mut lines = text.split("\r\n");
     let request_line = RequestLine::parse(lines.next().unwrap_or(""))?;
     let mut head = Head::new(&request_line, skipped + head_end + HEAD_END.len());
@@ -115,7 +111,7 @@
     }
     head.body_len = content_length.unwrap_or(0);
     if head.body_len > MAX_BODY_BYTES {
-        return Err(RequestError::new(413, "the statement is too long"));
+        return Err(RequestError::StatementTooLong);
     }
     Ok(Some(head))
 }
@@ -133,22 +129,16 @@
         let (Some(method), Some(path), Some(version), None) =
             (words.next(), words.next(), words.next(), words.next())
         else {
-            return Err(RequestError::new(
-                400,
-                "the request line is not three words",
-            ));
+            return Err(RequestError::MalformedRequestLine);
         };
         let keep_alive = match version {
             "HTTP/1.1" => true,
             "HTTP/1.0" => false,
-            _ => return Err(RequestError::new(505, "the version is not HTTP/1.1")),
+            _ => return Err(RequestError::UnsupportedVersion),
         };
-        let is_method = !method.is_empty() && method.bytes().all(|b| b.is_ascii_alphabetic());
+        let is_method = !method.is_empty() && method.bytes().all(|byte| byte.is_ascii_alphabetic());
         if !is_method || !path.starts_with('/') {
-            return Err(RequestError::new(
-                400,
-                "the request line has no method or path",
-            ));
+            return Err(RequestError::MissingMethodOrPath);
         }
         Ok(RequestLine {
             method,
@@ -160,19 +150,17 @@
 
 /// Name and value of a header field that has `count` others before it.
 fn parse_field(line: &str, count: usize) -> Result<(&str, &str), RequestError> {
-    let (name, value) = line
-        .split_once(':')
-        .ok_or(RequestError::new(400, "a field has no colon"))?;
+    let (name, value) = line.split_once(':').ok_or(RequestError::MissingColon)?;
     if count >= MAX_FIELDS {
-        return Err(RequestError::new(431, "there are too many fields"));
+        return Err(RequestError::TooManyFields);
     }
     if name.is_empty() || name.bytes().any(|byte| byte <= b' ' || byte == 127) {
-        return Err(RequestError::new(400, "a field's name is not a word"));
+        return Err(RequestError::MalformedFieldName);
     }
     let value = value.trim_matches([' ', '\t']);
     let is_control = |byte: u8| byte < b' ' && byte != b'\t' || byte == 127;
     if value.bytes().any(is_control) {
-        return Err(RequestError::new(400, "a field's value is not text"));
+        return Err(RequestError::MalformedFieldValue);
     }
     Ok((name, value))
 }
@@ -186,16 +174,16 @@
 ) -> Result<(), RequestError> {
     if name.eq_ignore_ascii_case("content-length") {
         if content_length.replace(parse_length(value)?).is_some() {
-            return Err(RequestError::new(400, "Content-Length is told twice"));
+            return Err(RequestError::DuplicateContentLength);
         }
     } else if name.eq_ignore_ascii_case("transfer-encoding") {
-        return Err(RequestError::new(501, "Transfer-Encoding is not taken"));
+        return Err(RequestError::UnsupportedTransferEncoding);
     } else if name.eq_ignore_ascii_case("connection") {
         let close = has_token(value, "close");
         head.keep_alive = !close && (head.keep_alive || has_token(value, "keep-alive"));
-    } else if let Some(field) = head.field_mut(name) {
-        if field.replace(value).is_some() {
-            return Err(RequestError::new(400, "a field is told twice"));
+    } else if let Some(field) = RequestField::parse(name) {
+        if head.value_mut(field).replace(value).is_some() {
+            return Err(RequestError::DuplicateField);
         }
     }
     Ok(())
@@ -203,7 +191,7 @@
 
 /// The value of a `Content-Length`: digits only, where `parse` alone would take a sign.
 fn parse_length(value: &str) -> Result<usize, RequestError> {
-    let malformed = RequestError::new(400, "Content-Length");
+    let malformed = RequestError::MalformedContentLength;
     if value.is_empty() || !value.bytes().all(|byte| byte.is_ascii_digit()) {
         return Err(malformed);
     }
@@ -216,38 +204,21 @@
         .any(|word| word.trim().eq_ignore_ascii_case(token))
 }
 
-fn reason_phrase(status: u16) -> &'static str {
-    match status {
-        200 => "OK",
-        403 => "Forbidden",
-        404 => "Not Found",
-        405 => "Method Not Allowed",
-        408 => "Request Timeout",
-        409 => "Conflict",
-        413 => "Content Too Large",
-        429 => "Too Many Requests",
-        431 => "Request Header Fields Too Large",
-        500 => "Internal Server Error",
-        501 => "Not Implemented",
-        503 => "Service Unavailable",
-        505 => "HTTP Version Not Supported",
-        _ => "Bad Request",
-    }
-}
-
-/// The head of an answer with a body of `body_len` bytes. `retry_after_ms` tells the client how long to stay away.
+/// The head of an answer with a body of `body_len` bytes. `retry_after_ms` is the time that the client is to wait before
+/// it retries.
 pub fn answer_head(
-    status: u16,
+    status: Status,
     body_len: usize,
     keep_alive: bool,
     retry_after_ms: Option<u64>,
 ) -> Vec<u8> {
     let mut head = format!(
-        "HTTP/1.1 {status} {}\r\nContent-Type: application/json\r\nContent-Length: {body_len}\r\n",
-        reason_phrase(status)
+        "HTTP/1.1 {} {}\r\nContent-Type: application/json\r\nContent-Length: {body_len}\r\n",
+        status.code(),
+        status.reason_phrase()
     );
     if let Some(retry_after_ms) = retry_after_ms {
-        head += &format!("Srv-Wait-Ms: {retry_after_ms}\r\n");
+        head += &format!("{RETRY_AFTER_FIELD}: {retry_after_ms}\r\n");
     }
     if !keep_alive {
         head += "Connection: close\r\n";
--- a/crates/dispatcher/src/client/http/tests.rs
+++ b/crates/dispatcher/src/client/http/tests.rs
@@ -66,14 +66,14 @@
     ];
     for (bytes, status) in cases {
         assert_eq!(
-            parse(bytes).map_err(|w| w.status),
+            parse(bytes).map_err(|error| error.status().code()),
             Err(status),
             "{}",
             String::from_utf8_lossy(bytes)
         );
     }
     assert_eq!(
-        parse(b"\xff\xfe / HTTP/1.1\r\n\r\n").map_err(|w| w.status),
+        parse(b"\xff\xfe / HTTP/1.1\r\n\r\n").map_err(|error| error.status().code()),
         Err(400)
     );
 }
@@ -93,7 +93,8 @@
 
 #[test]
 fn answer_head_has_length_and_retry_time() {
-    let head = String::from_utf8(answer_head(429, 20, false, Some(250))).unwrap();
+    let head =
+        String::from_utf8(answer_head(Status::TooManyRequests, 20, false, Some(250))).unwrap();
     assert!(head.starts_with("HTTP/1.1 429 Too Many Requests\r\n") && head.ends_with("\r\n\r\n"));
     assert!(head.contains("Content-Length: 20\r\n") && head.contains("Srv-Wait-Ms: 250\r\n"));
     assert!(head.contains("Connection: close\r\n"));
--- a/crates/dispatcher/src/client/mod.rs
+++ b/crates/dispatcher/src/client/mod.rs
@@ -11,6 +11,7 @@
 mod http;
 mod listener;
 mod phase;
+mod protocol;
 mod reader;
 mod request;
 mod request_error;
--- /dev/null
+++ b/crates/dispatcher/src/client/protocol.rs
@@ -0,0 +1,135 @@
+//! The words of the client protocol: paths, header fields, statuses and error codes, mapped to the field's terms.
+
+/// The path of queries, followed by the name of the resource group.
+pub const QUERY_PATH: &str = "/invoke/";
+/// The path of the health page.
+pub const HEALTH_PATH: &str = "/_health";
+/// The path of the counters page.
+pub const COUNTERS_PATH: &str = "/_counters";
+/// The path of the service levels.
+pub const LEVELS_PATH: &str = "/_levels";
+/// The path of the service levels for a client that knows a version of them; the version follows.
+pub const LEVELS_AFTER_PATH: &str = "/_levels?after=";
+/// The path of the zones.
+pub const ZONES_PATH: &str = "/_halls";
+
+/// The header field of an answer that says how long (ms) the client is to wait before it retries.
+pub const RETRY_AFTER_FIELD: &str = "Srv-Wait-Ms";
+
+/// Error code: the query was rejected, and the client may retry it.
+pub const TRY_LATER: &str = "TryLater";
+/// Error code: the query failed, and must not be retried as it is.
+pub const QUERY_FAILED: &str = "Killed";
+/// Error code: no such path or resource group.
+pub const UNKNOWN: &str = "Unknown";
+
+/// A header field of a query's request.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum RequestField {
+    /// The query's id.
+    QueryId,
+    /// How long (ms) the client waits for the answer.
+    WaitMs,
+    /// The tenant.
+    Tenant,
+    /// Estimated thread time (ms).
+    CostMs,
+    /// Estimated memory (MB).
+    MemoryMb,
+    /// The idempotency key.
+    IdempotencyKey,
+    /// The ordering key.
+    OrderingKey,
+}
+
+impl RequestField {
+    const ALL: [RequestField; 7] = [
+        RequestField::QueryId,
+        RequestField::WaitMs,
+        RequestField::Tenant,
+        RequestField::CostMs,
+        RequestField::MemoryMb,
+        RequestField::IdempotencyKey,
+        RequestField::OrderingKey,
+    ];
+
+    /// The field of this name, in any case of letters; `None` for names that the protocol does not define.
+    pub fn parse(name: &str) -> Option<Self> {
+        let mut fields = Self::ALL.into_iter();
+        fields.find(|field| name.eq_ignore_ascii_case(field.as_str()))
+    }
+
+    /// The field's name.
+    pub const fn as_str(self) -> &'static str {
+        match self {
+            RequestField::QueryId => "Req-Id",
+            RequestField::WaitMs => "Req-Wait-Ms",
+            RequestField::Tenant => "Req-Owner",
+            RequestField::CostMs => "Req-Cost",
+            RequestField::MemoryMb => "X-Need-Mb",
+            RequestField::IdempotencyKey => "Req-Token",
+            RequestField::OrderingKey => "Req-Key",
+        }
+    }
+}
+
+/// An HTTP status that this program answers with.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+#[repr(u16)]
+pub enum Status {
+    /// The answer has what was requested.
+    Ok = 200,
+    /// The request is malformed.
+    BadRequest = 400,
+    /// The tenant is unknown.
+    Forbidden = 403,
+    /// The path or the resource group is unknown.
+    NotFound = 404,
+    /// A page was requested by another method than GET.
+    MethodNotAllowed = 405,
+    /// The request was not complete in time.
+    RequestTimeout = 408,
+    /// The query's id is in use.
+    Conflict = 409,
+    /// The statement is too long.
+    ContentTooLarge = 413,
+    /// The query was rejected, and may be retried.
+    TooManyRequests = 429,
+    /// The head is too long.
+    HeaderFieldsTooLarge = 431,
+    /// The query failed.
+    InternalServerError = 500,
+    /// The request uses an unsupported feature of HTTP.
+    NotImplemented = 501,
+    /// The dispatcher has no capacity for the request, or is draining.
+    ServiceUnavailable = 503,
+    /// The request is not HTTP/1.0 or HTTP/1.1.
+    VersionNotSupported = 505,
+}
+
+impl Status {
+    /// The status code.
+    pub const fn code(self) -> u16 {
+        self as u16
+    }
+
+    /// The reason phrase of the status line.
+    pub const fn reason_phrase(self) -> &'static str {
+        match self {
+            Status::Ok => "OK",
+            Status::BadRequest => "Bad Request",
+            Status::Forbidden => "Forbidden",
+            Status::NotFound => "Not Found",
+            Status::MethodNotAllowed => "Method Not Allowed",
+            Status::RequestTimeout => "Request Timeout",
+            Status::Conflict => "Conflict",
+            Status::ContentTooLarge => "Content Too Large",
+            Status::TooManyRequests => "Too Many Requests",
+            Status::HeaderFieldsTooLarge => "Request Header Fields Too Large",
+            Status::InternalServerError => "Internal Server Error",
+            Status::NotImplemented => "Not Implemented",
+            Status::ServiceUnavailable => "Service Unavailable",
+            Status::VersionNotSupported => "HTTP Version Not Supported",
+        }
+    }
+}
--- a/crates/dispatcher/src/client/request.rs
+++ b/crates/dispatcher/src/client/request.rs
@@ -3,8 +3,8 @@
 
 use super::admission_limits::AdmissionLimits;
 use super::http::Head;
+use super::protocol::{RequestField, QUERY_PATH};
 use super::request_error::RequestError;
-use super::route::QUERY_PATH;
 use crate::query_registry::{QueryRequest, RequestKeys};
 use crate::subsystems::statement_classifier::{ClassifiedStatement, StatementClassifier};
 use tansymux::events::StatementTraits;
@@ -17,7 +17,7 @@
 const MAX_IDEMPOTENCY_KEY_DIGITS: usize = 32;
 /// Digits of an ordering key at most, by the protocol: 64 bits.
 const MAX_ORDERING_KEY_DIGITS: usize = 16;
-/// The least wait (ms) that a client may ask for.
+/// Shortest wait (ms) that a client may request.
 const MIN_WAIT_MS: f64 = 1.0;
 /// An answer is written by this long (ms) before the client stops waiting, so that it arrives in time; by half the
 /// wait where that is shorter.
@@ -35,8 +35,9 @@
     statement: &'a [u8],
     received_ms: f64,
     deadline_ms: f64,
-    /// Estimates of the client; 0 where it gave none.
+    /// The client's estimate of thread time (ms); 0 without one.
     cost_ms: f64,
+    /// The client's estimate of memory (MB); 0 without one.
     memory_mb: f64,
     tables: u32,
     keys: RequestKeys<'a>,
@@ -57,11 +58,11 @@
         let id = parse_id(head.id)?;
         let wait_ms = parse_estimate(head.wait_ms, limits.max_wait_ms)
             .filter(|ms| *ms >= MIN_WAIT_MS)
-            .ok_or(RequestError::new(400, "Req-Wait-Ms"))?;
+            .ok_or(RequestError::InvalidField(RequestField::WaitMs))?;
         let cost_ms = parse_estimate(head.cost_ms, limits.max_cost_ms)
-            .ok_or(RequestError::new(400, "Req-Cost"))?;
+            .ok_or(RequestError::InvalidField(RequestField::CostMs))?;
         let memory_mb = parse_estimate(head.memory_mb, limits.max_memory_mb)
-            .ok_or(RequestError::new(400, "X-Need-Mb"))?;
+            .ok_or(RequestError::InvalidField(RequestField::MemoryMb))?;
         let keys = parse_keys(head)?;
         let named_group = parse_group(limits, head.path)?;
         let tenant = parse_tenant(limits, head.owner.unwrap_or(""))?;
@@ -104,7 +105,7 @@
         let resource_group = self
             .named_group
             .or(analysed_group)
-            .ok_or(RequestError::UNKNOWN)?;
+            .ok_or(RequestError::Unknown)?;
         let mut traits = analysis.map_or(StatementTraits::UNKNOWN, |analysis| analysis.traits);
         if self.cost_ms > 0.0 {
             traits.confidence = 1.0;
@@ -144,7 +145,7 @@
 
 fn parse_id(id: Option<&str>) -> Result<&str, RequestError> {
     id.filter(|id| id.len() == ID_DIGITS && is_hex(id))
-        .ok_or(RequestError::new(400, "Req-Id"))
+        .ok_or(RequestError::InvalidField(RequestField::QueryId))
 }
 
 /// A number from 0 to `max`; 0 where there is none.
@@ -162,11 +163,11 @@
         |key: &str, max_digits: usize| !key.is_empty() && key.len() <= max_digits && is_hex(key);
     let idempotency_key = head.idempotency_key;
     if idempotency_key.is_some_and(|key| !is_key(key, MAX_IDEMPOTENCY_KEY_DIGITS)) {
-        return Err(RequestError::new(400, "Req-Token"));
+        return Err(RequestError::InvalidField(RequestField::IdempotencyKey));
     }
     let ordering_key = head.ordering_key;
     if ordering_key.is_some_and(|key| !is_key(key, MAX_ORDERING_KEY_DIGITS)) {
-        return Err(RequestError::new(400, "Req-Key"));
+        return Err(RequestError::InvalidField(RequestField::OrderingKey));
     }
     Ok(RequestKeys {
         idempotency_key,
@@ -187,7 +188,7 @@
         return Ok(None);
     };
     if !limits.resource_groups.iter().any(|known| known == group) {
-        return Err(RequestError::new(404, "unknown resource group"));
+        return Err(RequestError::UnknownResourceGroup);
     }
     Ok(Some(group))
 }
@@ -201,11 +202,11 @@
     tenants
         .find(|known| settings::matches_name(known, owner))
         .map(String::as_str)
-        .ok_or(RequestError::new(403, "unknown customer"))
+        .ok_or(RequestError::UnknownTenant)
 }
 
 fn check_statement(body: &[u8]) -> Result<(), RequestError> {
-    let malformed = RequestError::new(400, "the statement is not text");
+    let malformed = RequestError::StatementNotText;
     let text = std::str::from_utf8(body).map_err(|_| malformed)?;
     if text.trim().is_empty() || text.contains('\0') {
         return Err(malformed);
--- a/crates/dispatcher/src/client/request_error.rs
+++ b/crates/dispatcher/src/client/request_error.rs
@@ -1,41 +1,117 @@
-//! Refusals of requests, with the status and the text that their clients get.
+//! Errors that make a request unusable. Their statuses and texts are part of the client protocol.
 
+use super::protocol::{RequestField, Status, TRY_LATER, UNKNOWN};
 use crate::query_registry::AdmissionError;
 
-/// A refused request. Status and message go to the client as they are: both are part of the protocol.
-#[derive(Debug, Clone, Copy, PartialEq, thiserror::Error)]
-#[error("{status} {message}")]
-pub struct RequestError {
-    /// The HTTP status.
-    pub status: u16,
-    /// The error's text in the JSON body.
-    pub message: &'static str,
+/// Why a request is refused. Its text is the error in the JSON body of the answer.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+#[non_exhaustive]
+pub enum RequestError {
+    /// The dispatcher has no capacity for the request at the moment; the client may retry.
+    #[error("{TRY_LATER}")]
+    Overloaded,
+    /// The path is unknown, or no resource group takes the statement.
+    #[error("{UNKNOWN}")]
+    Unknown,
+    /// The request was not complete in time.
+    #[error("the request did not become whole")]
+    Incomplete,
+    /// The head has too many bytes.
+    #[error("the head is too long")]
+    HeadTooLong,
+    /// The head is not UTF-8.
+    #[error("the head is not text")]
+    HeadNotText,
+    /// The request line is not a method, a path and a version.
+    #[error("the request line is not three words")]
+    MalformedRequestLine,
+    /// The request line's method or path is malformed.
+    #[error("the request line has no method or path")]
+    MissingMethodOrPath,
+    /// The version is neither HTTP/1.0 nor HTTP/1.1.
+    #[error("the version is not HTTP/1.1")]
+    UnsupportedVersion,
+    /// A header field has no colon.
+    #[error("a field has no colon")]
+    MissingColon,
+    /// The name of a header field is malformed.
+    #[error("a field's name is not a word")]
+    MalformedFieldName,
+    /// The value of a header field has control characters.
+    #[error("a field's value is not text")]
+    MalformedFieldValue,
+    /// The head has too many fields.
+    #[error("there are too many fields")]
+    TooManyFields,
+    /// A field of the protocol appears twice.
+    #[error("a field is told twice")]
+    DuplicateField,
+    /// `Content-Length` is not a decimal number.
+    #[error("Content-Length")]
+    MalformedContentLength,
+    /// `Content-Length` appears twice.
+    #[error("Content-Length is told twice")]
+    DuplicateContentLength,
+    /// Transfer codings are not supported.
+    #[error("Transfer-Encoding is not taken")]
+    UnsupportedTransferEncoding,
+    /// The body has too many bytes.
+    #[error("the statement is too long")]
+    StatementTooLong,
+    /// The statement is empty, not UTF-8 or has a NUL character.
+    #[error("the statement is not text")]
+    StatementNotText,
+    /// A field of the protocol is missing, malformed or outside the limits.
+    #[error("{}", .0.as_str())]
+    InvalidField(RequestField),
+    /// The path names an unknown resource group.
+    #[error("unknown resource group")]
+    UnknownResourceGroup,
+    /// The request names an unknown tenant.
+    #[error("unknown customer")]
+    UnknownTenant,
+    /// A query with the same id is in flight.
+    #[error("a query with this Req-Id is in hand")]
+    InFlight,
+    /// A query with the same id was submitted to an engine before.
+    #[error("a query with this Req-Id was taken before")]
+    AlreadySubmitted,
 }
 
 impl RequestError {
-    /// There is no room for the request at the moment; the client may come back.
-    pub const TRY_LATER: RequestError = RequestError::new(503, "TryLater");
-    /// No such path, or a statement that no resource group takes.
-    pub const UNKNOWN: RequestError = RequestError::new(404, "Unknown");
-    /// The request was not complete in its time.
-    pub const INCOMPLETE: RequestError = RequestError::new(408, "the request did not become whole");
-
-    /// An error with this status and message.
-    pub const fn new(status: u16, message: &'static str) -> Self {
-        RequestError { status, message }
+    /// The status of the answer.
+    pub const fn status(self) -> Status {
+        match self {
+            RequestError::Overloaded => Status::ServiceUnavailable,
+            RequestError::Unknown | RequestError::UnknownResourceGroup => Status::NotFound,
+            RequestError::Incomplete => Status::RequestTimeout,
+            RequestError::HeadTooLong | RequestError::TooManyFields => Status::HeaderFieldsTooLarge,
+            RequestError::UnsupportedVersion => Status::VersionNotSupported,
+            RequestError::UnsupportedTransferEncoding => Status::NotImplemented,
+            RequestError::StatementTooLong => Status::ContentTooLarge,
+            RequestError::UnknownTenant => Status::Forbidden,
+            RequestError::InFlight | RequestError::AlreadySubmitted => Status::Conflict,
+            RequestError::HeadNotText
+            | RequestError::MalformedRequestLine
+            | RequestError::MissingMethodOrPath
+            | RequestError::MissingColon
+            | RequestError::MalformedFieldName
+            | RequestError::MalformedFieldValue
+            | RequestError::DuplicateField
+            | RequestError::MalformedContentLength
+            | RequestError::DuplicateContentLength
+            | RequestError::StatementNotText
+            | RequestError::InvalidField(_) => Status::BadRequest,
+        }
     }
 }
 
 impl From<AdmissionError> for RequestError {
     fn from(error: AdmissionError) -> Self {
         match error {
-            AdmissionError::InFlight => {
-                RequestError::new(409, "a query with this Req-Id is in hand")
-            }
-            AdmissionError::AlreadySubmitted => {
-                RequestError::new(409, "a query with this Req-Id was taken before")
-            }
-            AdmissionError::Overloaded => RequestError::TRY_LATER,
+            AdmissionError::InFlight => RequestError::InFlight,
+            AdmissionError::AlreadySubmitted => RequestError::AlreadySubmitted,
+            AdmissionError::Overloaded => RequestError::Overloaded,
         }
     }
 }
--- a/crates/dispatcher/src/client/route.rs
+++ b/crates/dispatcher/src/client/route.rs
@@ -1,15 +1,10 @@
-//! Which page or query a request asks for.
+//! Routing: which page or query a request is for.
 
-/// The path of queries, with the resource group's name behind it.
-pub const QUERY_PATH: &str = "/invoke/";
-const HEALTH_PATH: &str = "/_health";
-const COUNTERS_PATH: &str = "/_counters";
-const LEVELS_PATH: &str = "/_levels";
-/// The path of service levels, with the version that is known behind it.
-const LEVELS_AFTER_PATH: &str = "/_levels?after=";
-const ZONES_PATH: &str = "/_halls";
+use super::protocol::{
+    COUNTERS_PATH, HEALTH_PATH, LEVELS_AFTER_PATH, LEVELS_PATH, QUERY_PATH, ZONES_PATH,
+};
 
-/// What a request asks for.
+/// The target of a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Route<'a> {
     /// A query.
@@ -32,7 +27,8 @@
 }
 
 impl<'a> Route<'a> {
-    /// The route of a method and a path. `is_bare_path` tells the operators' path of queries without a resource group.
+    /// The route of a method and a path. `is_bare_path` returns whether a path is the operators' path for
+    /// queries without a resource group.
     pub fn of(method: &str, path: &'a str, is_bare_path: impl FnOnce(&str) -> bool) -> Self {
         match (method, path) {
             ("POST", _) if path.starts_with(QUERY_PATH) || is_bare_path(path) => Route::Query,
--- a/crates/dispatcher/src/client/session.rs
+++ b/crates/dispatcher/src/client/session.rs
@@ -7,6 +7,7 @@
 use super::answer_writer::AnswerWriter;
 use super::connection_table::{ConnectionState, Entry};
 use super::http::{self, Head};
+use super::protocol::Status;
 use super::reader::ReadBuffer;
 use super::request::ParsedRequest;
 use super::request_error::RequestError;
@@ -193,14 +194,14 @@
         let until_ms = self.read_deadline_ms(is_empty, is_idle);
         match self.wait_for_bytes(until_ms).await? {
             Waited::Received if self.buffer.is_over_quota() => {
-                return self.refuse(RequestError::TRY_LATER).await;
+                return self.refuse(RequestError::Overloaded).await;
             }
             Waited::Received => {}
             Waited::TimedOut if is_empty => {
                 let closing = Closing::HalfClose(ClientClose::Idle);
                 return Ok(ControlFlow::Break(closing));
             }
-            Waited::TimedOut => return self.refuse(RequestError::INCOMPLETE).await,
+            Waited::TimedOut => return self.refuse(RequestError::Incomplete).await,
             Waited::Disconnected => return Ok(ControlFlow::Break(Closing::Disconnected)),
             // While the program ends, a request that has begun goes on, and a first one has its time to come.
             Waited::CloseRequested if !self.entry.is_evicted() => {
@@ -210,7 +211,7 @@
                 let closing = Closing::HalfClose(ClientClose::Evicted);
                 return Ok(ControlFlow::Break(closing));
             }
-            Waited::CloseRequested => return self.refuse(RequestError::TRY_LATER).await,
+            Waited::CloseRequested => return self.refuse(RequestError::Overloaded).await,
         }
         self.last_byte_ms = self.now_ms();
         if is_idle {
@@ -274,13 +275,13 @@
                 Ok((query_id, slot)) => return Ok(Handled::Query { query_id, slot }),
                 Err(error) => return Ok(Handled::Refused(error)),
             },
-            Route::Unknown => return Ok(Handled::Refused(RequestError::UNKNOWN)),
-            Route::Health if frontend.phase.get().is_healthy() => (200, "{}".to_owned()),
-            Route::Health => (503, "{}".to_owned()),
-            Route::Counters => (200, pages.counters()),
-            Route::Levels { after } => (200, pages.levels(after, &frontend.phase).await),
-            Route::Zones => (200, pages.zones()),
-            Route::MethodNotAllowed => (405, "{}".to_owned()),
+            Route::Unknown => return Ok(Handled::Refused(RequestError::Unknown)),
+            Route::Health if frontend.phase.get().is_healthy() => (Status::Ok, "{}".to_owned()),
+            Route::Health => (Status::ServiceUnavailable, "{}".to_owned()),
+            Route::Counters => (Status::Ok, pages.counters()),
+            Route::Levels { after } => (Status::Ok, pages.levels(after, &frontend.phase).await),
+            Route::Zones => (Status::Ok, pages.zones()),
+            Route::MethodNotAllowed => (Status::MethodNotAllowed, "{}".to_owned()),
         };
         let permit = self.answer_permit()?;
         let writer = self.writer();
