--- a/crates/dispatcher/src/discovery/mod.rs
+++ b/crates/dispatcher/src/discovery/mod.rs
@@ -5,6 +5,7 @@
 
 mod directory;
 mod engine_starts;
+mod protocol;
 mod records;
 mod reject_reason;
 
@@ -15,6 +16,7 @@
 use crate::query_registry::{EndpointEntry, Event, QueryRegistry};
 use async_io::{Async, Timer};
 use futures_lite::{future, StreamExt};
+use protocol::SERVICE_NAME;
 use std::cell::{Cell, RefCell};
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
 use std::rc::Rc;
@@ -22,8 +24,6 @@
 use tansymux::events::EndpointListKind;
 use thiserror::Error;
 
-/// The name under which engines are listed.
-const SERVICE: &str = "_back._tcp.pool.lan";
 /// Polling interval. The platform counts a change as announced 7 s after it at the latest, and a drain's grace period
 /// may be as short as 0.25 s, so one interval and a round trip is early enough.
 const QUERY_INTERVAL: Duration = Duration::from_millis(250);
@@ -122,7 +122,7 @@
             self.queries.set(self.queries.get() + 1);
             self.unanswered.set(self.unanswered.get() + 1);
             self.registry.counters.dns_queries.increment();
-            let query = dns::encode_query(self.last_id(), SERVICE, dns::SRV);
+            let query = dns::encode_query(self.last_id(), SERVICE_NAME, dns::SRV);
             if let Err(error) = send_datagram(socket, &query, resolver) {
                 tracing::warn!(%resolver, %error, "cannot query the name service");
             }
--- a/crates/dispatcher/src/discovery/records.rs
+++ b/crates/dispatcher/src/discovery/records.rs
@@ -1,5 +1,6 @@
 //! Turns the records of an answer into entries of the endpoint list. Pure functions.
 
+use super::protocol::{endpoint_state, EngineAttribute};
 use crate::dns::{Answer, Srv};
 use crate::query_registry::EndpointEntry;
 use rustc_hash::{FxHashMap, FxHashSet, FxHasher};
@@ -25,7 +26,8 @@
     }
 }
 
-/// The entry of one SRV record, with its start in Unix time as it was told. An address or kind that the answer leaves out is taken from the known entry.
+/// The endpoint list entry of one SRV record; `started_ms` is Unix time, as announced. An address or kind that is
+/// missing from the answer is copied from the known entry.
 pub fn entry_of(
     answer: &Answer,
     srv: &Srv,
@@ -43,9 +45,15 @@
         .find(|(name, _)| is_target(name))
         .map(|(_, texts)| texts);
     let texts = texts.map_or([].as_slice(), Vec::as_slice);
-    let kind = text_field(texts, "kind").or(known.map(|entry| entry.kind.as_str()));
-    let cell = text_field(texts, "cell").and_then(|cell| cell.parse().ok());
-    let started = text_field(texts, "started").and_then(|ms| ms.parse().ok());
+    let kind = EngineAttribute::Kind
+        .find(texts)
+        .or(known.map(|entry| entry.kind.as_str()));
+    let cell = EngineAttribute::Cell
+        .find(texts)
+        .and_then(|cell| cell.parse().ok());
+    let started = EngineAttribute::Started
+        .find(texts)
+        .and_then(|ms| ms.parse().ok());
     let address = ip.map(|ip| SocketAddr::from((ip, srv.port)));
     EndpointEntry {
         engine_id,
@@ -53,25 +61,11 @@
         kind: kind.unwrap_or("").to_owned(),
         zone: zone.to_owned(),
         cell: cell.unwrap_or(0),
-        state: match srv.priority {
-            0 => EndpointState::Ready,
-            _ => EndpointState::Draining,
-        },
+        state: endpoint_state(srv.priority),
         started_ms: started.filter(|ms| *ms > 0.0),
     }
 }
 
-/// The value of `name` among strings `name=value`.
-fn text_field<'a>(texts: &'a [String], name: &str) -> Option<&'a str> {
-    for text in texts {
-        match text.split_once('=') {
-            Some((key, value)) if key == name => return Some(value),
-            _ => {}
-        }
-    }
-    None
-}
-
 /// Merges several entries of one engine into the first, which drains if any of them does.
 pub fn merge_duplicates(entries: Vec<EndpointEntry>) -> Vec<EndpointEntry> {
     let mut merged: Vec<EndpointEntry> = Vec::new();
--- a/crates/dispatcher/src/engine/resp.rs
+++ b/crates/dispatcher/src/engine/resp.rs
@@ -8,6 +8,7 @@
 pub const MAX_ELEMENT_BYTES: usize = 8 * 1024;
 /// Digits of a count or a length at most; more than any that the two limits above let through.
 const MAX_LENGTH_DIGITS: usize = 8;
+/// Line end after each length and each element.
 const CRLF: &[u8] = b"\r\n";
 
 /// One array, borrowed from the bytes that it came in.
