--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -28,13 +28,14 @@
 //!
 //! Start reading at [`QuorumNode::handle`] and [`QuorumNode::poll`].
 
+mod candidacy;
 pub mod codec;
 mod config;
 pub mod disruption_budget;
-mod election;
 mod event;
 mod leadership;
 mod message;
+mod outbox;
 mod quorum_node;
 mod record;
 mod record_table;
@@ -42,6 +43,7 @@
 pub use config::QuorumConfig;
 pub use event::{Action, Event, Proposal, ProposalId, ProposeError};
 pub use message::{LeasedRecord, Message};
+pub use outbox::Outbox;
 pub use quorum_node::{QuorumNode, Role, VoterMemory, VoterStart};
 pub use record::{
     Ballot, DisruptionReason, Id, Record, RecordValue, ReleaseStage, Stamp, UnitKind, HALT_KEY,
