--- a/crates/dispatcher/src/config.rs
+++ b/crates/dispatcher/src/config.rs
@@ -1,12 +1,22 @@
 //! The startup configuration: the JSON file that `RELAY_CONFIG` names, read, checked and given defaults at one place.
 //!
-//! Nothing here acts on the configuration. All faults of a file are found and reported together, each with its key and
+//! Nothing here acts on the configuration. All errors of a file are found and reported together, each with its key and
 //! line ([`ConfigError`]). Start reading at [`parse`].
+//!
+//! | file | concern |
+//! | --- | --- |
+//! | `keys` | the keys of the file; those below `settings` are in [`tansymux::settings::keys`] |
+//! | `node` | typed reading of JSON values that know their path |
+//! | `flatten`, `groups` | `settings` as a flat map; its resource groups and tenants |
+//! | `limits` | descriptors, memory, and what follows from the settings for both sides |
+//! | `endpoints` | the endpoint list at the start, and the addresses of peers |
+//! | `error`, `source_lines` | errors with key and line |
 
 mod endpoints;
 mod error;
 mod flatten;
 mod groups;
+mod keys;
 mod limits;
 mod node;
 mod source_lines;
@@ -25,7 +35,7 @@
 use node::{ErrorCollector, Node};
 use serde_json::Value;
 use std::net::SocketAddr;
-use tansymux::settings::{RawSettings, SettingsMap};
+use tansymux::settings::{self, keys as settings_keys, RawSettings, SettingsMap};
 
 /// Environment variable that names the file.
 const CONFIG_VARIABLE: &str = "RELAY_CONFIG";
@@ -33,18 +43,13 @@
 const LISTEN_VARIABLE: &str = "RELAY_LISTEN";
 /// Longest configuration that is read, in bytes. A list of 1,024 engines takes under 1 MB.
 pub const MAX_CONFIG_BYTES: u64 = 8 << 20;
-/// Settings without which nothing can be decided.
-const REQUIRED_SETTINGS: [&str; 2] = ["balancers", "services.count"];
-/// Setting that says how long after its start an engine is cold.
-const WARM_UP_SETTING: &str = "rules.warm-after-us";
-
-/// Keys that only say something about a start, and may differ between two configurations: the endpoint list and the
-/// seed.
-const STARTUP_ONLY_KEYS: [&str; 2] = ["known", "seed"];
+
+/// Keys that describe one start, and are ignored at a reload: the endpoint list and the seed.
+const STARTUP_ONLY_KEYS: [&str; 2] = [keys::ENDPOINT_LIST, keys::SEED];
 /// Keys that take effect at a reload.
-const RELOADABLE_KEYS: [&str; 1] = ["resolver"];
+const RELOADABLE_KEYS: [&str; 1] = [keys::RESOLVER];
 
-/// A configuration that was checked.
+/// A valid configuration.
 #[derive(Debug)]
 pub struct StartupConfig {
     /// This dispatcher's name, for the log; may be empty.
@@ -53,9 +58,9 @@
     pub listen: SocketAddr,
     /// Seed of all random draws of this start.
     pub seed: u64,
-    /// What the client side accepts.
+    /// Limits on what the client side accepts.
     pub admission: AdmissionLimits,
-    /// Bytes of statements in flight at most.
+    /// Maximum bytes of statements in flight.
     pub max_statement_bytes: usize,
     /// Descriptors that the program may hold.
     pub max_sockets: f64,
@@ -63,11 +68,11 @@
     pub max_memory_bytes: f64,
     /// Connections to engines.
     pub connection_settings: ConnectionSettings,
-    /// How long (ms) after its start an engine is cold; 0 where the settings do not say.
+    /// How long (ms) an engine is warming up after its start; 0 where the settings do not say.
     pub engine_warm_up_ms: f64,
-    /// How long (ms) after SIGTERM all is answered.
+    /// Time (ms) from SIGTERM until every query is answered.
     pub shutdown_grace_ms: f64,
-    /// Where the messages between dispatchers go; none where dispatchers do not talk.
+    /// Addresses for messages between dispatchers; none where dispatchers exchange none.
     pub peers: Option<PeerAddresses>,
     /// The name service; without one the endpoint list never changes.
     pub resolver: Option<SocketAddr>,
@@ -75,11 +80,11 @@
     pub directory: EndpointDirectory,
     /// The settings, as the decisions take them.
     pub settings: SettingsMap,
-    /// The configuration as the file has it, to tell at a reload what changed.
+    /// The JSON of the file, with which a reload compares its own.
     pub source: Value,
 }
 
-/// The top-level keys that differ between two configurations and take no effect before a restart, in order.
+/// The top-level keys that differ between two configurations and need a restart, sorted.
 pub fn keys_pending_restart(old: &Value, new: &Value) -> Vec<String> {
     let mut pending = Vec::new();
     for object in [old, new].into_iter().filter_map(Value::as_object) {
@@ -96,10 +101,10 @@
     pending
 }
 
-/// Reads the configuration that the environment names.
+/// Reads the configuration file that the environment names.
 ///
 /// # Errors
-/// There is none, it cannot be read, or it has faults: then all of them, with their lines.
+/// The environment names no file, the file cannot be read, or it is invalid: then all errors, with their lines.
 pub fn read() -> Result<StartupConfig, StartupConfigError> {
     let Ok(path) = std::env::var(CONFIG_VARIABLE) else {
         return Err(StartupConfigError::NoFile {
@@ -120,7 +125,7 @@
 /// Reads and checks a configuration. `listen`, if given, replaces the file's.
 ///
 /// # Errors
-/// All faults. Those of keys are without their lines: [`locate`] adds them.
+/// All errors of the text. Errors of keys have no lines: [`locate`] adds them.
 pub fn parse(text: &str, listen: Option<&str>) -> Result<StartupConfig, Vec<ConfigError>> {
     let source = parse_json(text).map_err(|error| vec![error])?;
     let root = Node::root(&source);
@@ -131,25 +136,21 @@
     let seed = errors.keep(read_seed(&root));
     let limits = ProcessLimits::read(&root, &mut errors);
     let connection_settings = limits::read_engine_settings(&root, limits, &groups, &mut errors);
-    let max_deadline_ms = groups
-        .iter()
-        .filter_map(|group| group.deadline_ms)
-        .reduce(f64::max);
+    let max_deadline_ms = groups::max_deadline_ms(&groups);
     let admission = limits::read_admission(&settings, limits, &groups, max_deadline_ms);
     let peers = errors.keep(endpoints::read_peers(&root));
-    let resolver = errors.keep(root.child("resolver").optional(Node::address));
-    let directory = errors.keep(endpoints::read_known(&root.child("known")));
-    let name = errors.keep(root.child("name").optional(Node::text));
-    let name = name.flatten().unwrap_or("").to_owned();
+    let resolver = errors.keep(root.child(keys::RESOLVER).optional(Node::address));
+    let directory = errors.keep(endpoints::read_known(&root.child(keys::ENDPOINT_LIST)));
+    let name = errors.keep(read_name(&root));
     let errors = errors.into_errors();
-    // What is required is there exactly if no error was kept.
+    // A required value is `None` only if its error was collected.
     let (Some(listen), Some(seed), Some(directory), true) =
         (listen, seed, directory, errors.is_empty())
     else {
         return Err(errors);
     };
     Ok(StartupConfig {
-        name,
+        name: name.unwrap_or_default(),
         listen,
         seed,
         admission,
@@ -157,7 +158,7 @@
         max_sockets: limits.sockets,
         max_memory_bytes: limits.memory_bytes,
         connection_settings,
-        engine_warm_up_ms: settings.millis(WARM_UP_SETTING).unwrap_or(0.0),
+        engine_warm_up_ms: settings.millis(settings_keys::WARM_AFTER_US).unwrap_or(0.0),
         shutdown_grace_ms: shutdown_grace_ms(max_deadline_ms),
         peers: peers.flatten(),
         resolver: resolver.flatten(),
@@ -167,7 +168,7 @@
     })
 }
 
-/// A JSON object.
+/// The text as a JSON object.
 fn parse_json(text: &str) -> Result<Value, ConfigError> {
     let value: Value = serde_json::from_str(text).map_err(|error| ConfigError {
         line: Some(error.line()),
@@ -182,32 +183,49 @@
 /// The settings as a flat map; empty where they are missing.
 fn read_settings(root: &Node, errors: &mut ErrorCollector) -> SettingsMap {
     let mut settings = SettingsMap::new();
-    let Some(object) = errors.keep(root.child("settings").object()) else {
+    let Some(object) = errors.keep(root.child(keys::SETTINGS).object()) else {
         return settings;
     };
     flatten::flatten("", &Value::Object(object.clone()), &mut settings);
-    for name in REQUIRED_SETTINGS {
-        if settings.required(name).is_err() {
-            let key = format!("settings.{name}");
-            let problem = match settings.get(name) {
-                None => Problem::Missing {
-                    expected: "a number".to_owned(),
-                },
-                Some(value) => Problem::Invalid {
-                    found: format!("{value:?}"),
-                    expected: "a number".to_owned(),
-                },
-            };
-            errors.push(ConfigError::of_key(key, problem));
+    for name in required_settings() {
+        if settings.required(&name).is_err() {
+            errors.push(required_number_error(&name, settings.get(&name)));
         }
     }
     settings
 }
 
-/// Where clients connect: the environment goes before the file.
+/// Settings without which the decisions cannot start: the number of dispatchers and of resource groups.
+fn required_settings() -> [String; 2] {
+    [
+        settings_keys::DISPATCHERS.to_owned(),
+        settings::list_count(settings_keys::GROUPS),
+    ]
+}
+
+/// The error for a required setting that is missing or not a number.
+fn required_number_error(name: &str, found: Option<&String>) -> ConfigError {
+    let expected = "a number".to_owned();
+    let problem = match found {
+        None => Problem::Missing { expected },
+        Some(value) => Problem::Invalid {
+            found: format!("{value:?}"),
+            expected,
+        },
+    };
+    ConfigError::of_key(format!("{}.{name}", keys::SETTINGS), problem)
+}
+
+/// The dispatcher's name; empty where the file has none.
+fn read_name(root: &Node) -> Result<String, ConfigError> {
+    let name = root.child(keys::NAME).optional(Node::text)?;
+    Ok(name.unwrap_or("").to_owned())
+}
+
+/// The address for clients. The environment variable overrides the file.
 fn read_listen(root: &Node, variable: Option<&str>) -> Result<SocketAddr, ConfigError> {
     let Some(address) = variable else {
-        return root.child("listen").address();
+        return root.child(keys::LISTEN).address();
     };
     address.parse().map_err(|_| {
         ConfigError::of_file(Problem::InvalidVariable {
@@ -218,8 +236,9 @@
     })
 }
 
+/// The seed, which the file writes in hex.
 fn read_seed(root: &Node) -> Result<u64, ConfigError> {
-    let seed = root.child("seed");
+    let seed = root.child(keys::SEED);
     u64::from_str_radix(seed.text()?, 16).map_err(|_| seed.error("a number in hex"))
 }
 
--- a/crates/dispatcher/src/config/endpoints.rs
+++ b/crates/dispatcher/src/config/endpoints.rs
@@ -1,50 +1,49 @@
-//! The endpoint list that a configuration brings along (`known`), and where peers are (`peer_listen`, `peers`,
+//! The endpoint list at the start (`known` in the configuration), and the addresses of peers (`peer_listen`, `peers`,
 //! `peers_all`).
 
 use super::error::ConfigError;
+use super::keys::{self, endpoint, endpoint_state};
 use super::node::Node;
 use crate::discovery::EndpointDirectory;
 use crate::query_registry::EndpointEntry;
 use std::net::SocketAddr;
 use tansymux::events::EndpointState;
 
-/// Where the messages between dispatchers go.
+/// Addresses for the messages between dispatchers.
 #[derive(Debug, PartialEq)]
 pub struct PeerAddresses {
-    /// Where this dispatcher receives them.
+    /// The address on which this dispatcher receives them.
     pub listen: SocketAddr,
-    /// The other dispatchers.
+    /// The address of each other dispatcher.
     pub each: Vec<SocketAddr>,
-    /// An address that reaches all others at once.
+    /// An address that reaches all other dispatchers at once.
     pub all: Option<SocketAddr>,
 }
 
-/// None where the configuration has no `peer_listen`.
+/// The addresses of peers; none where the configuration has no `peer_listen`.
 pub(super) fn read_peers(root: &Node) -> Result<Option<PeerAddresses>, ConfigError> {
-    root.child("peer_listen").optional(|node| {
+    root.child(keys::PEER_LISTEN).optional(|node| {
         let listen = node.address()?;
+        let peers = root.child(keys::PEERS).optional(Node::items)?;
         let mut each = Vec::new();
-        for peer in root
-            .child("peers")
-            .optional(Node::items)?
-            .unwrap_or_default()
-        {
+        for peer in peers.unwrap_or_default() {
             each.push(peer.address()?);
         }
-        let all = root.child("peers_all").optional(Node::address)?;
+        let all = root.child(keys::ALL_PEERS).optional(Node::address)?;
         Ok(PeerAddresses { listen, each, all })
     })
 }
 
-/// The endpoint list at the start: its first event holds all endpoints, later ones what changed.
+/// The endpoint list at the start: its first update holds all endpoints, later updates those that changed.
 pub(super) fn read_known(known: &Node) -> Result<EndpointDirectory, ConfigError> {
     let mut directory = EndpointDirectory::default();
     if known.is_missing() {
         return Ok(directory);
     }
-    directory.serial = known.child("cursor").number_or(0.0, 0.0)? as u32;
-    for event in known.child("cmds").items()? {
-        for instance in event.child("nodes").child("instances").items()? {
+    directory.serial = known.child(keys::SERIAL).number_or(0.0, 0.0)? as u32;
+    for update in known.child(keys::UPDATES).items()? {
+        let endpoints = update.child(keys::NODES).child(keys::INSTANCES);
+        for instance in endpoints.items()? {
             let entry = read_endpoint(&instance, &mut directory)?;
             directory.upsert_endpoint(entry);
         }
@@ -52,35 +51,36 @@
     Ok(directory)
 }
 
+/// One endpoint. Its engine number is taken from `directory`, which assigns one to each new id.
 fn read_endpoint(
     instance: &Node,
     directory: &mut EndpointDirectory,
 ) -> Result<EndpointEntry, ConfigError> {
-    let status = read_state(&instance.child("lifecycle"))?;
-    let engine_id = directory.engine_id(instance.child("instanceId").text()?);
-    let started_ms = instance.child("startedAtMs");
+    let state = read_state(&instance.child(endpoint::STATE))?;
+    let engine_id = directory.engine_id(instance.child(endpoint::ID).text()?);
+    let started_ms = instance.child(endpoint::STARTED_MS).number_or(0.0, 0.0)?;
     Ok(EndpointEntry {
         engine_id,
-        address: instance.child("hostPort").optional(Node::address)?,
-        kind: optional_text(&instance.child("machineType"))?,
-        zone: optional_text(&instance.child("zone"))?,
-        cell: instance.child("cell").number_or(0.0, 0.0)? as u32,
-        state: status,
-        // 0 stands for unknown.
-        started_ms: Some(started_ms.number_or(0.0, 0.0)?).filter(|ms| *ms > 0.0),
+        address: instance.child(endpoint::ADDRESS).optional(Node::address)?,
+        kind: optional_text(&instance.child(endpoint::KIND))?,
+        zone: optional_text(&instance.child(endpoint::ZONE))?,
+        cell: instance.child(endpoint::CELL).number_or(0.0, 0.0)? as u32,
+        state,
+        // A start time of 0 means that it is not known.
+        started_ms: Some(started_ms).filter(|ms| *ms > 0.0),
     })
 }
 
-fn read_state(lifecycle: &Node) -> Result<EndpointState, ConfigError> {
-    match lifecycle.text()? {
-        "Ready" => Ok(EndpointState::Ready),
-        "Terminating" => Ok(EndpointState::Draining),
-        "Gone" => Ok(EndpointState::Gone),
-        _ => Err(lifecycle.error("Ready, Terminating or Gone")),
+fn read_state(state: &Node) -> Result<EndpointState, ConfigError> {
+    match state.text()? {
+        endpoint_state::READY => Ok(EndpointState::Ready),
+        endpoint_state::DRAINING => Ok(EndpointState::Draining),
+        endpoint_state::GONE => Ok(EndpointState::Gone),
+        _ => Err(state.error(endpoint_state::EXPECTED)),
     }
 }
 
-/// A text, empty where nothing is there.
+/// A text; empty where the key is missing.
 fn optional_text(node: &Node) -> Result<String, ConfigError> {
     let text = node.optional(Node::text)?;
     Ok(text.unwrap_or("").to_owned())
--- a/crates/dispatcher/src/config/error.rs
+++ b/crates/dispatcher/src/config/error.rs
@@ -1,22 +1,22 @@
-//! What is wrong with a configuration: the key, what was there, what is allowed, and the line.
+//! Errors of a configuration: the key, what was found, what is expected, and the line.
 
 use super::source_lines;
 use crate::file::FileError;
 use std::fmt;
 
-/// One fault of a configuration. All of a file are reported at once.
+/// One error of a configuration. All errors of a file are reported at once.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 #[error("{}{}{problem}", LinePrefix(*line), KeyPrefix(key))]
 pub struct ConfigError {
-    /// Line in the file, from 1. A syntax error knows it; for other faults [`locate`] finds it.
+    /// Line in the file, counted from 1. Set for syntax errors; [`locate`] adds it to others.
     pub line: Option<usize>,
-    /// Path of the key, as in `known.cmds.0.nodes`; empty where the file as a whole is meant.
+    /// Path of the key, as in `known.cmds.0.nodes`; empty for an error of the entire file.
     pub key: String,
-    /// What is wrong there.
+    /// The problem of this key.
     pub problem: Problem,
 }
 
-/// What is wrong at one place of a configuration.
+/// The problem of one key, or of the file.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum Problem {
     /// The text is not JSON.
@@ -25,34 +25,34 @@
     /// The text is JSON, but not an object.
     #[error("the configuration is not an object")]
     NotAnObject,
-    /// A required key is not there.
+    /// A required key is missing.
     #[error("is missing, expected {expected}")]
     Missing {
-        /// What is allowed there.
+        /// The values that are allowed.
         expected: String,
     },
-    /// The value is not one that is allowed.
+    /// The value is not allowed.
     #[error("is {found}, expected {expected}")]
     Invalid {
-        /// What was there, as JSON.
+        /// The value, as JSON.
         found: String,
-        /// What is allowed there.
+        /// The values that are allowed.
         expected: String,
     },
-    /// An environment variable that stands for a key cannot be used.
+    /// The value of an environment variable that overrides a key is not allowed.
     #[error("environment variable {variable} is {found:?}, expected {expected}")]
     InvalidVariable {
-        /// Its name.
+        /// The variable's name.
         variable: &'static str,
-        /// Its value.
+        /// The variable's value.
         found: String,
-        /// What is allowed there.
+        /// The values that are allowed.
         expected: &'static str,
     },
 }
 
 impl ConfigError {
-    /// A fault of the file as a whole.
+    /// An error of the entire file.
     pub fn of_file(problem: Problem) -> Self {
         ConfigError {
             line: None,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// A fault of one key.
+    /// An error of one key.
     pub fn of_key(key: impl Into<String>, problem: Problem) -> Self {
         ConfigError {
             line: None,
@@ -71,7 +71,7 @@
     }
 }
 
-/// `line 3: `, or nothing.
+/// Displays as `line 3: `; empty for `None`.
 struct LinePrefix(Option<usize>);
 
 impl fmt::Display for LinePrefix {
@@ -83,7 +83,7 @@
     }
 }
 
-/// `key limits.sockets `, or nothing.
+/// Displays as `key limits.sockets `; empty for an empty key.
 struct KeyPrefix<'a>(&'a str);
 
 impl fmt::Display for KeyPrefix<'_> {
@@ -95,7 +95,7 @@
     }
 }
 
-/// Gives each error the line of its key, or that of the nearest key above it that is there.
+/// Adds to each error the line of its key, or of the nearest parent key in the file.
 pub fn locate(mut errors: Vec<ConfigError>, text: &str) -> Vec<ConfigError> {
     let lines = source_lines::find(text);
     for error in &mut errors {
@@ -116,29 +116,29 @@
     errors
 }
 
-/// Why the startup configuration was not read.
+/// An error of reading the startup configuration.
 #[derive(Debug, thiserror::Error)]
 pub enum StartupConfigError {
-    /// The environment does not name the file.
+    /// The environment variable that names the file is not set.
     #[error("{variable} is not set")]
     NoFile {
-        /// The variable that should.
+        /// The variable's name.
         variable: &'static str,
     },
-    /// The file cannot be read.
+    /// The file is unreadable.
     #[error("{variable} {source}")]
     File {
         /// The variable that names the file.
         variable: &'static str,
-        /// What is wrong with it.
+        /// The error of reading it.
         source: FileError,
     },
-    /// The file has faults.
+    /// The file is invalid.
     #[error("{path}: {}", join(errors))]
     Invalid {
-        /// The file.
+        /// The file's path.
         path: String,
-        /// All of them, with their lines.
+        /// All errors of the file, with their lines.
         errors: Vec<ConfigError>,
     },
 }
--- a/crates/dispatcher/src/config/groups.rs
+++ b/crates/dispatcher/src/config/groups.rs
@@ -1,28 +1,29 @@
 //! The resource groups (`services` in the settings) and tenants of a configuration.
 
+use tansymux::settings::keys::{self, effect, group, tenant};
 use tansymux::settings::{self, RawSettings, SettingsMap};
 
-/// A resource group as far as a configuration gives it. The decisions read the same keys with stricter checks
-/// ([`tansymux::settings::Settings`]); what is read here is also there for a configuration that they would refuse.
+/// A resource group with the keys that a configuration has for it. The decisions read the same keys with stricter
+/// checks ([`tansymux::settings::Settings`]); this reader also accepts configurations that they would refuse.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ConfiguredGroup {
-    /// Its name as the settings map holds it, if it has one.
+    /// The group's name as the settings map holds it.
     pub name: Option<String>,
-    /// Run time (ms) that its queries are to stay under.
+    /// Latency objective (ms) of the group's queries.
     pub latency_objective_ms: Option<f64>,
-    /// The latest time (ms) after its arrival at which a query is answered.
+    /// Time (ms) from a query's arrival to its deadline.
     pub deadline_ms: Option<f64>,
-    /// What its queries may do, in the settings' words.
+    /// What running a query twice would do; [`effect`] has the values, and others are kept too.
     pub effect: Option<String>,
 }
 
 impl ConfiguredGroup {
-    /// Whether the settings say that its queries may change tables.
+    /// Whether running one of the group's queries twice does harm.
     pub fn is_non_idempotent(&self) -> bool {
-        self.effect.as_deref() == Some("non_idempotent")
+        self.effect.as_deref() == Some(effect::NON_IDEMPOTENT)
     }
 
-    /// Whether it has this name.
+    /// Whether the group has this name.
     pub fn is_named(&self, name: &str) -> bool {
         self.name
             .as_deref()
@@ -30,32 +31,42 @@
     }
 }
 
-/// All resource groups, in the order of the settings: the index is the one that the decisions use.
+/// All resource groups, in the order of the settings. The decisions use the same indices.
 pub fn read_groups(settings: &SettingsMap) -> Vec<ConfiguredGroup> {
     let mut groups = Vec::new();
-    for index in 0..list_len(settings, "services") {
-        let item = settings::list_item("services", index);
+    for index in 0..list_len(settings, keys::GROUPS) {
+        let item = settings::list_item(keys::GROUPS, index);
+        let key = |name: &str| format!("{item}.{name}");
         groups.push(ConfiguredGroup {
-            name: settings.get(&format!("{item}.name")).cloned(),
-            latency_objective_ms: settings.millis(&format!("{item}.aim-us")),
-            deadline_ms: settings.millis(&format!("{item}.hard-limit-us")),
-            effect: settings.get(&format!("{item}.effect")).cloned(),
+            name: settings.get(&key(group::NAME)).cloned(),
+            latency_objective_ms: settings.millis(&key(group::OBJECTIVE_US)),
+            deadline_ms: settings.millis(&key(group::DEADLINE_US)),
+            effect: settings.get(&key(group::EFFECT)).cloned(),
         });
     }
     groups
 }
 
-/// The names of the tenants (`projects`).
+/// The longest deadline (ms) of all groups, if any has one.
+pub(super) fn max_deadline_ms(groups: &[ConfiguredGroup]) -> Option<f64> {
+    groups
+        .iter()
+        .filter_map(|group| group.deadline_ms)
+        .reduce(f64::max)
+}
+
+/// The names of all tenants.
 pub(super) fn read_tenant_names(settings: &SettingsMap) -> Vec<String> {
     let mut names = Vec::new();
-    for index in 0..list_len(settings, "projects") {
-        let item = settings::list_item("projects", index);
-        names.extend(settings.get(&format!("{item}.name")).cloned());
+    for index in 0..list_len(settings, keys::TENANTS) {
+        let item = settings::list_item(keys::TENANTS, index);
+        let name_key = format!("{item}.{}", tenant::NAME);
+        names.extend(settings.get(&name_key).cloned());
     }
     names
 }
 
-/// How many objects a list of the settings has.
+/// The number of objects in a list of the settings.
 fn list_len(settings: &SettingsMap, path: &str) -> usize {
     settings.number(&settings::list_count(path)).unwrap_or(0.0) as usize
 }
--- a/crates/dispatcher/src/config/node.rs
+++ b/crates/dispatcher/src/config/node.rs
@@ -1,17 +1,17 @@
-//! Typed reading of JSON values that remember the path of keys to them, so that errors can name it.
+//! Typed reading of JSON values. Each value knows its path of keys, which its errors name.
 
 use super::error::{ConfigError, Problem};
 use serde_json::{Map, Value};
 use std::net::SocketAddr;
 
-/// A value of the configuration, or the place where one is missing.
+/// A value of the configuration with its path, or the path of a missing value.
 pub struct Node<'a> {
     path: String,
     value: Option<&'a Value>,
 }
 
 impl<'a> Node<'a> {
-    /// The configuration as a whole.
+    /// The root of the configuration, with an empty path.
     pub fn root(value: &'a Value) -> Self {
         Node {
             path: String::new(),
@@ -33,12 +33,19 @@
         }
     }
 
-    /// Whether nothing is there.
+    /// The value at a path of keys with dots between them.
+    pub fn descendant(&self, path: &str) -> Node<'a> {
+        let mut keys = path.split('.');
+        let first = self.child(keys.next().unwrap_or_default());
+        keys.fold(first, |node, key| node.child(key))
+    }
+
+    /// Whether the value is missing.
     pub fn is_missing(&self) -> bool {
         self.value.is_none()
     }
 
-    /// The error that says what was there, and what is allowed.
+    /// The error for this value: its path, what was found and what is expected.
     pub fn error(&self, expected: impl Into<String>) -> ConfigError {
         let expected = expected.into();
         let problem = match self.value {
@@ -65,7 +72,7 @@
             .ok_or_else(|| self.error("a number"))
     }
 
-    /// A number of at least `min`, or `default` where nothing is there.
+    /// A number of at least `min`, or `default` if the value is missing.
     pub fn number_or(&self, default: f64, min: f64) -> Result<f64, ConfigError> {
         if self.is_missing() {
             return Ok(default);
@@ -78,7 +85,7 @@
         }
     }
 
-    /// The items of a list, each with its index in its path.
+    /// The items of a list. The path of each ends in its index.
     pub fn items(&self) -> Result<Vec<Node<'a>>, ConfigError> {
         let items = self
             .value
@@ -108,7 +115,7 @@
             .map_err(|_| self.error("an address with a port"))
     }
 
-    /// What `read` gives, or none where nothing is there.
+    /// The result of `read`, or `None` if the value is missing.
     pub fn optional<T>(
         &self,
         read: impl FnOnce(&Self) -> Result<T, ConfigError>,
@@ -120,14 +127,14 @@
     }
 }
 
-/// Gathers the errors of keys that are read one after another, so that all are reported at once.
+/// Collects the errors of keys that are read one after another, so that all are reported at once.
 #[derive(Default)]
 pub struct ErrorCollector {
     errors: Vec<ConfigError>,
 }
 
 impl ErrorCollector {
-    /// The value, or none after its error was kept.
+    /// The value, or `None` after adding its error.
     pub fn keep<T>(&mut self, read: Result<T, ConfigError>) -> Option<T> {
         match read {
             Ok(value) => Some(value),
@@ -138,17 +145,17 @@
         }
     }
 
-    /// Keeps an error.
+    /// Adds an error.
     pub fn push(&mut self, error: ConfigError) {
         self.errors.push(error);
     }
 
-    /// A number of at least `min`, or `default` where nothing is there or its error was kept.
+    /// A number of at least `min`, or `default` if the value is missing or invalid; an invalid value adds its error.
     pub fn number_or(&mut self, node: &Node, default: f64, min: f64) -> f64 {
         self.keep(node.number_or(default, min)).unwrap_or(default)
     }
 
-    /// All errors, in the order in which they were found.
+    /// All errors, in the order in which they were added.
     pub fn into_errors(self) -> Vec<ConfigError> {
         self.errors
     }
