--- a/src/control/completion.rs
+++ b/src/control/completion.rs
@@ -1,16 +1,17 @@
 //! Completion: what an attempt's end and notes change, the concurrency limit, and final answers. Every final
 //! answer that is not an engine's passes here.
 
-use crate::control::outlier::STALL_STEP;
-use crate::control::pressure::{CROWD_PER_CORE, MEMORY};
+use crate::control::pressure::CROWD_PER_CORE;
 use crate::events::{AttemptEnded, DecisionSink, EndReason, Outcome, ProgressNote};
-use crate::model::{ClosedAttempt, Control, Lane, QueryIndex, LEARNING};
+use crate::model::{Attempt, ClosedAttempt, Control, Lane, QueryIndex, LEARNING};
 
 const RETRY_AFTER_MS: f64 = 1000.0; // A rejected client may come back then; cut to what clients follow.
 const QUICK_FRACTION: f64 = 0.5; // Of the objective; quicker low answers raise the limit,
 const MAX_THREADS_PER_CORE: f64 = 1.2; // up to this many low threads a core of our share,
 const MAX_CROWD: f64 = 1.5; // and the concurrency estimate up to this many a core.
 const MAX_USAGE_FACTOR: f64 = 5.0; // Reported usage corrects estimates by this factor at most.
+/// Fraction of a group's lowest scatter that is no slowdown yet.
+const TOLERATED_SCATTER: f64 = 0.5;
 const LOCK_NOTES: f64 = 1.5; // After a note of a wait for a load its tables count as locked, in intervals.
 
 impl Control {
@@ -28,7 +29,8 @@
         if event.outcome == Outcome::Completed {
             let group = &mut self.groups[closed.group];
             group.learn_usage(closed.cost, event.used, LEARNING.mean, MAX_USAGE_FACTOR);
-            self.learn_stall(closed.engine, closed.group, 0.0, STALL_STEP, MEMORY);
+            let stalls = &mut self.engines[closed.engine].stalls;
+            stalls.record_completion(closed.group, self.now_ms);
             self.learn_answer(&closed, event.latency_ms);
         }
         self.adapt_limit(&closed, event, objective_ms);
@@ -43,6 +45,45 @@
         }
     }
 
+    /// Learns from an answer how slow its engine is. A late answer counts as slow whatever the best was: a dispatcher
+    /// that started during an incident has seen no better one.
+    fn learn_answer(&mut self, closed: &ClosedAttempt, latency_ms: f64) {
+        let group = &mut self.groups[closed.group];
+        let Some(above_best) = group.learn_run_time(closed.cost, latency_ms, LEARNING) else {
+            return;
+        };
+        let engine = &mut self.engines[closed.engine];
+        if latency_ms > group.objective_of(closed.cost) {
+            return self
+                .slowdowns
+                .record_slow_answer(engine, closed.lane, self.now_ms);
+        }
+        let slowdown = above_best - TOLERATED_SCATTER * group.slowdown.min_scatter;
+        self.slowdowns
+            .record_answer(engine, closed.lane, slowdown, self.now_ms);
+    }
+
+    /// Records what an attempt's end shows of its engine's health.
+    fn detect_outlier(&mut self, closed: &ClosedAttempt, event: &AttemptEnded) {
+        let is_slow = event.outcome == Outcome::Timeout && self.may_be_slow(&closed.attempt);
+        let engine = &mut self.engines[closed.engine];
+        if is_slow {
+            self.slowdowns
+                .record_slow_answer(engine, Lane::Fast, self.now_ms);
+        } else {
+            let is_trial = closed.attempt.is_trial;
+            engine.health.record_end(event, is_trial, self.now_ms);
+        }
+    }
+
+    /// Whether an attempt that timed out may be slow on a healthy engine: the engine sent signals since, or no note was
+    /// due yet. The cause is then a busy engine, or a load that the attempt waits for.
+    fn may_be_slow(&self, attempt: &Attempt) -> bool {
+        let note_interval_ms = self.settings.engine_features.note_interval_ms;
+        self.engines[attempt.engine].health.last_signal_ms() > attempt.sent_ms
+            || self.now_ms - attempt.sent_ms < note_interval_ms
+    }
+
     /// The concurrency limit: up by one for a low answer well within its objective, halved on "full",
     /// time-outs and late answers, once for all attempts that were in flight at the time.
     fn adapt_limit(&mut self, closed: &ClosedAttempt, event: &AttemptEnded, objective_ms: f64) {
@@ -71,9 +112,11 @@
         };
         let group = &mut self.groups[note.group];
         let above_best = group.learn_progress(note.cost, note.run_time_ms, LEARNING.median);
-        // Once for each attempt: one bad plan tells of itself at every note, not of its engine.
+        // Only the first note counts: the later ones of a query with a bad plan show nothing new about its engine.
         if let Some(above_best) = above_best.filter(|_| note.is_first) {
-            self.learn_slowdown(note.engine, Lane::Low, above_best, LEARNING.median, MEMORY);
+            let engine = &mut self.engines[note.engine];
+            self.slowdowns
+                .record_progress(engine, Lane::Low, above_best, self.now_ms);
         }
     }
 
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -9,7 +9,6 @@
 mod completion;
 mod dispatch;
 mod endpoints;
-mod outlier;
 mod peer_load;
 mod periodic;
 mod placement;
@@ -18,7 +17,7 @@
 #[cfg(test)]
 mod tests;
 
-use crate::events::DecisionSink;
+use crate::events::{DecisionSink, HealthCheckEnded};
 pub use crate::model::{Control, EventSource};
 
 impl Control {
@@ -35,4 +34,12 @@
         self.run_periodic_checks(out);
         self.set_timer(out);
     }
+
+    /// A health check ended.
+    pub fn on_health_check_ended(&mut self, event: &HealthCheckEnded) {
+        if let Some(engine) = self.find_engine(event.engine_id) {
+            let health = &mut self.engines[engine].health;
+            health.record_health_check(event.outcome, self.now_ms);
+        }
+    }
 }
--- a/src/control/periodic.rs
+++ b/src/control/periodic.rs
@@ -1,7 +1,5 @@
 //! Periodic checks: of the endpoint list, engines, peers, and each query, which may migrate or be given up.
 
-use crate::control::outlier::STALL_STEP;
-use crate::control::pressure::MEMORY;
 use crate::events::{DecisionSink, EndReason};
 use crate::model::{Attempt, Control, QueryIndex, CHECK_INTERVAL_MS};
 
@@ -32,8 +30,29 @@
         }
     }
 
+    /// Sends health checks to engines that are silent for longer than usual.
+    fn check_engines(&mut self, out: &mut dyn DecisionSink) {
+        if !self.settings.capabilities.health_checks {
+            return;
+        }
+        let now_ms = self.now_ms;
+        let usual_silence_ms = self.settings.usual_silence_ms();
+        for engine in &mut self.engines {
+            let silent_ms = engine.silent_for_ms(now_ms);
+            let is_due = engine
+                .health
+                .is_check_due(silent_ms, usual_silence_ms, now_ms);
+            if engine.endpoint.ready && is_due {
+                engine.health.begin_health_check(now_ms);
+                out.check_health(engine.engine_id);
+            }
+        }
+    }
+
     pub(super) fn set_timer(&mut self, out: &mut dyn DecisionSink) {
-        let has_ejected = self.ready_engines().any(|engine| engine.health.is_ejected);
+        let has_ejected = self
+            .ready_engines()
+            .any(|engine| engine.health.is_ejected());
         let is_needed = has_ejected || self.endpoint_list.is_wanted || !self.queries.is_empty();
         if is_needed && self.now_ms + TIMER_SLACK_MS > self.timer_due_ms {
             self.timer_due_ms = self.now_ms + CHECK_INTERVAL_MS;
@@ -62,7 +81,7 @@
         let new_run_ms = self.expected_run_time_ms(query);
         let is_overdue = self.is_overdue(&attempt, new_run_ms);
         let health = &self.engines[attempt.engine].health;
-        let is_silent = health.is_ejected && health.is_silent && !attempt.is_trial;
+        let is_silent = health.is_ejected_for_silence() && !attempt.is_trial;
         let progress = &attempt.progress;
         let mut left_ms = progress.time_left_ms(self.now_ms).unwrap_or(new_run_ms);
         if is_silent || is_overdue {
@@ -74,9 +93,13 @@
         // Under pressure a new run of a hopeless query would only keep others from their time.
         let harms = is_hopeless && self.is_under_pressure(attempt.engine);
         if gains && !harms && self.may_migrate(query) {
-            let step = if is_overdue { STALL_STEP } else { 0.0 };
             let group = self.queries[query].group;
-            self.learn_stall(attempt.engine, group, 1.0, step, MEMORY);
+            let stalls = &mut self.engines[attempt.engine].stalls;
+            if is_overdue {
+                stalls.record_stall(group, self.now_ms);
+            } else {
+                stalls.record_slow_attempt(group, self.now_ms);
+            }
             self.begin_migration(query);
             self.cancel_in_flight(query, out);
         } else if is_hopeless {
--- a/src/control/placement.rs
+++ b/src/control/placement.rs
@@ -59,6 +59,19 @@
         self.queries[query].lane == Lane::Fast || self.plan_admits(query, engine)
     }
 
+    /// Whether outlier detection lets a query go to an engine.
+    fn is_eligible(&self, query: QueryIndex, engine: EngineIndex) -> bool {
+        let has_health_checks = self.settings.capabilities.health_checks;
+        let health = &self.engines[engine].health;
+        health.admits(&self.queries[query], has_health_checks, self.now_ms)
+    }
+
+    /// Whether attempts of the query's group stall on an engine.
+    fn is_stalled(&self, query: QueryIndex, engine: EngineIndex) -> bool {
+        let group = self.queries[query].group;
+        self.engines[engine].stalls.is_stalled(group, self.now_ms)
+    }
+
     fn is_fresh(&self, query: QueryIndex, engine: EngineIndex) -> bool {
         !self.queries[query].has_tried(engine)
             && !self.is_locked_out(query, engine)
--- a/src/control/tests/mod.rs
+++ b/src/control/tests/mod.rs
@@ -231,10 +231,7 @@
 
 pub(crate) const ONE: &[(&str, &str)] = &[("small", "h1")];
 
-pub(crate) const SLOW: FadingMedian = FadingMedian {
-    level: 2.0,
-    updated_ms: START_MS,
-};
+pub(crate) const SLOW: FadingMedian = FadingMedian::new(2.0, START_MS);
 
 pub(crate) const TWO: &[(&str, &str)] = &[("small", "h1"), ("small", "h1")];
 
@@ -250,5 +247,7 @@
 
 /// Puts an engine under pressure, as slow answers would.
 pub(crate) fn put_under_pressure(control: &mut Control, slot: usize) {
-    control.engines[EngineIndex(slot)].slowdown.fast = SLOW;
+    control.engines[EngineIndex(slot)]
+        .slowdown
+        .set(Lane::Fast, SLOW);
 }
--- a/src/control/tests/outlier.rs
+++ b/src/control/tests/outlier.rs
@@ -10,8 +10,10 @@
         end_attempt(&mut control, 2.0, id, 0, Outcome::Reset, 1);
     }
     assert!(
-        control.engines[EngineIndex(0)].health.is_ejected
-            && control.engines[EngineIndex(0)].health.is_silent
+        control.engines[EngineIndex(0)].health.is_ejected()
+            && control.engines[EngineIndex(0)]
+                .health
+                .is_ejected_for_silence()
     );
     round(&mut control, 600.0, |control, out| {
         control.begin_update(EndpointListKind::Delta);
@@ -42,8 +44,10 @@
         end_attempt(&mut control, 2.0, id, 0, Outcome::Reset, 1);
     }
     assert!(
-        control.engines[EngineIndex(0)].health.is_ejected
-            && control.engines[EngineIndex(0)].health.is_silent
+        control.engines[EngineIndex(0)].health.is_ejected()
+            && control.engines[EngineIndex(0)]
+                .health
+                .is_ejected_for_silence()
     );
     let decided: Vec<String> = (10..20)
         .flat_map(|id| send_query(&mut control, 600.0, id, "look", 10.0))
@@ -86,9 +90,9 @@
             control.on_attempt_ended(&ended(id, 0, false, Outcome::NoConnection, 1, 250.0), out)
         });
     });
-    assert!(!control.engines[EngineIndex(0)].health.is_ejected);
+    assert!(!control.engines[EngineIndex(0)].health.is_ejected());
     end_attempt(&mut control, 501.0, 0, 1, Outcome::NoConnection, 1);
-    assert!(control.engines[EngineIndex(0)].health.is_ejected);
+    assert!(control.engines[EngineIndex(0)].health.is_ejected());
     // An engine that answers a health check can be reached and has a process: there was no other evidence against it.
     round(&mut control, 600.0, |control, _| {
         control.on_health_check_ended(&HealthCheckEnded {
@@ -96,7 +100,7 @@
             outcome: Outcome::Completed,
         })
     });
-    assert!(!control.engines[EngineIndex(0)].health.is_ejected);
+    assert!(!control.engines[EngineIndex(0)].health.is_ejected());
     // One that takes queries and completes none may well answer health checks: it stays ejected until a trial succeeds.
     for id in 10..12 {
         send_query(&mut control, 700.0, id, "load", 10.0);
@@ -108,7 +112,7 @@
             outcome: Outcome::Completed,
         })
     });
-    assert!(control.engines[EngineIndex(0)].health.is_ejected);
+    assert!(control.engines[EngineIndex(0)].health.is_ejected());
 }
 
 #[test]
@@ -124,7 +128,7 @@
         }
         assert!(
             !control.interner.queries.contains_key(&id)
-                && control.engines.iter().all(|slot| !slot.health.is_ejected),
+                && control.engines.iter().all(|slot| !slot.health.is_ejected()),
             "{id}"
         );
         for id in 10..20 {
@@ -213,7 +217,7 @@
     for id in 1..6 {
         end_attempt(&mut control, 20_001.0, id, 0, Outcome::Timeout, 1);
     }
-    assert!(!control.engines[EngineIndex(0)].health.is_ejected);
+    assert!(!control.engines[EngineIndex(0)].health.is_ejected());
 }
 
 #[test]
--- a/src/control/tests/placement.rs
+++ b/src/control/tests/placement.rs
@@ -24,10 +24,10 @@
         has_decision(&send_query(&mut control, 1.0, 4, "look", 100.0), "submit"),
         "the fast lane is not refused"
     );
-    control.engines[EngineIndex(0)].slowdown = LaneSlowdowns {
-        low: SLOW,
-        ..LaneSlowdowns::default()
-    };
+    control.engines[EngineIndex(0)].slowdown = LaneSlowdowns::default();
+    control.engines[EngineIndex(0)]
+        .slowdown
+        .set(Lane::Low, SLOW);
     control.engines[EngineIndex(0)].load.low_attempts = 0;
     assert!(has_decision(
         &send_query(&mut control, 1.0, 5, "rep", 100.0),
@@ -134,10 +134,10 @@
     let mut entered = 0;
     for id in 0..200 {
         (0..2).for_each(|slot| {
-            control.engines[EngineIndex(slot)].slowdown.fast = FadingMedian {
-                level: 2.0,
-                updated_ms: START_MS + id as f64 * 100.0,
-            }
+            control.engines[EngineIndex(slot)].slowdown.set(
+                Lane::Fast,
+                FadingMedian::new(2.0, START_MS + id as f64 * 100.0),
+            )
         });
         entered += usize::from(has_decision(
             &send_query(&mut control, id as f64 * 100.0, id, "rep", 100.0),
--- a/src/control/tests/pressure.rs
+++ b/src/control/tests/pressure.rs
@@ -5,7 +5,11 @@
 #[test]
 fn slow_answers_of_either_lane_a_full_refusal_and_a_crowd_are_pressure() {
     let marks: [fn(&mut Control); 4] = [
-        |control| control.engines[EngineIndex(0)].slowdown.low = SLOW,
+        |control| {
+            control.engines[EngineIndex(0)]
+                .slowdown
+                .set(Lane::Low, SLOW)
+        },
         |control| control.engines[EngineIndex(0)].limit.last_full_ms = START_MS + 1.0,
         |control| control.engines[EngineIndex(0)].load.granted_mb = 900.0,
         |control| control.engines[EngineIndex(0)].load.peer_threads = 12.0,
@@ -26,10 +30,9 @@
 #[test]
 fn slowdown_decays_towards_that_of_the_zone() {
     let mut control = dispatcher("", TWO);
-    control.engines[EngineIndex(0)].slowdown.fast = FadingMedian {
-        level: 0.8,
-        updated_ms: START_MS,
-    };
+    control.engines[EngineIndex(0)]
+        .slowdown
+        .set(Lane::Fast, FadingMedian::new(0.8, START_MS));
     assert!(
         control.is_under_pressure(EngineIndex(0)) && !control.is_under_pressure(EngineIndex(1))
     );
@@ -38,10 +41,9 @@
         !control.is_under_pressure(EngineIndex(0)),
         "one engine was slow long ago"
     );
-    control.zone_slowdowns[0].fast = FadingMedian {
-        level: 0.8,
-        updated_ms: START_MS + 10_000.0,
-    };
+    control
+        .slowdowns
+        .set_zone(0, Lane::Fast, FadingMedian::new(0.8, START_MS + 10_000.0));
     assert!(
         control.is_under_pressure(EngineIndex(0)) && control.is_under_pressure(EngineIndex(1)),
         "the hall stands in for engines that did not answer lately"
--- a/src/control/tests/service_levels.rs
+++ b/src/control/tests/service_levels.rs
@@ -22,7 +22,7 @@
     control
         .engines
         .iter_mut()
-        .for_each(|slot| slot.slowdown.fast = SLOW);
+        .for_each(|slot| slot.slowdown.set(Lane::Fast, SLOW));
     control.level = reduced;
     control
 }
--- a/src/model/engine.rs
+++ b/src/model/engine.rs
@@ -5,7 +5,8 @@
 use crate::model::engine_health::EngineHealth;
 use crate::model::engine_load::{EngineLoad, LaneLimit};
 use crate::model::slow_start::WarmUpState;
-use crate::model::{FadingMedian, GroupIndex, LaneSlowdowns, LONG_AGO};
+use crate::model::stalls::StallLevels;
+use crate::model::{LaneSlowdowns, LONG_AGO};
 use crate::settings::Settings;
 
 /// An engine.
@@ -23,8 +24,7 @@
     pub(crate) health: EngineHealth,
     pub(crate) warm_up: WarmUpState,
     pub(crate) slowdown: LaneSlowdowns,
-    /// For each resource group how many of its attempts stall there, from none to all.
-    stalls: Vec<FadingMedian>,
+    pub(crate) stalls: StallLevels,
 }
 
 /// What the endpoint list says.
@@ -65,7 +65,7 @@
             health: EngineHealth::default(),
             warm_up: WarmUpState::default(),
             slowdown: LaneSlowdowns::default(),
-            stalls: Vec::new(),
+            stalls: StallLevels::default(),
         }
     }
 
@@ -78,8 +78,7 @@
     /// Forgets what was learned of an engine's process: another one has taken its place.
     pub(crate) fn reset_process(&mut self, started_ms: Option<f64>) {
         self.endpoint.started_ms = started_ms.unwrap_or(LONG_AGO);
-        self.health.is_ejected = false;
-        self.health.error_rate = 0.0;
+        self.health.reset_process();
         self.slowdown = LaneSlowdowns::default();
     }
 
@@ -99,22 +98,11 @@
         if self.load.attempts == 0 {
             return 0.0;
         }
-        now_ms - self.health.last_signal_ms.max(self.load.busy_since_ms)
+        now_ms - self.health.last_signal_ms().max(self.load.busy_since_ms)
     }
 
     /// Low threads known there, of this dispatcher and of others.
     pub(crate) fn known_low_threads(&self) -> f64 {
         self.load.low_threads + self.load.peer_threads
     }
-
-    /// How far a group's attempts stall there.
-    pub(super) fn stall(&self, group: GroupIndex) -> Option<&FadingMedian> {
-        self.stalls.get(group.0)
-    }
-
-    pub(super) fn stall_mut(&mut self, group: GroupIndex) -> &mut FadingMedian {
-        let len = self.stalls.len().max(group.0 + 1);
-        self.stalls.resize(len, FadingMedian::default());
-        &mut self.stalls[group.0]
-    }
 }
--- /dev/null
+++ b/src/model/fading_median.rs
@@ -0,0 +1,71 @@
+//! Running medians, plain and fading.
+
+use crate::model::LONG_AGO;
+
+/// Moves a running median by a fixed step towards a sample, so that no outlier pulls it far.
+pub(crate) fn step_towards(median: &mut f64, sample: f64, step: f64) {
+    if sample != *median {
+        *median += step.copysign(sample - *median);
+    }
+}
+
+/// A running median that decays towards a fallback as its evidence ages.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct FadingMedian {
+    /// The median when it was last updated.
+    level: f64,
+    /// When it was last updated (ms).
+    updated_ms: f64,
+}
+
+/// A sample of a [`FadingMedian`], and how far it moves the median.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct MedianUpdate {
+    pub(crate) sample: f64,
+    /// What the median decays towards.
+    pub(crate) fallback: f64,
+    /// Time constant of the decay (ms).
+    pub(crate) decay_ms: f64,
+    /// The most that one sample moves the median.
+    pub(crate) step: f64,
+    /// How much further a sample moves the median after a long gap.
+    pub(crate) gap_step: f64,
+}
+
+impl Default for FadingMedian {
+    fn default() -> Self {
+        FadingMedian {
+            level: 0.0,
+            updated_ms: LONG_AGO,
+        }
+    }
+}
+
+impl FadingMedian {
+    /// A median that was at `level` when it was last updated.
+    #[cfg(test)]
+    pub(crate) const fn new(level: f64, updated_ms: f64) -> Self {
+        FadingMedian { level, updated_ms }
+    }
+
+    /// The median when it was last updated.
+    pub(crate) fn level(&self) -> f64 {
+        self.level
+    }
+
+    /// The median as it has decayed by `now_ms`.
+    pub(crate) fn at(&self, now_ms: f64, fallback: f64, decay_ms: f64) -> f64 {
+        let remaining = ((self.updated_ms - now_ms) / decay_ms).exp();
+        fallback + (self.level - fallback) * remaining
+    }
+
+    /// Records a sample.
+    pub(crate) fn update(&mut self, now_ms: f64, update: MedianUpdate) {
+        let gap = 1.0 - ((self.updated_ms - now_ms) / update.decay_ms).exp();
+        self.level = self.at(now_ms, update.fallback, update.decay_ms);
+        let distance = update.sample - self.level;
+        let max_step = update.step + update.gap_step * gap;
+        self.level += max_step.min(distance.abs()).copysign(distance);
+        self.updated_ms = now_ms;
+    }
+}
--- /dev/null
+++ b/src/model/group_slowdown.rs
@@ -0,0 +1,67 @@
+//! How a resource group's run times compare with its estimates, and the steps by which everything is learned.
+
+use crate::model::fading_median::step_towards;
+
+/// The steps by which run times, costs and slowdowns are learned.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct LearningSteps {
+    /// Step of running medians (log ratio).
+    pub(crate) median: f64,
+    /// Step of moving means (fraction of the distance).
+    pub(crate) mean: f64,
+    /// Samples after which a group's lowest median and scatter count.
+    pub(crate) min_samples: u32,
+    /// Lower bound of times in ratios (ms).
+    pub(crate) min_time_ms: f64,
+}
+
+/// The steps by which all groups and engines learn.
+pub(crate) const LEARNING: LearningSteps = LearningSteps {
+    median: 0.05,
+    mean: 0.02,
+    min_samples: 20,
+    min_time_ms: 0.1,
+};
+
+/// A resource group's run times against their estimates (log ratios), as its answers showed them.
+#[derive(Debug, Clone, Copy, Default)]
+pub(crate) struct GroupSlowdown {
+    /// Running median of the ratios.
+    pub(crate) usual: f64,
+    /// The lowest that the running median has been.
+    pub(crate) best: f64,
+    /// Answers seen.
+    pub(crate) samples: u32,
+    /// Mean distance of ratios from the median, now and at its lowest.
+    pub(crate) scatter: f64,
+    pub(crate) min_scatter: f64,
+}
+
+impl GroupSlowdown {
+    /// Records one answer's ratio and returns how far it lies above the best.
+    ///
+    /// The best is the lowest level of the running median: single lucky answers, or estimates that scatter, do not make
+    /// a quiet engine look slow.
+    pub(crate) fn learn(&mut self, ratio: f64, steps: LearningSteps) -> f64 {
+        if self.samples == 0 {
+            self.usual = ratio;
+        }
+        self.samples += 1;
+        let scatter_change = (ratio - self.usual).abs() - self.scatter;
+        let mean_step = steps.mean.max(1.0 / f64::from(self.samples));
+        self.scatter += mean_step * scatter_change;
+        let settled = self.samples >= steps.min_samples;
+        self.min_scatter = if settled {
+            self.scatter.min(self.min_scatter)
+        } else {
+            self.scatter
+        };
+        step_towards(&mut self.usual, ratio, steps.median);
+        self.best = if settled {
+            self.usual.min(self.best)
+        } else {
+            self.usual
+        };
+        ratio - self.best
+    }
+}
--- a/src/model/in_flight.rs
+++ b/src/model/in_flight.rs
@@ -70,10 +70,7 @@
         let memory_mb = query.cost.memory_mb * group.cost.memory_factor;
         let mut attempt = Attempt::new(engine_index, self.now_ms, query.cost.work_ms, memory_mb);
         attempt.reservation = reservation;
-        attempt.is_trial = engine.health.is_ejected;
-        if attempt.is_trial {
-            engine.health.next_trial_ms = self.now_ms + engine.health.trial_backoff_ms;
-        }
+        attempt.is_trial = engine.health.begin_attempt(self.now_ms);
         let locks = group
             .settings
             .is_load
@@ -141,7 +138,7 @@
         let engine = &mut self.engines[attempt.engine];
         let progress = &mut attempt.progress;
         progress.last_note_ms = self.now_ms;
-        engine.health.last_signal_ms = self.now_ms;
+        engine.health.record_signal(self.now_ms);
         if event.kind == NoteKind::Waiting {
             progress.is_waiting = true;
             if event.amount == WAITS_FOR_LOAD {
--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -4,10 +4,11 @@
 mod engine;
 mod engine_health;
 mod engine_load;
+mod fading_median;
+mod group_slowdown;
 mod in_flight;
 mod index;
 mod key_queues;
-mod learning;
 mod level_effects;
 mod load;
 mod low_lane;
@@ -17,11 +18,14 @@
 mod retry_budget;
 mod slow_start;
 mod slowdown;
+mod stalls;
 mod state;
 mod tenants;
 
 pub(crate) use attempt::Attempt;
 pub(crate) use engine::Engine;
+pub(crate) use fading_median::{step_towards, FadingMedian, MedianUpdate};
+pub(crate) use group_slowdown::{GroupSlowdown, LearningSteps, LEARNING};
 pub(crate) use in_flight::ClosedAttempt;
 pub(crate) use index::{EngineIndex, GroupIndex, QueryIndex};
 pub(crate) use key_queues::KeyQueues;
@@ -32,10 +36,7 @@
 pub(crate) use resource_group::ResourceGroup;
 pub(crate) use retry_budget::RetryBudget;
 pub(crate) use slow_start::SlowStart;
-pub(crate) use slowdown::{
-    step_towards, FadingMedian, GroupSlowdown, LaneSlowdowns, LearningSteps, MedianUpdate,
-    SlowdownMemory, LEARNING,
-};
+pub(crate) use slowdown::{LaneSlowdowns, Slowdowns};
 pub use state::{Control, EventSource};
 pub(crate) use tenants::TenantRates;
 
--- a/src/model/slowdown.rs
+++ b/src/model/slowdown.rs
@@ -1,159 +1,142 @@
-//! Slowdown estimators: running medians of the log ratio of observed to expected run time.
+//! Slowdowns: how far the answers of an engine, a zone and the pool lie above their groups' best.
 
-use crate::model::{Lane, LONG_AGO};
+use crate::model::{Engine, FadingMedian, Lane, MedianUpdate, LEARNING};
 
-/// Moves a running median by a fixed step towards a sample, so that no outlier pulls it far.
-pub(crate) fn step_towards(median: &mut f64, sample: f64, step: f64) {
-    if sample != *median {
-        *median += step.copysign(sample - *median);
-    }
-}
+/// Ratio of run time to the best above which answers show pressure.
+const PRESSURE_RATIO: f64 = 1.5;
+/// Step by which an answer moves a slowdown (log ratio).
+const ANSWER_STEP: f64 = 2.0 * LEARNING.median;
+/// Step by which a progress note moves a slowdown (log ratio).
+const PROGRESS_STEP: f64 = LEARNING.median;
 
-/// A running median that decays towards a fallback as its evidence ages.
+/// How long, and up to which level, slowdowns are remembered.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct FadingMedian {
-    /// The median when it was last updated.
-    pub(crate) level: f64,
-    /// When it was last updated (ms).
-    pub(crate) updated_ms: f64,
+pub(super) struct SlowdownMemory {
+    /// Maximum level (log ratio).
+    pub(super) max_level: f64,
+    /// Time constant with which an engine's slowdown decays towards its zone's (ms).
+    pub(super) engine_decay_ms: f64,
+    /// Time constant with which a zone's slowdown decays towards the pool's, and the pool's towards none (ms).
+    pub(super) zone_decay_ms: f64,
+    /// How much further one answer moves a slowdown after a long gap (log ratio).
+    pub(super) gap_step: f64,
 }
 
-/// How a [`FadingMedian`] takes a sample.
-#[derive(Debug, Clone, Copy)]
-pub(crate) struct MedianUpdate {
-    pub(crate) sample: f64,
-    /// What the median decays towards.
-    pub(crate) fallback: f64,
-    /// Time constant of the decay (ms).
-    pub(crate) decay_ms: f64,
-    /// The most that one sample moves the median.
-    pub(crate) step: f64,
-    /// How much further a sample moves it after a long gap.
-    pub(crate) gap_step: f64,
+/// The memory of all slowdowns. The maximum lies a little above pressure, so that pressure ends soon.
+pub(super) const MEMORY: SlowdownMemory = SlowdownMemory {
+    max_level: 0.8,
+    engine_decay_ms: 5000.0,
+    zone_decay_ms: 10_000.0,
+    gap_step: 0.4,
+};
+
+/// The slowdowns of zones and of the whole pool; each engine holds its own.
+#[derive(Debug, Default)]
+pub(crate) struct Slowdowns {
+    zones: Vec<LaneSlowdowns>,
+    pool: LaneSlowdowns,
 }
 
-impl Default for FadingMedian {
-    fn default() -> Self {
-        FadingMedian {
-            level: 0.0,
-            updated_ms: LONG_AGO,
-        }
+impl Slowdowns {
+    /// Makes room for a zone.
+    pub(crate) fn add_zone(&mut self, zone: u32) {
+        let zones = self.zones.len().max(zone as usize + 1);
+        self.zones.resize(zones, LaneSlowdowns::default());
     }
-}
 
-impl FadingMedian {
-    /// The median as it has decayed by `now_ms`.
-    pub(crate) fn at(&self, now_ms: f64, fallback: f64, decay_ms: f64) -> f64 {
-        let remaining = ((self.updated_ms - now_ms) / decay_ms).exp();
-        fallback + (self.level - fallback) * remaining
+    /// Records how far an answer lies above its group's best (log ratio).
+    pub(crate) fn record_answer(
+        &mut self,
+        engine: &mut Engine,
+        lane: Lane,
+        above_best: f64,
+        now_ms: f64,
+    ) {
+        self.record(engine, lane, above_best, ANSWER_STEP, now_ms);
     }
 
-    /// Takes in a sample.
-    pub(crate) fn update(&mut self, now_ms: f64, update: MedianUpdate) {
-        let gap = 1.0 - ((self.updated_ms - now_ms) / update.decay_ms).exp();
-        self.level = self.at(now_ms, update.fallback, update.decay_ms);
-        let distance = update.sample - self.level;
-        let max_step = update.step + update.gap_step * gap;
-        self.level += max_step.min(distance.abs()).copysign(distance);
-        self.updated_ms = now_ms;
+    /// Records an answer, or a time-out, that shows the maximum slowdown.
+    pub(crate) fn record_slow_answer(&mut self, engine: &mut Engine, lane: Lane, now_ms: f64) {
+        self.record(engine, lane, MEMORY.max_level, ANSWER_STEP, now_ms);
     }
-}
 
-/// How long, and up to what, slowdowns are remembered.
-#[derive(Debug, Clone, Copy)]
-pub(crate) struct SlowdownMemory {
-    /// The highest slowdown that is remembered (log ratio).
-    pub(crate) max: f64,
-    /// An engine's slowdown decays towards its zone's, a zone's towards the pool's, that towards none (ms).
-    pub(crate) engine_decay_ms: f64,
-    pub(crate) zone_decay_ms: f64,
-    /// How much further one answer moves a slowdown after a long gap.
-    pub(crate) gap_step: f64,
+    /// Records how far the run time that progress notes predict lies above the group's best (log ratio).
+    pub(crate) fn record_progress(
+        &mut self,
+        engine: &mut Engine,
+        lane: Lane,
+        above_best: f64,
+        now_ms: f64,
+    ) {
+        self.record(engine, lane, above_best, PROGRESS_STEP, now_ms);
+    }
+
+    /// Updates the pool first, then the zone against the pool, then the engine against the zone.
+    fn record(&mut self, engine: &mut Engine, lane: Lane, above_best: f64, step: f64, now_ms: f64) {
+        let mut update = MedianUpdate {
+            sample: above_best.min(MEMORY.max_level),
+            fallback: 0.0,
+            decay_ms: MEMORY.zone_decay_ms,
+            step,
+            gap_step: MEMORY.gap_step,
+        };
+        let pool = self.pool.lane_mut(lane);
+        pool.update(now_ms, update);
+        update.fallback = pool.level();
+        let zone = self.zones[engine.zone as usize].lane_mut(lane);
+        zone.update(now_ms, update);
+        update.fallback = zone.level();
+        update.decay_ms = MEMORY.engine_decay_ms;
+        engine.slowdown.lane_mut(lane).update(now_ms, update);
+    }
+
+    /// Whether the answers of a lane on an engine show pressure.
+    pub(crate) fn is_slow(&self, engine: &Engine, lane: Lane, now_ms: f64) -> bool {
+        self.level(engine, lane, now_ms) > PRESSURE_RATIO.ln()
+    }
+
+    /// The slowdown of a lane on an engine (log ratio); without recent answers, that of its zone or of the pool.
+    fn level(&self, engine: &Engine, lane: Lane, now_ms: f64) -> f64 {
+        let pool = self.pool.lane(lane);
+        let pool_level = pool.at(now_ms, 0.0, MEMORY.zone_decay_ms);
+        let zone = self.zones[engine.zone as usize].lane(lane);
+        let zone_level = zone.at(now_ms, pool_level, MEMORY.zone_decay_ms);
+        let slowdown = engine.slowdown.lane(lane);
+        slowdown.at(now_ms, zone_level, MEMORY.engine_decay_ms)
+    }
+
+    /// Sets a zone's slowdown.
+    #[cfg(test)]
+    pub(crate) fn set_zone(&mut self, zone: usize, lane: Lane, slowdown: FadingMedian) {
+        self.zones[zone].set(lane, slowdown);
+    }
 }
 
-/// How far answers of each lane lie above their groups' best (log ratio).
+/// The slowdowns of both lanes (log ratios).
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct LaneSlowdowns {
-    pub(crate) fast: FadingMedian,
-    pub(crate) low: FadingMedian,
+    fast: FadingMedian,
+    low: FadingMedian,
 }
 
 impl LaneSlowdowns {
-    pub(crate) fn lane(&self, lane: Lane) -> &FadingMedian {
+    fn lane(&self, lane: Lane) -> &FadingMedian {
         match lane {
             Lane::Fast => &self.fast,
             Lane::Low => &self.low,
         }
     }
 
-    pub(crate) fn lane_mut(&mut self, lane: Lane) -> &mut FadingMedian {
+    fn lane_mut(&mut self, lane: Lane) -> &mut FadingMedian {
         match lane {
             Lane::Fast => &mut self.fast,
             Lane::Low => &mut self.low,
         }
     }
-}
 
-/// A resource group's run times against their estimates (log ratios), as its answers showed them.
-#[derive(Debug, Clone, Copy, Default)]
-pub(crate) struct GroupSlowdown {
-    /// Running median of the ratios.
-    pub(crate) usual: f64,
-    /// The lowest that the running median has been.
-    pub(crate) best: f64,
-    /// Answers seen.
-    pub(crate) samples: u32,
-    /// Mean distance of ratios from the median, now and at its lowest.
-    pub(crate) scatter: f64,
-    pub(crate) min_scatter: f64,
-}
-
-/// The steps by which run times, costs and slowdowns are learned.
-#[derive(Debug, Clone, Copy)]
-pub(crate) struct LearningSteps {
-    /// Step of running medians (log ratio).
-    pub(crate) median: f64,
-    /// Step of moving means (fraction of the distance).
-    pub(crate) mean: f64,
-    /// Samples after which a group's lowest median and scatter count.
-    pub(crate) min_samples: u32,
-    /// Lower bound of times in ratios (ms).
-    pub(crate) min_time_ms: f64,
-}
-
-/// The steps by which all groups and engines learn.
-pub(crate) const LEARNING: LearningSteps = LearningSteps {
-    median: 0.05,
-    mean: 0.02,
-    min_samples: 20,
-    min_time_ms: 0.1,
-};
-
-impl GroupSlowdown {
-    /// Takes in one answer's ratio and returns how far it lies above the best.
-    ///
-    /// The best is the lowest level of the running median: single lucky answers, or estimates that scatter, do not make
-    /// a quiet engine look slow.
-    pub(crate) fn learn(&mut self, ratio: f64, steps: LearningSteps) -> f64 {
-        if self.samples == 0 {
-            self.usual = ratio;
-        }
-        self.samples += 1;
-        let scatter_change = (ratio - self.usual).abs() - self.scatter;
-        let mean_step = steps.mean.max(1.0 / f64::from(self.samples));
-        self.scatter += mean_step * scatter_change;
-        let settled = self.samples >= steps.min_samples;
-        self.min_scatter = if settled {
-            self.scatter.min(self.min_scatter)
-        } else {
-            self.scatter
-        };
-        step_towards(&mut self.usual, ratio, steps.median);
-        self.best = if settled {
-            self.usual.min(self.best)
-        } else {
-            self.usual
-        };
-        ratio - self.best
+    /// Sets the slowdown of a lane.
+    #[cfg(test)]
+    pub(crate) fn set(&mut self, lane: Lane, slowdown: FadingMedian) {
+        *self.lane_mut(lane) = slowdown;
     }
 }
--- a/src/model/state.rs
+++ b/src/model/state.rs
@@ -3,8 +3,8 @@
 use crate::events::{DecisionSink, EndpointUpdate};
 use crate::interner::Interner;
 use crate::model::{
-    Engine, EngineIndex, KeyQueues, LaneSlowdowns, LevelEffects, LowLane, PeerLoad, Query,
-    QueryIndex, ResourceGroup, RetryBudget, SlowStart, TenantRates,
+    Engine, EngineIndex, KeyQueues, LevelEffects, LowLane, PeerLoad, Query, QueryIndex,
+    ResourceGroup, RetryBudget, SlowStart, Slowdowns, TenantRates,
 };
 use crate::pcg::Pcg;
 use crate::settings::{Settings, SettingsError, SettingsMap};
@@ -34,9 +34,7 @@
     pub(crate) key_queues: KeyQueues,
     pub(crate) retry_budget: RetryBudget,
     pub(crate) engines: Vec<Engine>,
-    /// Slowdown by zone, and of the whole pool.
-    pub(crate) zone_slowdowns: Vec<LaneSlowdowns>,
-    pub(crate) pool_slowdown: LaneSlowdowns,
+    pub(crate) slowdowns: Slowdowns,
     pub(crate) low_lane: LowLane,
     pub(crate) slow_start: SlowStart,
     pub(crate) peer_load: PeerLoad,
@@ -210,8 +208,7 @@
 
     /// Puts a new engine into its slot.
     fn insert_engine(&mut self, slot: EngineIndex, engine: Engine) {
-        let zones = self.zone_slowdowns.len().max(engine.zone as usize + 1);
-        self.zone_slowdowns.resize(zones, LaneSlowdowns::default());
+        self.slowdowns.add_zone(engine.zone);
         if slot.0 < self.engines.len() {
             self.engines[slot] = engine;
         } else {
--- a/src/pool_metrics.rs
+++ b/src/pool_metrics.rs
@@ -70,7 +70,7 @@
     pub fn ejected_fraction(&self) -> f64 {
         let ejected = self
             .ready_engines()
-            .filter(|engine| engine.health.is_ejected);
+            .filter(|engine| engine.health.is_ejected());
         fraction(ejected.count(), self.ready_engines().count())
     }
 }
--- a/src/zone_plan.rs
+++ b/src/zone_plan.rs
@@ -268,7 +268,7 @@
     pub(crate) fn plan_admits(&self, query: QueryIndex, engine: EngineIndex) -> bool {
         let plan = &self.zone_plan;
         let lane = self.queries[query].lane;
-        let is_trial = self.engines[engine].health.is_ejected && lane == Lane::Fast;
+        let is_trial = self.engines[engine].health.is_ejected() && lane == Lane::Fast;
         if !plan.is_on || is_trial {
             return true;
         }
