--- a/src/control/admission.rs
+++ b/src/control/admission.rs
@@ -1,15 +1,18 @@
-//! Admission: the lane, cost and quota of a query that comes in, and whether it can complete in time at all.
+//! Admission: the lane, cost and quota of a query that arrives, and whether it can meet its deadline at all.
+//!
+//! Uses the retry budget, the tenants' quotas, the low lane's mean work, the key queues and the resource groups.
 
+use crate::control::Control;
 use crate::events::{DecisionSink, EndReason, QueryArrived, UnknownResourceGroup};
-use crate::model::{Control, GroupIndex, Lane, Query, QueryCost, QueryIndex, LEARNING};
+use crate::model::{GroupIndex, Lane, Query, QueryCost, QueryIndex, LEARNING};
 
-const DEMOTION_FACTOR: f64 = 4.0; // Times its group's mean; a costlier query goes to the low lane.
-const SHORT_WAIT_FRACTION: f64 = 0.5; // Of its group's usual time; a client that gives less gives little.
-const QUOTA_SPAN_MS: f64 = 2000.0; // Tenants' rates are taken over this time.
-const QUOTA_SLACK: f64 = 1.35; // A tenant is over its quota when above its even one by this factor.
+/// Multiple of its group's mean cost above which a query is demoted to the low lane.
+const DEMOTION_FACTOR: f64 = 4.0;
+/// Fraction of its group's usual timeout below which a client's timeout counts as short.
+const SHORT_TIMEOUT_FRACTION: f64 = 0.5;
 
 impl Control {
-    /// A query came in: it is placed, waits for its key's turn, or ends at once.
+    /// A query arrived: it is placed, waits for its key's turn, or ends at once.
     ///
     /// # Errors
     /// The settings have no such resource group. Nothing is decided then.
@@ -24,31 +27,40 @@
         }
         self.retry_budget.record_arrival(self.now_ms);
         let query = self.admit(group, event);
-        let is_hopeless = self.is_hopeless(query);
-        if self.is_first_of_key(query) && !is_hopeless {
+        let is_unattainable = self.is_unattainable(query);
+        if self.is_first_of_key(query) && !is_unattainable {
             self.place(query, out);
-        } else if is_hopeless || self.expected_end_ms(query) > event.deadline_ms {
+        } else if is_unattainable
+            || self.now_ms + self.expected_run_time_ms(query) > event.deadline_ms
+        {
             self.finish(query, EndReason::NotInTime, out);
         }
         Ok(())
     }
 
     fn admit(&mut self, group: GroupIndex, event: &QueryArrived) -> QueryIndex {
-        let (lane, cost) = self.weigh(group, event);
+        let (lane, cost) = self.classify(group, event);
         let effect = self.groups[group].effect_of(event.statement);
         if lane == Lane::Low {
-            let work_per_thread_ms = cost.work_ms / self.groups[group].threads();
-            self.low_lane.record_work(work_per_thread_ms);
+            self.low_lane
+                .record_work(cost.work_ms / self.groups[group].threads());
         }
         let mut query = Query::new(event, group, lane, effect, cost);
-        query.is_over_quota = self.is_over_quota(event.tenant);
-        let is_ordered = self.groups[group].settings.is_ordered_by_key;
-        self.insert_query(query, event.key.filter(|_| is_ordered))
+        let tenant = self.interner.tenants.index(event.tenant);
+        query.is_over_quota = self.tenant_quotas.record_query(tenant, self.now_ms);
+        let index = self.queries.insert(query);
+        if self.groups[group].settings.is_ordered_by_key {
+            let join = |key| self.key_queues.join(key, index, self.now_ms);
+            self.queries[index].key = event.key.map(join);
+        }
+        index
     }
 
-    /// The lane and cost of a query. It is demoted once, here; the mean does not follow what it tells apart.
-    /// Without an estimate a query weighs its group's threads and takes its group's usual time.
-    fn weigh(&mut self, group: GroupIndex, event: &QueryArrived) -> (Lane, QueryCost) {
+    /// The lane and cost of a query.
+    ///
+    /// A query is demoted here, once; the group's mean does not follow estimates that demote. Without an estimate a
+    /// query has its group's threads as work and its group's usual run time.
+    fn classify(&mut self, group: GroupIndex, event: &QueryArrived) -> (Lane, QueryCost) {
         let group = &mut self.groups[group];
         if event.estimated_cost_ms <= 0.0 {
             let cost = QueryCost::guessed(group.usual_cost_ms(), group.threads(), event);
@@ -58,31 +70,25 @@
         if group.cost.samples >= LEARNING.min_samples {
             max_cost_ms = DEMOTION_FACTOR * self.level.demotion_factor * group.cost.mean_ms;
         }
-        let estimate_ms = group.cost.weigh_estimate(event);
-        let learned_ms = estimate_ms.min(max_cost_ms);
-        group.cost.learn_cost(learned_ms, LEARNING.mean);
+        let estimate_ms = group.cost.discount_uncertain(event);
+        group.cost.learn_cost(estimate_ms.min(max_cost_ms));
         let is_demoted = estimate_ms > max_cost_ms;
         let lane = if is_demoted { Lane::Low } else { group.lane() };
         let work_ms = estimate_ms * group.cost.work_factor;
         (lane, QueryCost::estimated(estimate_ms, work_ms, event))
     }
 
-    /// Over its quota, and above all others' use of theirs: when all send more, nobody is singled out.
-    fn is_over_quota(&mut self, tenant: &str) -> bool {
-        let tenant = self.interner.tenants.index(tenant);
-        let quota_use = self.tenants.count(tenant, self.now_ms, QUOTA_SPAN_MS);
-        quota_use.own > QUOTA_SLACK * quota_use.all.max(1.0)
-    }
-
-    /// No time for a run even at its best, or, for a client that gives little, for one as answers come of
-    /// late: it would end late more often than not, and keep others from completing in time.
-    fn is_hopeless(&self, query: QueryIndex) -> bool {
-        let group = self.group_of(query);
+    /// Whether a query cannot meet its deadline, so that running it would only delay others.
+    ///
+    /// Uses the best run time of its group; for a client with a short timeout the recent median instead, as most such
+    /// queries would end late.
+    fn is_unattainable(&self, query: QueryIndex) -> bool {
+        let group = self.group_of(&self.queries[query]);
         let time_left_ms = self.time_left_ms(query);
         let mut slowdown = group.slowdown.best;
-        if time_left_ms < SHORT_WAIT_FRACTION * group.settings.usual_wait_ms {
+        if time_left_ms < SHORT_TIMEOUT_FRACTION * group.settings.usual_wait_ms {
             slowdown = group.slowdown.usual;
         }
-        group.ideal_run_time_ms(self.queries[query].cost) * slowdown.exp() > time_left_ms
+        group.unloaded_run_time_ms(self.queries[query].cost) * slowdown.exp() > time_left_ms
     }
 }
--- a/src/control/completion.rs
+++ b/src/control/completion.rs
@@ -1,43 +1,59 @@
-//! Completion: what an attempt's end and notes change, the concurrency limit, and final answers. Every final
-//! answer that is not an engine's passes here.
-
-use crate::control::pressure::CROWD_PER_CORE;
-use crate::events::{AttemptEnded, DecisionSink, EndReason, Outcome, ProgressNote};
-use crate::model::{Attempt, ClosedAttempt, Control, Lane, QueryIndex, LEARNING};
-
-const RETRY_AFTER_MS: f64 = 1000.0; // A rejected client may come back then; cut to what clients follow.
-const QUICK_FRACTION: f64 = 0.5; // Of the objective; quicker low answers raise the limit,
-const MAX_THREADS_PER_CORE: f64 = 1.2; // up to this many low threads a core of our share,
-const MAX_CROWD: f64 = 1.5; // and the concurrency estimate up to this many a core.
-const MAX_USAGE_FACTOR: f64 = 5.0; // Reported usage corrects estimates by this factor at most.
+//! Completion: what an attempt's end and notes change, and final answers. Every final answer that is not an engine's
+//! is given here.
+//!
+//! Uses the tables of queries and engines, the key queues, the retry budget, the resource groups, slowdowns and stalls,
+//! the concurrency limits, engine health, the peer load and the zone plan.
+
+use crate::control::Control;
+use crate::events::{AttemptEnded, DecisionSink, EndReason, NoteKind, Outcome, ProgressNote};
+use crate::model::{
+    Attempt, AttemptResult, EngineIndex, GroupIndex, Lane, QueryCost, QueryIndex, TableLock,
+};
+
+/// Time after which a rejected client may come back (ms); cut to the longest that clients follow.
+const RETRY_AFTER_MS: f64 = 1000.0;
 /// Fraction of a group's lowest scatter that is no slowdown yet.
 const TOLERATED_SCATTER: f64 = 0.5;
-const LOCK_NOTES: f64 = 1.5; // After a note of a wait for a load its tables count as locked, in intervals.
+/// Note intervals for which tables count as locked after a note of a wait for a load.
+const LOCK_NOTE_INTERVALS: f64 = 1.5;
+/// Amount of a note of a wait that means a wait for a load.
+const WAITS_FOR_LOAD: f64 = 2.0;
+
+/// An attempt that has just ended.
+struct ClosedAttempt {
+    query: QueryIndex,
+    engine: EngineIndex,
+    group: GroupIndex,
+    lane: Lane,
+    /// Slot of the query's key queue.
+    key: Option<u32>,
+    cost: QueryCost,
+    attempt: Attempt,
+}
 
 impl Control {
-    /// An attempt ended; one that is not in flight, or not known, is ignored.
+    /// An attempt ended; one that is unknown or not in flight is ignored.
     pub fn on_attempt_ended(&mut self, event: &AttemptEnded, out: &mut dyn DecisionSink) {
         let Some(closed) = self.close_attempt(event) else {
             return;
         };
         // Rule 5: after an attempt whose end is unknown its key cools down.
         if let Some(key) = closed.key.filter(|_| event.outcome.is_unknown()) {
-            let until_ms = self.now_ms + self.settings.key_cooldown_ms;
-            self.key_queues.cool_down(key, until_ms);
+            self.key_queues.cool_down(key, self.now_ms);
         }
         let objective_ms = self.groups[closed.group].objective_of(closed.cost);
         if event.outcome == Outcome::Completed {
-            let group = &mut self.groups[closed.group];
-            group.learn_usage(closed.cost, event.used, LEARNING.mean, MAX_USAGE_FACTOR);
-            let stalls = &mut self.engines[closed.engine].stalls;
-            stalls.record_completion(closed.group, self.now_ms);
-            self.learn_answer(&closed, event.latency_ms);
+            self.learn_from_answer(&closed, event);
         }
         self.adapt_limit(&closed, event, objective_ms);
         self.detect_outlier(&closed, event);
-        self.release_zone_capacity(closed.attempt.reservation, closed.group, closed.engine);
+        self.zone_plan.release(
+            closed.attempt.reservation,
+            closed.group,
+            self.planned(closed.engine),
+        );
         if self.queries[closed.query].is_over {
-            self.retire(closed.query, out);
+            self.release(closed.query, out);
         } else if event.outcome != Outcome::NotSent && self.has_time_for_run(closed.query) {
             self.place(closed.query, out);
         } else {
@@ -45,11 +61,51 @@
         }
     }
 
+    /// Takes an ended attempt out of what is in flight. Returns none where it is unknown or not in flight.
+    fn close_attempt(&mut self, event: &AttemptEnded) -> Option<ClosedAttempt> {
+        let index = self.queries.find(event.query_id)?;
+        let engine = self.engines.find(event.engine_id)?;
+        let query = &mut self.queries[index];
+        let attempt = query.attempts.in_flight_mut(event.attempt)?;
+        attempt.in_flight = false;
+        attempt.may_have_run = !event.outcome.never_ran();
+        let attempt = *attempt;
+        let group = &self.groups[query.group];
+        let locked = group.settings.is_load.then_some(query.tables);
+        let load = &mut self.engines[engine].load;
+        load.remove(&attempt, query.lane, group.threads(), locked);
+        if query.is_migrating {
+            query.is_migrating = false;
+            self.retry_budget.finish_migration();
+        }
+        query.is_over |= event.answer_delivered;
+        if query.lane == Lane::Low {
+            self.peer_load.record_change();
+        }
+        Some(ClosedAttempt {
+            query: index,
+            engine,
+            group: query.group,
+            lane: query.lane,
+            key: query.key,
+            cost: query.cost,
+            attempt,
+        })
+    }
+
+    /// Learns what an answer shows of its query's cost, and of stalls and slowness on its engine.
+    fn learn_from_answer(&mut self, closed: &ClosedAttempt, event: &AttemptEnded) {
+        self.groups[closed.group].learn_usage(closed.cost, event.used);
+        let stalls = &mut self.engines[closed.engine].stalls;
+        stalls.record_completion(closed.group, self.now_ms);
+        self.learn_slowdown(closed, event.latency_ms);
+    }
+
     /// Learns from an answer how slow its engine is. A late answer counts as slow whatever the best was: a dispatcher
     /// that started during an incident has seen no better one.
-    fn learn_answer(&mut self, closed: &ClosedAttempt, latency_ms: f64) {
+    fn learn_slowdown(&mut self, closed: &ClosedAttempt, latency_ms: f64) {
         let group = &mut self.groups[closed.group];
-        let Some(above_best) = group.learn_run_time(closed.cost, latency_ms, LEARNING) else {
+        let Some(above_best) = group.learn_run_time(closed.cost, latency_ms) else {
             return;
         };
         let engine = &mut self.engines[closed.engine];
@@ -63,6 +119,22 @@
             .record_answer(engine, closed.lane, slowdown, self.now_ms);
     }
 
+    /// Adapts the engine's concurrency limit to the end of an attempt.
+    fn adapt_limit(&mut self, closed: &ClosedAttempt, event: &AttemptEnded, objective_ms: f64) {
+        let share = self.peer_load.pool_share(self.now_ms);
+        let engine = &mut self.engines[closed.engine];
+        let result = AttemptResult {
+            lane: closed.lane,
+            outcome: event.outcome,
+            sent_ms: closed.attempt.sent_ms,
+            latency_ms: event.latency_ms,
+            objective_ms,
+        };
+        engine
+            .limit
+            .adapt(&result, engine.cores, share, self.now_ms);
+    }
+
     /// Records what an attempt's end shows of its engine's health.
     fn detect_outlier(&mut self, closed: &ClosedAttempt, event: &AttemptEnded) {
         let is_slow = event.outcome == Outcome::Timeout && self.may_be_slow(&closed.attempt);
@@ -84,37 +156,54 @@
             || self.now_ms - attempt.sent_ms < note_interval_ms
     }
 
-    /// The concurrency limit: up by one for a low answer well within its objective, halved on "full",
-    /// time-outs and late answers, once for all attempts that were in flight at the time.
-    fn adapt_limit(&mut self, closed: &ClosedAttempt, event: &AttemptEnded, objective_ms: f64) {
-        let share = self.pool_share();
-        let engine = &mut self.engines[closed.engine];
-        let limit = &mut engine.limit;
-        let is_low_answer = event.outcome == Outcome::Completed && closed.lane == Lane::Low;
-        if is_low_answer && event.latency_ms <= QUICK_FRACTION * objective_ms {
-            limit.grow(engine.cores, share, MAX_THREADS_PER_CORE, MAX_CROWD);
-        }
-        if event.outcome == Outcome::Full {
-            limit.last_full_ms = self.now_ms;
-        }
-        let is_late = is_low_answer && event.latency_ms > objective_ms;
-        let is_overload = is_late || matches!(event.outcome, Outcome::Full | Outcome::Timeout);
-        if is_overload && closed.attempt.sent_ms > limit.halved_ms {
-            limit.halve(self.now_ms, CROWD_PER_CORE * engine.cores);
+    /// An engine sent a note on a running attempt.
+    pub fn on_progress_note(&mut self, event: &ProgressNote) {
+        let Some(query) = self.queries.find(event.query_id) else {
+            return;
+        };
+        let Some(attempt) = self.queries[query].attempts.in_flight_mut(event.attempt) else {
+            return;
+        };
+        attempt.progress.record_note(self.now_ms);
+        let engine = attempt.engine;
+        self.engines[engine].health.record_signal(self.now_ms);
+        match event.kind {
+            NoteKind::Progress => self.record_progress(query, event),
+            NoteKind::Waiting => {
+                attempt.progress.begin_wait();
+                if event.amount == WAITS_FOR_LOAD {
+                    self.lock_tables(query, engine);
+                }
+            }
+            NoteKind::Spilling => {}
         }
     }
 
-    /// An engine sent a note on a running attempt.
-    pub fn on_progress_note(&mut self, event: &ProgressNote) {
-        let lock_ms = LOCK_NOTES * self.settings.engine_features.note_interval_ms;
-        let Some(note) = self.record_note(event, lock_ms) else {
+    /// Assumes that the tables of a query that waits for a load stay locked until a while after its next note is due.
+    fn lock_tables(&mut self, query: QueryIndex, engine: EngineIndex) {
+        let lock_ms = LOCK_NOTE_INTERVALS * self.settings.engine_features.note_interval_ms;
+        let lock = TableLock {
+            tables: self.queries[query].tables,
+            until_ms: self.now_ms + lock_ms,
+        };
+        self.engines[engine].load.lock(lock);
+    }
+
+    /// Records the fraction done, and learns from the run time that it predicts.
+    fn record_progress(&mut self, query: QueryIndex, event: &ProgressNote) {
+        let query = &mut self.queries[query];
+        let Some(attempt) = query.attempts.in_flight_mut(event.attempt) else {
             return;
         };
-        let group = &mut self.groups[note.group];
-        let above_best = group.learn_progress(note.cost, note.run_time_ms, LEARNING.median);
-        // Only the first note counts: the later ones of a query with a bad plan show nothing new about its engine.
-        if let Some(above_best) = above_best.filter(|_| note.is_first) {
-            let engine = &mut self.engines[note.engine];
+        let progress = &mut attempt.progress;
+        let is_first_prediction = progress.run_time_ms().is_none();
+        progress.record(self.now_ms, event.amount.clamp(0.0, 1.0));
+        let run_time_ms = progress.run_time_ms().unwrap_or(0.0);
+        let group = &mut self.groups[query.group];
+        let above_best = group.learn_progress(query.cost, run_time_ms);
+        // The first prediction alone counts: later ones of a query with a bad plan show nothing new about its engine.
+        if let Some(above_best) = above_best.filter(|_| is_first_prediction) {
+            let engine = &mut self.engines[attempt.engine];
             self.slowdowns
                 .record_progress(engine, Lane::Low, above_best, self.now_ms);
         }
@@ -122,7 +211,7 @@
 
     /// A query's client left: nothing is answered, and its attempt is cancelled.
     pub fn on_client_gone(&mut self, query_id: u64, out: &mut dyn DecisionSink) {
-        if let Some(query) = self.find_query(query_id) {
+        if let Some(query) = self.queries.find(query_id) {
             self.end(query, out);
         }
     }
@@ -154,15 +243,31 @@
     fn end(&mut self, query: QueryIndex, out: &mut dyn DecisionSink) {
         self.queries[query].is_over = true;
         self.cancel_in_flight(query, out);
-        self.retire(query, out);
+        self.release(query, out);
     }
 
-    /// Forgets a query that is over and has nothing in flight; the next of its key may go.
-    fn retire(&mut self, index: QueryIndex, out: &mut dyn DecisionSink) {
+    /// Cancels the attempt of a query that is in flight, where the platform allows that, and once only.
+    pub(super) fn cancel_in_flight(&mut self, query: QueryIndex, out: &mut dyn DecisionSink) {
+        let query = &mut self.queries[query];
+        let Some(number) = query.in_flight() else {
+            return;
+        };
+        if self.settings.capabilities.cancellation && query.attempts.set_cancelled(number) {
+            out.cancel(query.id, number);
+        }
+    }
+
+    /// Removes a query that is over and has nothing in flight, and places the next one of its key.
+    fn release(&mut self, index: QueryIndex, out: &mut dyn DecisionSink) {
         if !self.queries[index].is_done() {
             return;
         }
-        let Some(next) = self.remove_query(index) else {
+        let query = self.queries.remove(index);
+        let Some(key) = query.key else {
+            return;
+        };
+        self.key_queues.leave(key, index);
+        let Some(next) = self.key_queues.first(key) else {
             return;
         };
         if self.queries[next].attempts.count() == 0 && self.is_first_of_key(next) {
--- a/src/control/dispatch.rs
+++ b/src/control/dispatch.rs
@@ -1,10 +1,17 @@
-//! Dispatch: every attempt passes here, and here the rules are kept.
+//! Dispatch: every attempt of a query is checked against rules 1 to 7 and sent here.
+//!
+//! Uses the retry budget, slow start, the key queues, the zone plan, engine health, the peer load and the service level.
 
+use crate::control::Control;
 use crate::events::{AttemptLimits, DecisionSink, EndReason};
-use crate::model::{Control, EngineIndex, GroupIndex, Lane, QueryIndex};
+use crate::model::{Attempt, EngineIndex, GroupIndex, Lane, QueryIndex, TableLock};
+use crate::settings::Effect;
 
-const GENEROUS_GRANT: f64 = 2.0; // Times the memory needed, where what is not needed stays free.
-const FAST_PRIORITY: u8 = 3; // Priorities of the lanes, where engines heed them (the platform's scale).
+/// Multiple of the needed memory that is granted, where unused grants cost nothing.
+const AMPLE_GRANT_FACTOR: f64 = 2.0;
+/// Priority of the fast lane (the platform's scale), where engines heed priorities.
+const FAST_PRIORITY: u8 = 3;
+/// Priority of the low lane.
 const LOW_PRIORITY: u8 = 1;
 
 impl Control {
@@ -22,27 +29,89 @@
             && state.attempts.count() < self.settings.max_attempts // and no more than the settings allow.
             && self.engines[engine].endpoint.ready // Rule 3: nothing to an engine that drains or is gone.
             && self.may_repeat(query, Some(engine)) // Rule 2: an effect only once.
-            && self.slow_start_admits(engine, group) // Rule 4: an engine that is warming up.
+            && self.slow_start_admits(engine, group) // Rule 4: slow start of an engine that is warming up.
             && self.is_first_of_key(query) // Rule 5: the key's turn.
             && self.groups[group].may_use(&self.engines[engine]) // Rule 6: zones and kinds.
     }
 
-    /// Rule 5: the first of its key, when earlier ones are over and the key has cooled down.
-    pub(super) fn is_first_of_key(&self, index: QueryIndex) -> bool {
-        let query = &self.queries[index];
-        let Some(key) = query.key else {
+    /// Rule 1, and rule 2 for an idempotency key: the time by which an attempt must have started (ms).
+    fn start_by_ms(&self, query: QueryIndex) -> f64 {
+        let query = &self.queries[query];
+        let window_ms = self.group_of(query).settings.dedup_window_ms;
+        match query.first_that_ran() {
+            Some(first) if query.effect == Effect::IdempotencyKey => {
+                query.deadline_ms.min(first.sent_ms + window_ms)
+            }
+            _ => query.deadline_ms,
+        }
+    }
+
+    /// Rule 2: whether the query may run again, on `engine` or, without one, by its client after a rejection.
+    pub(super) fn may_repeat(&self, query: QueryIndex, engine: Option<EngineIndex>) -> bool {
+        let query = &self.queries[query];
+        let group = self.group_of(query);
+        let Some(first) = query.first_that_ran() else {
             return true;
         };
-        let is_cool = self.now_ms >= self.key_queues.cooldown_until_ms(key);
-        self.key_queues.first(key) == Some(index) && (is_cool || query.attempts.count() > 0)
+        let first_engine = &self.engines[first.engine];
+        let engine = engine.map(|engine| &self.engines[engine]);
+        let is_in_window = self.now_ms - first.sent_ms < group.settings.dedup_window_ms;
+        match query.effect {
+            Effect::ReadOnly => true,
+            Effect::IdempotencyKey => is_in_window && group.shares_dedup(first_engine, engine),
+            Effect::NonIdempotent => false,
+        }
     }
 
+    /// Rule 4: whether slow start lets a query of this group go to an engine.
     fn slow_start_admits(&self, engine: EngineIndex, group: GroupIndex) -> bool {
         let engine = &self.engines[engine];
         self.slow_start
             .admits(engine, &self.groups[group], self.now_ms)
     }
 
+    /// Rule 5: whether a query is the first of its key, and the key has cooled down if this is its first attempt.
+    pub(super) fn is_first_of_key(&self, index: QueryIndex) -> bool {
+        let query = &self.queries[index];
+        let Some(key) = query.key else {
+            return true;
+        };
+        let is_cool = self.key_queues.is_cool(key, self.now_ms);
+        self.key_queues.first(key) == Some(index) && (is_cool || query.attempts.count() > 0)
+    }
+
+    /// Rule 7: whether a retry may go to an engine.
+    fn may_retry_on(&mut self, query: QueryIndex, engine: EngineIndex) -> bool {
+        !self.is_retry_withheld(query)
+            && self.may_cross_zones(query, engine)
+            && self.retry_budget.allows_retry(self.now_ms)
+    }
+
+    /// Rule 7: whether an attempt may be cancelled in order to run elsewhere.
+    pub(super) fn may_migrate(&mut self, query: QueryIndex) -> bool {
+        !self.is_retry_withheld(query)
+            && self.settings.capabilities.cancellation
+            && self.queries[query].attempts.count() < self.settings.max_attempts
+            && self.retry_budget.allows_migration(self.now_ms)
+            && self.may_repeat(query, None)
+    }
+
+    fn is_retry_withheld(&self, query: QueryIndex) -> bool {
+        self.level.withhold_low_retries && self.queries[query].lane == Lane::Low
+    }
+
+    /// Whether the zone plan allows a retry on an engine, which may be in another zone than the last attempt.
+    fn may_cross_zones(&self, query: QueryIndex, engine: EngineIndex) -> bool {
+        let zone = self.engines[engine].zone;
+        self.zone_plan.allows_retry(self.last_zone(query), zone)
+    }
+
+    fn last_zone(&self, query: QueryIndex) -> Option<u32> {
+        let last = self.queries[query].attempts.all().last()?;
+        Some(self.engines[last.engine].zone)
+    }
+
+    /// Sends a query to an engine, or ends it where the rules do not allow that any more.
     pub(super) fn submit(
         &mut self,
         index: QueryIndex,
@@ -53,10 +122,8 @@
             return self.finish(index, EndReason::NotAllowed, out);
         }
         let start_by_ms = self.start_by_ms(index);
-        let reservation = self.reserve_zone_capacity(index, engine);
-        let is_warming_up = self.slow_start.limits(&self.engines[engine], self.now_ms);
-        let attempt = self.open_attempt(index, engine, reservation, is_warming_up);
-        self.grant(index, attempt.memory_mb, out);
+        let memory_mb = self.open_attempt(index, engine);
+        self.grant(index, memory_mb, out);
         let query = &self.queries[index];
         let limits = AttemptLimits {
             deadline_ms: query.deadline_ms,
@@ -66,14 +133,51 @@
         out.submit(query.id, self.engines[engine].engine_id, limits);
     }
 
+    /// Records an attempt that is about to be sent in all components, and returns the memory that it needs (MB).
+    fn open_attempt(&mut self, index: QueryIndex, engine_index: EngineIndex) -> f64 {
+        let demand = self.zone_plan.is_active().then(|| self.demand_of(index));
+        let planned = self.planned(engine_index);
+        let last_zone = self.last_zone(index);
+        let query = &mut self.queries[index];
+        let group = &self.groups[query.group];
+        let engine = &mut self.engines[engine_index];
+        if query.attempts.count() > 0 {
+            self.retry_budget.record_retry(self.now_ms);
+        }
+        if self.slow_start.limits(engine, self.now_ms) {
+            engine.warm_up.record(self.now_ms, group.usual_work_ms());
+        }
+        let memory_mb = query.cost.memory_mb * group.cost.memory_factor;
+        let mut attempt = Attempt::new(engine_index, self.now_ms, query.cost.work_ms, memory_mb);
+        if let Some(demand) = demand {
+            attempt.reservation = self
+                .zone_plan
+                .reserve(&demand, planned, last_zone, self.now_ms);
+        }
+        attempt.is_trial = engine.health.begin_attempt(self.now_ms);
+        let lock = group.settings.is_load.then_some(TableLock {
+            tables: query.tables,
+            until_ms: query.deadline_ms,
+        });
+        engine.load.add(&attempt, query.lane, group.threads(), lock);
+        query.attempts.push(attempt);
+        if query.lane == Lane::Low {
+            self.peer_load.record_change();
+        }
+        memory_mb
+    }
+
+    /// Sets priority and memory grant of the attempt that follows, where engines heed them.
     fn grant(&self, query: QueryIndex, memory_mb: f64, out: &mut dyn DecisionSink) {
         let features = self.settings.engine_features;
         let query = &self.queries[query];
-        let is_low = query.lane == Lane::Low;
-        let priority = if is_low { LOW_PRIORITY } else { FAST_PRIORITY };
+        let priority = match query.lane {
+            Lane::Fast => FAST_PRIORITY,
+            Lane::Low => LOW_PRIORITY,
+        };
         if features.pages_memory {
-            let generous = (GENEROUS_GRANT * self.level.grant_factor).max(1.0);
-            out.grant(query.id, priority, generous * memory_mb);
+            let factor = (AMPLE_GRANT_FACTOR * self.level.grant_factor).max(1.0);
+            out.grant(query.id, priority, factor * memory_mb);
         } else if features.priorities {
             out.grant(query.id, priority, 0.0);
         }
--- a/src/control/periodic.rs
+++ b/src/control/periodic.rs
@@ -1,33 +1,69 @@
 //! Periodic checks: of the endpoint list, engines, peers, and each query, which may migrate or be given up.
+//!
+//! Uses the low lane's token bucket, the endpoint list request, slow start, engine health, the peer load, stalls, the
+//! retry budget and the pool view.
 
+use crate::control::Control;
 use crate::events::{DecisionSink, EndReason};
-use crate::model::{Attempt, Control, QueryIndex, CHECK_INTERVAL_MS};
+use crate::model::{Attempt, QueryIndex, CHECK_INTERVAL_MS};
 
-const TIMER_SLACK_MS: f64 = 1.0; // A timer counts as due so much before its time.
-const MIGRATION_GAIN: f64 = 2.5; // A query migrates when what is left is this many times a new run.
-const OVERDUE_RUNS: f64 = 5.0; // Without notes an attempt is overdue after this many expected runs
-const OVERDUE_MIN_MS: f64 = 400.0; // and this time.
-const MISSED_NOTES: f64 = 2.5; // One whose notes stopped is overdue after this many note intervals.
-const HOPELESS_RATIO: f64 = 1.25; // An attempt is hopeless that needs this many times the time left.
+/// A timer counts as due when it has this much left (ms).
+const TIMER_SLACK_MS: f64 = 1.0;
+/// A query migrates when its attempt needs this multiple of a new attempt's run time.
+const MIGRATION_FACTOR: f64 = 2.5;
+/// Without progress an attempt is overdue after this multiple of its expected run time ...
+const OVERDUE_RUN_TIME_FACTOR: f64 = 5.0;
+/// ... plus this (ms).
+const OVERDUE_GRACE_MS: f64 = 400.0;
+/// An attempt whose notes stopped is overdue after this many note intervals.
+const OVERDUE_NOTE_INTERVALS: f64 = 2.5;
+/// An attempt cannot meet its deadline when it needs this multiple of the time left.
+const UNATTAINABLE_FACTOR: f64 = 1.25;
+
+/// When periodic checks ran, and when they run again.
+#[derive(Debug, Default)]
+pub(super) struct CheckSchedule {
+    /// When the checks last ran (ms).
+    checked_ms: f64,
+    /// When the timer that was last set is due (ms).
+    timer_due_ms: f64,
+}
 
 impl Control {
+    /// Runs all checks, if their interval has passed.
     pub(super) fn run_periodic_checks(&mut self, out: &mut dyn DecisionSink) {
-        let elapsed_ms = self.now_ms - self.checked_ms;
+        let elapsed_ms = self.now_ms - self.schedule.checked_ms;
         if elapsed_ms < CHECK_INTERVAL_MS {
             return;
         }
-        self.low_lane.refill(self.pool_headroom(), elapsed_ms);
-        self.checked_ms = self.now_ms;
+        let headroom_threads = self.pool().total_headroom();
+        self.low_lane.refill(headroom_threads, elapsed_ms);
+        self.schedule.checked_ms = self.now_ms;
         self.request_endpoints(out);
-        for engine in &mut self.engines {
+        self.advance_slow_start();
+        self.check_engines(out);
+        self.peer_load.exchange(&mut self.engines, self.now_ms, out);
+        for query in self.queries.slots() {
+            self.check_query(query, out);
+        }
+    }
+
+    /// Sets a timer for the next checks, if they are needed and no timer is pending.
+    pub(super) fn set_timer(&mut self, out: &mut dyn DecisionSink) {
+        let mut ready = self.engines.ready();
+        let has_ejected = ready.any(|engine| engine.health.is_ejected());
+        let is_needed = has_ejected || self.endpoint_list.is_wanted() || !self.queries.is_empty();
+        if is_needed && self.now_ms + TIMER_SLACK_MS > self.schedule.timer_due_ms {
+            self.schedule.timer_due_ms = self.now_ms + CHECK_INTERVAL_MS;
+            out.set_timer(CHECK_INTERVAL_MS, 0);
+        }
+    }
+
+    fn advance_slow_start(&mut self) {
+        for engine in self.engines.iter_mut() {
             self.slow_start
                 .advance(&mut engine.warm_up, self.now_ms, &mut self.rng);
         }
-        self.check_engines(out);
-        self.exchange_load(out);
-        for slot in 0..self.queries.capacity() {
-            self.check_query(QueryIndex(slot), out);
-        }
     }
 
     /// Sends health checks to engines that are silent for longer than usual.
@@ -37,7 +73,7 @@
         }
         let now_ms = self.now_ms;
         let usual_silence_ms = self.settings.usual_silence_ms();
-        for engine in &mut self.engines {
+        for engine in self.engines.iter_mut() {
             let silent_ms = engine.silent_for_ms(now_ms);
             let is_due = engine
                 .health
@@ -49,33 +85,26 @@
         }
     }
 
-    pub(super) fn set_timer(&mut self, out: &mut dyn DecisionSink) {
-        let has_ejected = self
-            .ready_engines()
-            .any(|engine| engine.health.is_ejected());
-        let is_needed = has_ejected || self.endpoint_list.is_wanted || !self.queries.is_empty();
-        if is_needed && self.now_ms + TIMER_SLACK_MS > self.timer_due_ms {
-            self.timer_due_ms = self.now_ms + CHECK_INTERVAL_MS;
-            out.set_timer(CHECK_INTERVAL_MS, 0);
-        }
-    }
-
     fn check_query(&mut self, index: QueryIndex, out: &mut dyn DecisionSink) {
-        if self.is_settled(index) {
+        let Some(query) = self.queries.get(index) else {
+            return;
+        };
+        if query.is_settled() {
             return;
         }
-        let query = &self.queries[index];
-        if let Some(number) = query.in_flight() {
-            self.check_attempt(index, query.attempts.all()[number], out);
+        if let Some(attempt) = query.attempt_in_flight().copied() {
+            self.check_attempt(index, attempt, out);
         } else if self.is_first_of_key(index) {
             self.place(index, out);
         } else if self.expected_run_time_ms(index) + CHECK_INTERVAL_MS > self.time_left_ms(index) {
-            self.finish(index, EndReason::TurnTooLate, out); // Its key's order held it back for too long.
+            self.finish(index, EndReason::TurnTooLate, out);
         }
     }
 
-    /// Guards against attempts that stall or are slow, whatever the cause (a bad plan, a slow or silent
-    /// engine, a wait for a load): what is left is set against a new run and the time that the client gives.
+    /// Compares an attempt's remaining time with a new run and with the client's deadline.
+    ///
+    /// That covers attempts that stall or are slow whatever the cause: a bad plan, a slow or silent engine, a wait for a
+    /// load.
     fn check_attempt(&mut self, query: QueryIndex, attempt: Attempt, out: &mut dyn DecisionSink) {
         let time_left_ms = self.time_left_ms(query);
         let new_run_ms = self.expected_run_time_ms(query);
@@ -83,37 +112,50 @@
         let health = &self.engines[attempt.engine].health;
         let is_silent = health.is_ejected_for_silence() && !attempt.is_trial;
         let progress = &attempt.progress;
-        let mut left_ms = progress.time_left_ms(self.now_ms).unwrap_or(new_run_ms);
+        let mut remaining_ms = progress.time_left_ms(self.now_ms).unwrap_or(new_run_ms);
         if is_silent || is_overdue {
-            left_ms = f64::INFINITY;
+            remaining_ms = f64::INFINITY;
         }
-        let has_run_time = progress.run_time_ms().is_some();
-        let is_hopeless = has_run_time && left_ms > HOPELESS_RATIO * time_left_ms;
-        let gains = left_ms > MIGRATION_GAIN * new_run_ms && new_run_ms < time_left_ms;
-        // Under pressure a new run of a hopeless query would only keep others from their time.
-        let harms = is_hopeless && self.is_under_pressure(attempt.engine);
-        if gains && !harms && self.may_migrate(query) {
-            let group = self.queries[query].group;
-            let stalls = &mut self.engines[attempt.engine].stalls;
-            if is_overdue {
-                stalls.record_stall(group, self.now_ms);
-            } else {
-                stalls.record_slow_attempt(group, self.now_ms);
-            }
-            self.begin_migration(query);
-            self.cancel_in_flight(query, out);
-        } else if is_hopeless {
+        let is_predicted = progress.run_time_ms().is_some();
+        let is_unattainable = is_predicted && remaining_ms > UNATTAINABLE_FACTOR * time_left_ms;
+        let saves_time = remaining_ms > MIGRATION_FACTOR * new_run_ms && new_run_ms < time_left_ms;
+        // Under pressure a new run of a query that cannot meet its deadline would only delay others.
+        let would_delay_others = is_unattainable && self.pool().is_under_pressure(attempt.engine);
+        if saves_time && !would_delay_others && self.may_migrate(query) {
+            self.migrate(query, &attempt, is_overdue, out);
+        } else if is_unattainable {
             self.finish(query, EndReason::Hopeless, out);
         }
     }
 
-    /// No note for longer than notes take: the work ended and its answer was lost, or nothing runs it.
+    /// Cancels an attempt; its query is placed elsewhere when the attempt has ended.
+    fn migrate(
+        &mut self,
+        query: QueryIndex,
+        attempt: &Attempt,
+        is_overdue: bool,
+        out: &mut dyn DecisionSink,
+    ) {
+        let group = self.queries[query].group;
+        let stalls = &mut self.engines[attempt.engine].stalls;
+        if is_overdue {
+            stalls.record_stall(group, self.now_ms);
+        } else {
+            stalls.record_slow_attempt(group, self.now_ms);
+        }
+        self.retry_budget.begin_migration();
+        self.queries[query].is_migrating = true;
+        self.cancel_in_flight(query, out);
+    }
+
+    /// Whether an attempt sent no note for longer than notes take, or made no progress for longer than a run takes: its
+    /// answer was lost, or nothing runs it.
     fn is_overdue(&self, attempt: &Attempt, new_run_ms: f64) -> bool {
         let interval_ms = self.settings.engine_features.note_interval_ms;
-        let silent_ms = self.now_ms - attempt.progress.last_note_ms;
+        let silent_ms = self.now_ms - attempt.progress.last_note_ms();
         let age_ms = self.now_ms - attempt.sent_ms;
-        let max_age_ms = OVERDUE_RUNS * new_run_ms + OVERDUE_MIN_MS;
-        interval_ms > 0.0 && silent_ms > MISSED_NOTES * interval_ms
-            || attempt.progress.done <= 0.0 && age_ms > max_age_ms
+        let max_age_ms = OVERDUE_RUN_TIME_FACTOR * new_run_ms + OVERDUE_GRACE_MS;
+        interval_ms > 0.0 && silent_ms > OVERDUE_NOTE_INTERVALS * interval_ms
+            || attempt.progress.has_not_begun() && age_ms > max_age_ms
     }
 }
--- a/src/control/tests/admission.rs
+++ b/src/control/tests/admission.rs
@@ -96,7 +96,7 @@
         has_decision(
             &from(301, "rep", "a", |control| control.engines[EngineIndex(0)]
                 .limit
-                .threads_per_core = 2.0),
+                .set_threads_per_core(2.0)),
             "submit"
         ),
         "at ease"
@@ -121,11 +121,11 @@
         ));
     }
     assert_eq!(
-        control.expected_run_time_ms(control.find_query(2).unwrap()),
+        control.expected_run_time_ms(control.queries.find(2).unwrap()),
         500.0
     );
     for id in 0..2 {
-        let i = control.find_query(id).unwrap();
+        let i = control.queries.find(id).unwrap();
         let engine_id = control.engines[control.queries[i].attempts.all()[0].engine].engine_id;
         end_attempt(&mut control, 200.0, id, 0, Outcome::Completed, engine_id);
     }
@@ -136,8 +136,8 @@
     let decided = send_query(&mut control, 610.0, 9, "look", 0.0);
     assert!(has_decision(&decided, "submit 9"), "{decided:?}");
     assert!(
-        (control.expected_run_time_ms(control.find_query(9).unwrap()) - 100.0).abs() < 20.0,
+        (control.expected_run_time_ms(control.queries.find(9).unwrap()) - 100.0).abs() < 20.0,
         "{}",
-        control.expected_run_time_ms(control.find_query(9).unwrap())
+        control.expected_run_time_ms(control.queries.find(9).unwrap())
     );
 }
--- a/src/control/tests/completion.rs
+++ b/src/control/tests/completion.rs
@@ -37,13 +37,13 @@
     }
     end_attempt(&mut control, 101.0, 1, 0, Outcome::Completed, 1);
     assert!(
-        (control.engines[EngineIndex(0)].limit.threads_per_core - 1.2).abs() < 1e-9,
+        (control.engines[EngineIndex(0)].limit.threads_per_core() - 1.2).abs() < 1e-9,
         "1.2 threads a core of our share"
     );
     end_attempt(&mut control, 102.0, 2, 0, Outcome::Full, 1);
     end_attempt(&mut control, 103.0, 3, 0, Outcome::Full, 1);
     assert!(
-        (control.engines[EngineIndex(0)].limit.threads_per_core - 0.6).abs() < 1e-9,
+        (control.engines[EngineIndex(0)].limit.threads_per_core() - 0.6).abs() < 1e-9,
         "halved once, not twice"
     );
 }
@@ -51,14 +51,23 @@
 #[test]
 fn concurrency_estimate_grows_with_quick_answers_and_is_reset_with_the_limit() {
     let mut control = dispatcher("", ONE);
-    let start = control.engines[EngineIndex(0)].limit.crowd_threads;
+    let start = control.engines[EngineIndex(0)]
+        .limit
+        .estimated_concurrency();
     send_query(&mut control, 1.0, 1, "rep", 100.0);
     send_query(&mut control, 1.0, 2, "rep", 100.0);
     end_attempt(&mut control, 101.0, 1, 0, Outcome::Completed, 1);
     assert_eq!(
-        control.engines[EngineIndex(0)].limit.crowd_threads,
+        control.engines[EngineIndex(0)]
+            .limit
+            .estimated_concurrency(),
         start + 1.0
     );
     end_attempt(&mut control, 102.0, 2, 0, Outcome::Full, 1);
-    assert_eq!(control.engines[EngineIndex(0)].limit.crowd_threads, start);
+    assert_eq!(
+        control.engines[EngineIndex(0)]
+            .limit
+            .estimated_concurrency(),
+        start
+    );
 }
--- a/src/control/tests/dispatch.rs
+++ b/src/control/tests/dispatch.rs
@@ -49,7 +49,7 @@
     for id in 0..1000 {
         let at = 1.0 + 10.0 * id as f64;
         send_query_with_key(&mut control, at, id, "tok", 100.0, Some(id), 0);
-        let i = control.find_query(id).unwrap();
+        let i = control.queries.find(id).unwrap();
         let engine_id = control.engines[control.queries[i].attempts.all()[0].engine].engine_id;
         // Every fourth has an unknown end, and its key cools down for half a second: some twelve of them at a time.
         let outcome = if id % 4 == 0 {
@@ -69,7 +69,7 @@
     );
     // A key that is used again and again is kept once, and its cooldown holds.
     send_query_with_key(&mut control, 20_000.0, 2000, "tok", 100.0, Some(7), 0);
-    let engine_id = control.engines[control.queries[control.find_query(2000).unwrap()]
+    let engine_id = control.engines[control.queries[control.queries.find(2000).unwrap()]
         .attempts
         .all()[0]
         .engine]
--- a/src/control/tests/outlier.rs
+++ b/src/control/tests/outlier.rs
@@ -121,19 +121,19 @@
     for id in 0..2 {
         send_query(&mut control, 1.0, id, "look", 10.0);
         for attempt in 0..4 {
-            let i = control.find_query(id).unwrap();
+            let i = control.queries.find(id).unwrap();
             let engine_id =
                 control.engines[control.queries[i].attempts.all()[attempt].engine].engine_id;
             end_attempt(&mut control, 2.0, id, attempt, Outcome::Error, engine_id);
         }
         assert!(
-            !control.interner.queries.contains_key(&id)
+            control.queries.find(id).is_none()
                 && control.engines.iter().all(|slot| !slot.health.is_ejected()),
             "{id}"
         );
         for id in 10..20 {
             send_query(&mut control, 3.0, id, "look", 10.0);
-            let engine_id = control.engines[control.queries[control.find_query(id).unwrap()]
+            let engine_id = control.engines[control.queries[control.queries.find(id).unwrap()]
                 .attempts
                 .all()[0]
                 .engine]
@@ -148,10 +148,9 @@
     let mut control = dispatcher("", TWO);
     let on = |control: &Control, id: u64| {
         let last = control
-            .interner
             .queries
-            .get(&id)
-            .and_then(|&i| control.queries[i].attempts.all().last());
+            .find(id)
+            .and_then(|i| control.queries[i].attempts.all().last());
         last.map_or(0, |s| control.engines[s.engine].engine_id)
     };
     (0..8).for_each(|id| drop(send_query(&mut control, 1.0, id, "rep", 10.0)));
--- a/src/control/tests/periodic.rs
+++ b/src/control/tests/periodic.rs
@@ -9,7 +9,7 @@
     control
         .engines
         .iter_mut()
-        .for_each(|slot| slot.limit.crowd_threads = 100.0);
+        .for_each(|slot| slot.limit.set_estimated_concurrency(100.0));
     for id in 0..20 {
         send_query(&mut control, 1.0, id, "rep", 200.0);
     }
--- a/src/control/tests/placement.rs
+++ b/src/control/tests/placement.rs
@@ -5,7 +5,9 @@
 #[test]
 fn concurrency_limit_binds_under_pressure_only_and_never_keeps_out_the_only_low_query() {
     let mut control = dispatcher("", ONE);
-    control.engines[EngineIndex(0)].limit.threads_per_core = 0.5;
+    control.engines[EngineIndex(0)]
+        .limit
+        .set_threads_per_core(0.5);
     assert!(has_decision(
         &send_query(&mut control, 1.0, 1, "rep", 100.0),
         "submit"
@@ -72,10 +74,7 @@
         [format!("submit 2 {}", 2 - held)]
     );
     end_attempt(&mut control, 3.0, 1, 0, Outcome::Completed, held as u64 + 1);
-    assert!(control.engines[EngineIndex(held)]
-        .load
-        .locked_tables
-        .is_empty());
+    assert!(control.engines[EngineIndex(held)].load.has_no_locks());
 }
 
 #[test]
@@ -117,8 +116,12 @@
         let mut control = dispatcher("", TWO);
         control.engines[EngineIndex(0)].load.low_attempts = 2;
         control.engines[EngineIndex(0)].load.low_threads = 4.0;
-        control.engines[EngineIndex(0)].limit.threads_per_core = 0.2;
-        control.engines[EngineIndex(1)].limit.threads_per_core = bound;
+        control.engines[EngineIndex(0)]
+            .limit
+            .set_threads_per_core(0.2);
+        control.engines[EngineIndex(1)]
+            .limit
+            .set_threads_per_core(bound);
         put_under_pressure(&mut control, 0);
         put_under_pressure(&mut control, 1);
         assert!(
--- a/src/control/tests/pressure.rs
+++ b/src/control/tests/pressure.rs
@@ -10,7 +10,11 @@
                 .slowdown
                 .set(Lane::Low, SLOW)
         },
-        |control| control.engines[EngineIndex(0)].limit.last_full_ms = START_MS + 1.0,
+        |control| {
+            control.engines[EngineIndex(0)]
+                .limit
+                .set_last_full_ms(START_MS + 1.0)
+        },
         |control| control.engines[EngineIndex(0)].load.granted_mb = 900.0,
         |control| control.engines[EngineIndex(0)].load.peer_threads = 12.0,
     ];
@@ -18,7 +22,9 @@
         let mut control = dispatcher("", ONE);
         control.engines[EngineIndex(0)].load.low_attempts = 1;
         control.engines[EngineIndex(0)].load.low_threads = 2.0;
-        control.engines[EngineIndex(0)].limit.threads_per_core = 0.5;
+        control.engines[EngineIndex(0)]
+            .limit
+            .set_threads_per_core(0.5);
         mark(&mut control);
         assert!(has_decision(
             &send_query(&mut control, 1000.0, 1, "rep", 100.0),
@@ -34,18 +40,20 @@
         .slowdown
         .set(Lane::Fast, FadingMedian::new(0.8, START_MS));
     assert!(
-        control.is_under_pressure(EngineIndex(0)) && !control.is_under_pressure(EngineIndex(1))
+        control.pool().is_under_pressure(EngineIndex(0))
+            && !control.pool().is_under_pressure(EngineIndex(1))
     );
     round(&mut control, 10_000.0, |_, _| ());
     assert!(
-        !control.is_under_pressure(EngineIndex(0)),
+        !control.pool().is_under_pressure(EngineIndex(0)),
         "one engine was slow long ago"
     );
     control
         .slowdowns
         .set_zone(0, Lane::Fast, FadingMedian::new(0.8, START_MS + 10_000.0));
     assert!(
-        control.is_under_pressure(EngineIndex(0)) && control.is_under_pressure(EngineIndex(1)),
+        control.pool().is_under_pressure(EngineIndex(0))
+            && control.pool().is_under_pressure(EngineIndex(1)),
         "the hall stands in for engines that did not answer lately"
     );
 }
@@ -68,7 +76,7 @@
         Outcome::Completed,
         slot as u64 + 1,
     );
-    assert!(control.is_under_pressure(EngineIndex(slot)));
+    assert!(control.pool().is_under_pressure(EngineIndex(slot)));
 }
 
 #[test]
@@ -80,7 +88,7 @@
             control.on_attempt_ended(&ended(id, 0, true, Outcome::Completed, 1, 900.0), out)
         });
     }
-    assert!(control.is_under_pressure(EngineIndex(0)));
+    assert!(control.pool().is_under_pressure(EngineIndex(0)));
 }
 
 #[test]
@@ -110,7 +118,8 @@
         );
     }
     assert!(
-        control.is_under_pressure(EngineIndex(0)) && control.is_under_pressure(EngineIndex(1)),
+        control.pool().is_under_pressure(EngineIndex(0))
+            && control.pool().is_under_pressure(EngineIndex(1)),
         "h552f21: a hall unheard of looked at ease to every gateway"
     );
 }
@@ -124,6 +133,9 @@
         control.groups[GroupIndex(0)].slowdown.min_scatter = scatter;
         send_query(&mut control, 1.0, 1, "look", 60.0);
         end_attempt(&mut control, 101.0, 1, 0, Outcome::Completed, 1);
-        assert_eq!(control.is_under_pressure(EngineIndex(0)), is_pressured);
+        assert_eq!(
+            control.pool().is_under_pressure(EngineIndex(0)),
+            is_pressured
+        );
     }
 }
--- a/src/control/tests/retry.rs
+++ b/src/control/tests/retry.rs
@@ -87,7 +87,7 @@
             control
                 .on_query_arrived(&arriving(1, "tok", START_MS + 5000.0, 100.0), out)
                 .unwrap();
-            let engine_id = control.engines[control.queries[control.find_query(1).unwrap()]
+            let engine_id = control.engines[control.queries[control.queries.find(1).unwrap()]
                 .attempts
                 .all()[0]
                 .engine]
--- a/src/interner.rs
+++ b/src/interner.rs
@@ -1,4 +1,4 @@
-//! Names and numbers from outside become small indices here, in the order of their first sight.
+//! Names of the protocol as small indices, numbered in the order in which they first arrive.
 
 use rustc_hash::FxHashMap;
 
@@ -23,31 +23,7 @@
     }
 }
 
-/// Indices of numbers.
-#[derive(Debug, Default)]
-pub struct NumberInterner(FxHashMap<u64, u32>);
-
-impl NumberInterner {
-    /// The index of a number; a new one where it is not known yet.
-    pub fn index(&mut self, number: u64) -> usize {
-        let next = self.0.len() as u32;
-        *self.0.entry(number).or_insert(next) as usize
-    }
-
-    /// Gives the index of one number to another.
-    pub fn reassign(&mut self, from: u64, to: u64) {
-        if let Some(index) = self.0.remove(&from) {
-            self.0.insert(to, index);
-        }
-    }
-
-    /// The index of a number that is known.
-    pub fn find(&self, number: u64) -> Option<usize> {
-        self.0.get(&number).map(|&index| index as usize)
-    }
-}
-
-/// All that is known outside by a name or a number.
+/// The indices of all names of one dispatcher.
 #[derive(Debug, Default)]
 pub struct Interner {
     /// Resource groups, in the order of the settings.
@@ -58,8 +34,4 @@
     pub zones: NameInterner,
     /// Tenants, first those of the settings.
     pub tenants: NameInterner,
-    /// Engines.
-    pub engine_ids: NumberInterner,
-    /// Queries in flight, by their place in the table.
-    pub queries: FxHashMap<u64, usize>,
 }
--- a/src/model/attempt.rs
+++ b/src/model/attempt.rs
@@ -17,23 +17,25 @@
     /// It is the half-open trial of an ejected engine.
     pub(crate) is_trial: bool,
     pub(crate) progress: Progress,
-    /// What it took of the zone plan's capacity.
+    /// The zone plan's capacity that it holds.
     pub(crate) reservation: Reservation,
 }
 
-/// What an engine's notes tell of an attempt. Fractions are of the whole work, from 0 to 1.
+/// The progress of an attempt by its engine's notes. Fractions are of the attempt's work, from 0 to 1.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Progress {
-    /// When any note last came (ms).
-    pub(crate) last_note_ms: f64,
-    /// The fraction done, and when that was reported (ms).
-    pub(crate) done: f64,
+    /// When the last note of any kind arrived (ms).
+    last_note_ms: f64,
+    /// The fraction done, as last reported.
+    done: f64,
+    /// When `done` was reported (ms).
     done_ms: f64,
-    /// From when progress counts (ms), and the fraction done by then: a wait's time is not the work's.
+    /// From when progress counts (ms): the time of a wait is not part of the run time.
     start_ms: f64,
+    /// The fraction that was done at `start_ms`.
     start: f64,
-    /// It reported a wait, and no progress since.
-    pub(crate) is_waiting: bool,
+    /// The last note but spills was of a wait.
+    is_waiting: bool,
 }
 
 impl Attempt {
@@ -57,7 +59,27 @@
 }
 
 impl Progress {
-    /// Takes in the fraction done. The first one after a wait only tells that the wait is over.
+    /// Records that a note of any kind arrived.
+    pub(crate) fn record_note(&mut self, now_ms: f64) {
+        self.last_note_ms = now_ms;
+    }
+
+    /// When the last note of any kind arrived (ms).
+    pub(crate) fn last_note_ms(&self) -> f64 {
+        self.last_note_ms
+    }
+
+    /// Records a note of a wait.
+    pub(crate) fn begin_wait(&mut self) {
+        self.is_waiting = true;
+    }
+
+    /// Whether nothing is done yet.
+    pub(crate) fn has_not_begun(&self) -> bool {
+        self.done <= 0.0
+    }
+
+    /// Records the fraction done. The first report after a wait only ends the wait.
     pub(crate) fn record(&mut self, now_ms: f64, done: f64) {
         if self.is_waiting {
             self.is_waiting = false;
@@ -68,7 +90,7 @@
         self.done = done;
     }
 
-    /// How long the whole takes by its notes (ms), where they tell.
+    /// The run time that the notes predict (ms); none before they show progress.
     pub(crate) fn run_time_ms(&self) -> Option<f64> {
         if self.done > self.start && self.done_ms > self.start_ms {
             Some((self.done_ms - self.start_ms) / (self.done - self.start))
@@ -77,7 +99,7 @@
         }
     }
 
-    /// How long the rest takes by its notes (ms), where they tell.
+    /// The remaining time that the notes predict (ms); none before they show progress.
     pub(crate) fn time_left_ms(&self, now_ms: f64) -> Option<f64> {
         let run_time_ms = self.run_time_ms()?;
         Some(run_time_ms * (1.0 - self.done) - (now_ms - self.done_ms))
--- a/src/model/engine.rs
+++ b/src/model/engine.rs
@@ -1,9 +1,10 @@
-//! An engine: what the endpoint list says of it, what this dispatcher has there, and what it learned of it.
+//! An engine: its entry in the endpoint list, what this dispatcher has in flight there, and what it learned of it.
 
 use crate::events::{EndpointState, EndpointUpdate};
 use crate::interner::Interner;
+use crate::model::concurrency_limit::ConcurrencyLimit;
 use crate::model::engine_health::EngineHealth;
-use crate::model::engine_load::{EngineLoad, LaneLimit};
+use crate::model::engine_load::EngineLoad;
 use crate::model::slow_start::WarmUpState;
 use crate::model::stalls::StallLevels;
 use crate::model::{LaneSlowdowns, LONG_AGO};
@@ -20,14 +21,14 @@
     pub(crate) memory_mb: f64,
     pub(crate) endpoint: EndpointStatus,
     pub(crate) load: EngineLoad,
-    pub(crate) limit: LaneLimit,
+    pub(crate) limit: ConcurrencyLimit,
     pub(crate) health: EngineHealth,
     pub(crate) warm_up: WarmUpState,
     pub(crate) slowdown: LaneSlowdowns,
     pub(crate) stalls: StallLevels,
 }
 
-/// What the endpoint list says.
+/// The state of an engine in the endpoint list.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct EndpointStatus {
     pub(crate) listed: bool,
@@ -35,17 +36,8 @@
     pub(crate) started_ms: f64,
 }
 
-impl Default for EndpointStatus {
-    fn default() -> Self {
-        EndpointStatus {
-            listed: false,
-            ready: false,
-            started_ms: LONG_AGO,
-        }
-    }
-}
-
 impl Engine {
+    /// An engine that was listed for the first time; [`apply_update`](Self::apply_update) sets its state.
     pub(crate) fn new(
         update: &EndpointUpdate,
         settings: &Settings,
@@ -59,9 +51,13 @@
             cell: update.cell,
             cores: kind.cores,
             memory_mb: kind.memory_mb,
-            endpoint: EndpointStatus::default(),
+            endpoint: EndpointStatus {
+                listed: false,
+                ready: false,
+                started_ms: update.started_ms.unwrap_or(LONG_AGO),
+            },
             load: EngineLoad::default(),
-            limit: LaneLimit::default(),
+            limit: ConcurrencyLimit::new(kind.cores),
             health: EngineHealth::default(),
             warm_up: WarmUpState::default(),
             slowdown: LaneSlowdowns::default(),
@@ -69,31 +65,37 @@
         }
     }
 
-    /// Takes over the state of a list entry.
-    pub(crate) fn set_state(&mut self, state: EndpointState) {
-        self.endpoint.listed = state != EndpointState::Gone;
-        self.endpoint.ready = state == EndpointState::Ready;
+    /// Applies an entry of the endpoint list. A later start means that another process has taken the engine's place.
+    pub(crate) fn apply_update(&mut self, update: &EndpointUpdate) {
+        self.endpoint.listed = update.state != EndpointState::Gone;
+        self.endpoint.ready = update.state == EndpointState::Ready;
+        if let Some(started_ms) = update.started_ms {
+            if started_ms > self.endpoint.started_ms {
+                self.endpoint.started_ms = started_ms;
+                self.reset_process();
+            }
+        }
     }
 
-    /// Forgets what was learned of an engine's process: another one has taken its place.
-    pub(crate) fn reset_process(&mut self, started_ms: Option<f64>) {
-        self.endpoint.started_ms = started_ms.unwrap_or(LONG_AGO);
+    /// Forgets what was learned of the engine's process.
+    fn reset_process(&mut self) {
         self.health.reset_process();
+        self.limit.reset_process(self.cores);
         self.slowdown = LaneSlowdowns::default();
     }
 
-    /// Low threads that this dispatcher may still add, where it may have `max_threads`.
+    /// Low threads that this dispatcher may still add, where `max_threads` is its limit.
     pub(crate) fn headroom(&self, max_threads: f64) -> f64 {
         max_threads - self.load.low_threads - self.load.peer_threads
     }
 
-    /// Work a core (ms) with `more_ms` added; a thread of another dispatcher weighs `peer_thread_ms`.
+    /// Work a core (ms) with `more_ms` added; a thread of another dispatcher counts as `peer_thread_ms`.
     pub(crate) fn work_per_core_ms(&self, more_ms: f64, peer_thread_ms: f64) -> f64 {
         let peer_work_ms = self.load.peer_threads * peer_thread_ms;
         (self.load.work_ms + peer_work_ms + more_ms) / self.cores
     }
 
-    /// How long nothing has been heard while there was something in flight (ms); 0 while there is nothing.
+    /// Time without a signal while attempts were in flight (ms); 0 where none is in flight.
     pub(crate) fn silent_for_ms(&self, now_ms: f64) -> f64 {
         if self.load.attempts == 0 {
             return 0.0;
@@ -101,7 +103,7 @@
         now_ms - self.health.last_signal_ms().max(self.load.busy_since_ms)
     }
 
-    /// Low threads known there, of this dispatcher and of others.
+    /// Known low threads, of this dispatcher and of others.
     pub(crate) fn known_low_threads(&self) -> f64 {
         self.load.low_threads + self.load.peer_threads
     }
--- a/src/model/engine_load.rs
+++ b/src/model/engine_load.rs
@@ -1,23 +1,33 @@
-//! What is in flight on an engine, and how much of the low lane may be.
+//! What is in flight on an engine.
 
 use crate::model::{Attempt, Lane, LONG_AGO};
 
+/// A set of tables that a load locks.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub(crate) struct TableLock {
+    pub(crate) tables: u32,
+    /// Until when the lock is assumed (ms).
+    pub(crate) until_ms: f64,
+}
+
 /// What is in flight on an engine.
 #[derive(Debug, Clone)]
 pub(crate) struct EngineLoad {
-    /// Attempts from here, their work (ms) and their memory (MB).
+    /// Attempts of this dispatcher.
     pub(crate) attempts: u32,
+    /// Their estimated work (ms).
     pub(crate) work_ms: f64,
+    /// Their estimated memory (MB).
     pub(crate) granted_mb: f64,
-    /// Those of the low lane, and their threads.
+    /// Low-lane attempts of this dispatcher.
     pub(crate) low_attempts: u32,
+    /// Threads of the low-lane attempts.
     pub(crate) low_threads: f64,
     /// Low threads of other dispatchers, as last reported.
     pub(crate) peer_threads: f64,
-    /// Since when there has been an attempt without a break.
+    /// Since when at least one attempt has been in flight (ms).
     pub(crate) busy_since_ms: f64,
-    /// Sets of tables that a load locks, and until when that is assumed.
-    pub(crate) locked_tables: Vec<(u32, f64)>,
+    locks: Vec<TableLock>,
 }
 
 impl Default for EngineLoad {
@@ -30,23 +40,22 @@
             low_threads: 0.0,
             peer_threads: 0.0,
             busy_since_ms: LONG_AGO,
-            locked_tables: Vec::new(),
+            locks: Vec::new(),
         }
     }
 }
 
 impl EngineLoad {
-    /// Counts an attempt. `locked`: the set of tables that it locks, and until when at most.
+    /// Adds an attempt, with the lock that it takes.
     pub(crate) fn add(
         &mut self,
         attempt: &Attempt,
         lane: Lane,
         threads: f64,
-        locked: Option<(u32, f64)>,
+        lock: Option<TableLock>,
     ) {
-        self.locked_tables
-            .retain(|&(_, until_ms)| until_ms > attempt.sent_ms);
-        self.locked_tables.extend(locked);
+        self.locks.retain(|lock| lock.until_ms > attempt.sent_ms);
+        self.locks.extend(lock);
         if self.attempts == 0 {
             self.busy_since_ms = attempt.sent_ms;
         }
@@ -59,7 +68,7 @@
         }
     }
 
-    /// Takes an ended attempt out. Sums are set to 0 with the last one, so that no rounding is left.
+    /// Removes an ended attempt and its lock. The last one sets the sums to 0, so that no rounding error remains.
     pub(crate) fn remove(
         &mut self,
         attempt: &Attempt,
@@ -87,13 +96,15 @@
         }
     }
 
-    fn unlock(&mut self, locked: Option<u32>) {
-        let entry = self
-            .locked_tables
-            .iter()
-            .position(|&(tables, _)| locked == Some(tables));
-        if let Some(entry) = entry {
-            self.locked_tables.swap_remove(entry);
+    /// Adds a lock.
+    pub(crate) fn lock(&mut self, lock: TableLock) {
+        self.locks.push(lock);
+    }
+
+    fn unlock(&mut self, tables: Option<u32>) {
+        let is_of_tables = |lock: &TableLock| tables == Some(lock.tables);
+        if let Some(entry) = self.locks.iter().position(is_of_tables) {
+            self.locks.swap_remove(entry);
         }
     }
 
@@ -104,52 +115,13 @@
 
     /// Whether a load is assumed to lock these tables.
     pub(crate) fn has_lock(&self, tables: u32, now_ms: f64) -> bool {
-        let mut locks = self.locked_tables.iter();
-        locks.any(|&(locked, until_ms)| locked == tables && until_ms > now_ms)
-    }
-}
-
-/// The concurrency limit of the low lane, and the concurrency estimate.
-#[derive(Debug, Clone, Copy)]
-pub(crate) struct LaneLimit {
-    /// Low threads a core of this dispatcher's share.
-    pub(crate) threads_per_core: f64,
-    /// Low threads, of all dispatchers, above which the engine counts as under pressure.
-    pub(crate) crowd_threads: f64,
-    /// When the limit was last halved, and when the engine last refused an attempt as full (ms).
-    pub(crate) halved_ms: f64,
-    pub(crate) last_full_ms: f64,
-}
-
-impl Default for LaneLimit {
-    fn default() -> Self {
-        LaneLimit {
-            threads_per_core: 0.0,
-            crowd_threads: 0.0,
-            halved_ms: LONG_AGO,
-            last_full_ms: LONG_AGO,
-        }
-    }
-}
-
-impl LaneLimit {
-    /// Raises the limit by one thread of this dispatcher's share, and the concurrency estimate by one thread.
-    pub(crate) fn grow(
-        &mut self,
-        cores: f64,
-        share: f64,
-        max_threads_per_core: f64,
-        max_crowd_per_core: f64,
-    ) {
-        let grown = self.threads_per_core + 1.0 / (cores * share);
-        self.threads_per_core = grown.min(max_threads_per_core);
-        self.crowd_threads = (self.crowd_threads + 1.0).min(max_crowd_per_core * cores);
+        let mut locks = self.locks.iter();
+        locks.any(|lock| lock.tables == tables && lock.until_ms > now_ms)
     }
 
-    /// Halves the limit, and sets the concurrency estimate.
-    pub(crate) fn halve(&mut self, now_ms: f64, crowd_threads: f64) {
-        self.halved_ms = now_ms;
-        self.threads_per_core /= 2.0;
-        self.crowd_threads = crowd_threads;
+    /// Whether no load is assumed to lock any table.
+    #[cfg(test)]
+    pub(crate) fn has_no_locks(&self) -> bool {
+        self.locks.is_empty()
     }
 }
--- a/src/model/group_slowdown.rs
+++ b/src/model/group_slowdown.rs
@@ -32,31 +32,32 @@
     pub(crate) best: f64,
     /// Answers seen.
     pub(crate) samples: u32,
-    /// Mean distance of ratios from the median, now and at its lowest.
+    /// Mean distance of ratios from the median.
     pub(crate) scatter: f64,
+    /// The lowest that the scatter has been.
     pub(crate) min_scatter: f64,
 }
 
 impl GroupSlowdown {
     /// Records one answer's ratio and returns how far it lies above the best.
     ///
-    /// The best is the lowest level of the running median: single lucky answers, or estimates that scatter, do not make
-    /// a quiet engine look slow.
-    pub(crate) fn learn(&mut self, ratio: f64, steps: LearningSteps) -> f64 {
+    /// The best is the lowest level of the running median, so that neither a single quick answer nor scattered estimates
+    /// make an idle engine look slow.
+    pub(crate) fn learn(&mut self, ratio: f64) -> f64 {
         if self.samples == 0 {
             self.usual = ratio;
         }
         self.samples += 1;
         let scatter_change = (ratio - self.usual).abs() - self.scatter;
-        let mean_step = steps.mean.max(1.0 / f64::from(self.samples));
+        let mean_step = LEARNING.mean.max(1.0 / f64::from(self.samples));
         self.scatter += mean_step * scatter_change;
-        let settled = self.samples >= steps.min_samples;
+        let settled = self.samples >= LEARNING.min_samples;
         self.min_scatter = if settled {
             self.scatter.min(self.min_scatter)
         } else {
             self.scatter
         };
-        step_towards(&mut self.usual, ratio, steps.median);
+        step_towards(&mut self.usual, ratio, LEARNING.median);
         self.best = if settled {
             self.usual.min(self.best)
         } else {
--- a/src/model/key_queues.rs
+++ b/src/model/key_queues.rs
@@ -1,14 +1,17 @@
-//! Queries with an ordering key: one first-in-first-out queue for each key.
+//! Rule 5: queries with an ordering key wait in one first-in-first-out queue for each key.
 
 use crate::model::{QueryIndex, LONG_AGO};
 use rustc_hash::FxHashMap;
 use slab::Slab;
 use std::collections::VecDeque;
 
-/// A queue for each key, and when the key may be used again. A key that nothing waits for and whose cooldown is over is
-/// forgotten: clients name as many as they like.
+/// A queue for each key, and when the key may be used again.
+///
+/// A key whose queue is empty and whose cooldown is over is forgotten, as the number of keys has no bound.
 #[derive(Debug, Default)]
 pub(crate) struct KeyQueues {
+    /// How long a key cools down (ms).
+    cooldown_ms: f64,
     queues: Slab<KeyQueue>,
     slots: FxHashMap<u64, u32>,
     /// Slots of queues that ran empty, in the order in which they did.
@@ -21,12 +24,20 @@
     queries: VecDeque<QueryIndex>,
     /// Until when the key cools down (ms).
     cooldown_until_ms: f64,
-    /// It stands in `KeyQueues::empty`.
+    /// The queue's slot is in `KeyQueues::empty`.
     is_marked_empty: bool,
 }
 
 impl KeyQueues {
-    /// Puts a query at the end of its key's queue and returns the queue's slot.
+    /// No queues; a cooldown takes `cooldown_ms`.
+    pub(crate) fn new(cooldown_ms: f64) -> Self {
+        KeyQueues {
+            cooldown_ms,
+            ..KeyQueues::default()
+        }
+    }
+
+    /// Adds a query to the end of its key's queue and returns the queue's slot.
     pub(crate) fn join(&mut self, key: u64, query: QueryIndex, now_ms: f64) -> u32 {
         self.forget_unused(now_ms);
         let slot = match self.slots.get(&key) {
@@ -63,7 +74,7 @@
         }
     }
 
-    /// How many keys are kept.
+    /// The number of keys that are known.
     #[cfg(test)]
     pub(crate) fn len(&self) -> usize {
         self.queues.len()
@@ -74,20 +85,21 @@
         self.queues.get(slot as usize)?.queries.front().copied()
     }
 
-    /// Until when a queue's key cools down (ms).
-    pub(crate) fn cooldown_until_ms(&self, slot: u32) -> f64 {
+    /// Whether a queue's key has cooled down.
+    pub(crate) fn is_cool(&self, slot: u32, now_ms: f64) -> bool {
         let queue = self.queues.get(slot as usize);
-        queue.map_or(LONG_AGO, |queue| queue.cooldown_until_ms)
+        now_ms >= queue.map_or(LONG_AGO, |queue| queue.cooldown_until_ms)
     }
 
-    /// Keeps a key unused until `until_ms` at least.
-    pub(crate) fn cool_down(&mut self, slot: u32, until_ms: f64) {
+    /// Starts the cooldown of a queue's key.
+    pub(crate) fn cool_down(&mut self, slot: u32, now_ms: f64) {
+        let until_ms = now_ms + self.cooldown_ms;
         if let Some(queue) = self.queues.get_mut(slot as usize) {
             queue.cooldown_until_ms = queue.cooldown_until_ms.max(until_ms);
         }
     }
 
-    /// Takes a query out of its queue.
+    /// Removes a query from its queue.
     pub(crate) fn leave(&mut self, slot: u32, query: QueryIndex) {
         let Some(queue) = self.queues.get_mut(slot as usize) else {
             return;
--- a/src/model/level_effects.rs
+++ b/src/model/level_effects.rs
@@ -14,7 +14,7 @@
     pub grant_factor: f64,
     /// Factor on the time after which a rejected client may come back.
     pub retry_after_factor: f64,
-    /// The fraction of that time that is spread at random.
+    /// The fraction of `retry_after_ms` that is random.
     pub retry_after_jitter: f64,
     /// Low work gets no retries.
     pub withhold_low_retries: bool,
--- a/src/model/peer_load.rs
+++ b/src/model/peer_load.rs
@@ -1,38 +1,159 @@
-//! What the other dispatchers run, as they report it.
+//! Peer load: what dispatchers report to each other, where they may exchange messages, and the share of each engine
+//! that this dispatcher may fill.
 
 use crate::events::{DecisionSink, PeerMessage};
-use crate::model::{Control, Engine, EngineIndex, LONG_AGO};
+use crate::model::{Engine, EngineIndex, EngineTable, LONG_AGO};
 use crate::peer_codec;
+use crate::settings::Settings;
+
+/// How many dispatchers, the first ones, add up all reports. More than one, as each may die or be cut off.
+const AGGREGATORS: u32 = 2;
+/// Interval at which an aggregator sends the sum (ms).
+const SUM_INTERVAL_MS: f64 = 300.0;
+/// Time for which a sum counts after it was received (ms).
+const SUM_COUNTS_MS: f64 = 2000.0;
+/// Interval at which a report that does not change is sent again (ms).
+const REPORT_INTERVAL_MS: f64 = 4000.0;
+/// Time for which a report counts after it was received (ms).
+const REPORT_COUNTS_MS: f64 = 10_000.0;
 
 /// The exchange of low threads between dispatchers.
 #[derive(Debug)]
 pub(crate) struct PeerLoad {
+    is_enabled: bool,
+    /// How many dispatchers share the pool.
+    dispatchers: f64,
+    /// This dispatcher's index among them.
+    own_index: u32,
     /// The reports of the others, where this dispatcher aggregates them.
-    pub(crate) reports: PeerReports,
+    reports: PeerReports,
     /// Own low threads changed since they were last reported.
-    pub(crate) is_changed: bool,
-    /// When they were last reported (ms).
-    pub(crate) reported_ms: f64,
-    /// When this dispatcher last sent the sum, and when one was last received or computed (ms).
-    pub(crate) sum_sent_ms: f64,
-    pub(crate) sum_received_ms: f64,
+    has_changed: bool,
+    /// When own low threads were last reported (ms).
+    reported_ms: f64,
+    /// When this dispatcher last sent the sum (ms).
+    sum_sent_ms: f64,
+    /// When a sum was last received or computed (ms).
+    sum_received_ms: f64,
 }
 
-impl Default for PeerLoad {
-    fn default() -> Self {
+impl PeerLoad {
+    /// An exchange that has not begun.
+    pub(crate) fn new(settings: &Settings) -> Self {
         PeerLoad {
+            is_enabled: settings.capabilities.peer_messages && settings.dispatchers >= 2.0,
+            dispatchers: settings.dispatchers,
+            own_index: settings.dispatcher_index,
             reports: PeerReports::default(),
-            is_changed: false,
+            has_changed: false,
             reported_ms: 0.0,
             sum_sent_ms: 0.0,
             sum_received_ms: LONG_AGO,
         }
     }
+
+    /// This dispatcher's share of each engine: an even one, or the whole while it knows what all dispatchers run there.
+    pub(crate) fn pool_share(&self, now_ms: f64) -> f64 {
+        let is_sum_known = now_ms - self.sum_received_ms < SUM_COUNTS_MS;
+        if is_sum_known {
+            return 1.0;
+        }
+        1.0 / self.dispatchers
+    }
+
+    /// Records that own low threads changed.
+    pub(crate) fn record_change(&mut self) {
+        self.has_changed = true;
+    }
+
+    /// Forgets what peers reported of an engine.
+    pub(crate) fn forget(&mut self, engine: EngineIndex) {
+        self.reports.forget(engine);
+    }
+
+    /// Reports own low threads to the aggregators. As one of them, sends the sum to all.
+    pub(crate) fn exchange(
+        &mut self,
+        engines: &mut EngineTable,
+        now_ms: f64,
+        out: &mut dyn DecisionSink,
+    ) {
+        if !self.is_enabled {
+            return;
+        }
+        let is_stale = now_ms - self.reported_ms > REPORT_INTERVAL_MS;
+        if self.has_changed || is_stale && engines.has_low_attempts() {
+            self.send_report(engines, now_ms, out);
+        }
+        if self.is_aggregator() && now_ms - self.sum_sent_ms > SUM_INTERVAL_MS {
+            self.send_sum(engines, now_ms, out);
+        }
+    }
+
+    /// Records a message from another dispatcher; one of an unknown kind or sender is ignored.
+    pub(crate) fn record_message(
+        &mut self,
+        message: &PeerMessage,
+        engines: &mut EngineTable,
+        now_ms: f64,
+    ) {
+        let is_known = f64::from(message.peer) < self.dispatchers;
+        match message.content.first() {
+            Some(&peer_codec::OWN_LOAD) if is_known => {
+                self.reports
+                    .store(message.peer, now_ms, message.content, engines);
+            }
+            Some(&peer_codec::TOTAL_LOAD) if !self.is_aggregator() => {
+                self.apply_sum(message, engines, now_ms);
+            }
+            _ => {}
+        }
+    }
+
+    fn is_aggregator(&self) -> bool {
+        self.own_index < AGGREGATORS
+    }
+
+    fn send_report(&mut self, engines: &EngineTable, now_ms: f64, out: &mut dyn DecisionSink) {
+        self.has_changed = false;
+        self.reported_ms = now_ms;
+        let aggregators = AGGREGATORS.min(self.dispatchers as u32);
+        let own_index = self.own_index;
+        let used = engines.iter().filter(|engine| engine.load.low_attempts > 0);
+        let entries = used.map(|engine| (engine.engine_id, engine.load.low_threads));
+        peer_codec::encode(peer_codec::OWN_LOAD, entries, |content| {
+            for peer in (0..aggregators).filter(|&peer| peer != own_index) {
+                out.send_to_peer(Some(peer), content);
+            }
+        });
+    }
+
+    fn send_sum(&mut self, engines: &mut EngineTable, now_ms: f64, out: &mut dyn DecisionSink) {
+        self.sum_sent_ms = now_ms;
+        self.sum_received_ms = now_ms;
+        self.reports.add_up(now_ms - REPORT_COUNTS_MS, engines);
+        let entries = engines
+            .ready()
+            .map(|engine| (engine.engine_id, engine.known_low_threads()));
+        peer_codec::encode(peer_codec::TOTAL_LOAD, entries, |content| {
+            out.send_to_peer(None, content);
+        });
+    }
+
+    fn apply_sum(&mut self, message: &PeerMessage, engines: &mut EngineTable, now_ms: f64) {
+        self.sum_received_ms = now_ms;
+        for (tag, all_threads) in peer_codec::decode(message.content) {
+            if let Some(engine) = find_by_tag(engines, tag) {
+                let load = &mut engines[engine].load;
+                load.peer_threads = (all_threads - load.low_threads).max(0.0);
+            }
+        }
+    }
 }
 
-/// The last report of each dispatcher, by its number.
+/// The last report of each dispatcher, by its index.
 #[derive(Debug, Default)]
-pub(crate) struct PeerReports(Vec<PeerReport>);
+struct PeerReports(Vec<PeerReport>);
 
 #[derive(Debug)]
 struct PeerReport {
@@ -42,8 +163,8 @@
 }
 
 impl PeerReports {
-    /// Keeps a dispatcher's report in place of its last one. Entries of unknown engines are ignored.
-    pub(crate) fn store(&mut self, peer: u32, now_ms: f64, content: &[u8], engines: &[Engine]) {
+    /// Stores a dispatcher's report in place of its last one. Entries of unknown engines are ignored.
+    fn store(&mut self, peer: u32, now_ms: f64, content: &[u8], engines: &EngineTable) {
         let len = self.0.len().max(peer as usize + 1);
         self.0.resize_with(len, || PeerReport {
             received_ms: LONG_AGO,
@@ -59,8 +180,7 @@
         }
     }
 
-    /// Forgets what was reported of an engine.
-    pub(crate) fn forget(&mut self, engine: EngineIndex) {
+    fn forget(&mut self, engine: EngineIndex) {
         for report in &mut self.0 {
             report
                 .low_threads
@@ -69,70 +189,20 @@
     }
 
     /// Sets the peers' threads on each engine to the sum of the reports received after `since_ms`.
-    pub(crate) fn sum_up(&self, since_ms: f64, engines: &mut [Engine]) {
+    fn add_up(&self, since_ms: f64, engines: &mut EngineTable) {
         for engine in engines.iter_mut() {
             engine.load.peer_threads = 0.0;
         }
         for report in self.0.iter().filter(|report| report.received_ms > since_ms) {
             for &(engine, threads) in &report.low_threads {
-                engines[engine.0].load.peer_threads += threads;
-            }
-        }
-    }
-}
-
-impl Control {
-    /// Sends this dispatcher's low threads to the first `aggregators` dispatchers.
-    pub(crate) fn send_report(&mut self, aggregators: u32, out: &mut dyn DecisionSink) {
-        self.peer_load.is_changed = false;
-        self.peer_load.reported_ms = self.now_ms;
-        let aggregators = aggregators.min(self.settings.dispatchers as u32);
-        let own_index = self.settings.dispatcher_index;
-        let low = self
-            .engines
-            .iter()
-            .filter(|engine| engine.load.low_attempts > 0);
-        let entries = low.map(|engine| (engine.engine_id, engine.load.low_threads));
-        peer_codec::encode(peer_codec::OWN_LOAD, entries, |content| {
-            for peer in (0..aggregators).filter(|&peer| peer != own_index) {
-                out.send_to_peer(Some(peer), content);
-            }
-        });
-    }
-
-    /// Adds up the reports received after `since_ms`, and sends all dispatchers the sum.
-    pub(crate) fn send_sum(&mut self, since_ms: f64, out: &mut dyn DecisionSink) {
-        self.peer_load.sum_sent_ms = self.now_ms;
-        self.peer_load.sum_received_ms = self.now_ms;
-        self.peer_load.reports.sum_up(since_ms, &mut self.engines);
-        let entries = self
-            .ready_engines()
-            .map(|engine| (engine.engine_id, engine.known_low_threads()));
-        peer_codec::encode(peer_codec::TOTAL_LOAD, entries, |content| {
-            out.send_to_peer(None, content);
-        });
-    }
-
-    /// Keeps a dispatcher's report.
-    pub(crate) fn store_report(&mut self, message: &PeerMessage) {
-        let reports = &mut self.peer_load.reports;
-        reports.store(message.peer, self.now_ms, message.content, &self.engines);
-    }
-
-    /// Takes over a sum of all dispatchers' low threads.
-    pub(crate) fn apply_sum(&mut self, message: &PeerMessage) {
-        self.peer_load.sum_received_ms = self.now_ms;
-        for (tag, all_threads) in peer_codec::decode(message.content) {
-            if let Some(engine) = find_by_tag(&self.engines, tag) {
-                let load = &mut self.engines[engine].load;
-                load.peer_threads = (all_threads - load.low_threads).max(0.0);
+                engines[engine].load.peer_threads += threads;
             }
         }
     }
 }
 
-fn find_by_tag(engines: &[Engine], tag: [u8; 2]) -> Option<EngineIndex> {
-    let mut engines = engines.iter();
-    let place = engines.position(|engine| peer_codec::engine_tag(engine.engine_id) == tag);
-    place.map(EngineIndex)
+/// The first engine with this tag.
+fn find_by_tag(engines: &EngineTable, tag: [u8; 2]) -> Option<EngineIndex> {
+    let has_tag = |engine: &Engine| peer_codec::engine_tag(engine.engine_id) == tag;
+    engines.iter().position(has_tag).map(EngineIndex)
 }
--- /dev/null
+++ b/src/model/pool_view.rs
@@ -0,0 +1,138 @@
+//! Pressure and headroom: what the state of several components says of the engines' capacity now.
+
+use crate::model::{
+    Engine, EngineIndex, EngineTable, Lane, LevelEffects, PeerLoad, SlowStart, Slowdowns,
+};
+
+/// Fraction of an engine's memory whose estimated use shows pressure.
+const PRESSURE_MEMORY_FRACTION: f64 = 0.35;
+
+/// The pool of engines as this dispatcher sees it at one time.
+#[derive(Clone, Copy)]
+pub(crate) struct PoolView<'a> {
+    pub(crate) engines: &'a EngineTable,
+    pub(crate) slowdowns: &'a Slowdowns,
+    pub(crate) peer_load: &'a PeerLoad,
+    pub(crate) slow_start: &'a SlowStart,
+    pub(crate) level: &'a LevelEffects,
+    pub(crate) now_ms: f64,
+}
+
+impl PoolView<'_> {
+    /// Whether an engine has no capacity left.
+    ///
+    /// Slow answers show that, but only after a burst has filled the engine: so does what is in flight there.
+    pub(crate) fn is_under_pressure(&self, index: EngineIndex) -> bool {
+        let engine = &self.engines[index];
+        let max_threads = engine.limit.estimated_concurrency() * self.level.concurrency_factor;
+        let max_memory_mb = PRESSURE_MEMORY_FRACTION * engine.memory_mb;
+        self.slowdowns.is_slow(engine, Lane::Low, self.now_ms)
+            || self.slowdowns.is_slow(engine, Lane::Fast, self.now_ms)
+            || engine.known_low_threads() >= max_threads
+            || engine.memory_mb > 0.0 && engine.load.granted_mb >= max_memory_mb
+            || engine.limit.was_full(self.now_ms)
+    }
+
+    /// Whether an engine is below pressure and below its concurrency limit.
+    pub(crate) fn has_spare_capacity(&self, engine: EngineIndex) -> bool {
+        self.headroom(engine) >= 0.0 && !self.is_under_pressure(engine)
+    }
+
+    /// Low threads that the concurrency limit leaves this dispatcher on an engine; negative where it is exceeded.
+    pub(crate) fn headroom(&self, engine: EngineIndex) -> f64 {
+        let engine = &self.engines[engine];
+        let limit = self.level.concurrency_factor * engine.limit.threads_per_core();
+        engine.headroom(limit * engine.cores * self.peer_load.pool_share(self.now_ms))
+    }
+
+    /// The headroom of all ready engines together.
+    pub(crate) fn total_headroom(&self) -> f64 {
+        let ready = self.engines.ready_indices();
+        ready.map(|engine| self.headroom(engine)).sum()
+    }
+
+    /// Fraction of the ready engines, of a zone if one is given, that are under pressure.
+    pub(crate) fn pressured_fraction(&self, zone: Option<ZoneFilter>) -> f64 {
+        let is_in_zone =
+            |engine: &EngineIndex| zone.is_none_or(|zone| zone.includes(&self.engines[*engine]));
+        let mut ready = 0;
+        let mut pressured = 0;
+        for engine in self.engines.ready_indices().filter(is_in_zone) {
+            ready += 1;
+            pressured += usize::from(self.is_under_pressure(engine));
+        }
+        fraction(pressured, ready)
+    }
+
+    /// Low threads of all ready engines against their concurrency limits at full service.
+    pub(crate) fn concurrency_used_fraction(&self) -> f64 {
+        let share = self.peer_load.pool_share(self.now_ms);
+        let mut used = 0.0;
+        let mut limits = 0.0;
+        for engine in self.engines.ready() {
+            used += engine.known_low_threads();
+            limits += engine.limit.threads_per_core() * engine.cores * share;
+        }
+        if limits > 0.0 {
+            (used / limits).min(1.0)
+        } else {
+            f64::NAN
+        }
+    }
+
+    /// Threads that this dispatcher's attempts run on; an attempt of the fast lane counts as one.
+    pub(crate) fn threads_in_flight(&self) -> f64 {
+        let threads = |engine: &Engine| {
+            engine.load.low_threads + (engine.load.attempts - engine.load.low_attempts) as f64
+        };
+        self.engines.iter().map(threads).sum()
+    }
+
+    /// Fraction of the known engines that are ready.
+    pub(crate) fn ready_fraction(&self) -> f64 {
+        let is_known = |engine: &&Engine| engine.endpoint.listed || engine.endpoint.ready;
+        let known = self.engines.iter().filter(is_known);
+        fraction(self.engines.ready().count(), known.count())
+    }
+
+    /// Fraction of the ready engines that are warming up.
+    pub(crate) fn warming_fraction(&self) -> f64 {
+        let is_warming_up = |engine: &&Engine| self.slow_start.is_warming_up(engine, self.now_ms);
+        let warming_up = self.engines.ready().filter(is_warming_up);
+        fraction(warming_up.count(), self.engines.ready().count())
+    }
+
+    /// Fraction of the ready engines that are ejected.
+    pub(crate) fn ejected_fraction(&self) -> f64 {
+        let is_ejected = |engine: &&Engine| engine.health.is_ejected();
+        let ejected = self.engines.ready().filter(is_ejected);
+        fraction(ejected.count(), self.engines.ready().count())
+    }
+}
+
+/// The zone that a metric is restricted to.
+#[derive(Debug, Clone, Copy)]
+pub(crate) enum ZoneFilter {
+    /// The zone with this index.
+    Zone(u32),
+    /// A zone without any engine.
+    Unknown,
+}
+
+impl ZoneFilter {
+    fn includes(self, engine: &Engine) -> bool {
+        match self {
+            ZoneFilter::Zone(zone) => engine.zone == zone,
+            ZoneFilter::Unknown => false,
+        }
+    }
+}
+
+/// A count as a fraction of another; a fraction of nothing is not a number.
+fn fraction(count: usize, of: usize) -> f64 {
+    if of == 0 {
+        f64::NAN
+    } else {
+        count as f64 / of as f64
+    }
+}
--- a/src/model/query.rs
+++ b/src/model/query.rs
@@ -113,7 +113,7 @@
             .any(|attempt| attempt.engine == engine)
     }
 
-    /// The attempt that is in flight, if one is.
+    /// The number of the attempt that is in flight, if one is.
     pub(crate) fn in_flight(&self) -> Option<usize> {
         self.attempts
             .all()
@@ -121,6 +121,11 @@
             .position(|attempt| attempt.in_flight)
     }
 
+    /// The attempt that is in flight, if one is.
+    pub(crate) fn attempt_in_flight(&self) -> Option<&Attempt> {
+        self.attempts.all().iter().find(|attempt| attempt.in_flight)
+    }
+
     /// The first attempt that may have run.
     pub(crate) fn first_that_ran(&self) -> Option<&Attempt> {
         self.attempts
--- a/src/model/resource_group.rs
+++ b/src/model/resource_group.rs
@@ -1,16 +1,20 @@
-//! A resource group: what the settings say of it, and what its answers taught.
+//! A resource group: its settings, and what was learned from its answers.
 
 use crate::events::{QueryArrived, ResourceUsage, StatementTraits};
 use crate::interner::Interner;
-use crate::model::{step_towards, Engine, GroupSlowdown, Lane, LearningSteps, QueryCost};
+use crate::model::{step_towards, Engine, GroupSlowdown, Lane, QueryCost, LEARNING};
 use crate::settings::{DedupScope, Effect, GroupSettings};
 
+/// Upper bound of the factor by which reported usage corrects estimates; its inverse is the lower bound.
+const MAX_USAGE_FACTOR: f64 = 5.0;
+
 /// A resource group.
 #[derive(Debug, Clone)]
 pub(crate) struct ResourceGroup {
     pub(crate) settings: GroupSettings,
-    /// The zones and kinds of engines that it is confined to.
+    /// The zones that the group is confined to.
     zones: Option<Vec<u32>>,
+    /// The kinds of engines that the group is confined to.
     kinds: Option<Vec<u32>>,
     pub(crate) cost: CostModel,
     pub(crate) slowdown: GroupSlowdown,
@@ -23,21 +27,22 @@
     pub(crate) mean_ms: f64,
     /// Queries in the mean.
     pub(crate) samples: u32,
-    /// Thread time and memory used, against their estimates.
+    /// Thread time used, as a factor of its estimate.
     pub(crate) work_factor: f64,
+    /// Memory used, as a factor of its estimate.
     pub(crate) memory_factor: f64,
 }
 
 impl CostModel {
-    /// Takes a cost into the mean: plain at first, then by `step`.
-    pub(crate) fn learn_cost(&mut self, cost_ms: f64, step: f64) {
+    /// Records a cost in the mean: a plain mean at first, a moving one later.
+    pub(crate) fn learn_cost(&mut self, cost_ms: f64) {
         self.samples += 1;
-        let step = step.max(1.0 / f64::from(self.samples));
+        let step = LEARNING.mean.max(1.0 / f64::from(self.samples));
         self.mean_ms += step * (cost_ms - self.mean_ms);
     }
 
-    /// An uncertain estimate counts for less: between the usual cost and itself, on a log scale.
-    pub(crate) fn weigh_estimate(&self, event: &QueryArrived) -> f64 {
+    /// The estimate of a query, moved towards the mean (on a log scale) by how uncertain it is.
+    pub(crate) fn discount_uncertain(&self, event: &QueryArrived) -> f64 {
         let cost_ms = event.estimated_cost_ms;
         let confidence = event.statement.confidence;
         if confidence >= 1.0 || self.samples == 0 || self.mean_ms <= 0.0 {
@@ -47,10 +52,11 @@
     }
 }
 
-/// Takes a ratio into a factor. One that is 0 or no number is not known.
-fn learn_factor(factor: &mut f64, ratio: f64, step: f64, max: f64) {
+/// Moves a factor towards a ratio. A ratio that is 0 or not finite is unknown and ignored.
+fn learn_factor(factor: &mut f64, ratio: f64) {
     if ratio > 0.0 && ratio.is_finite() {
-        *factor += step * (ratio.clamp(1.0 / max, max) - *factor);
+        let ratio = ratio.clamp(1.0 / MAX_USAGE_FACTOR, MAX_USAGE_FACTOR);
+        *factor += LEARNING.mean * (ratio - *factor);
     }
 }
 
@@ -108,8 +114,8 @@
         }
     }
 
-    /// The effect of a statement, never milder than the statement shows: one that may write is bound by the rules of
-    /// non-idempotent queries where its group promises to read only. A client's idempotency key still counts.
+    /// The effect of a statement. One that may write counts as non-idempotent where its group promises to read only; a
+    /// group's idempotency keys still count.
     pub(crate) fn effect_of(&self, statement: StatementTraits) -> Effect {
         if statement.may_write && self.settings.effect == Effect::ReadOnly {
             Effect::NonIdempotent
@@ -127,70 +133,58 @@
     /// Learns from the run time of an answer, and returns how far it lies above the group's best (log ratio).
     ///
     /// Without an estimate an answer counts against those before it, and the first against none.
-    pub(crate) fn learn_run_time(
-        &mut self,
-        cost: QueryCost,
-        latency_ms: f64,
-        steps: LearningSteps,
-    ) -> Option<f64> {
+    pub(crate) fn learn_run_time(&mut self, cost: QueryCost, latency_ms: f64) -> Option<f64> {
         let mut cost_ms = cost.estimate_ms;
         if cost.is_guess {
             let is_first = self.cost.samples == 0;
             cost_ms = self.cost.mean_ms;
-            self.cost
-                .learn_cost(latency_ms * self.threads(), steps.mean);
+            self.cost.learn_cost(latency_ms * self.threads());
             if is_first {
                 return None;
             }
         }
-        let thread_time_ms = latency_ms.max(steps.min_time_ms) * self.threads();
-        let ratio = (thread_time_ms / cost_ms.max(steps.min_time_ms)).ln();
-        Some(self.slowdown.learn(ratio, steps))
-    }
-
-    /// Learns from the run time that an attempt's notes foretell, and returns how far it lies above the group's best.
-    pub(crate) fn learn_progress(
-        &mut self,
-        cost: QueryCost,
-        run_time_ms: f64,
-        step: f64,
-    ) -> Option<f64> {
+        let thread_time_ms = latency_ms.max(LEARNING.min_time_ms) * self.threads();
+        let ratio = (thread_time_ms / cost_ms.max(LEARNING.min_time_ms)).ln();
+        Some(self.slowdown.learn(ratio))
+    }
+
+    /// Learns from the run time that an attempt's notes predict, and returns how far it lies above the group's best.
+    pub(crate) fn learn_progress(&mut self, cost: QueryCost, run_time_ms: f64) -> Option<f64> {
         if run_time_ms <= 0.0 || cost.estimate_ms <= 0.0 || self.slowdown.samples == 0 {
             return None;
         }
         let ratio = (run_time_ms * self.threads() / cost.estimate_ms).ln();
-        step_towards(&mut self.slowdown.usual, ratio, step);
+        step_towards(&mut self.slowdown.usual, ratio, LEARNING.median);
         Some(ratio - self.slowdown.best)
     }
 
-    /// Learns what an attempt used against its estimates.
-    pub(crate) fn learn_usage(
-        &mut self,
-        cost: QueryCost,
-        used: Option<ResourceUsage>,
-        step: f64,
-        max_factor: f64,
-    ) {
+    /// Learns from the usage that an engine reported.
+    pub(crate) fn learn_usage(&mut self, cost: QueryCost, used: Option<ResourceUsage>) {
         let Some(used) = used else {
             return;
         };
         let work_ratio = used.thread_ms / cost.estimate_ms;
         let memory_ratio = used.memory_mb / cost.memory_mb;
-        learn_factor(&mut self.cost.work_factor, work_ratio, step, max_factor);
-        learn_factor(&mut self.cost.memory_factor, memory_ratio, step, max_factor);
+        learn_factor(&mut self.cost.work_factor, work_ratio);
+        learn_factor(&mut self.cost.memory_factor, memory_ratio);
     }
 
-    /// How long a query takes on an idle engine, by its estimate (ms).
-    pub(crate) fn ideal_run_time_ms(&self, cost: QueryCost) -> f64 {
+    /// Unloaded run time of a query by its estimate (ms).
+    pub(crate) fn unloaded_run_time_ms(&self, cost: QueryCost) -> f64 {
         cost.estimate_ms / self.threads()
     }
 
+    /// Expected run time of a query (ms), by its estimate and the median slowdown of recent answers.
+    pub(crate) fn expected_run_time_ms(&self, cost: QueryCost) -> f64 {
+        self.unloaded_run_time_ms(cost) * self.slowdown.usual.exp()
+    }
+
     /// Latency objective (ms) of a query, by its estimate and the usage that was reported.
     pub(crate) fn objective_of(&self, cost: QueryCost) -> f64 {
         self.objective_ms(cost.estimate_ms * self.cost.work_factor)
     }
 
-    /// The mean cost, or, before any query was seen, the work that the objective leaves room for.
+    /// The mean cost (ms); before the first query, the thread time that the objective allows.
     pub(crate) fn usual_cost_ms(&self) -> f64 {
         if self.cost.samples > 0 {
             self.cost.mean_ms
@@ -199,7 +193,7 @@
         }
     }
 
-    /// The usual work of a query, by estimates, reported usage, and how long the best answers took.
+    /// The usual work of a query (ms), by estimates, reported usage and the best run times.
     pub(crate) fn usual_work_ms(&self) -> f64 {
         if self.cost.samples == 0 {
             return self.usual_cost_ms();
--- a/src/zone_plan.rs
+++ b/src/zone_plan.rs
@@ -1,74 +1,102 @@
-//! What a plan for zones leaves open: tiers of preference, limits on work that spills, and the recovery ramp of engines
-//! that return.
+//! The zone plan: tiers of preference, limits on low work that spills over into other zones, and the recovery ramp of
+//! engines that return.
 //!
-//! The plan comes from outside; here it is kept against what is in flight. Which engine is chosen among those that are
-//! open stays with `control`. Without a plan all engines are open and of one tier.
+//! Zone routing makes the plan; this file enforces it on what is in flight. Which of the admitted engines is chosen is
+//! decided in `control`. Without a plan all engines are admitted and of one tier.
 
-use crate::control::Control;
-use crate::interner::Interner;
-use crate::model::{EngineIndex, GroupIndex, Lane, QueryIndex};
+use crate::interner::NameInterner;
+use crate::model::{EngineIndex, EngineTable, GroupIndex, Lane};
 
-/// A plan as it is handed over: zones by their names, engines by their numbers, groups in the order of the settings.
+/// A plan as zone routing makes it: zones by their names, engines by their numbers, groups in the order of the settings.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct ZonePlan {
-    /// Zones; one that is left out keeps what the plan before said of it.
+    /// Limits of zones; a zone that is missing keeps the limits of the previous plan.
     pub zones: Vec<ZoneLimits>,
     /// Threads of this dispatcher that each engine may have, by the engine's number.
     pub engines: Vec<(u64, f64)>,
     /// The fraction of retries that may go to another zone than the last attempt.
     pub cross_zone_retry_ratio: f64,
-    /// This dispatcher is cut off itself: low work is better rejected at once than sent into silence.
+    /// This dispatcher is cut off itself: low work is rejected rather than sent to engines that cannot answer.
     pub isolated: bool,
 }
 
-/// What a plan says of one zone.
+/// The limits of one zone.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct ZoneLimits {
-    /// Its name.
+    /// The zone's name.
     pub name: String,
-    /// Its tier by group; 0 is preferred most.
+    /// The zone's tier by group; the lowest is preferred.
     pub tiers: Vec<u8>,
-    /// Threads of low work that may spill into it from elsewhere.
+    /// Threads of low work that may spill over into the zone from elsewhere.
     pub max_spill_threads: f64,
-    /// The same by group.
+    /// The same limit by group.
     pub max_spill_threads_by_group: Vec<f64>,
 }
 
-/// What an attempt took of a plan's capacity; given back when it ends.
+/// The plan's capacity that an attempt holds until it ends.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Reservation {
     threads: f64,
-    /// It is low work in a zone that is not of the best tier.
+    /// The attempt is low work in a zone that is not of the best tier.
     is_spilled: bool,
 }
 
-/// Cross-zone retries that may be saved up at most.
-const MAX_CROSS_ZONE_CREDIT: f64 = 20.0;
-/// Cross-zone retries that a plan begins with.
-const INITIAL_CROSS_ZONE_CREDIT: f64 = 2.0;
-/// Fraction of the ratio that a first attempt earns: a storm must not live on the calm before it.
-const FIRST_ATTEMPT_EARNS: f64 = 0.05;
-/// A query counts as taking this long (ms) at the least.
+/// Burst of the token bucket of cross-zone retries.
+const MAX_CROSS_ZONE_TOKENS: f64 = 20.0;
+/// Tokens for cross-zone retries when a plan begins.
+const INITIAL_CROSS_ZONE_TOKENS: f64 = 2.0;
+/// Fraction of the ratio by which a first attempt refills the bucket. It is small, so that first attempts of a calm time
+/// do not pay for the retries of a storm.
+const FIRST_ATTEMPT_REFILL: f64 = 0.05;
+/// Lower bound of the run time of a query (ms).
 const MIN_RUN_TIME_MS: f64 = 1.0;
+/// Burst of the token bucket of thread time, in queries.
+const MAX_TOKENS_QUERIES: f64 = 2.0;
 
-/// Threads that a query needs, and for how long.
+/// What a query takes of the plan's capacity.
 #[derive(Debug, Clone, Copy)]
-struct Demand {
+pub(crate) struct Demand {
+    group: GroupIndex,
+    lane: Lane,
     threads: f64,
     run_time_ms: f64,
 }
 
-/// Threads that may be in flight somewhere, and those that are.
+impl Demand {
+    /// The demand of a query that runs on so many threads for `run_time_ms`.
+    pub(crate) fn new(group: GroupIndex, lane: Lane, threads: f64, run_time_ms: f64) -> Self {
+        Demand {
+            group,
+            lane,
+            threads,
+            run_time_ms: run_time_ms.max(MIN_RUN_TIME_MS),
+        }
+    }
+
+    fn thread_time_ms(&self) -> f64 {
+        self.threads * self.run_time_ms
+    }
+}
+
+/// An engine as the plan refers to it.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct PlannedEngine {
+    pub(crate) index: EngineIndex,
+    pub(crate) zone: u32,
+}
+
+/// Threads that may be in flight in some place, and those that are.
 ///
-/// Where fewer are allowed than a query needs, as when many dispatchers share them, thread time is saved up and one
-/// query goes at a time: over time that keeps to the limit.
+/// Where the limit is below one query, as when many dispatchers share it, a token bucket of thread time decides when a
+/// single query may start: over time that keeps to the limit.
 #[derive(Debug, Clone, Copy)]
 struct Capacity {
     max_threads: f64,
     threads: f64,
-    /// Thread time saved up (ms), and when that was reckoned (ms).
-    credit_ms: f64,
-    updated_ms: f64,
+    /// Thread time in the bucket (ms); negative while it is in debt.
+    tokens_ms: f64,
+    /// When the bucket was last refilled (ms).
+    refilled_ms: f64,
 }
 
 impl Default for Capacity {
@@ -76,42 +104,44 @@
         Capacity {
             max_threads: f64::INFINITY,
             threads: 0.0,
-            credit_ms: 0.0,
-            updated_ms: 0.0,
+            tokens_ms: 0.0,
+            refilled_ms: 0.0,
         }
     }
 }
 
 impl Capacity {
-    /// Sets the limit; one that opens begins with nothing saved up.
+    /// Sets the limit. The bucket is empty when a limit begins, or opens again.
     fn set_limit(&mut self, max_threads: f64, now_ms: f64) {
         if self.max_threads.is_infinite() || self.max_threads <= 0.0 {
-            self.credit_ms = 0.0;
-            self.updated_ms = now_ms;
+            self.tokens_ms = 0.0;
+            self.refilled_ms = now_ms;
         }
         self.max_threads = max_threads;
     }
 
-    fn earned_ms(&self, demand: Demand, now_ms: f64) -> f64 {
-        self.max_threads.min(demand.threads) * (now_ms - self.updated_ms)
+    /// The thread time in the bucket (ms) after a refill at `now_ms`, at the rate of the limit.
+    fn refilled_tokens_ms(&self, demand: &Demand, now_ms: f64) -> f64 {
+        let refill_ms = self.max_threads.min(demand.threads) * (now_ms - self.refilled_ms);
+        self.tokens_ms + refill_ms
     }
 
-    fn admits(&self, demand: Demand, now_ms: f64) -> bool {
+    fn admits(&self, demand: &Demand, now_ms: f64) -> bool {
         if self.threads + demand.threads <= self.max_threads {
             return true;
         }
-        let saved_ms = self.credit_ms + self.earned_ms(demand, now_ms);
+        let tokens_ms = self.refilled_tokens_ms(demand, now_ms);
         let is_idle = self.threads <= 0.0 && self.max_threads > 0.0;
-        is_idle && saved_ms >= demand.threads * demand.run_time_ms
+        is_idle && tokens_ms >= demand.thread_time_ms()
     }
 
-    fn reserve(&mut self, demand: Demand, now_ms: f64) {
+    fn reserve(&mut self, demand: &Demand, now_ms: f64) {
         if self.max_threads.is_finite() {
-            // What is saved up, and what is overdrawn, is bounded by what a query needs.
-            let needed_ms = demand.threads * demand.run_time_ms;
-            let saved_ms = self.credit_ms + self.earned_ms(demand, now_ms);
-            self.credit_ms = (saved_ms.min(2.0 * needed_ms) - needed_ms).max(-needed_ms);
-            self.updated_ms = now_ms;
+            let needed_ms = demand.thread_time_ms();
+            let tokens_ms = self.refilled_tokens_ms(demand, now_ms);
+            let max_tokens_ms = MAX_TOKENS_QUERIES * needed_ms;
+            self.tokens_ms = (tokens_ms.min(max_tokens_ms) - needed_ms).max(-needed_ms);
+            self.refilled_ms = now_ms;
         }
         self.threads += demand.threads;
     }
@@ -121,7 +151,7 @@
     }
 }
 
-/// A zone: its tier for each group, and the capacity for low work from elsewhere, in all and by group.
+/// A zone: its tier for each group, and the capacity for low work from elsewhere, in total and by group.
 #[derive(Debug, Clone, Default)]
 struct ZoneState {
     tiers: Vec<u8>,
@@ -129,63 +159,96 @@
     spill_by_group: Vec<Capacity>,
 }
 
+impl ZoneState {
+    fn set_limits(&mut self, limits: &ZoneLimits, now_ms: f64) {
+        self.tiers.clone_from(&limits.tiers);
+        self.spill.set_limit(limits.max_spill_threads, now_ms);
+        self.spill_by_group
+            .resize(limits.tiers.len(), Capacity::default());
+        let by_group = &limits.max_spill_threads_by_group;
+        for (capacity, max_threads) in self.spill_by_group.iter_mut().zip(by_group) {
+            capacity.set_limit(*max_threads, now_ms);
+        }
+    }
+
+    fn admits_spill(&self, demand: &Demand, now_ms: f64) -> bool {
+        let of_group = self.spill_by_group.get(demand.group.0);
+        self.spill.admits(demand, now_ms)
+            && of_group.is_none_or(|capacity| capacity.admits(demand, now_ms))
+    }
+
+    fn reserve_spill(&mut self, demand: &Demand, now_ms: f64) {
+        self.spill.reserve(demand, now_ms);
+        if let Some(capacity) = self.spill_by_group.get_mut(demand.group.0) {
+            capacity.reserve(demand, now_ms);
+        }
+    }
+
+    fn release_spill(&mut self, group: GroupIndex, threads: f64) {
+        self.spill.release(threads);
+        if let Some(capacity) = self.spill_by_group.get_mut(group.0) {
+            capacity.release(threads);
+        }
+    }
+}
+
 /// The plan in force, and what is in flight against it.
 #[derive(Debug, Default)]
 pub(crate) struct ActiveZonePlan {
-    is_on: bool,
+    is_active: bool,
     is_isolated: bool,
     zones: Vec<ZoneState>,
     engines: Vec<Capacity>,
     cross_zone_retry_ratio: f64,
-    /// Cross-zone retries saved up.
-    cross_zone_credit: f64,
+    /// Cross-zone retries in the token bucket.
+    cross_zone_tokens: f64,
 }
 
 impl ActiveZonePlan {
-    fn apply(&mut self, plan: &ZonePlan, interner: &mut Interner, now_ms: f64) {
-        if !self.is_on {
-            self.cross_zone_credit = INITIAL_CROSS_ZONE_CREDIT;
+    /// Applies a plan. What is in flight stays counted.
+    pub(crate) fn apply(
+        &mut self,
+        plan: &ZonePlan,
+        zones: &mut NameInterner,
+        engines: &EngineTable,
+        now_ms: f64,
+    ) {
+        if !self.is_active {
+            self.cross_zone_tokens = INITIAL_CROSS_ZONE_TOKENS;
         }
-        self.is_on = true;
+        self.is_active = true;
         self.is_isolated = plan.isolated;
         self.cross_zone_retry_ratio = plan.cross_zone_retry_ratio;
         for limits in &plan.zones {
-            let zone = interner.zones.index(&limits.name);
-            self.set_zone(zone as usize, limits, now_ms);
+            let zone = zones.index(&limits.name);
+            self.zone_mut(zone).set_limits(limits, now_ms);
         }
         for (engine_id, max_threads) in &plan.engines {
-            if let Some(engine) = interner.engine_ids.find(*engine_id) {
-                self.engine_mut(EngineIndex(engine))
-                    .set_limit(*max_threads, now_ms);
+            if let Some(engine) = engines.find(*engine_id) {
+                self.engine_mut(engine).set_limit(*max_threads, now_ms);
             }
         }
     }
 
-    fn set_zone(&mut self, zone: usize, limits: &ZoneLimits, now_ms: f64) {
-        let len = self.zones.len().max(zone + 1);
-        self.zones.resize(len, ZoneState::default());
-        let zone = &mut self.zones[zone];
-        zone.tiers.clone_from(&limits.tiers);
-        zone.spill.set_limit(limits.max_spill_threads, now_ms);
-        zone.spill_by_group
-            .resize(limits.tiers.len(), Capacity::default());
-        for (capacity, max_threads) in zone
-            .spill_by_group
-            .iter_mut()
-            .zip(&limits.max_spill_threads_by_group)
-        {
-            capacity.set_limit(*max_threads, now_ms);
-        }
+    /// Ends the plan. What is in flight stays counted.
+    pub(crate) fn deactivate(&mut self) {
+        self.is_active = false;
     }
 
-    fn engine_mut(&mut self, engine: EngineIndex) -> &mut Capacity {
-        let len = self.engines.len().max(engine.0 + 1);
-        self.engines.resize(len, Capacity::default());
-        &mut self.engines[engine.0]
+    /// Whether a plan is in force.
+    pub(crate) fn is_active(&self) -> bool {
+        self.is_active
     }
 
-    fn tier(&self, zone: u32, group: GroupIndex) -> u8 {
-        if !self.is_on {
+    /// Threads of low work in a zone that spilled over from elsewhere.
+    pub(crate) fn spilled_threads(&self, zone: u32) -> f64 {
+        let zone = self.zones.get(zone as usize);
+        zone.map_or(0.0, |zone| zone.spill.threads)
+    }
+
+    /// The tier of a zone for a group; the lowest is preferred.
+    pub(crate) fn tier(&self, zone: u32, group: GroupIndex) -> u8 {
+        if !self.is_active {
             return 0;
         }
         let zone = self.zones.get(zone as usize);
@@ -193,131 +256,48 @@
         tier.copied().unwrap_or(0)
     }
 
-    fn engine_admits(&self, engine: EngineIndex, demand: Demand, now_ms: f64) -> bool {
-        let capacity = self.engines.get(engine.0);
-        capacity.is_none_or(|capacity| capacity.admits(demand, now_ms))
-    }
-
-    fn admits_spill(&self, zone: u32, group: GroupIndex, demand: Demand, now_ms: f64) -> bool {
-        let Some(zone) = self.zones.get(zone as usize) else {
-            return true;
-        };
-        let of_group = zone.spill_by_group.get(group.0);
-        zone.spill.admits(demand, now_ms)
-            && of_group.is_none_or(|capacity| capacity.admits(demand, now_ms))
-    }
-
-    fn reserve_spill(&mut self, zone: u32, group: GroupIndex, demand: Demand, now_ms: f64) {
-        let Some(zone) = self.zones.get_mut(zone as usize) else {
-            return;
-        };
-        zone.spill.reserve(demand, now_ms);
-        if let Some(capacity) = zone.spill_by_group.get_mut(group.0) {
-            capacity.reserve(demand, now_ms);
-        }
-    }
-
-    fn release_spill(&mut self, zone: u32, group: GroupIndex, threads: f64) {
-        let Some(zone) = self.zones.get_mut(zone as usize) else {
-            return;
-        };
-        zone.spill.release(threads);
-        if let Some(capacity) = zone.spill_by_group.get_mut(group.0) {
-            capacity.release(threads);
-        }
-    }
-
-    /// Counts an attempt in `zone` after one in `last_zone`, if there was one, against the cross-zone retries.
-    fn count_crossing(&mut self, last_zone: Option<u32>, zone: u32) {
-        let earned = match last_zone {
-            Some(last_zone) if last_zone != zone => {
-                self.cross_zone_credit = (self.cross_zone_credit - 1.0).max(0.0);
-                return;
-            }
-            Some(_) => self.cross_zone_retry_ratio,
-            None => FIRST_ATTEMPT_EARNS * self.cross_zone_retry_ratio,
-        };
-        self.cross_zone_credit = (self.cross_zone_credit + earned).min(MAX_CROSS_ZONE_CREDIT);
-    }
-}
-
-impl Control {
-    /// Takes over a plan, or goes on without one. What is in flight stays counted.
-    pub fn set_zone_plan(&mut self, plan: Option<&ZonePlan>) {
-        match plan {
-            Some(plan) => self.zone_plan.apply(plan, &mut self.interner, self.now_ms),
-            None => self.zone_plan.is_on = false,
-        }
-    }
-
-    /// Threads of this dispatcher's low work in a zone that came from elsewhere.
-    pub fn spilled_threads(&self, zone: &str) -> f64 {
-        let zone = self.interner.zones.find(zone);
-        let zone = zone.and_then(|zone| self.zone_plan.zones.get(zone as usize));
-        zone.map_or(0.0, |zone| zone.spill.threads)
-    }
-
-    /// The tier of an engine for a query.
-    pub(crate) fn zone_tier(&self, query: QueryIndex, engine: EngineIndex) -> u8 {
-        self.zone_plan
-            .tier(self.engines[engine].zone, self.queries[query].group)
-    }
-
-    /// Whether the plan leaves an engine open to a query. Half-open trials, which are of the fast lane, are not the
-    /// plan's affair.
-    pub(crate) fn plan_admits(&self, query: QueryIndex, engine: EngineIndex) -> bool {
-        let plan = &self.zone_plan;
-        let lane = self.queries[query].lane;
-        let is_trial = self.engines[engine].health.is_ejected() && lane == Lane::Fast;
-        if !plan.is_on || is_trial {
-            return true;
-        }
-        if lane == Lane::Low && plan.is_isolated {
+    /// Whether the plan lets a query go to an engine.
+    pub(crate) fn admits(&self, demand: &Demand, engine: PlannedEngine, now_ms: f64) -> bool {
+        if demand.lane == Lane::Low && self.is_isolated {
             return false;
         }
-        let demand = self.demand_of(query);
-        if !plan.engine_admits(engine, demand, self.now_ms) {
+        let capacity = self.engines.get(engine.index.0);
+        if !capacity.is_none_or(|capacity| capacity.admits(demand, now_ms)) {
             return false;
         }
-        if lane == Lane::Fast || self.zone_tier(query, engine) == 0 {
+        if !self.is_spill(demand, engine.zone) {
             return true;
         }
-        plan.admits_spill(
-            self.engines[engine].zone,
-            self.queries[query].group,
-            demand,
-            self.now_ms,
-        )
+        let zone = self.zones.get(engine.zone as usize);
+        zone.is_none_or(|zone| zone.admits_spill(demand, now_ms))
+    }
+
+    /// Whether a query in a zone is low work that spills over: the zone is not of the best tier.
+    fn is_spill(&self, demand: &Demand, zone: u32) -> bool {
+        demand.lane == Lane::Low && self.tier(zone, demand.group) > 0
     }
 
-    /// Whether a retry would go to another zone than the last attempt, with none of these left.
-    pub(crate) fn lacks_cross_zone_retry(&self, query: QueryIndex, engine: EngineIndex) -> bool {
-        let last_zone = self.last_zone(query);
-        let crosses = last_zone.is_some_and(|zone| zone != self.engines[engine].zone);
-        self.zone_plan.is_on && self.zone_plan.cross_zone_credit < 1.0 && crosses
+    /// Whether the cross-zone retries allow a retry in `zone` after an attempt in `last_zone`.
+    pub(crate) fn allows_retry(&self, last_zone: Option<u32>, zone: u32) -> bool {
+        let crosses = last_zone.is_some_and(|last_zone| last_zone != zone);
+        !(self.is_active && self.cross_zone_tokens < 1.0 && crosses)
     }
 
-    /// Counts an attempt that is about to go out.
-    pub(crate) fn reserve_zone_capacity(
+    /// Reserves capacity for an attempt that is about to be sent, after one in `last_zone` if there was one.
+    pub(crate) fn reserve(
         &mut self,
-        query: QueryIndex,
-        engine: EngineIndex,
+        demand: &Demand,
+        engine: PlannedEngine,
+        last_zone: Option<u32>,
+        now_ms: f64,
     ) -> Reservation {
-        if !self.zone_plan.is_on {
-            return Reservation::default();
-        }
-        let group = self.queries[query].group;
-        let zone = self.engines[engine].zone;
-        let demand = self.demand_of(query);
-        let last_zone = self.last_zone(query);
-        let is_spilled = self.queries[query].lane == Lane::Low && self.zone_tier(query, engine) > 0;
-        self.zone_plan.count_crossing(last_zone, zone);
-        self.zone_plan
-            .engine_mut(engine)
-            .reserve(demand, self.now_ms);
+        let is_spilled = self.is_spill(demand, engine.zone);
+        self.count_crossing(last_zone, engine.zone);
+        self.engine_mut(engine.index).reserve(demand, now_ms);
         if is_spilled {
-            self.zone_plan
-                .reserve_spill(zone, group, demand, self.now_ms);
+            if let Some(zone) = self.zones.get_mut(engine.zone as usize) {
+                zone.reserve_spill(demand, now_ms);
+            }
         }
         Reservation {
             threads: demand.threads,
@@ -325,35 +305,48 @@
         }
     }
 
-    /// Gives back what an ended attempt took.
-    pub(crate) fn release_zone_capacity(
+    /// Releases the reservation of an ended attempt.
+    pub(crate) fn release(
         &mut self,
         reservation: Reservation,
         group: GroupIndex,
-        engine: EngineIndex,
+        engine: PlannedEngine,
     ) {
         if reservation.threads <= 0.0 {
             return;
         }
-        if let Some(capacity) = self.zone_plan.engines.get_mut(engine.0) {
+        if let Some(capacity) = self.engines.get_mut(engine.index.0) {
             capacity.release(reservation.threads);
         }
         if reservation.is_spilled {
-            let zone = self.engines[engine].zone;
-            self.zone_plan
-                .release_spill(zone, group, reservation.threads);
+            if let Some(zone) = self.zones.get_mut(engine.zone as usize) {
+                zone.release_spill(group, reservation.threads);
+            }
         }
     }
 
-    fn demand_of(&self, query: QueryIndex) -> Demand {
-        Demand {
-            threads: self.group_of(query).threads(),
-            run_time_ms: self.expected_run_time_ms(query).max(MIN_RUN_TIME_MS),
-        }
+    /// Takes a token for an attempt in another zone than the last one, or refills the bucket for any other attempt.
+    fn count_crossing(&mut self, last_zone: Option<u32>, zone: u32) {
+        let refill = match last_zone {
+            Some(last_zone) if last_zone != zone => {
+                self.cross_zone_tokens = (self.cross_zone_tokens - 1.0).max(0.0);
+                return;
+            }
+            Some(_) => self.cross_zone_retry_ratio,
+            None => FIRST_ATTEMPT_REFILL * self.cross_zone_retry_ratio,
+        };
+        self.cross_zone_tokens = (self.cross_zone_tokens + refill).min(MAX_CROSS_ZONE_TOKENS);
+    }
+
+    fn zone_mut(&mut self, zone: u32) -> &mut ZoneState {
+        let len = self.zones.len().max(zone as usize + 1);
+        self.zones.resize(len, ZoneState::default());
+        &mut self.zones[zone as usize]
     }
 
-    fn last_zone(&self, query: QueryIndex) -> Option<u32> {
-        let last = self.queries[query].attempts.all().last()?;
-        Some(self.engines[last.engine].zone)
+    fn engine_mut(&mut self, engine: EngineIndex) -> &mut Capacity {
+        let len = self.engines.len().max(engine.0 + 1);
+        self.engines.resize(len, Capacity::default());
+        &mut self.engines[engine.0]
     }
 }
