--- a/src/control/admission.rs
+++ b/src/control/admission.rs
@@ -4,10 +4,8 @@
 
 use crate::control::Control;
 use crate::events::{DecisionSink, EndReason, QueryArrived, UnknownResourceGroup};
-use crate::model::{GroupIndex, Lane, Query, QueryCost, QueryIndex, LEARNING};
+use crate::model::{GroupIndex, Lane, Query, QueryIndex};
 
-/// Multiple of its group's mean cost above which a query is demoted to the low lane.
-const DEMOTION_FACTOR: f64 = 4.0;
 /// Fraction of its group's usual timeout below which a client's timeout counts as short.
 const SHORT_TIMEOUT_FRACTION: f64 = 0.5;
 
@@ -39,7 +37,8 @@
     }
 
     fn admit(&mut self, group: GroupIndex, event: &QueryArrived) -> QueryIndex {
-        let (lane, cost) = self.classify(group, event);
+        let demotion_factor = self.level.demotion_factor;
+        let (lane, cost) = self.groups[group].classify(event, demotion_factor);
         let effect = self.groups[group].effect_of(event.statement);
         if lane == Lane::Low {
             self.low_lane
@@ -56,39 +55,20 @@
         index
     }
 
-    /// The lane and cost of a query.
-    ///
-    /// A query is demoted here, once; the group's mean does not follow estimates that demote. Without an estimate a
-    /// query has its group's threads as work and its group's usual run time.
-    fn classify(&mut self, group: GroupIndex, event: &QueryArrived) -> (Lane, QueryCost) {
-        let group = &mut self.groups[group];
-        if event.estimated_cost_ms <= 0.0 {
-            let cost = QueryCost::guessed(group.usual_cost_ms(), group.threads(), event);
-            return (group.lane(), cost);
-        }
-        let mut max_cost_ms = f64::INFINITY;
-        if group.cost.samples >= LEARNING.min_samples {
-            max_cost_ms = DEMOTION_FACTOR * self.level.demotion_factor * group.cost.mean_ms;
-        }
-        let estimate_ms = group.cost.discount_uncertain(event);
-        group.cost.learn_cost(estimate_ms.min(max_cost_ms));
-        let is_demoted = estimate_ms > max_cost_ms;
-        let lane = if is_demoted { Lane::Low } else { group.lane() };
-        let work_ms = estimate_ms * group.cost.work_factor;
-        (lane, QueryCost::estimated(estimate_ms, work_ms, event))
-    }
-
     /// Whether a query cannot meet its deadline, so that running it would only delay others.
     ///
     /// Uses the best run time of its group; for a client with a short timeout the recent median instead, as most such
     /// queries would end late.
     fn is_unattainable(&self, query: QueryIndex) -> bool {
+        let cost = self.queries[query].cost;
         let group = self.group_of(&self.queries[query]);
         let time_left_ms = self.time_left_ms(query);
-        let mut slowdown = group.slowdown.best;
-        if time_left_ms < SHORT_TIMEOUT_FRACTION * group.settings.usual_wait_ms {
-            slowdown = group.slowdown.usual;
-        }
-        group.unloaded_run_time_ms(self.queries[query].cost) * slowdown.exp() > time_left_ms
+        let is_short = time_left_ms < SHORT_TIMEOUT_FRACTION * group.settings.usual_wait_ms;
+        let run_time_ms = if is_short {
+            group.expected_run_time_ms(cost)
+        } else {
+            group.best_run_time_ms(cost)
+        };
+        run_time_ms > time_left_ms
     }
 }
--- a/src/control/completion.rs
+++ b/src/control/completion.rs
@@ -12,8 +12,6 @@
 
 /// Time after which a rejected client may come back (ms); cut to the longest that clients follow.
 const RETRY_AFTER_MS: f64 = 1000.0;
-/// Fraction of a group's lowest scatter that is no slowdown yet.
-const TOLERATED_SCATTER: f64 = 0.5;
 /// Note intervals for which tables count as locked after a note of a wait for a load.
 const LOCK_NOTE_INTERVALS: f64 = 1.5;
 /// Amount of a note of a wait that means a wait for a load.
@@ -114,7 +112,7 @@
                 .slowdowns
                 .record_slow_answer(engine, closed.lane, self.now_ms);
         }
-        let slowdown = above_best - TOLERATED_SCATTER * group.slowdown.min_scatter;
+        let slowdown = above_best - group.tolerated_scatter();
         self.slowdowns
             .record_answer(engine, closed.lane, slowdown, self.now_ms);
     }
--- a/src/control/dispatch.rs
+++ b/src/control/dispatch.rs
@@ -147,7 +147,7 @@
         if self.slow_start.limits(engine, self.now_ms) {
             engine.warm_up.record(self.now_ms, group.usual_work_ms());
         }
-        let memory_mb = query.cost.memory_mb * group.cost.memory_factor;
+        let memory_mb = group.memory_mb(query.cost);
         let mut attempt = Attempt::new(engine_index, self.now_ms, query.cost.work_ms, memory_mb);
         if let Some(demand) = demand {
             attempt.reservation = self
--- a/src/control/tests/admission.rs
+++ b/src/control/tests/admission.rs
@@ -16,7 +16,7 @@
         (-1.0, 1.0, 0.0, false),
     ] {
         let mut control = dispatcher(usual, TWO);
-        control.groups[GroupIndex(0)].slowdown.usual = pace;
+        control.groups[GroupIndex(0)].slowdown_mut().set_usual(pace);
         let decided = round(&mut control, 1.0, |control, out| {
             control
                 .on_query_arrived(&arriving(1, "look", START_MS + 1.0 + wait, cost), out)
--- a/src/control/tests/endpoints.rs
+++ b/src/control/tests/endpoints.rs
@@ -52,7 +52,7 @@
     assert_eq!(
         (
             control.engines[EngineIndex(0)].engine_id,
-            control.engines[EngineIndex(0)].load.attempts
+            control.engines[EngineIndex(0)].load.attempts()
         ),
         (1, 1)
     );
@@ -60,7 +60,7 @@
     assert_eq!(
         (
             control.queries.len(),
-            control.engines[EngineIndex(0)].load.attempts
+            control.engines[EngineIndex(0)].load.attempts()
         ),
         (0, 0)
     );
--- a/src/control/tests/outlier.rs
+++ b/src/control/tests/outlier.rs
@@ -20,12 +20,12 @@
         control.upsert_endpoint(&ready(2, "small", "h1", None));
         control.finish_update(EndpointListKind::Delta, out);
     });
-    control.engines[EngineIndex(1)].load.work_ms = 1e9;
+    control.engines[EngineIndex(1)].load.set_work_ms(1e9);
     for id in 10..40 {
         send_query(&mut control, 600.0, id, "look", 100.0);
     }
     assert_eq!(
-        control.engines[EngineIndex(0)].load.attempts,
+        control.engines[EngineIndex(0)].load.attempts(),
         1,
         "one trial"
     );
@@ -38,7 +38,7 @@
 #[test]
 fn silent_engine_gets_a_trial_only_after_it_answered_a_health_check() {
     let mut control = dispatcher("limits.probes=1", TWO);
-    control.engines[EngineIndex(1)].load.work_ms = 1e9;
+    control.engines[EngineIndex(1)].load.set_work_ms(1e9);
     for id in 0..2 {
         send_query(&mut control, 1.0, id, "load", 10.0);
         end_attempt(&mut control, 2.0, id, 0, Outcome::Reset, 1);
@@ -53,7 +53,7 @@
         .flat_map(|id| send_query(&mut control, 600.0, id, "look", 10.0))
         .collect();
     assert_eq!(
-        control.engines[EngineIndex(0)].load.attempts,
+        control.engines[EngineIndex(0)].load.attempts(),
         0,
         "the hole took a trial"
     );
@@ -65,7 +65,7 @@
         })
     });
     (20..30).for_each(|id| drop(send_query(&mut control, 660.0, id, "look", 10.0)));
-    assert_eq!(control.engines[EngineIndex(0)].load.attempts, 0);
+    assert_eq!(control.engines[EngineIndex(0)].load.attempts(), 0);
     round(&mut control, 670.0, |control, _| {
         control.on_health_check_ended(&HealthCheckEnded {
             engine_id: 1,
@@ -74,7 +74,7 @@
     });
     (30..50).for_each(|id| drop(send_query(&mut control, 680.0, id, "look", 10.0)));
     assert_eq!(
-        control.engines[EngineIndex(0)].load.attempts,
+        control.engines[EngineIndex(0)].load.attempts(),
         1,
         "one trial"
     );
--- a/src/control/tests/peer_load.rs
+++ b/src/control/tests/peer_load.rs
@@ -12,7 +12,7 @@
     let slot = other
         .engines
         .iter()
-        .position(|slot| slot.load.low_attempts == 1)
+        .position(|slot| slot.load.low_attempts() == 1)
         .unwrap();
     assert_eq!(
         told.iter().filter(|t| t.starts_with("tell Some")).count(),
@@ -29,12 +29,12 @@
     });
     assert!(
         has_decision(&sums, "tell None [1, ")
-            && adds_up.engines[EngineIndex(slot)].load.peer_threads == 2.0,
+            && adds_up.engines[EngineIndex(slot)].load.peer_threads() == 2.0,
         "{sums:?}"
     );
     round(&mut adds_up, 14_000.0, |_, _| ());
     assert_eq!(
-        adds_up.engines[EngineIndex(slot)].load.peer_threads,
+        adds_up.engines[EngineIndex(slot)].load.peer_threads(),
         0.0,
         "a gateway that died is forgotten"
     );
@@ -76,7 +76,7 @@
         });
     });
     assert_eq!(
-        control.engines[EngineIndex(0)].load.peer_threads,
+        control.engines[EngineIndex(0)].load.peer_threads(),
         2.0,
         "unknown kinds and numbers of gateways change nothing"
     );
--- a/src/control/tests/periodic.rs
+++ b/src/control/tests/periodic.rs
@@ -44,7 +44,7 @@
         let slot = control
             .engines
             .iter()
-            .position(|slot| slot.load.attempts == 1)
+            .position(|slot| slot.load.attempts() == 1)
             .unwrap();
         if is_pressured {
             put_under_pressure(&mut control, slot);
--- a/src/control/tests/placement.rs
+++ b/src/control/tests/placement.rs
@@ -30,7 +30,7 @@
     control.engines[EngineIndex(0)]
         .slowdown
         .set(Lane::Low, SLOW);
-    control.engines[EngineIndex(0)].load.low_attempts = 0;
+    control.engines[EngineIndex(0)].load.set_low_attempts(0);
     assert!(has_decision(
         &send_query(&mut control, 1.0, 5, "rep", 100.0),
         "submit"
@@ -40,23 +40,23 @@
 #[test]
 fn engine_with_less_work_per_core_is_chosen() {
     let mut control = dispatcher("", &[("small", "h1"), ("big", "h1")]);
-    control.engines[EngineIndex(0)].load.work_ms = 1000.0;
-    control.engines[EngineIndex(1)].load.work_ms = 1500.0;
+    control.engines[EngineIndex(0)].load.set_work_ms(1000.0);
+    control.engines[EngineIndex(1)].load.set_work_ms(1500.0);
     for id in 0..40 {
         send_query(&mut control, 1.0, id, "look", 0.001);
     }
     // Whenever both are drawn the big one is chosen; one engine drawn twice may be either.
     assert!(
-        control.engines[EngineIndex(1)].load.attempts
-            > control.engines[EngineIndex(0)].load.attempts
+        control.engines[EngineIndex(1)].load.attempts()
+            > control.engines[EngineIndex(0)].load.attempts()
     );
-    control.engines[EngineIndex(0)].load.work_ms = 0.0;
-    control.engines[EngineIndex(1)].load.work_ms = 9000.0;
-    let before = control.engines[EngineIndex(1)].load.attempts;
+    control.engines[EngineIndex(0)].load.set_work_ms(0.0);
+    control.engines[EngineIndex(1)].load.set_work_ms(9000.0);
+    let before = control.engines[EngineIndex(1)].load.attempts();
     for id in 100..140 {
         send_query(&mut control, 1.0, id, "look", 0.001);
     }
-    assert!(control.engines[EngineIndex(1)].load.attempts - before < 20);
+    assert!(control.engines[EngineIndex(1)].load.attempts() - before < 20);
 }
 
 #[test]
@@ -66,9 +66,9 @@
     let held = control
         .engines
         .iter()
-        .position(|slot| slot.load.attempts == 1)
+        .position(|slot| slot.load.attempts() == 1)
         .unwrap();
-    control.engines[EngineIndex(1 - held)].load.work_ms = 1e9;
+    control.engines[EngineIndex(1 - held)].load.set_work_ms(1e9);
     assert_eq!(
         send_query_with_key(&mut control, 2.0, 2, "look", 10.0, None, 7),
         [format!("submit 2 {}", 2 - held)]
@@ -101,7 +101,7 @@
         .count();
     assert_eq!(home, 20);
     put_under_pressure(&mut control, 0);
-    control.engines[EngineIndex(0)].load.work_ms = 1e9;
+    control.engines[EngineIndex(0)].load.set_work_ms(1e9);
     let away = (50..90)
         .filter(|&id| {
             send_query(&mut control, 1.0, id, "look", 0.001) == [format!("submit {id} 2")]
@@ -114,8 +114,8 @@
 fn only_low_query_is_rejected_under_pressure_when_all_limits_are_used_up() {
     for (bound, room) in [(0.2, "reject"), (2.0, "submit")] {
         let mut control = dispatcher("", TWO);
-        control.engines[EngineIndex(0)].load.low_attempts = 2;
-        control.engines[EngineIndex(0)].load.low_threads = 4.0;
+        control.engines[EngineIndex(0)].load.set_low_attempts(2);
+        control.engines[EngineIndex(0)].load.set_low_threads(4.0);
         control.engines[EngineIndex(0)]
             .limit
             .set_threads_per_core(0.2);
--- a/src/control/tests/pressure.rs
+++ b/src/control/tests/pressure.rs
@@ -15,13 +15,13 @@
                 .limit
                 .set_last_full_ms(START_MS + 1.0)
         },
-        |control| control.engines[EngineIndex(0)].load.granted_mb = 900.0,
-        |control| control.engines[EngineIndex(0)].load.peer_threads = 12.0,
+        |control| control.engines[EngineIndex(0)].load.set_granted_mb(900.0),
+        |control| control.engines[EngineIndex(0)].load.set_peer_threads(12.0),
     ];
     for mark in marks {
         let mut control = dispatcher("", ONE);
-        control.engines[EngineIndex(0)].load.low_attempts = 1;
-        control.engines[EngineIndex(0)].load.low_threads = 2.0;
+        control.engines[EngineIndex(0)].load.set_low_attempts(1);
+        control.engines[EngineIndex(0)].load.set_low_threads(2.0);
         control.engines[EngineIndex(0)]
             .limit
             .set_threads_per_core(0.5);
@@ -61,12 +61,14 @@
 #[test]
 fn one_slow_answer_after_a_long_gap_is_pressure() {
     let mut control = dispatcher("balancers=300", TWO);
-    control.groups[GroupIndex(0)].slowdown.samples = 100;
+    control.groups[GroupIndex(0)]
+        .slowdown_mut()
+        .set_samples(100);
     send_query(&mut control, 20_000.0, 1, "look", 10.0);
     let slot = control
         .engines
         .iter()
-        .position(|slot| slot.load.attempts == 1)
+        .position(|slot| slot.load.attempts() == 1)
         .unwrap();
     end_attempt(
         &mut control,
@@ -94,7 +96,9 @@
 #[test]
 fn pool_slowdown_stands_in_for_a_zone_without_recent_answers() {
     let mut control = dispatcher("balancers=300", &[("small", "h1"), ("small", "h2")]);
-    control.groups[GroupIndex(0)].slowdown.samples = 100;
+    control.groups[GroupIndex(0)]
+        .slowdown_mut()
+        .set_samples(100);
     for id in 0..3 {
         send_query(&mut control, id as f64, id, "look", 1.0);
         let slot = control
@@ -128,9 +132,12 @@
 fn slower_answer_is_no_pressure_where_estimates_scatter() {
     for (scatter, is_pressured) in [(0.0, true), (1.0, false)] {
         let mut control = dispatcher("", ONE);
-        control.groups[GroupIndex(0)].slowdown.samples = 100;
-        control.groups[GroupIndex(0)].slowdown.scatter = scatter;
-        control.groups[GroupIndex(0)].slowdown.min_scatter = scatter;
+        control.groups[GroupIndex(0)]
+            .slowdown_mut()
+            .set_samples(100);
+        control.groups[GroupIndex(0)]
+            .slowdown_mut()
+            .set_scatter(scatter);
         send_query(&mut control, 1.0, 1, "look", 60.0);
         end_attempt(&mut control, 101.0, 1, 0, Outcome::Completed, 1);
         assert_eq!(
--- a/src/control/tests/retry.rs
+++ b/src/control/tests/retry.rs
@@ -9,7 +9,7 @@
     let first = control
         .engines
         .iter()
-        .position(|slot| slot.load.attempts == 1)
+        .position(|slot| slot.load.attempts() == 1)
         .unwrap() as u64
         + 1;
     let again = end_attempt(&mut control, 2.0, 1, 0, Outcome::NoConnection, first);
@@ -42,7 +42,7 @@
     let first = control
         .engines
         .iter()
-        .position(|slot| slot.load.attempts == 1)
+        .position(|slot| slot.load.attempts() == 1)
         .unwrap();
     control.engines[EngineIndex(first)].endpoint.ready = false;
     assert_eq!(
--- a/src/control/tests/service_levels.rs
+++ b/src/control/tests/service_levels.rs
@@ -61,7 +61,7 @@
         has_decision(
             &end_attempt(&mut control, 2.0, 7, 0, Outcome::Full, 1),
             "submit 7"
-        ) || control.engines[EngineIndex(0)].load.attempts != 100
+        ) || control.engines[EngineIndex(0)].load.attempts() != 100
     );
 }
 
@@ -163,7 +163,7 @@
     let on = control
         .engines
         .iter()
-        .position(|slot| slot.load.attempts == 1)
+        .position(|slot| slot.load.attempts() == 1)
         .unwrap() as u64
         + 1;
     assert!(has_decision(
@@ -175,7 +175,7 @@
     let on = control
         .engines
         .iter()
-        .position(|slot| slot.load.attempts == 1)
+        .position(|slot| slot.load.attempts() == 1)
         .unwrap() as u64
         + 1;
     assert_eq!(
@@ -187,7 +187,7 @@
     let on = control
         .engines
         .iter()
-        .position(|slot| slot.load.attempts == 1)
+        .position(|slot| slot.load.attempts() == 1)
         .unwrap() as u64
         + 1;
     assert!(has_decision(
@@ -206,7 +206,7 @@
     let on = control
         .engines
         .iter()
-        .position(|slot| slot.load.attempts == 1)
+        .position(|slot| slot.load.attempts() == 1)
         .unwrap() as u64
         + 1;
     control.level = deepest_level();
@@ -259,7 +259,7 @@
         let on = control
             .engines
             .iter()
-            .position(|slot| slot.load.attempts == 1)
+            .position(|slot| slot.load.attempts() == 1)
             .unwrap() as u64
             + 1;
         assert!(has_decision(
--- a/src/model/engine.rs
+++ b/src/model/engine.rs
@@ -86,25 +86,20 @@
 
     /// Low threads that this dispatcher may still add, where `max_threads` is its limit.
     pub(crate) fn headroom(&self, max_threads: f64) -> f64 {
-        max_threads - self.load.low_threads - self.load.peer_threads
+        max_threads - self.load.low_threads() - self.load.peer_threads()
     }
 
     /// Work a core (ms) with `more_ms` added; a thread of another dispatcher counts as `peer_thread_ms`.
     pub(crate) fn work_per_core_ms(&self, more_ms: f64, peer_thread_ms: f64) -> f64 {
-        let peer_work_ms = self.load.peer_threads * peer_thread_ms;
-        (self.load.work_ms + peer_work_ms + more_ms) / self.cores
+        let peer_work_ms = self.load.peer_threads() * peer_thread_ms;
+        (self.load.work_ms() + peer_work_ms + more_ms) / self.cores
     }
 
     /// Time without a signal while attempts were in flight (ms); 0 where none is in flight.
     pub(crate) fn silent_for_ms(&self, now_ms: f64) -> f64 {
-        if self.load.attempts == 0 {
+        let Some(busy_since_ms) = self.load.busy_since_ms() else {
             return 0.0;
-        }
-        now_ms - self.health.last_signal_ms().max(self.load.busy_since_ms)
-    }
-
-    /// Known low threads, of this dispatcher and of others.
-    pub(crate) fn known_low_threads(&self) -> f64 {
-        self.load.low_threads + self.load.peer_threads
+        };
+        now_ms - self.health.last_signal_ms().max(busy_since_ms)
     }
 }
--- a/src/model/engine_load.rs
+++ b/src/model/engine_load.rs
@@ -14,19 +14,19 @@
 #[derive(Debug, Clone)]
 pub(crate) struct EngineLoad {
     /// Attempts of this dispatcher.
-    pub(crate) attempts: u32,
+    attempts: u32,
     /// Their estimated work (ms).
-    pub(crate) work_ms: f64,
+    work_ms: f64,
     /// Their estimated memory (MB).
-    pub(crate) granted_mb: f64,
+    granted_mb: f64,
     /// Low-lane attempts of this dispatcher.
-    pub(crate) low_attempts: u32,
+    low_attempts: u32,
     /// Threads of the low-lane attempts.
-    pub(crate) low_threads: f64,
+    low_threads: f64,
     /// Low threads of other dispatchers, as last reported.
-    pub(crate) peer_threads: f64,
+    peer_threads: f64,
     /// Since when at least one attempt has been in flight (ms).
-    pub(crate) busy_since_ms: f64,
+    busy_since_ms: f64,
     locks: Vec<TableLock>,
 }
 
@@ -108,6 +108,57 @@
         }
     }
 
+    /// Attempts of this dispatcher.
+    #[cfg(test)]
+    pub(crate) fn attempts(&self) -> u32 {
+        self.attempts
+    }
+
+    /// Estimated work of the attempts (ms).
+    pub(crate) fn work_ms(&self) -> f64 {
+        self.work_ms
+    }
+
+    /// Estimated memory of the attempts (MB).
+    pub(crate) fn granted_mb(&self) -> f64 {
+        self.granted_mb
+    }
+
+    /// Since when at least one attempt has been in flight (ms); none where no attempt is.
+    pub(crate) fn busy_since_ms(&self) -> Option<f64> {
+        (self.attempts > 0).then_some(self.busy_since_ms)
+    }
+
+    /// Low-lane attempts of this dispatcher.
+    pub(crate) fn low_attempts(&self) -> u32 {
+        self.low_attempts
+    }
+
+    /// Threads of the low-lane attempts.
+    pub(crate) fn low_threads(&self) -> f64 {
+        self.low_threads
+    }
+
+    /// Threads that the attempts run on; an attempt of the fast lane counts as one.
+    pub(crate) fn threads(&self) -> f64 {
+        self.low_threads + (self.attempts - self.low_attempts) as f64
+    }
+
+    /// Low threads of other dispatchers, as last reported.
+    pub(crate) fn peer_threads(&self) -> f64 {
+        self.peer_threads
+    }
+
+    /// Sets the low threads of other dispatchers.
+    pub(crate) fn set_peer_threads(&mut self, threads: f64) {
+        self.peer_threads = threads;
+    }
+
+    /// Low threads of this dispatcher and of others, as far as is known.
+    pub(crate) fn known_low_threads(&self) -> f64 {
+        self.low_threads + self.peer_threads
+    }
+
     /// Whether no low attempt is known there, of this dispatcher or of others.
     pub(crate) fn has_no_low(&self) -> bool {
         self.low_attempts == 0 && self.peer_threads <= 0.0
@@ -124,4 +175,28 @@
     pub(crate) fn has_no_locks(&self) -> bool {
         self.locks.is_empty()
     }
+
+    /// Sets the estimated work (ms).
+    #[cfg(test)]
+    pub(crate) fn set_work_ms(&mut self, work_ms: f64) {
+        self.work_ms = work_ms;
+    }
+
+    /// Sets the estimated memory (MB).
+    #[cfg(test)]
+    pub(crate) fn set_granted_mb(&mut self, granted_mb: f64) {
+        self.granted_mb = granted_mb;
+    }
+
+    /// Sets the number of low-lane attempts.
+    #[cfg(test)]
+    pub(crate) fn set_low_attempts(&mut self, attempts: u32) {
+        self.low_attempts = attempts;
+    }
+
+    /// Sets the threads of the low-lane attempts.
+    #[cfg(test)]
+    pub(crate) fn set_low_threads(&mut self, threads: f64) {
+        self.low_threads = threads;
+    }
 }
--- a/src/model/engine_table.rs
+++ b/src/model/engine_table.rs
@@ -47,7 +47,7 @@
 
     /// Whether this dispatcher has low-lane attempts in flight.
     pub(crate) fn has_low_attempts(&self) -> bool {
-        self.iter().any(|engine| engine.load.low_attempts > 0)
+        self.iter().any(|engine| engine.load.low_attempts() > 0)
     }
 
     /// The first slot whose engine is gone and not `in_use`.
--- a/src/model/group_slowdown.rs
+++ b/src/model/group_slowdown.rs
@@ -2,6 +2,9 @@
 
 use crate::model::fading_median::step_towards;
 
+/// Fraction of the lowest scatter that an answer may lie above the best without being slow.
+const TOLERATED_SCATTER_FRACTION: f64 = 0.5;
+
 /// The steps by which run times, costs and slowdowns are learned.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct LearningSteps {
@@ -27,18 +30,44 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct GroupSlowdown {
     /// Running median of the ratios.
-    pub(crate) usual: f64,
+    usual: f64,
     /// The lowest that the running median has been.
-    pub(crate) best: f64,
+    best: f64,
     /// Answers seen.
-    pub(crate) samples: u32,
+    samples: u32,
     /// Mean distance of ratios from the median.
-    pub(crate) scatter: f64,
+    scatter: f64,
     /// The lowest that the scatter has been.
-    pub(crate) min_scatter: f64,
+    min_scatter: f64,
 }
 
 impl GroupSlowdown {
+    /// Running median of the ratios.
+    pub(crate) fn usual(&self) -> f64 {
+        self.usual
+    }
+
+    /// The lowest that the running median has been.
+    pub(crate) fn best(&self) -> f64 {
+        self.best
+    }
+
+    /// Whether an answer was recorded.
+    pub(crate) fn has_samples(&self) -> bool {
+        self.samples > 0
+    }
+
+    /// How far an answer may lie above the best without being slow.
+    pub(crate) fn tolerated_scatter(&self) -> f64 {
+        TOLERATED_SCATTER_FRACTION * self.min_scatter
+    }
+
+    /// Moves the median towards a ratio that is predicted, and returns how far that lies above the best.
+    pub(crate) fn learn_predicted(&mut self, ratio: f64) -> f64 {
+        step_towards(&mut self.usual, ratio, LEARNING.median);
+        ratio - self.best
+    }
+
     /// Records one answer's ratio and returns how far it lies above the best.
     ///
     /// The best is the lowest level of the running median, so that neither a single quick answer nor scattered estimates
@@ -65,4 +94,23 @@
         };
         ratio - self.best
     }
+
+    /// Sets the median.
+    #[cfg(test)]
+    pub(crate) fn set_usual(&mut self, usual: f64) {
+        self.usual = usual;
+    }
+
+    /// Sets the number of answers.
+    #[cfg(test)]
+    pub(crate) fn set_samples(&mut self, samples: u32) {
+        self.samples = samples;
+    }
+
+    /// Sets the scatter, and the lowest that it has been.
+    #[cfg(test)]
+    pub(crate) fn set_scatter(&mut self, scatter: f64) {
+        self.scatter = scatter;
+        self.min_scatter = scatter;
+    }
 }
--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -34,7 +34,7 @@
 pub(crate) use engine::Engine;
 pub(crate) use engine_load::TableLock;
 pub(crate) use engine_table::EngineTable;
-pub(crate) use fading_median::{step_towards, FadingMedian, MedianUpdate};
+pub(crate) use fading_median::{FadingMedian, MedianUpdate};
 pub(crate) use group_slowdown::{GroupSlowdown, LEARNING};
 pub(crate) use index::{EngineIndex, GroupIndex, QueryIndex};
 pub(crate) use key_queues::KeyQueues;
--- a/src/model/peer_load.rs
+++ b/src/model/peer_load.rs
@@ -119,8 +119,10 @@
         self.reported_ms = now_ms;
         let aggregators = AGGREGATORS.min(self.dispatchers as u32);
         let own_index = self.own_index;
-        let used = engines.iter().filter(|engine| engine.load.low_attempts > 0);
-        let entries = used.map(|engine| (engine.engine_id, engine.load.low_threads));
+        let used = engines
+            .iter()
+            .filter(|engine| engine.load.low_attempts() > 0);
+        let entries = used.map(|engine| (engine.engine_id, engine.load.low_threads()));
         peer_codec::encode(peer_codec::OWN_LOAD, entries, |content| {
             for peer in (0..aggregators).filter(|&peer| peer != own_index) {
                 out.send_to_peer(Some(peer), content);
@@ -134,7 +136,7 @@
         self.reports.add_up(now_ms - REPORT_COUNTS_MS, engines);
         let entries = engines
             .ready()
-            .map(|engine| (engine.engine_id, engine.known_low_threads()));
+            .map(|engine| (engine.engine_id, engine.load.known_low_threads()));
         peer_codec::encode(peer_codec::TOTAL_LOAD, entries, |content| {
             out.send_to_peer(None, content);
         });
@@ -145,7 +147,7 @@
         for (tag, all_threads) in peer_codec::decode(message.content) {
             if let Some(engine) = find_by_tag(engines, tag) {
                 let load = &mut engines[engine].load;
-                load.peer_threads = (all_threads - load.low_threads).max(0.0);
+                load.set_peer_threads((all_threads - load.low_threads()).max(0.0));
             }
         }
     }
@@ -191,11 +193,12 @@
     /// Sets the peers' threads on each engine to the sum of the reports received after `since_ms`.
     fn add_up(&self, since_ms: f64, engines: &mut EngineTable) {
         for engine in engines.iter_mut() {
-            engine.load.peer_threads = 0.0;
+            engine.load.set_peer_threads(0.0);
         }
         for report in self.0.iter().filter(|report| report.received_ms > since_ms) {
             for &(engine, threads) in &report.low_threads {
-                engines[engine].load.peer_threads += threads;
+                let load = &mut engines[engine].load;
+                load.set_peer_threads(load.peer_threads() + threads);
             }
         }
     }
--- a/src/model/pool_view.rs
+++ b/src/model/pool_view.rs
@@ -28,8 +28,8 @@
         let max_memory_mb = PRESSURE_MEMORY_FRACTION * engine.memory_mb;
         self.slowdowns.is_slow(engine, Lane::Low, self.now_ms)
             || self.slowdowns.is_slow(engine, Lane::Fast, self.now_ms)
-            || engine.known_low_threads() >= max_threads
-            || engine.memory_mb > 0.0 && engine.load.granted_mb >= max_memory_mb
+            || engine.load.known_low_threads() >= max_threads
+            || engine.memory_mb > 0.0 && engine.load.granted_mb() >= max_memory_mb
             || engine.limit.was_full(self.now_ms)
     }
 
@@ -70,7 +70,7 @@
         let mut used = 0.0;
         let mut limits = 0.0;
         for engine in self.engines.ready() {
-            used += engine.known_low_threads();
+            used += engine.load.known_low_threads();
             limits += engine.limit.threads_per_core() * engine.cores * share;
         }
         if limits > 0.0 {
@@ -82,10 +82,8 @@
 
     /// Threads that this dispatcher's attempts run on; an attempt of the fast lane counts as one.
     pub(crate) fn threads_in_flight(&self) -> f64 {
-        let threads = |engine: &Engine| {
-            engine.load.low_threads + (engine.load.attempts - engine.load.low_attempts) as f64
-        };
-        self.engines.iter().map(threads).sum()
+        let engines = self.engines.iter();
+        engines.map(|engine| engine.load.threads()).sum()
     }
 
     /// Fraction of the known engines that are ready.
--- a/src/model/resource_group.rs
+++ b/src/model/resource_group.rs
@@ -2,9 +2,11 @@
 
 use crate::events::{QueryArrived, ResourceUsage, StatementTraits};
 use crate::interner::Interner;
-use crate::model::{step_towards, Engine, GroupSlowdown, Lane, QueryCost, LEARNING};
+use crate::model::{Engine, GroupSlowdown, Lane, QueryCost, LEARNING};
 use crate::settings::{DedupScope, Effect, GroupSettings};
 
+/// Multiple of the group's mean cost above which a query is demoted to the low lane.
+const DEMOTION_FACTOR: f64 = 4.0;
 /// Upper bound of the factor by which reported usage corrects estimates; its inverse is the lower bound.
 const MAX_USAGE_FACTOR: f64 = 5.0;
 
@@ -16,33 +18,33 @@
     zones: Option<Vec<u32>>,
     /// The kinds of engines that the group is confined to.
     kinds: Option<Vec<u32>>,
-    pub(crate) cost: CostModel,
-    pub(crate) slowdown: GroupSlowdown,
+    cost: CostModel,
+    slowdown: GroupSlowdown,
 }
 
 /// What a group's queries cost, as learned.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct CostModel {
+struct CostModel {
     /// Mean estimate (thread time, ms).
-    pub(crate) mean_ms: f64,
+    mean_ms: f64,
     /// Queries in the mean.
-    pub(crate) samples: u32,
+    samples: u32,
     /// Thread time used, as a factor of its estimate.
-    pub(crate) work_factor: f64,
+    work_factor: f64,
     /// Memory used, as a factor of its estimate.
-    pub(crate) memory_factor: f64,
+    memory_factor: f64,
 }
 
 impl CostModel {
     /// Records a cost in the mean: a plain mean at first, a moving one later.
-    pub(crate) fn learn_cost(&mut self, cost_ms: f64) {
+    fn learn_cost(&mut self, cost_ms: f64) {
         self.samples += 1;
         let step = LEARNING.mean.max(1.0 / f64::from(self.samples));
         self.mean_ms += step * (cost_ms - self.mean_ms);
     }
 
     /// The estimate of a query, moved towards the mean (on a log scale) by how uncertain it is.
-    pub(crate) fn discount_uncertain(&self, event: &QueryArrived) -> f64 {
+    fn discount_uncertain(&self, event: &QueryArrived) -> f64 {
         let cost_ms = event.estimated_cost_ms;
         let confidence = event.statement.confidence;
         if confidence >= 1.0 || self.samples == 0 || self.mean_ms <= 0.0 {
@@ -106,7 +108,7 @@
     }
 
     /// The lane of a query that is not demoted.
-    pub(crate) fn lane(&self) -> Lane {
+    fn lane(&self) -> Lane {
         if self.settings.is_load || self.settings.threads > 1.0 {
             Lane::Low
         } else {
@@ -130,6 +132,31 @@
             + self.settings.objective_stretch * work_ms / self.settings.threads
     }
 
+    /// The lane and cost of a query, whose estimate is recorded. `demotion_factor` is that of the service level.
+    ///
+    /// A query is demoted here, once; the group's mean does not follow estimates that demote. Without an estimate a
+    /// query has its group's threads as work and its group's usual cost.
+    pub(crate) fn classify(
+        &mut self,
+        event: &QueryArrived,
+        demotion_factor: f64,
+    ) -> (Lane, QueryCost) {
+        if event.estimated_cost_ms <= 0.0 {
+            let cost = QueryCost::guessed(self.usual_cost_ms(), self.threads(), event);
+            return (self.lane(), cost);
+        }
+        let mut max_cost_ms = f64::INFINITY;
+        if self.cost.samples >= LEARNING.min_samples {
+            max_cost_ms = DEMOTION_FACTOR * demotion_factor * self.cost.mean_ms;
+        }
+        let estimate_ms = self.cost.discount_uncertain(event);
+        self.cost.learn_cost(estimate_ms.min(max_cost_ms));
+        let is_demoted = estimate_ms > max_cost_ms;
+        let lane = if is_demoted { Lane::Low } else { self.lane() };
+        let work_ms = estimate_ms * self.cost.work_factor;
+        (lane, QueryCost::estimated(estimate_ms, work_ms, event))
+    }
+
     /// Learns from the run time of an answer, and returns how far it lies above the group's best (log ratio).
     ///
     /// Without an estimate an answer counts against those before it, and the first against none.
@@ -150,12 +177,11 @@
 
     /// Learns from the run time that an attempt's notes predict, and returns how far it lies above the group's best.
     pub(crate) fn learn_progress(&mut self, cost: QueryCost, run_time_ms: f64) -> Option<f64> {
-        if run_time_ms <= 0.0 || cost.estimate_ms <= 0.0 || self.slowdown.samples == 0 {
+        if run_time_ms <= 0.0 || cost.estimate_ms <= 0.0 || !self.slowdown.has_samples() {
             return None;
         }
         let ratio = (run_time_ms * self.threads() / cost.estimate_ms).ln();
-        step_towards(&mut self.slowdown.usual, ratio, LEARNING.median);
-        Some(ratio - self.slowdown.best)
+        Some(self.slowdown.learn_predicted(ratio))
     }
 
     /// Learns from the usage that an engine reported.
@@ -170,13 +196,28 @@
     }
 
     /// Unloaded run time of a query by its estimate (ms).
-    pub(crate) fn unloaded_run_time_ms(&self, cost: QueryCost) -> f64 {
+    fn unloaded_run_time_ms(&self, cost: QueryCost) -> f64 {
         cost.estimate_ms / self.threads()
     }
 
+    /// Best run time of a query (ms), by its estimate and the lowest slowdown of answers.
+    pub(crate) fn best_run_time_ms(&self, cost: QueryCost) -> f64 {
+        self.unloaded_run_time_ms(cost) * self.slowdown.best().exp()
+    }
+
+    /// Memory that a query needs (MB), by its estimate and the usage that was reported.
+    pub(crate) fn memory_mb(&self, cost: QueryCost) -> f64 {
+        cost.memory_mb * self.cost.memory_factor
+    }
+
+    /// How far an answer may lie above the group's best without being slow (log ratio).
+    pub(crate) fn tolerated_scatter(&self) -> f64 {
+        self.slowdown.tolerated_scatter()
+    }
+
     /// Expected run time of a query (ms), by its estimate and the median slowdown of recent answers.
     pub(crate) fn expected_run_time_ms(&self, cost: QueryCost) -> f64 {
-        self.unloaded_run_time_ms(cost) * self.slowdown.usual.exp()
+        self.unloaded_run_time_ms(cost) * self.slowdown.usual().exp()
     }
 
     /// Latency objective (ms) of a query, by its estimate and the usage that was reported.
@@ -185,7 +226,7 @@
     }
 
     /// The mean cost (ms); before the first query, the thread time that the objective allows.
-    pub(crate) fn usual_cost_ms(&self) -> f64 {
+    fn usual_cost_ms(&self) -> f64 {
         if self.cost.samples > 0 {
             self.cost.mean_ms
         } else {
@@ -198,7 +239,7 @@
         if self.cost.samples == 0 {
             return self.usual_cost_ms();
         }
-        let best_ratio = self.slowdown.best.exp();
+        let best_ratio = self.slowdown.best().exp();
         self.cost.mean_ms * self.cost.work_factor.max(best_ratio).max(1.0)
     }
 
@@ -215,6 +256,12 @@
             DedupScope::Cell => other.is_some_and(|other| other.cell == first.cell),
         }
     }
+
+    /// The group's run times, to be set up by a test.
+    #[cfg(test)]
+    pub(crate) fn slowdown_mut(&mut self) -> &mut GroupSlowdown {
+        &mut self.slowdown
+    }
 }
 
 fn is_within(allowed: &Option<Vec<u32>>, index: u32) -> bool {
