--- a/src/control/tests/outlier.rs
+++ b/src/control/tests/outlier.rs
@@ -10,20 +10,22 @@
         end_attempt(&mut control, 2.0, id, 0, Outcome::Reset, 1);
     }
     assert!(
-        control.engines[EngineIndex(0)].health.is_ejected
-            && control.engines[EngineIndex(0)].health.is_silent
+        control.engines[EngineIndex(0)].health.is_ejected()
+            && control.engines[EngineIndex(0)]
+                .health
+                .is_ejected_for_silence()
     );
     round(&mut control, 600.0, |control, out| {
         control.begin_update(EndpointListKind::Delta);
         control.upsert_endpoint(&ready(2, "small", "h1", None));
         control.finish_update(EndpointListKind::Delta, out);
     });
-    control.engines[EngineIndex(1)].load.work_ms = 1e9;
+    control.engines[EngineIndex(1)].load.set_work_ms(1e9);
     for id in 10..40 {
         send_query(&mut control, 600.0, id, "look", 100.0);
     }
     assert_eq!(
-        control.engines[EngineIndex(0)].load.attempts,
+        control.engines[EngineIndex(0)].load.attempts(),
         1,
         "one trial"
     );
@@ -36,20 +38,22 @@
 #[test]
 fn silent_engine_gets_a_trial_only_after_it_answered_a_health_check() {
     let mut control = dispatcher("limits.probes=1", TWO);
-    control.engines[EngineIndex(1)].load.work_ms = 1e9;
+    control.engines[EngineIndex(1)].load.set_work_ms(1e9);
     for id in 0..2 {
         send_query(&mut control, 1.0, id, "load", 10.0);
         end_attempt(&mut control, 2.0, id, 0, Outcome::Reset, 1);
     }
     assert!(
-        control.engines[EngineIndex(0)].health.is_ejected
-            && control.engines[EngineIndex(0)].health.is_silent
+        control.engines[EngineIndex(0)].health.is_ejected()
+            && control.engines[EngineIndex(0)]
+                .health
+                .is_ejected_for_silence()
     );
     let decided: Vec<String> = (10..20)
         .flat_map(|id| send_query(&mut control, 600.0, id, "look", 10.0))
         .collect();
     assert_eq!(
-        control.engines[EngineIndex(0)].load.attempts,
+        control.engines[EngineIndex(0)].load.attempts(),
         0,
         "the hole took a trial"
     );
@@ -61,7 +65,7 @@
         })
     });
     (20..30).for_each(|id| drop(send_query(&mut control, 660.0, id, "look", 10.0)));
-    assert_eq!(control.engines[EngineIndex(0)].load.attempts, 0);
+    assert_eq!(control.engines[EngineIndex(0)].load.attempts(), 0);
     round(&mut control, 670.0, |control, _| {
         control.on_health_check_ended(&HealthCheckEnded {
             engine_id: 1,
@@ -70,7 +74,7 @@
     });
     (30..50).for_each(|id| drop(send_query(&mut control, 680.0, id, "look", 10.0)));
     assert_eq!(
-        control.engines[EngineIndex(0)].load.attempts,
+        control.engines[EngineIndex(0)].load.attempts(),
         1,
         "one trial"
     );
@@ -86,9 +90,9 @@
             control.on_attempt_ended(&ended(id, 0, false, Outcome::NoConnection, 1, 250.0), out)
         });
     });
-    assert!(!control.engines[EngineIndex(0)].health.is_ejected);
+    assert!(!control.engines[EngineIndex(0)].health.is_ejected());
     end_attempt(&mut control, 501.0, 0, 1, Outcome::NoConnection, 1);
-    assert!(control.engines[EngineIndex(0)].health.is_ejected);
+    assert!(control.engines[EngineIndex(0)].health.is_ejected());
     // An engine that answers a health check can be reached and has a process: there was no other evidence against it.
     round(&mut control, 600.0, |control, _| {
         control.on_health_check_ended(&HealthCheckEnded {
@@ -96,7 +100,7 @@
             outcome: Outcome::Completed,
         })
     });
-    assert!(!control.engines[EngineIndex(0)].health.is_ejected);
+    assert!(!control.engines[EngineIndex(0)].health.is_ejected());
     // One that takes queries and completes none may well answer health checks: it stays ejected until a trial succeeds.
     for id in 10..12 {
         send_query(&mut control, 700.0, id, "load", 10.0);
@@ -108,7 +112,7 @@
             outcome: Outcome::Completed,
         })
     });
-    assert!(control.engines[EngineIndex(0)].health.is_ejected);
+    assert!(control.engines[EngineIndex(0)].health.is_ejected());
 }
 
 #[test]
@@ -117,19 +121,19 @@
     for id in 0..2 {
         send_query(&mut control, 1.0, id, "look", 10.0);
         for attempt in 0..4 {
-            let i = control.find_query(id).unwrap();
+            let i = control.queries.find(id).unwrap();
             let engine_id =
                 control.engines[control.queries[i].attempts.all()[attempt].engine].engine_id;
             end_attempt(&mut control, 2.0, id, attempt, Outcome::Error, engine_id);
         }
         assert!(
-            !control.interner.queries.contains_key(&id)
-                && control.engines.iter().all(|slot| !slot.health.is_ejected),
+            control.queries.find(id).is_none()
+                && control.engines.iter().all(|slot| !slot.health.is_ejected()),
             "{id}"
         );
         for id in 10..20 {
             send_query(&mut control, 3.0, id, "look", 10.0);
-            let engine_id = control.engines[control.queries[control.find_query(id).unwrap()]
+            let engine_id = control.engines[control.queries[control.queries.find(id).unwrap()]
                 .attempts
                 .all()[0]
                 .engine]
@@ -144,10 +148,9 @@
     let mut control = dispatcher("", TWO);
     let on = |control: &Control, id: u64| {
         let last = control
-            .interner
             .queries
-            .get(&id)
-            .and_then(|&i| control.queries[i].attempts.all().last());
+            .find(id)
+            .and_then(|i| control.queries[i].attempts.all().last());
         last.map_or(0, |s| control.engines[s.engine].engine_id)
     };
     (0..8).for_each(|id| drop(send_query(&mut control, 1.0, id, "rep", 10.0)));
@@ -213,7 +216,7 @@
     for id in 1..6 {
         end_attempt(&mut control, 20_001.0, id, 0, Outcome::Timeout, 1);
     }
-    assert!(!control.engines[EngineIndex(0)].health.is_ejected);
+    assert!(!control.engines[EngineIndex(0)].health.is_ejected());
 }
 
 #[test]
--- a/src/control/tests/placement.rs
+++ b/src/control/tests/placement.rs
@@ -5,7 +5,9 @@
 #[test]
 fn concurrency_limit_binds_under_pressure_only_and_never_keeps_out_the_only_low_query() {
     let mut control = dispatcher("", ONE);
-    control.engines[EngineIndex(0)].limit.threads_per_core = 0.5;
+    control.engines[EngineIndex(0)]
+        .limit
+        .set_threads_per_core(0.5);
     assert!(has_decision(
         &send_query(&mut control, 1.0, 1, "rep", 100.0),
         "submit"
@@ -24,11 +26,11 @@
         has_decision(&send_query(&mut control, 1.0, 4, "look", 100.0), "submit"),
         "the fast lane is not refused"
     );
-    control.engines[EngineIndex(0)].slowdown = LaneSlowdowns {
-        low: SLOW,
-        ..LaneSlowdowns::default()
-    };
-    control.engines[EngineIndex(0)].load.low_attempts = 0;
+    control.engines[EngineIndex(0)].slowdown = LaneSlowdowns::default();
+    control.engines[EngineIndex(0)]
+        .slowdown
+        .set(Lane::Low, SLOW);
+    control.engines[EngineIndex(0)].load.set_low_attempts(0);
     assert!(has_decision(
         &send_query(&mut control, 1.0, 5, "rep", 100.0),
         "submit"
@@ -38,23 +40,23 @@
 #[test]
 fn engine_with_less_work_per_core_is_chosen() {
     let mut control = dispatcher("", &[("small", "h1"), ("big", "h1")]);
-    control.engines[EngineIndex(0)].load.work_ms = 1000.0;
-    control.engines[EngineIndex(1)].load.work_ms = 1500.0;
+    control.engines[EngineIndex(0)].load.set_work_ms(1000.0);
+    control.engines[EngineIndex(1)].load.set_work_ms(1500.0);
     for id in 0..40 {
         send_query(&mut control, 1.0, id, "look", 0.001);
     }
     // Whenever both are drawn the big one is chosen; one engine drawn twice may be either.
     assert!(
-        control.engines[EngineIndex(1)].load.attempts
-            > control.engines[EngineIndex(0)].load.attempts
+        control.engines[EngineIndex(1)].load.attempts()
+            > control.engines[EngineIndex(0)].load.attempts()
     );
-    control.engines[EngineIndex(0)].load.work_ms = 0.0;
-    control.engines[EngineIndex(1)].load.work_ms = 9000.0;
-    let before = control.engines[EngineIndex(1)].load.attempts;
+    control.engines[EngineIndex(0)].load.set_work_ms(0.0);
+    control.engines[EngineIndex(1)].load.set_work_ms(9000.0);
+    let before = control.engines[EngineIndex(1)].load.attempts();
     for id in 100..140 {
         send_query(&mut control, 1.0, id, "look", 0.001);
     }
-    assert!(control.engines[EngineIndex(1)].load.attempts - before < 20);
+    assert!(control.engines[EngineIndex(1)].load.attempts() - before < 20);
 }
 
 #[test]
@@ -64,18 +66,15 @@
     let held = control
         .engines
         .iter()
-        .position(|slot| slot.load.attempts == 1)
+        .position(|slot| slot.load.attempts() == 1)
         .unwrap();
-    control.engines[EngineIndex(1 - held)].load.work_ms = 1e9;
+    control.engines[EngineIndex(1 - held)].load.set_work_ms(1e9);
     assert_eq!(
         send_query_with_key(&mut control, 2.0, 2, "look", 10.0, None, 7),
         [format!("submit 2 {}", 2 - held)]
     );
     end_attempt(&mut control, 3.0, 1, 0, Outcome::Completed, held as u64 + 1);
-    assert!(control.engines[EngineIndex(held)]
-        .load
-        .locked_tables
-        .is_empty());
+    assert!(control.engines[EngineIndex(held)].load.has_no_locks());
 }
 
 #[test]
@@ -102,7 +101,7 @@
         .count();
     assert_eq!(home, 20);
     put_under_pressure(&mut control, 0);
-    control.engines[EngineIndex(0)].load.work_ms = 1e9;
+    control.engines[EngineIndex(0)].load.set_work_ms(1e9);
     let away = (50..90)
         .filter(|&id| {
             send_query(&mut control, 1.0, id, "look", 0.001) == [format!("submit {id} 2")]
@@ -115,10 +114,14 @@
 fn only_low_query_is_rejected_under_pressure_when_all_limits_are_used_up() {
     for (bound, room) in [(0.2, "reject"), (2.0, "submit")] {
         let mut control = dispatcher("", TWO);
-        control.engines[EngineIndex(0)].load.low_attempts = 2;
-        control.engines[EngineIndex(0)].load.low_threads = 4.0;
-        control.engines[EngineIndex(0)].limit.threads_per_core = 0.2;
-        control.engines[EngineIndex(1)].limit.threads_per_core = bound;
+        control.engines[EngineIndex(0)].load.set_low_attempts(2);
+        control.engines[EngineIndex(0)].load.set_low_threads(4.0);
+        control.engines[EngineIndex(0)]
+            .limit
+            .set_threads_per_core(0.2);
+        control.engines[EngineIndex(1)]
+            .limit
+            .set_threads_per_core(bound);
         put_under_pressure(&mut control, 0);
         put_under_pressure(&mut control, 1);
         assert!(
@@ -134,10 +137,10 @@
     let mut entered = 0;
     for id in 0..200 {
         (0..2).for_each(|slot| {
-            control.engines[EngineIndex(slot)].slowdown.fast = FadingMedian {
-                level: 2.0,
-                updated_ms: START_MS + id as f64 * 100.0,
-            }
+            control.engines[EngineIndex(slot)].slowdown.set(
+                Lane::Fast,
+                FadingMedian::new(2.0, START_MS + id as f64 * 100.0),
+            )
         });
         entered += usize::from(has_decision(
             &send_query(&mut control, id as f64 * 100.0, id, "rep", 100.0),
--- a/src/control/tests/pressure.rs
+++ b/src/control/tests/pressure.rs
@@ -5,16 +5,26 @@
 #[test]
 fn slow_answers_of_either_lane_a_full_refusal_and_a_crowd_are_pressure() {
     let marks: [fn(&mut Control); 4] = [
-        |control| control.engines[EngineIndex(0)].slowdown.low = SLOW,
-        |control| control.engines[EngineIndex(0)].limit.last_full_ms = START_MS + 1.0,
-        |control| control.engines[EngineIndex(0)].load.granted_mb = 900.0,
-        |control| control.engines[EngineIndex(0)].load.peer_threads = 12.0,
+        |control| {
+            control.engines[EngineIndex(0)]
+                .slowdown
+                .set(Lane::Low, SLOW)
+        },
+        |control| {
+            control.engines[EngineIndex(0)]
+                .limit
+                .set_last_full_ms(START_MS + 1.0)
+        },
+        |control| control.engines[EngineIndex(0)].load.set_granted_mb(900.0),
+        |control| control.engines[EngineIndex(0)].load.set_peer_threads(12.0),
     ];
     for mark in marks {
         let mut control = dispatcher("", ONE);
-        control.engines[EngineIndex(0)].load.low_attempts = 1;
-        control.engines[EngineIndex(0)].load.low_threads = 2.0;
-        control.engines[EngineIndex(0)].limit.threads_per_core = 0.5;
+        control.engines[EngineIndex(0)].load.set_low_attempts(1);
+        control.engines[EngineIndex(0)].load.set_low_threads(2.0);
+        control.engines[EngineIndex(0)]
+            .limit
+            .set_threads_per_core(0.5);
         mark(&mut control);
         assert!(has_decision(
             &send_query(&mut control, 1000.0, 1, "rep", 100.0),
@@ -26,24 +36,24 @@
 #[test]
 fn slowdown_decays_towards_that_of_the_zone() {
     let mut control = dispatcher("", TWO);
-    control.engines[EngineIndex(0)].slowdown.fast = FadingMedian {
-        level: 0.8,
-        updated_ms: START_MS,
-    };
+    control.engines[EngineIndex(0)]
+        .slowdown
+        .set(Lane::Fast, FadingMedian::new(0.8, START_MS));
     assert!(
-        control.is_under_pressure(EngineIndex(0)) && !control.is_under_pressure(EngineIndex(1))
+        control.pool().is_under_pressure(EngineIndex(0))
+            && !control.pool().is_under_pressure(EngineIndex(1))
     );
     round(&mut control, 10_000.0, |_, _| ());
     assert!(
-        !control.is_under_pressure(EngineIndex(0)),
+        !control.pool().is_under_pressure(EngineIndex(0)),
         "one engine was slow long ago"
     );
-    control.zone_slowdowns[0].fast = FadingMedian {
-        level: 0.8,
-        updated_ms: START_MS + 10_000.0,
-    };
+    control
+        .slowdowns
+        .set_zone(0, Lane::Fast, FadingMedian::new(0.8, START_MS + 10_000.0));
     assert!(
-        control.is_under_pressure(EngineIndex(0)) && control.is_under_pressure(EngineIndex(1)),
+        control.pool().is_under_pressure(EngineIndex(0))
+            && control.pool().is_under_pressure(EngineIndex(1)),
         "the hall stands in for engines that did not answer lately"
     );
 }
@@ -51,12 +61,14 @@
 #[test]
 fn one_slow_answer_after_a_long_gap_is_pressure() {
     let mut control = dispatcher("balancers=300", TWO);
-    control.groups[GroupIndex(0)].slowdown.samples = 100;
+    control.groups[GroupIndex(0)]
+        .slowdown_mut()
+        .set_samples(100);
     send_query(&mut control, 20_000.0, 1, "look", 10.0);
     let slot = control
         .engines
         .iter()
-        .position(|slot| slot.load.attempts == 1)
+        .position(|slot| slot.load.attempts() == 1)
         .unwrap();
     end_attempt(
         &mut control,
@@ -66,7 +78,7 @@
         Outcome::Completed,
         slot as u64 + 1,
     );
-    assert!(control.is_under_pressure(EngineIndex(slot)));
+    assert!(control.pool().is_under_pressure(EngineIndex(slot)));
 }
 
 #[test]
@@ -78,13 +90,15 @@
             control.on_attempt_ended(&ended(id, 0, true, Outcome::Completed, 1, 900.0), out)
         });
     }
-    assert!(control.is_under_pressure(EngineIndex(0)));
+    assert!(control.pool().is_under_pressure(EngineIndex(0)));
 }
 
 #[test]
 fn pool_slowdown_stands_in_for_a_zone_without_recent_answers() {
     let mut control = dispatcher("balancers=300", &[("small", "h1"), ("small", "h2")]);
-    control.groups[GroupIndex(0)].slowdown.samples = 100;
+    control.groups[GroupIndex(0)]
+        .slowdown_mut()
+        .set_samples(100);
     for id in 0..3 {
         send_query(&mut control, id as f64, id, "look", 1.0);
         let slot = control
@@ -108,7 +122,8 @@
         );
     }
     assert!(
-        control.is_under_pressure(EngineIndex(0)) && control.is_under_pressure(EngineIndex(1)),
+        control.pool().is_under_pressure(EngineIndex(0))
+            && control.pool().is_under_pressure(EngineIndex(1)),
         "h552f21: a hall unheard of looked at ease to every gateway"
     );
 }
@@ -117,11 +132,17 @@
 fn slower_answer_is_no_pressure_where_estimates_scatter() {
     for (scatter, is_pressured) in [(0.0, true), (1.0, false)] {
         let mut control = dispatcher("", ONE);
-        control.groups[GroupIndex(0)].slowdown.samples = 100;
-        control.groups[GroupIndex(0)].slowdown.scatter = scatter;
-        control.groups[GroupIndex(0)].slowdown.min_scatter = scatter;
+        control.groups[GroupIndex(0)]
+            .slowdown_mut()
+            .set_samples(100);
+        control.groups[GroupIndex(0)]
+            .slowdown_mut()
+            .set_scatter(scatter);
         send_query(&mut control, 1.0, 1, "look", 60.0);
         end_attempt(&mut control, 101.0, 1, 0, Outcome::Completed, 1);
-        assert_eq!(control.is_under_pressure(EngineIndex(0)), is_pressured);
+        assert_eq!(
+            control.pool().is_under_pressure(EngineIndex(0)),
+            is_pressured
+        );
     }
 }
--- a/src/model/engine_load.rs
+++ b/src/model/engine_load.rs
@@ -1,23 +1,33 @@
-//! What is in flight on an engine, and how much of the low lane may be.
+//! What is in flight on an engine.
 
 use crate::model::{Attempt, Lane, LONG_AGO};
 
+/// A set of tables that a load locks.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub(crate) struct TableLock {
+    pub(crate) tables: u32,
+    /// Until when the lock is assumed (ms).
+    pub(crate) until_ms: f64,
+}
+
 /// What is in flight on an engine.
 #[derive(Debug, Clone)]
 pub(crate) struct EngineLoad {
-    /// Attempts from here, their work (ms) and their memory (MB).
-    pub(crate) attempts: u32,
-    pub(crate) work_ms: f64,
-    pub(crate) granted_mb: f64,
-    /// Those of the low lane, and their threads.
-    pub(crate) low_attempts: u32,
-    pub(crate) low_threads: f64,
+    /// Attempts of this dispatcher.
+    attempts: u32,
+    /// Their estimated work (ms).
+    work_ms: f64,
+    /// Their estimated memory (MB).
+    granted_mb: f64,
+    /// Low-lane attempts of this dispatcher.
+    low_attempts: u32,
+    /// Threads of the low-lane attempts.
+    low_threads: f64,
     /// Low threads of other dispatchers, as last reported.
-    pub(crate) peer_threads: f64,
-    /// Since when there has been an attempt without a break.
-    pub(crate) busy_since_ms: f64,
-    /// Sets of tables that a load locks, and until when that is assumed.
-    pub(crate) locked_tables: Vec<(u32, f64)>,
+    peer_threads: f64,
+    /// Since when at least one attempt has been in flight (ms).
+    busy_since_ms: f64,
+    locks: Vec<TableLock>,
 }
 
 impl Default for EngineLoad {
@@ -30,23 +40,22 @@
             low_threads: 0.0,
             peer_threads: 0.0,
             busy_since_ms: LONG_AGO,
-            locked_tables: Vec::new(),
+            locks: Vec::new(),
         }
     }
 }
 
 impl EngineLoad {
-    /// Counts an attempt. `locked`: the set of tables that it locks, and until when at most.
+    /// Adds an attempt, with the lock that it takes.
     pub(crate) fn add(
         &mut self,
         attempt: &Attempt,
         lane: Lane,
         threads: f64,
-        locked: Option<(u32, f64)>,
+        lock: Option<TableLock>,
     ) {
-        self.locked_tables
-            .retain(|&(_, until_ms)| until_ms > attempt.sent_ms);
-        self.locked_tables.extend(locked);
+        self.locks.retain(|lock| lock.until_ms > attempt.sent_ms);
+        self.locks.extend(lock);
         if self.attempts == 0 {
             self.busy_since_ms = attempt.sent_ms;
         }
@@ -59,7 +68,7 @@
         }
     }
 
-    /// Takes an ended attempt out. Sums are set to 0 with the last one, so that no rounding is left.
+    /// Removes an ended attempt and its lock. The last one sets the sums to 0, so that no rounding error remains.
     pub(crate) fn remove(
         &mut self,
         attempt: &Attempt,
@@ -87,16 +96,69 @@
         }
     }
 
-    fn unlock(&mut self, locked: Option<u32>) {
-        let entry = self
-            .locked_tables
-            .iter()
-            .position(|&(tables, _)| locked == Some(tables));
-        if let Some(entry) = entry {
-            self.locked_tables.swap_remove(entry);
+    /// Adds a lock.
+    pub(crate) fn lock(&mut self, lock: TableLock) {
+        self.locks.push(lock);
+    }
+
+    fn unlock(&mut self, tables: Option<u32>) {
+        let is_of_tables = |lock: &TableLock| tables == Some(lock.tables);
+        if let Some(entry) = self.locks.iter().position(is_of_tables) {
+            self.locks.swap_remove(entry);
         }
     }
 
+    /// Attempts of this dispatcher.
+    #[cfg(test)]
+    pub(crate) fn attempts(&self) -> u32 {
+        self.attempts
+    }
+
+    /// Estimated work of the attempts (ms).
+    pub(crate) fn work_ms(&self) -> f64 {
+        self.work_ms
+    }
+
+    /// Estimated memory of the attempts (MB).
+    pub(crate) fn granted_mb(&self) -> f64 {
+        self.granted_mb
+    }
+
+    /// Since when at least one attempt has been in flight (ms); none where no attempt is.
+    pub(crate) fn busy_since_ms(&self) -> Option<f64> {
+        (self.attempts > 0).then_some(self.busy_since_ms)
+    }
+
+    /// Low-lane attempts of this dispatcher.
+    pub(crate) fn low_attempts(&self) -> u32 {
+        self.low_attempts
+    }
+
+    /// Threads of the low-lane attempts.
+    pub(crate) fn low_threads(&self) -> f64 {
+        self.low_threads
+    }
+
+    /// Threads that the attempts run on; an attempt of the fast lane counts as one.
+    pub(crate) fn threads(&self) -> f64 {
+        self.low_threads + (self.attempts - self.low_attempts) as f64
+    }
+
+    /// Low threads of other dispatchers, as last reported.
+    pub(crate) fn peer_threads(&self) -> f64 {
+        self.peer_threads
+    }
+
+    /// Sets the low threads of other dispatchers.
+    pub(crate) fn set_peer_threads(&mut self, threads: f64) {
+        self.peer_threads = threads;
+    }
+
+    /// Low threads of this dispatcher and of others, as far as is known.
+    pub(crate) fn known_low_threads(&self) -> f64 {
+        self.low_threads + self.peer_threads
+    }
+
     /// Whether no low attempt is known there, of this dispatcher or of others.
     pub(crate) fn has_no_low(&self) -> bool {
         self.low_attempts == 0 && self.peer_threads <= 0.0
@@ -104,52 +166,37 @@
 
     /// Whether a load is assumed to lock these tables.
     pub(crate) fn has_lock(&self, tables: u32, now_ms: f64) -> bool {
-        let mut locks = self.locked_tables.iter();
-        locks.any(|&(locked, until_ms)| locked == tables && until_ms > now_ms)
+        let mut locks = self.locks.iter();
+        locks.any(|lock| lock.tables == tables && lock.until_ms > now_ms)
     }
-}
 
-/// The concurrency limit of the low lane, and the concurrency estimate.
-#[derive(Debug, Clone, Copy)]
-pub(crate) struct LaneLimit {
-    /// Low threads a core of this dispatcher's share.
-    pub(crate) threads_per_core: f64,
-    /// Low threads, of all dispatchers, above which the engine counts as under pressure.
-    pub(crate) crowd_threads: f64,
-    /// When the limit was last halved, and when the engine last refused an attempt as full (ms).
-    pub(crate) halved_ms: f64,
-    pub(crate) last_full_ms: f64,
-}
+    /// Whether no load is assumed to lock any table.
+    #[cfg(test)]
+    pub(crate) fn has_no_locks(&self) -> bool {
+        self.locks.is_empty()
+    }
 
-impl Default for LaneLimit {
-    fn default() -> Self {
-        LaneLimit {
-            threads_per_core: 0.0,
-            crowd_threads: 0.0,
-            halved_ms: LONG_AGO,
-            last_full_ms: LONG_AGO,
-        }
+    /// Sets the estimated work (ms).
+    #[cfg(test)]
+    pub(crate) fn set_work_ms(&mut self, work_ms: f64) {
+        self.work_ms = work_ms;
     }
-}
 
-impl LaneLimit {
-    /// Raises the limit by one thread of this dispatcher's share, and the concurrency estimate by one thread.
-    pub(crate) fn grow(
-        &mut self,
-        cores: f64,
-        share: f64,
-        max_threads_per_core: f64,
-        max_crowd_per_core: f64,
-    ) {
-        let grown = self.threads_per_core + 1.0 / (cores * share);
-        self.threads_per_core = grown.min(max_threads_per_core);
-        self.crowd_threads = (self.crowd_threads + 1.0).min(max_crowd_per_core * cores);
+    /// Sets the estimated memory (MB).
+    #[cfg(test)]
+    pub(crate) fn set_granted_mb(&mut self, granted_mb: f64) {
+        self.granted_mb = granted_mb;
+    }
+
+    /// Sets the number of low-lane attempts.
+    #[cfg(test)]
+    pub(crate) fn set_low_attempts(&mut self, attempts: u32) {
+        self.low_attempts = attempts;
     }
 
-    /// Halves the limit, and sets the concurrency estimate.
-    pub(crate) fn halve(&mut self, now_ms: f64, crowd_threads: f64) {
-        self.halved_ms = now_ms;
-        self.threads_per_core /= 2.0;
-        self.crowd_threads = crowd_threads;
+    /// Sets the threads of the low-lane attempts.
+    #[cfg(test)]
+    pub(crate) fn set_low_threads(&mut self, threads: f64) {
+        self.low_threads = threads;
     }
 }
