--- a/crates/dispatcher/src/client/protocol.rs
+++ b/crates/dispatcher/src/client/protocol.rs
@@ -43,6 +43,7 @@
 }
 
 impl RequestField {
+    /// All fields.
     const ALL: [RequestField; 7] = [
         RequestField::QueryId,
         RequestField::WaitMs,
--- /dev/null
+++ b/crates/dispatcher/src/engine/abandon.rs
@@ -0,0 +1,114 @@
+//! Abandons attempts: takes them off their connections and reports their ends.
+
+use super::channel::Channel;
+use super::connection::{Abandoned, ConnectionState};
+use super::reports::{AttemptReport, Reporter};
+use super::silence::{SilenceDetector, SilenceScope};
+use crate::clock::Clock;
+use crate::query_registry::Pages;
+use std::rc::Rc;
+use tansymux::events::Outcome;
+
+/// The outcome of an attempt that provably never ran and was abandoned as `outcome`. It counts against the engine only
+/// where the engine kept it from being sent: no connection came up in time, or the engine did not read an open one.
+fn unsent_outcome(outcome: Outcome, is_connection_up: bool) -> Outcome {
+    match outcome {
+        Outcome::NoConnection => Outcome::NoConnection,
+        Outcome::Timeout if is_connection_up => Outcome::NoConnection,
+        _ => Outcome::Withdrawn,
+    }
+}
+
+/// Abandons attempts.
+pub(super) struct Abandoner {
+    clock: Clock,
+    /// Silence (ms) after which a connection with an attempt in flight may be lost.
+    max_silence_ms: f64,
+    reporter: Rc<Reporter>,
+    silence: Rc<SilenceDetector>,
+}
+
+impl Abandoner {
+    /// An abandoner that reports to `reporter`, and to `silence` what may be lost.
+    pub fn new(
+        clock: Clock,
+        max_silence_ms: f64,
+        reporter: Rc<Reporter>,
+        silence: Rc<SilenceDetector>,
+    ) -> Self {
+        Abandoner {
+            clock,
+            max_silence_ms,
+            reporter,
+            silence,
+        }
+    }
+
+    /// Abandons an attempt and reports its end: as `outcome` if it may have run, else as [`unsent_outcome`].
+    pub fn abandon(&self, channel: &Channel, id: &str, outcome: Outcome) {
+        let now_ms = self.clock.now();
+        let mut connection = channel.connection.borrow_mut();
+        let Some(Abandoned { attempt, was_sent }) = connection.abandon(id, now_ms) else {
+            return;
+        };
+        // Silent for longer than the progress interval: the connection may be lost. The next attempt uses another one.
+        let is_up = connection.state == ConnectionState::Up;
+        let silent_ms = now_ms - connection.last_frame_ms.max(attempt.sent_ms);
+        let may_be_lost = was_sent && silent_ms > self.max_silence_ms;
+        connection.retired |= may_be_lost;
+        let silent_reuse = connection.idle_reuse.take_if(|_| may_be_lost);
+        drop(connection);
+        channel.notify.notify();
+        if let Some(reuse) = silent_reuse {
+            self.silence.on_silent_reuse(channel.engine_id, reuse);
+        }
+        if may_be_lost {
+            self.silence
+                .retire_idle(channel.engine_id, SilenceScope::Engine);
+        }
+        let report = AttemptReport {
+            query_id: attempt.query_id,
+            attempt: attempt.number,
+            outcome: if was_sent {
+                outcome
+            } else {
+                unsent_outcome(outcome, is_up)
+            },
+            engine_id: channel.engine_id,
+            latency_ms: now_ms - attempt.sent_ms,
+            pages: Pages::new(),
+        };
+        if report.outcome == Outcome::Cancelled {
+            self.reporter.report_abandoned(report);
+        } else {
+            self.reporter.report_ended(report);
+        }
+    }
+
+    /// Withdraws the attempts of whose requests no byte was written.
+    pub fn withdraw_unstarted(&self, channel: &Channel) {
+        let unstarted: Vec<Rc<str>> = channel.connection.borrow().unstarted_requests().collect();
+        for id in &unstarted {
+            self.abandon(channel, id, Outcome::Withdrawn);
+        }
+    }
+
+    /// Abandons the attempts that are past their start limit and of whose requests no byte was written.
+    pub fn abandon_too_late(&self, channel: &Channel) {
+        let now_ms = self.clock.now();
+        let connection = channel.connection.borrow();
+        let too_late: Vec<Rc<str>> = connection.too_late_to_begin(now_ms).collect();
+        drop(connection);
+        for id in &too_late {
+            self.abandon(channel, id, Outcome::Timeout);
+        }
+    }
+
+    /// Abandons the attempts that are past their deadline, or past their start limit and not started.
+    pub fn abandon_expired(&self, channel: &Channel, now_ms: f64) {
+        let expired = channel.connection.borrow().expired_attempts(now_ms);
+        for id in &expired {
+            self.abandon(channel, id, Outcome::Timeout);
+        }
+    }
+}
--- /dev/null
+++ b/crates/dispatcher/src/engine/allocation.rs
@@ -0,0 +1,224 @@
+//! Allocation of connections: selects the connection of an attempt, and opens another within the limits.
+
+use super::channel::Channel;
+use super::channel_handler::ChannelHandler;
+use super::channel_task;
+use super::connection::Suitability;
+use super::descriptor_limit::DescriptorLimit;
+use super::engine_entry::Engine;
+use super::engine_table::EngineTable;
+use super::idle_reuse::ReuseTracker;
+use super::keep_alive::MIN_IDLE_MS;
+use super::settings::ConnectionSettings;
+use crate::clock::Clock;
+use crate::query_registry::QueryRegistry;
+use async_executor::LocalExecutor;
+use std::net::SocketAddr;
+use std::rc::Rc;
+
+/// An attempt or health check that needs a connection.
+pub(super) struct ChannelRequest<'a> {
+    pub engine_id: u64,
+    /// Id of the attempt's query, or tag of the health check.
+    pub id: &'a str,
+    /// Whether a loss on the way does no harm, as the request has no side effect. Any other request is not sent on a
+    /// connection that has idled for longer than [`MIN_IDLE_MS`]: it may be lost, and it would be unknown whether the
+    /// request ran.
+    pub side_effect_free: bool,
+}
+
+/// What the limit of all connections leaves for another one.
+struct Headroom {
+    is_limit_reached: bool,
+    /// At the limit: the connection that would be closed in favour of a new one.
+    evictable: Option<Rc<Channel>>,
+}
+
+impl Headroom {
+    fn allows_another(&self) -> bool {
+        !self.is_limit_reached || self.evictable.is_some()
+    }
+}
+
+/// Opens connections and allocates them to attempts.
+pub(super) struct ChannelAllocator {
+    registry: Rc<QueryRegistry>,
+    clock: Clock,
+    executor: Rc<LocalExecutor<'static>>,
+    settings: ConnectionSettings,
+    engines: Rc<EngineTable>,
+    reuses: Rc<ReuseTracker>,
+    descriptors: DescriptorLimit,
+}
+
+impl ChannelAllocator {
+    /// An allocator without connections.
+    pub fn new(
+        registry: Rc<QueryRegistry>,
+        clock: Clock,
+        executor: Rc<LocalExecutor<'static>>,
+        settings: ConnectionSettings,
+        engines: Rc<EngineTable>,
+        reuses: Rc<ReuseTracker>,
+    ) -> Self {
+        ChannelAllocator {
+            registry,
+            clock,
+            executor,
+            settings,
+            engines,
+            reuses,
+            descriptors: DescriptorLimit::new(settings.max_connections),
+        }
+    }
+
+    /// Number of connections that are open or connecting.
+    pub fn connection_count(&self) -> usize {
+        self.descriptors.connection_count()
+    }
+
+    /// Selects or opens a connection; `None` if the engine is unknown or the connection limits are reached.
+    pub fn select<H: ChannelHandler + 'static>(
+        &self,
+        handler: &Rc<H>,
+        request: &ChannelRequest,
+    ) -> Option<Rc<Channel>> {
+        let headroom = self.headroom();
+        let select = |engine: &mut Engine| self.select_of(handler, engine, request, &headroom);
+        self.engines.with_mut(request.engine_id, select).flatten()
+    }
+
+    fn headroom(&self) -> Headroom {
+        let is_limit_reached = self.descriptors.is_reached();
+        let evictable = is_limit_reached.then(|| self.engines.least_recently_used());
+        Headroom {
+            is_limit_reached,
+            evictable: evictable.flatten(),
+        }
+    }
+
+    fn select_of<H: ChannelHandler + 'static>(
+        &self,
+        handler: &Rc<H>,
+        engine: &mut Engine,
+        request: &ChannelRequest,
+        headroom: &Headroom,
+    ) -> Option<Rc<Channel>> {
+        let address = engine.address()?;
+        let now_ms = self.clock.now();
+        let max_idle_ms = self.reuses.max_idle_ms(now_ms);
+        let trusted_idle_ms = if request.side_effect_free {
+            self.reuses.trusted_idle_ms(now_ms)
+        } else {
+            MIN_IDLE_MS
+        };
+        let max_streams = self.settings.max_streams;
+        let best = engine.best_channel(request.id, now_ms, trusted_idle_ms, max_streams);
+        let is_below_engine_limit = self.is_below_engine_limit(engine);
+        let may_open = is_below_engine_limit && headroom.allows_another();
+        // A lost connection loses every attempt in flight on it: they share one only at a connection limit.
+        let channel = match best {
+            Some(best) if best.suitability <= Suitability::Fresh || !may_open => best.channel,
+            _ if may_open => {
+                headroom.evictable.iter().for_each(|idle| idle.retire());
+                self.open(handler, engine, address)
+            }
+            // It connects once another connection has closed.
+            _ if is_below_engine_limit => self.open_queued(handler, engine, address),
+            _ => {
+                let engine_id = format_args!("{:08x}", request.engine_id);
+                tracing::warn!(%engine_id, "connection limit reached");
+                return None;
+            }
+        };
+        // Where idle connections are not trusted, a spare is opened for the next attempt.
+        let needs_spare = may_open && !headroom.is_limit_reached && max_idle_ms <= MIN_IDLE_MS;
+        if needs_spare && !engine.has_spare_beside(&channel) {
+            self.open(handler, engine, address);
+        }
+        Some(channel)
+    }
+
+    /// Whether the limit of connections to one engine allows for another.
+    fn is_below_engine_limit(&self, engine: &Engine) -> bool {
+        engine.channels().len() < self.settings.max_connections_per_engine()
+    }
+
+    /// Opens `count` connections, or as many as the limits allow.
+    pub fn open_up_to<H: ChannelHandler + 'static>(
+        &self,
+        handler: &Rc<H>,
+        engine: &mut Engine,
+        address: SocketAddr,
+        count: u32,
+    ) {
+        for _ in 0..count {
+            if self.is_below_engine_limit(engine) && !self.descriptors.is_reached() {
+                self.open(handler, engine, address);
+            }
+        }
+    }
+
+    fn open<H: ChannelHandler + 'static>(
+        &self,
+        handler: &Rc<H>,
+        engine: &mut Engine,
+        address: SocketAddr,
+    ) -> Rc<Channel> {
+        let channel = self.new_channel(engine);
+        self.descriptors.grant(&channel);
+        self.spawn(handler, engine, &channel, address);
+        channel
+    }
+
+    /// A connection that connects once [`ChannelAllocator::release`] grants it a descriptor.
+    fn open_queued<H: ChannelHandler + 'static>(
+        &self,
+        handler: &Rc<H>,
+        engine: &mut Engine,
+        address: SocketAddr,
+    ) -> Rc<Channel> {
+        let channel = self.new_channel(engine);
+        self.registry.counters.waits_for_descriptor.increment();
+        self.descriptors.enqueue(channel.clone());
+        self.spawn(handler, engine, &channel, address);
+        channel
+    }
+
+    fn new_channel(&self, engine: &Engine) -> Rc<Channel> {
+        let number = self.registry.counters.engine_connections_opened.get() + 1;
+        let now_ms = self.clock.now();
+        let channel = Channel::new(number, engine.engine_id(), engine.process(), now_ms);
+        Rc::new(channel)
+    }
+
+    /// Starts the task of a connection.
+    fn spawn<H: ChannelHandler + 'static>(
+        &self,
+        handler: &Rc<H>,
+        engine: &mut Engine,
+        channel: &Rc<Channel>,
+        address: SocketAddr,
+    ) {
+        engine.add_channel(channel.clone());
+        self.registry.counters.engine_connections_opened.increment();
+        let task = channel_task::run(handler.clone(), channel.clone(), address);
+        self.executor.spawn(task).detach();
+    }
+
+    /// Closes idle connections in favour of those that wait for a descriptor.
+    pub fn evict_for_waiting(&self) {
+        for _ in 0..self.descriptors.waiting_count() {
+            match self.engines.least_recently_used() {
+                Some(idle) => idle.retire(),
+                None => return,
+            }
+        }
+    }
+
+    /// Removes a closed connection. Its descriptor is granted to the connection that waits longest.
+    pub fn release(&self, channel: &Rc<Channel>) {
+        self.engines.remove_channel(channel);
+        self.descriptors.release(channel);
+    }
+}
--- a/crates/dispatcher/src/engine/begin.rs
+++ b/crates/dispatcher/src/engine/begin.rs
@@ -1,15 +1,41 @@
-//! Begins: the guard's permit for the first byte of a request.
+//! The single place that every attempt passes before the first byte of its request is written.
 
+use super::abandon::Abandoner;
 use super::channel::Channel;
-use super::pool::EnginePool;
-use crate::guard::{BeginPermit, BeginRefusal};
-use crate::query_registry::AttemptKey;
+use super::engine_table::EngineTable;
+use crate::clock::Clock;
+use crate::query_registry::{AttemptKey, QueryRegistry};
+use std::rc::Rc;
 use tansymux::events::Outcome;
 
-impl EnginePool {
-    /// Asks the guard whether the next request may begin to go out, and takes back those that may not. One at a time goes
-    /// into a write: the next one waits for its own permit, and for the socket to be rid of the bytes before it.
-    pub(super) fn begin_next(&self, channel: &Channel) -> Option<AttemptKey> {
+/// Asks the guard for permits to begin requests.
+pub(super) struct RequestGate {
+    registry: Rc<QueryRegistry>,
+    clock: Clock,
+    engines: Rc<EngineTable>,
+    abandoner: Rc<Abandoner>,
+}
+
+impl RequestGate {
+    /// A gate for the connections in `engines`.
+    pub fn new(
+        registry: Rc<QueryRegistry>,
+        clock: Clock,
+        engines: Rc<EngineTable>,
+        abandoner: Rc<Abandoner>,
+    ) -> Self {
+        RequestGate {
+            registry,
+            clock,
+            engines,
+            abandoner,
+        }
+    }
+
+    /// Releases the connection's next request if the guard permits it, and withdraws those that the guard refuses. One
+    /// request is released per write: the next one needs its own permit, once the socket has taken the bytes before it.
+    /// Returns the attempt whose request was released.
+    pub fn begin_next(&self, channel: &Channel) -> Option<AttemptKey> {
         loop {
             let now_ms = self.clock.now();
             let mut connection = channel.connection.borrow_mut();
@@ -19,8 +45,11 @@
                 attempt: attempt.number,
                 engine_id: channel.engine_id,
             };
-            let limits = (attempt.deadline_ms, attempt.start_by_ms);
-            let permit = self.ask_guard(channel, &key, limits, now_ms);
+            let (deadline_ms, start_by_ms) = (attempt.deadline_ms, attempt.start_by_ms);
+            let permit = self.engines.with_facts(channel, |endpoint| {
+                self.registry
+                    .may_begin(&key, deadline_ms, start_by_ms, endpoint, now_ms)
+            });
             match permit {
                 Ok(permit) => {
                     connection.begin(&id, &permit);
@@ -29,23 +58,9 @@
                 Err(refusal) => {
                     drop(connection);
                     self.registry.on_begin_refused(&key, refusal);
-                    self.abandon(channel, &id, Outcome::Withdrawn);
+                    self.abandoner.abandon(channel, &id, Outcome::Withdrawn);
                 }
             }
         }
     }
-
-    fn ask_guard(
-        &self,
-        channel: &Channel,
-        key: &AttemptKey,
-        (deadline_ms, start_by_ms): (f64, f64),
-        now_ms: f64,
-    ) -> Result<BeginPermit, BeginRefusal> {
-        let engines = self.engines.borrow();
-        let engine = engines.get(&channel.engine_id);
-        let endpoint = engine.map(|engine| engine.facts(channel));
-        self.registry
-            .may_begin(key, deadline_ms, start_by_ms, endpoint, now_ms)
-    }
 }
--- /dev/null
+++ b/crates/dispatcher/src/engine/channel_error.rs
@@ -0,0 +1,61 @@
+//! Errors that end a connection to an engine.
+
+use super::channel::LocalFault;
+use super::connection::CloseReason;
+use super::protocol_error::ProtocolError;
+use crate::close_reason::EngineClose;
+use std::io;
+use thiserror::Error;
+
+/// Why a connection ended, unless it was retired or the engine closed it.
+#[derive(Debug, Error)]
+pub(super) enum ChannelError {
+    #[error(transparent)]
+    Closed(#[from] CloseReason),
+    #[error("connect timeout")]
+    ConnectTimeout,
+    #[error("{0}")]
+    Local(LocalFault),
+    #[error(transparent)]
+    Io(#[from] io::Error),
+}
+
+impl From<ProtocolError> for ChannelError {
+    fn from(error: ProtocolError) -> Self {
+        ChannelError::Closed(CloseReason::Protocol(error))
+    }
+}
+
+impl ChannelError {
+    /// Whether the engine violated the protocol.
+    pub fn is_protocol_error(&self) -> bool {
+        matches!(self, ChannelError::Closed(CloseReason::Protocol(_)))
+    }
+
+    /// Whether a fault of this machine kept the connection from reaching its engine.
+    pub fn is_local_fault(&self) -> bool {
+        matches!(self, ChannelError::Local(_))
+    }
+
+    /// Whether this side closed the connection: its attempts count as abandoned.
+    pub fn is_closed_locally(&self) -> bool {
+        match self {
+            ChannelError::Closed(_) => true,
+            ChannelError::ConnectTimeout | ChannelError::Local(_) => false,
+            ChannelError::Io(error) => error.kind() == io::ErrorKind::NotConnected,
+        }
+    }
+
+    /// The reason in logs and counters.
+    pub fn close_reason(&self) -> EngineClose {
+        match self {
+            ChannelError::Closed(CloseReason::Protocol(_)) => EngineClose::Protocol,
+            ChannelError::Closed(CloseReason::RequestPartlyWritten) => EngineClose::HalfWritten,
+            ChannelError::Closed(CloseReason::EngineUnreachable) => EngineClose::Unreachable,
+            ChannelError::Closed(CloseReason::ForgottenByEngine) => EngineClose::Forgotten,
+            ChannelError::ConnectTimeout => EngineClose::ConnectTimeout,
+            ChannelError::Local(_) => EngineClose::LocalFault,
+            ChannelError::Io(_) => EngineClose::Failed,
+        }
+    }
+}
--- /dev/null
+++ b/crates/dispatcher/src/engine/channel_task.rs
@@ -0,0 +1,158 @@
+//! The task of one connection: connects, then reads and writes until the connection closes.
+//!
+//! [`Connection`](super::connection::Connection) holds the state and does no I/O; this module owns the socket. What
+//! an event means is decided by the [`ChannelHandler`].
+
+use super::channel::Channel;
+use super::channel_error::ChannelError;
+use super::channel_handler::ChannelHandler;
+use super::connect::connect;
+use super::protocol_error::ProtocolError;
+use super::resp;
+use crate::net::{
+    is_lack_of_buffers, limit_unsent_bytes, poll_gathered, read_available, MAX_SLICES,
+    RESOURCE_RETRY_DELAY,
+};
+use async_io::{Async, Timer};
+use futures_lite::future;
+use std::io::{self, IoSlice, Read};
+use std::net::{SocketAddr, TcpStream};
+use std::rc::Rc;
+use std::task::{Context, Poll};
+
+/// Result of one step of the writer.
+enum WriteStep {
+    /// The connection is retired and nothing is left to write: close it.
+    Done,
+    /// This many bytes were written.
+    Wrote(usize),
+}
+
+/// Runs a connection from its connect to its end.
+pub(super) async fn run<H: ChannelHandler>(
+    handler: Rc<H>,
+    channel: Rc<Channel>,
+    address: SocketAddr,
+) {
+    let result = serve(&handler, &channel, address).await;
+    handler.on_closed(&channel, result.as_ref().err());
+}
+
+async fn serve<H: ChannelHandler>(
+    handler: &Rc<H>,
+    channel: &Rc<Channel>,
+    address: SocketAddr,
+) -> Result<(), ChannelError> {
+    let stream = connect(handler, channel, address).await?;
+    handler.on_connected(channel);
+    // A failure only costs latency: small requests would wait for the acknowledgement of the one before.
+    let _ = stream.get_ref().set_nodelay(true);
+    limit_unsent_bytes(stream.get_ref());
+    let io = ChannelIo {
+        handler: &**handler,
+        channel,
+        stream: &stream,
+    };
+    future::or(io.read(), io.write()).await
+}
+
+/// An open connection and its socket.
+struct ChannelIo<'a, H> {
+    handler: &'a H,
+    channel: &'a Channel,
+    stream: &'a Async<TcpStream>,
+}
+
+impl<H: ChannelHandler> ChannelIo<'_, H> {
+    // ---- Writing ----
+
+    /// Writes the outbox until the connection is retired and nothing is in flight.
+    async fn write(&self) -> Result<(), ChannelError> {
+        loop {
+            match future::poll_fn(|context| self.poll_write(context)).await {
+                Ok(WriteStep::Done) => return Ok(()),
+                Ok(WriteStep::Wrote(0)) => {
+                    return Err(io::Error::from(io::ErrorKind::WriteZero).into());
+                }
+                Ok(WriteStep::Wrote(count)) => self.channel.connection.borrow_mut().advance(count),
+                Err(ChannelError::Io(error)) if is_lack_of_buffers(&error) => {
+                    tracing::debug!(%error, "write failed for now");
+                    Timer::after(RESOURCE_RETRY_DELAY).await;
+                }
+                Err(error) => return Err(error),
+            }
+        }
+    }
+
+    fn poll_write(&self, context: &mut Context) -> Poll<Result<WriteStep, ChannelError>> {
+        while self.channel.notify.poll_notified(context).is_ready() {}
+        let begun = self.handler.on_writable(self.channel);
+        let connection = self.channel.connection.borrow();
+        if let Some(reason) = connection.close_reason {
+            return Poll::Ready(Err(reason.into()));
+        }
+        if !connection.has_unwritten() {
+            let is_done = connection.retired && connection.in_flight() == 0;
+            return if is_done {
+                Poll::Ready(Ok(WriteStep::Done))
+            } else {
+                Poll::Pending
+            };
+        }
+        let mut slices: Vec<IoSlice> = Vec::with_capacity(MAX_SLICES);
+        connection.slices(&mut slices, MAX_SLICES);
+        let written = poll_gathered(self.stream, context, &slices);
+        if let (Poll::Ready(Ok(1..)), Some(begun)) = (&written, begun) {
+            self.handler.on_attempt_begun(&begun);
+        }
+        written.map_ok(WriteStep::Wrote).map_err(ChannelError::Io)
+    }
+
+    // ---- Reading ----
+
+    /// Handles frames until the engine closes the connection.
+    async fn read(&self) -> Result<(), ChannelError> {
+        let mut inbox = Vec::new();
+        loop {
+            let count = self.receive(&mut inbox).await?;
+            if count == 0 {
+                return Ok(());
+            }
+            // Keeps an engine that sends without pause from starving other tasks.
+            future::yield_now().await;
+            self.handle_frames(&mut inbox)?;
+            let now_ms = self.handler.clock().now();
+            let mut connection = self.channel.connection.borrow_mut();
+            connection.partial_frame_since_ms = (!inbox.is_empty()).then_some(now_ms);
+            if connection.has_unwritten() || connection.retired {
+                self.channel.notify.notify();
+            }
+        }
+    }
+
+    /// Appends received bytes to `inbox` and returns their number, 0 at the end of the stream.
+    async fn receive(&self, inbox: &mut Vec<u8>) -> io::Result<usize> {
+        let mut read = |mut stream: &TcpStream| {
+            let mut buffer = self.handler.read_buffer().borrow_mut();
+            let count = stream.read(&mut buffer[..])?;
+            inbox.extend_from_slice(&buffer[..count]);
+            Ok(count)
+        };
+        read_available(self.stream, |stream| read(stream)).await
+    }
+
+    /// Handles and removes the complete frames at the start of `inbox`.
+    fn handle_frames(&self, inbox: &mut Vec<u8>) -> Result<(), ProtocolError> {
+        let mut handled = 0;
+        while let Some(frame) = resp::parse(&inbox[handled..])? {
+            handled += frame.size;
+            self.handler.on_frame(self.channel, &frame)?;
+        }
+        inbox.drain(..handled);
+        if inbox.is_empty() {
+            // Frees the buffer: idle connections hold no memory.
+            *inbox = Vec::new();
+        }
+        Ok(())
+    }
+}
--- /dev/null
+++ b/crates/dispatcher/src/engine/close.rs
@@ -0,0 +1,171 @@
+//! Handles the end of a connection: reports the attempts and health checks that are lost with it.
+
+use super::channel::Channel;
+use super::channel_error::ChannelError;
+use super::connection::{Attempt, Connection, ConnectionState};
+use super::idle_reuse::ReuseTracker;
+use super::reports::{AttemptReport, Reporter};
+use crate::clock::Clock;
+use crate::close_reason::EngineClose;
+use crate::query_registry::{Pages, QueryRegistry};
+use std::rc::Rc;
+use tansymux::events::Outcome;
+
+/// The consequences of a connection's end for its attempts in flight.
+struct Loss {
+    was_up: bool,
+    /// Whether this side closed the connection: its attempts are abandoned, and their reports are delayed.
+    is_abandoned: bool,
+    /// The outcome of the next attempt that may have run.
+    next_outcome: Outcome,
+    /// The outcome of attempts that cannot have run.
+    unsent_outcome: Outcome,
+}
+
+impl Loss {
+    fn new(was_up: bool, error: Option<&ChannelError>) -> Self {
+        let is_protocol_error = error.is_some_and(ChannelError::is_protocol_error);
+        let is_closed_locally = error.is_some_and(ChannelError::is_closed_locally);
+        let is_local_fault = error.is_some_and(ChannelError::is_local_fault);
+        Loss {
+            was_up,
+            is_abandoned: is_protocol_error || was_up && is_closed_locally,
+            next_outcome: Outcome::Reset,
+            unsent_outcome: if is_local_fault {
+                Outcome::Withdrawn
+            } else {
+                Outcome::NoConnection
+            },
+        }
+    }
+
+    /// The outcome of the next attempt. Only the first one that may have run counts against the engine: a lost
+    /// connection is one failure, however many attempts were in flight.
+    fn outcome(&mut self, was_sent: bool) -> Outcome {
+        if self.was_up && was_sent {
+            std::mem::replace(&mut self.next_outcome, Outcome::Cancelled)
+        } else {
+            self.unsent_outcome
+        }
+    }
+
+    /// The outcome of health checks.
+    fn health_outcome(&self) -> Outcome {
+        if self.was_up {
+            Outcome::Reset
+        } else {
+            Outcome::NoConnection
+        }
+    }
+}
+
+/// Handles the ends of connections.
+pub(super) struct Closer {
+    registry: Rc<QueryRegistry>,
+    clock: Clock,
+    reporter: Rc<Reporter>,
+    reuses: Rc<ReuseTracker>,
+}
+
+impl Closer {
+    /// A closer that reports to `reporter`, and to `reuses` what was lost after idling.
+    pub fn new(
+        registry: Rc<QueryRegistry>,
+        clock: Clock,
+        reporter: Rc<Reporter>,
+        reuses: Rc<ReuseTracker>,
+    ) -> Self {
+        Closer {
+            registry,
+            clock,
+            reporter,
+            reuses,
+        }
+    }
+
+    /// Reports the attempts lost with a connection: one whose request was written completely may have run, any other
+    /// cannot have.
+    pub fn close(&self, channel: &Channel, error: Option<&ChannelError>) {
+        let now_ms = self.clock.now();
+        let mut connection = channel.connection.borrow_mut();
+        let was_up = connection.state == ConnectionState::Up;
+        connection.state = ConnectionState::Closed;
+        let mut attempts: Vec<(Rc<str>, Attempt)> = connection.attempts.drain().collect();
+        attempts.sort_by_key(|(_, attempt)| attempt.query_id);
+        let health_checks = std::mem::take(&mut connection.health_checks).len();
+        self.note_close(channel, &connection, error, attempts.len());
+        let mut loss = Loss::new(was_up, error);
+        let may_be_lost_reuse = was_up && !loss.is_abandoned && !attempts.is_empty();
+        if may_be_lost_reuse && self.is_lost_reuse(&connection, now_ms) {
+            loss.next_outcome = Outcome::Cancelled;
+        }
+        for (id, attempt) in attempts {
+            let was_sent = connection.is_fully_written(&id);
+            let outcome = loss.outcome(was_sent);
+            self.report_lost(channel.engine_id, &attempt, now_ms, outcome, &loss);
+        }
+        // A health check that could not leave this machine is no evidence about the engine.
+        if !error.is_some_and(ChannelError::is_local_fault) {
+            let outcome = loss.health_outcome();
+            self.reporter
+                .report_health(channel.engine_id, outcome, health_checks);
+        }
+    }
+
+    fn report_lost(
+        &self,
+        engine_id: u64,
+        attempt: &Attempt,
+        now_ms: f64,
+        outcome: Outcome,
+        loss: &Loss,
+    ) {
+        let report = AttemptReport {
+            query_id: attempt.query_id,
+            attempt: attempt.number,
+            outcome,
+            engine_id,
+            latency_ms: now_ms - attempt.sent_ms,
+            pages: Pages::new(),
+        };
+        if loss.is_abandoned {
+            self.reporter.report_abandoned(report);
+        } else {
+            self.reporter.report_ended(report);
+        }
+    }
+
+    /// Whether the connection ended as soon as it was reused after idling.
+    fn is_lost_reuse(&self, connection: &Connection, now_ms: f64) -> bool {
+        let reuse = connection.idle_reuse;
+        reuse.is_some_and(|reuse| self.reuses.record_if_lost(now_ms, reuse))
+    }
+
+    /// Counts and logs the end of a connection.
+    fn note_close(
+        &self,
+        channel: &Channel,
+        connection: &Connection,
+        error: Option<&ChannelError>,
+        lost_attempts: usize,
+    ) {
+        let reason = match error {
+            Some(error) => error.close_reason(),
+            None if connection.retired => EngineClose::Retired,
+            None => EngineClose::ByEngine,
+        };
+        let engine_id = format_args!("{:08x}", channel.engine_id);
+        let connection = channel.number;
+        self.registry.counters.count_engine_close(reason);
+        tracing::debug!(connection, %engine_id, %reason, lost_attempts, "engine connection closed");
+        let Some(error) = error else {
+            return;
+        };
+        if error.is_protocol_error() {
+            self.registry.counters.protocol_errors.increment();
+        }
+        if lost_attempts > 0 {
+            tracing::warn!(connection, %engine_id, lost_attempts, %error, "engine connection lost");
+        }
+    }
+}
--- a/crates/dispatcher/src/engine/connection/attempt.rs
+++ b/crates/dispatcher/src/engine/connection/attempt.rs
@@ -90,7 +90,7 @@
     ///
     /// # Errors
     /// The page's number is missing or too large, or the page is malformed.
-    pub fn add_further_page(
+    pub fn add_numbered_page(
         &mut self,
         page_number: Option<usize>,
         rows: &[u8],
--- a/crates/dispatcher/src/engine/connection/receive.rs
+++ b/crates/dispatcher/src/engine/connection/receive.rs
@@ -85,13 +85,13 @@
                     ResultProgress::Complete => Outcome::Completed,
                     ResultProgress::Incomplete => {
                         let pages = attempt.page_count();
-                        request_further_pages(&mut self.outbox, id, pages);
+                        request_remaining_pages(&mut self.outbox, id, pages);
                         return Ok(ignored);
                     }
                 }
             }
-            EngineReply::FurtherPage { page_number, rows } => {
-                match attempt.add_further_page(page_number, rows)? {
+            EngineReply::NumberedPage { page_number, rows } => {
+                match attempt.add_numbered_page(page_number, rows)? {
                     ResultProgress::Complete => {
                         self.outbox.push_command(&Command::ConfirmResult { id });
                         Outcome::Completed
@@ -140,7 +140,7 @@
     }
 }
 
-fn request_further_pages(outbox: &mut Outbox, id: &str, page_count: usize) {
+fn request_remaining_pages(outbox: &mut Outbox, id: &str, page_count: usize) {
     for page in 1..page_count {
         outbox.push_command(&Command::RequestPage { id, page });
     }
--- /dev/null
+++ b/crates/dispatcher/src/engine/engine_table.rs
@@ -0,0 +1,99 @@
+//! The engines of the endpoint list, with the connections to them.
+
+use super::channel::Channel;
+use super::engine_entry::{Engine, ProcessChange};
+use crate::guard::EndpointFacts;
+use crate::query_registry::EndpointEntry;
+use rustc_hash::FxHashMap;
+use std::cell::RefCell;
+use std::rc::Rc;
+
+/// The result of an update of the endpoint list for one engine.
+pub(super) struct EngineUpdate {
+    pub process: ProcessChange,
+    /// The connections that the engine had before the update.
+    pub channels: Vec<Rc<Channel>>,
+}
+
+/// The engines by their numbers.
+#[derive(Default)]
+pub(super) struct EngineTable {
+    engines: RefCell<FxHashMap<u64, Engine>>,
+}
+
+impl EngineTable {
+    /// Applies an entry of the endpoint list. An engine that is gone stays until its last connection has closed.
+    pub fn upsert(&self, entry: &EndpointEntry) -> EngineUpdate {
+        let mut engines = self.engines.borrow_mut();
+        let engine = engines
+            .entry(entry.engine_id)
+            .or_insert_with(|| Engine::new(entry));
+        let process = engine.update(entry);
+        let channels = engine.channels().to_vec();
+        if engine.is_removable() {
+            engines.remove(&entry.engine_id);
+        }
+        EngineUpdate { process, channels }
+    }
+
+    /// Removes a closed connection, and the engine if it is gone and this was its last connection.
+    pub fn remove_channel(&self, channel: &Rc<Channel>) {
+        let mut engines = self.engines.borrow_mut();
+        if let Some(engine) = engines.get_mut(&channel.engine_id) {
+            engine.remove_channel(channel);
+            if engine.is_removable() {
+                engines.remove(&channel.engine_id);
+            }
+        }
+    }
+
+    /// Reads an engine; `None` if it is unknown.
+    pub fn with<T>(&self, engine_id: u64, read: impl FnOnce(&Engine) -> T) -> Option<T> {
+        self.engines.borrow().get(&engine_id).map(read)
+    }
+
+    /// Changes an engine; `None` if it is unknown.
+    pub fn with_mut<T>(&self, engine_id: u64, change: impl FnOnce(&mut Engine) -> T) -> Option<T> {
+        self.engines.borrow_mut().get_mut(&engine_id).map(change)
+    }
+
+    /// Visits all engines.
+    pub fn for_each(&self, visit: impl FnMut(&Engine)) {
+        self.engines.borrow().values().for_each(visit);
+    }
+
+    /// Reads the endpoint list's facts about the engine of a connection; `None` is passed if the engine is unknown.
+    pub fn with_facts<T>(
+        &self,
+        channel: &Channel,
+        read: impl FnOnce(Option<EndpointFacts>) -> T,
+    ) -> T {
+        let engines = self.engines.borrow();
+        let engine = engines.get(&channel.engine_id);
+        read(engine.map(|engine| engine.facts(channel)))
+    }
+
+    /// The connection to an engine that carries an attempt of a query.
+    pub fn locate(&self, engine_id: u64, id: &str, query_id: u64) -> Option<Rc<Channel>> {
+        let engines = self.engines.borrow();
+        let carries = |channel: &&Rc<Channel>| {
+            let connection = channel.connection.borrow();
+            let attempt = connection.attempts.get(id);
+            attempt.is_some_and(|attempt| attempt.query_id == query_id)
+        };
+        let engine = engines.get(&engine_id)?;
+        engine.channels().iter().find(carries).cloned()
+    }
+
+    /// The idle connection that was used least recently, over all engines.
+    pub fn least_recently_used(&self) -> Option<Rc<Channel>> {
+        let engines = self.engines.borrow();
+        let channels = engines.values().flat_map(Engine::channels);
+        let idle = channels.filter(|channel| channel.is_idle());
+        let longest = idle.min_by(|first, second| {
+            let by_time = first.idle_since_ms().total_cmp(&second.idle_since_ms());
+            by_time.then(first.engine_id.cmp(&second.engine_id))
+        });
+        longest.cloned()
+    }
+}
--- /dev/null
+++ b/crates/dispatcher/src/engine/idle_reuse.rs
@@ -0,0 +1,76 @@
+//! How long connections may idle and still be reused, learned from the outcomes of reuses.
+
+use super::connection::IdleReuse;
+use super::keep_alive::{KeepAlive, ReuseOutcome, MIN_IDLE_MS};
+use crate::clock::Clock;
+use crate::query_registry::QueryRegistry;
+use std::cell::RefCell;
+use std::rc::Rc;
+
+/// Records the outcomes of reuses, with their counters and log lines.
+pub(super) struct ReuseTracker {
+    registry: Rc<QueryRegistry>,
+    clock: Clock,
+    keep_alive: RefCell<KeepAlive>,
+}
+
+impl ReuseTracker {
+    /// A tracker without any outcome.
+    pub fn new(registry: Rc<QueryRegistry>, clock: Clock) -> Self {
+        ReuseTracker {
+            registry,
+            clock,
+            keep_alive: RefCell::default(),
+        }
+    }
+
+    /// Longest idle time (ms) after which a connection is reused: see [`KeepAlive::max_idle_ms`].
+    pub fn max_idle_ms(&self, now_ms: f64) -> f64 {
+        self.keep_alive.borrow_mut().max_idle_ms(now_ms)
+    }
+
+    /// The same for now, while a longer idle time may be on trial: see [`KeepAlive::trusted_idle_ms`].
+    pub fn trusted_idle_ms(&self, now_ms: f64) -> f64 {
+        self.keep_alive.borrow_mut().trusted_idle_ms(now_ms)
+    }
+
+    /// Whether connections were lost in silence: see [`KeepAlive::has_silent_losses`].
+    pub fn has_silent_losses(&self) -> bool {
+        self.keep_alive.borrow().has_silent_losses()
+    }
+
+    /// A connection is reused after it idled.
+    pub fn begin(&self, now_ms: f64, reuse: IdleReuse) {
+        let mut keep_alive = self.keep_alive.borrow_mut();
+        keep_alive.begin_reuse(now_ms, reuse.idle_ms);
+    }
+
+    /// The engine answered on a reused connection.
+    pub fn record_answered(&self, now_ms: f64, reuse: IdleReuse) {
+        self.record(now_ms, reuse, ReuseOutcome::Answered);
+    }
+
+    /// A reused connection ended before any answer. Returns whether it counts as lost: it ended as soon as it was reused,
+    /// so the other end or a middlebox had closed it before, which is no evidence about the engine's health.
+    pub fn record_if_lost(&self, now_ms: f64, reuse: IdleReuse) -> bool {
+        if now_ms - reuse.sent_ms >= MIN_IDLE_MS {
+            return false;
+        }
+        self.record(now_ms, reuse, ReuseOutcome::Lost);
+        self.registry.counters.idle_connections_lost.increment();
+        true
+    }
+
+    /// A reused connection stayed silent while its engine was heard on another one.
+    pub fn record_silent_loss(&self, engine_id: u64, reuse: IdleReuse) {
+        let engine_id = format_args!("{engine_id:08x}");
+        tracing::warn!(%engine_id, idle_ms = reuse.idle_ms, "idle connection lost in silence");
+        self.registry.counters.idle_connections_lost.increment();
+        self.record(self.clock.now(), reuse, ReuseOutcome::LostInSilence);
+    }
+
+    fn record(&self, now_ms: f64, reuse: IdleReuse, outcome: ReuseOutcome) {
+        let mut keep_alive = self.keep_alive.borrow_mut();
+        keep_alive.record(now_ms, reuse.idle_ms, outcome);
+    }
+}
--- a/crates/dispatcher/src/engine/mod.rs
+++ b/crates/dispatcher/src/engine/mod.rs
@@ -4,17 +4,30 @@
 //! [`EngineCommand`](crate::query_registry::EngineCommand); results go back to them as an
 //! [`Event`](crate::query_registry::Event). The engine side never retries and never chooses another engine by itself.
 //!
-//! Start reading at [`commands`] (execution of the decisions' commands) and [`pool`] (which connections exist, and
-//! which one carries an attempt). [`channel`] runs one connection's task, [`connect`] and [`begin`] are its steps that
-//! can fail or be refused, [`connection`] is its state machine, [`protocol`] has the words of the engine protocol.
-//! [`timeouts`] expires attempts and connections, [`health`] finds out whether engines are reachable.
+//! Start reading at [`pool`], which composes the owners of the state:
+//!
+//! - [`engine_table`] and [`engine_entry`]: the engines of the endpoint list, and the connections to each.
+//! - [`allocation`] and [`descriptor_limit`]: the connection of each attempt, and the limits of connections.
+//! - [`begin`]: the single place that every attempt passes before its first byte.
+//! - [`abandon`], [`close`], [`timeouts`] and [`reports`]: the ends of attempts and connections.
+//! - [`silence`], [`idle_reuse`] and [`keep_alive`]: connections that are lost without a reset.
+//! - [`channel_task`] and [`connect`]: the I/O of one connection, whose events go to a [`channel_handler`].
+//!   [`connection`] is its state machine, [`protocol`] has the words of the engine protocol.
 
+mod abandon;
+mod allocation;
 mod begin;
 mod channel;
-mod commands;
+mod channel_error;
+mod channel_handler;
+mod channel_task;
+mod close;
 mod connect;
 mod connection;
-mod health;
+mod descriptor_limit;
+mod engine_entry;
+mod engine_table;
+mod idle_reuse;
 mod keep_alive;
 mod pool;
 mod protocol;
@@ -23,6 +36,7 @@
 mod resp;
 mod rows;
 mod settings;
+mod silence;
 mod timeouts;
 
 pub use pool::EnginePool;
--- /dev/null
+++ b/crates/dispatcher/src/engine/pool/channel_events.rs
@@ -0,0 +1,118 @@
+//! Handles the events of connections: connects, frames and ends.
+
+use super::EnginePool;
+use crate::clock::Clock;
+use crate::engine::channel::Channel;
+use crate::engine::channel_error::ChannelError;
+use crate::engine::channel_handler::ChannelHandler;
+use crate::engine::connection::{ConnectionState, FrameEvent};
+use crate::engine::protocol_error::ProtocolError;
+use crate::engine::reports::AttemptReport;
+use crate::engine::resp::Frame;
+use crate::query_registry::{AttemptKey, Event};
+use std::cell::RefCell;
+use std::io;
+use std::rc::Rc;
+use std::time::Duration;
+
+impl ChannelHandler for EnginePool {
+    fn clock(&self) -> Clock {
+        self.clock
+    }
+
+    fn connect_timeout(&self) -> Duration {
+        self.settings.connect_timeout()
+    }
+
+    fn read_buffer(&self) -> &RefCell<Vec<u8>> {
+        &self.read_buffer
+    }
+
+    fn on_local_connect_fault(&self, channel: &Channel, error: &io::Error) {
+        let engine_id = format_args!("{:08x}", channel.engine_id);
+        tracing::warn!(%engine_id, %error, "connect failed on this machine");
+        self.registry.counters.local_connect_faults.increment();
+    }
+
+    fn on_connect_timeout(self: &Rc<Self>, channel: &Rc<Channel>) {
+        self.handle_connect_timeout(channel);
+    }
+
+    fn on_connected(&self, channel: &Channel) {
+        let mut connection = channel.connection.borrow_mut();
+        if connection.state == ConnectionState::Late {
+            self.registry.counters.connects_after_timeout.increment();
+        }
+        let engine_id = format_args!("{:08x}", channel.engine_id);
+        tracing::debug!(connection = channel.number, %engine_id, "engine connection up");
+        connection.on_connected(self.clock.now());
+        drop(connection);
+        self.engines
+            .with_mut(channel.engine_id, |engine| engine.on_connected());
+        self.silence.on_reachable(channel.engine_id);
+    }
+
+    fn on_writable(&self, channel: &Channel) -> Option<AttemptKey> {
+        // Last check before a request's first byte: none is started after its `start_by_ms`.
+        self.abandoner.abandon_too_late(channel);
+        self.gate.begin_next(channel)
+    }
+
+    fn on_attempt_begun(&self, key: &AttemptKey) {
+        self.registry.on_attempt_begun(key, self.clock.now());
+    }
+
+    fn on_frame(&self, channel: &Channel, frame: &Frame) -> Result<(), ProtocolError> {
+        let now_ms = self.clock.now();
+        let mut connection = channel.connection.borrow_mut();
+        if let Some(reuse) = connection.idle_reuse.take() {
+            self.reuses.record_answered(now_ms, reuse);
+        }
+        let event = connection.receive(frame, now_ms)?;
+        drop(connection);
+        self.silence.on_frame(channel.engine_id, now_ms);
+        self.report_frame(channel.engine_id, event, now_ms);
+        Ok(())
+    }
+
+    fn on_closed(&self, channel: &Rc<Channel>, error: Option<&ChannelError>) {
+        self.allocator.release(channel);
+        self.closer.close(channel, error);
+    }
+}
+
+impl EnginePool {
+    /// Reports the event of a frame to the decisions.
+    fn report_frame(&self, engine_id: u64, event: FrameEvent, now_ms: f64) {
+        match event {
+            FrameEvent::AttemptEnded {
+                query_id,
+                attempt,
+                outcome,
+                sent_ms,
+                pages,
+            } => self.reporter.report_ended(AttemptReport {
+                query_id,
+                attempt,
+                outcome,
+                engine_id,
+                latency_ms: now_ms - sent_ms,
+                pages,
+            }),
+            FrameEvent::Progress {
+                query_id,
+                attempt,
+                note,
+            } => self.registry.push_event(Event::ProgressReported {
+                query_id,
+                attempt,
+                kind: note.kind,
+                amount: note.amount,
+            }),
+            FrameEvent::HealthChecked(outcome) => {
+                self.reporter.report_health(engine_id, outcome, 1);
+            }
+            FrameEvent::Ignored => {}
+        }
+    }
+}
--- a/crates/dispatcher/src/engine/commands.rs
+++ b/crates/dispatcher/src/engine/pool/commands.rs
@@ -1,14 +1,16 @@
 //! Executes the decisions' commands: submit, withdraw, cancel, set priority, check health.
 
-use super::channel::Channel;
-use super::connection::Attempt;
-use super::pool::EnginePool;
-use super::protocol::RequestFields;
-use super::reports::AttemptReport;
-use super::settings::MIN_SILENCE_MS;
+use super::EnginePool;
+use crate::engine::allocation::ChannelRequest;
+use crate::engine::channel::Channel;
+use crate::engine::connection::{Attempt, IdleReuse};
+use crate::engine::engine_entry::Engine;
+use crate::engine::protocol::RequestFields;
+use crate::engine::reports::AttemptReport;
+use crate::engine::settings::MIN_SILENCE_MS;
 use crate::query_registry::{EngineCommand, Pages};
 use std::rc::Rc;
-use tansymux::events::{AttemptLimits, EndpointState, Outcome};
+use tansymux::events::{AttemptLimits, Outcome};
 
 /// After an attempt was sent on a connection that had idled, the engine is checked over another connection if no
 /// frame arrived for this multiple of the attempt's estimated run time: a dead connection accepts writes and never
@@ -70,24 +72,24 @@
             return;
         };
         let limits = order.limits;
-        // A list may have closed the engine since it was chosen, in the same round.
+        // The endpoint list may have closed the engine since it was chosen, in the same round.
         if !self.takes_attempts(order.engine_id) {
             return self.report_not_sent(order, Outcome::Withdrawn);
         }
-        let Some(channel) =
-            self.select_channel(order.engine_id, &request.id, limits.side_effect_free)
-        else {
+        let channel_request = ChannelRequest {
+            engine_id: order.engine_id,
+            id: &request.id,
+            side_effect_free: limits.side_effect_free,
+        };
+        let Some(channel) = self.allocator.select(self, &channel_request) else {
             return self.report_not_sent(order, Outcome::NoConnection);
         };
         let attempt = Attempt::new(order.query_id, order.number, now_ms, limits);
         let mut connection = channel.connection.borrow_mut();
         connection.submit(&request.id, request.fields, request.statement, attempt);
-        let went_out_after_idling = connection
-            .idle_reuse
-            .is_some_and(|reuse| reuse.sent_ms == now_ms);
-        if let Some(reuse) = connection.idle_reuse.filter(|_| went_out_after_idling) {
-            let mut keep_alive = self.keep_alive.borrow_mut();
-            keep_alive.begin_reuse(now_ms, reuse.idle_ms);
+        let is_reused_now = |reuse: &IdleReuse| reuse.sent_ms == now_ms;
+        if let Some(reuse) = connection.idle_reuse.filter(is_reused_now) {
+            self.reuses.begin(now_ms, reuse);
             connection.check_at_ms = now_ms + self.check_after_ms(request.cost_ms);
         }
         drop(connection);
@@ -95,13 +97,12 @@
     }
 
     fn takes_attempts(&self, engine_id: u64) -> bool {
-        let engines = self.engines.borrow();
-        let engine = engines.get(&engine_id);
-        engine.is_some_and(|engine| engine.state == EndpointState::Ready)
+        let is_ready = self.engines.with(engine_id, Engine::is_ready);
+        is_ready.unwrap_or(false)
     }
 
     fn report_not_sent(&self, order: &AttemptOrder, outcome: Outcome) {
-        self.report_ended(AttemptReport {
+        self.reporter.report_ended(AttemptReport {
             query_id: order.query_id,
             attempt: order.number,
             outcome,
@@ -120,8 +121,8 @@
         })
     }
 
-    /// Silence (ms) after which the engine is checked, for an attempt with this estimated run time. An unknown
-    /// estimate (0) gives no bound of its own.
+    /// Silence (ms) after which the engine is checked, for an attempt with this estimated run time. Where the estimate is
+    /// unknown (0), the limit of the settings applies.
     fn check_after_ms(&self, cost_ms: f64) -> f64 {
         let run_times_ms = if cost_ms > 0.0 {
             CHECK_AFTER_RUN_TIMES * cost_ms
@@ -133,19 +134,12 @@
             .min(self.settings.max_silence_ms())
     }
 
-    /// Finds the connection that carries the query's attempt: it is one of the engine that the last attempt went to.
+    /// Finds the connection that carries the query's attempt: it leads to the engine of the last attempt.
     fn locate(&self, query_id: u64) -> Option<Located> {
         let (id, engine_id) = self
             .registry
             .with_query(query_id, |query| (query.id.clone(), query.engine_id))?;
-        let engines = self.engines.borrow();
-        let engine = engines.get(&engine_id)?;
-        let carries = |channel: &&Rc<Channel>| {
-            let connection = channel.connection.borrow();
-            let attempt = connection.attempts.get(&id);
-            attempt.is_some_and(|attempt| attempt.query_id == query_id)
-        };
-        let channel = engine.channels.iter().find(carries)?.clone();
+        let channel = self.engines.locate(engine_id, &id, query_id)?;
         Some(Located { channel, id })
     }
 
@@ -169,18 +163,18 @@
             .get(&id)
             .map(|attempt| attempt.number);
         if current == Some(number) {
-            self.abandon(&channel, &id, Outcome::Cancelled);
+            self.abandoner.abandon(&channel, &id, Outcome::Cancelled);
         }
     }
 
-    /// Withdraws the attempt of a completed query, unless its request has been written whole.
+    /// Withdraws the attempt of a completed query, unless its request has been written completely.
     fn withdraw(&self, query_id: u64) {
         let Some(Located { channel, id }) = self.locate(query_id) else {
             return;
         };
         let is_written = channel.connection.borrow().is_fully_written(&id);
         if !is_written {
-            self.abandon(&channel, &id, Outcome::Cancelled);
+            self.abandoner.abandon(&channel, &id, Outcome::Cancelled);
         }
     }
 }
--- a/crates/dispatcher/src/engine/protocol.rs
+++ b/crates/dispatcher/src/engine/protocol.rs
@@ -27,7 +27,7 @@
 /// Reply word: the first page of the result.
 const FIRST_PAGE: &[u8] = b"DONE";
 /// Reply word: a further page of the result.
-const FURTHER_PAGE: &[u8] = b"MORE";
+const NUMBERED_PAGE: &[u8] = b"MORE";
 /// Reply word: the engine has no capacity for the attempt.
 const FULL: &[u8] = b"WAIT";
 /// Reply word: the attempt's time limit had passed before it started.
@@ -186,7 +186,7 @@
         rows: &'a [u8],
     },
     /// A further page of the result.
-    FurtherPage {
+    NumberedPage {
         /// The page's number, from 0; `None` if the field is missing or not a number.
         page_number: Option<usize>,
         /// The page's rows.
@@ -213,7 +213,7 @@
                 page_count: number_field(fields, PAGE_COUNT_FIELD),
                 rows: frame.element(3),
             }),
-            FURTHER_PAGE => Ok(EngineReply::FurtherPage {
+            NUMBERED_PAGE => Ok(EngineReply::NumberedPage {
                 page_number: number_field(fields, PAGE_NUMBER_FIELD),
                 rows: frame.element(3),
             }),
--- a/crates/dispatcher/src/engine/reports.rs
+++ b/crates/dispatcher/src/engine/reports.rs
@@ -1,11 +1,11 @@
-//! Reports the ends of attempts to the decisions, and abandons attempts.
+//! Reports the ends of attempts and health checks to the decisions.
 
-use super::channel::Channel;
-use super::connection::{Abandoned, ConnectionState};
-use super::health::SilenceScope;
-use super::pool::EnginePool;
-use crate::query_registry::{AttemptKey, Event, Pages};
+use crate::clock::Clock;
+use crate::query_registry::{AttemptKey, Event, Pages, QueryRegistry};
 use crate::trace::TraceEvent;
+use std::cell::RefCell;
+use std::collections::VecDeque;
+use std::rc::Rc;
 use tansymux::events::Outcome;
 
 /// Delay (ms) before the end of an abandoned attempt is reported. Its query may then be retried on another
@@ -24,12 +24,6 @@
     pub pages: Pages,
 }
 
-/// The end of an abandoned attempt, to be reported at `due_ms`.
-pub(super) struct SettlingReport {
-    due_ms: f64,
-    event: Event,
-}
-
 impl From<AttemptReport> for Event {
     fn from(report: AttemptReport) -> Event {
         Event::AttemptEnded {
@@ -43,45 +37,38 @@
     }
 }
 
-/// The outcome of an attempt that provably never ran and was given up as `outcome`. It counts against the engine only
-/// where the engine kept it from going out: no connection came up in time, or an open one was not read.
-fn unsent_outcome(outcome: Outcome, is_connection_up: bool) -> Outcome {
-    match outcome {
-        Outcome::NoConnection => Outcome::NoConnection,
-        Outcome::Timeout if is_connection_up => Outcome::NoConnection,
-        _ => Outcome::Withdrawn,
-    }
+/// The end of an abandoned attempt, to be reported at `due_ms`.
+struct SettlingReport {
+    due_ms: f64,
+    event: Event,
+}
+
+/// Reports to the decisions, through the registry.
+pub(super) struct Reporter {
+    registry: Rc<QueryRegistry>,
+    clock: Clock,
+    /// Ends of abandoned attempts whose report is delayed, in the order of their due times.
+    settling: RefCell<VecDeque<SettlingReport>>,
 }
 
-impl EnginePool {
+impl Reporter {
+    /// A reporter without delayed reports.
+    pub fn new(registry: Rc<QueryRegistry>, clock: Clock) -> Self {
+        Reporter {
+            registry,
+            clock,
+            settling: RefCell::default(),
+        }
+    }
+
     /// Reports the end of an attempt immediately.
-    pub(super) fn report_ended(&self, report: AttemptReport) {
+    pub fn report_ended(&self, report: AttemptReport) {
         self.note_ended(&report);
         self.registry.push_event(report.into());
     }
 
-    /// Counts and logs the end of an attempt.
-    fn note_ended(&self, report: &AttemptReport) {
-        self.registry.counters.count_outcome(report.outcome);
-        let key = AttemptKey {
-            query_id: report.query_id,
-            attempt: report.attempt,
-            engine_id: report.engine_id,
-        };
-        let event = TraceEvent::AttemptEnded(report.outcome);
-        self.registry.trace_attempt(&key, event);
-        tracing::debug!(
-            query_id = report.query_id,
-            attempt = report.attempt,
-            engine_id = %format_args!("{:08x}", report.engine_id),
-            outcome = ?report.outcome,
-            latency_ms = report.latency_ms,
-            "attempt ended"
-        );
-    }
-
     /// Reports the end of an attempt that this side abandoned, after [`SETTLE_MS`].
-    pub(super) fn report_abandoned(&self, report: AttemptReport) {
+    pub fn report_abandoned(&self, report: AttemptReport) {
         self.note_ended(&report);
         let due_ms = self.clock.now() + SETTLE_MS;
         let event = report.into();
@@ -92,7 +79,7 @@
     }
 
     /// Publishes the delayed reports that are due. Returns when the next one is (ms), or infinity.
-    pub(super) fn publish_settled(&self, now_ms: f64) -> f64 {
+    pub fn publish_settled(&self, now_ms: f64) -> f64 {
         let mut settling = self.settling.borrow_mut();
         while let Some(settled) = settling.pop_front_if(|report| report.due_ms <= now_ms) {
             self.registry.push_event(settled.event);
@@ -101,41 +88,31 @@
         next.map_or(f64::INFINITY, |report| report.due_ms)
     }
 
-    /// Abandons an attempt and reports its end: as `outcome` if it may have run, else as [`unsent_outcome`].
-    pub(super) fn abandon(&self, channel: &Channel, id: &str, outcome: Outcome) {
-        let now_ms = self.clock.now();
-        let mut connection = channel.connection.borrow_mut();
-        let Some(Abandoned { attempt, was_sent }) = connection.abandon(id, now_ms) else {
-            return;
-        };
-        // Silent for longer than the progress interval: the connection may be dead. The next attempt uses another
-        // one.
-        let is_up = connection.state == ConnectionState::Up;
-        let unsent_outcome = unsent_outcome(outcome, is_up);
-        let silent_ms = now_ms - connection.last_frame_ms.max(attempt.sent_ms);
-        let may_be_dead = was_sent && silent_ms > self.settings.max_silence_ms();
-        connection.retired |= may_be_dead;
-        let silent_reuse = connection.idle_reuse.take_if(|_| may_be_dead);
-        drop(connection);
-        channel.notify.notify();
-        if let Some(reuse) = silent_reuse {
-            self.on_silent_reuse(channel.engine_id, reuse);
+    /// Reports the same outcome for `count` health checks of an engine.
+    pub fn report_health(&self, engine_id: u64, outcome: Outcome, count: usize) {
+        for _ in 0..count {
+            self.registry
+                .push_event(Event::HealthCheckEnded { engine_id, outcome });
         }
-        if may_be_dead {
-            self.retire_idle(channel.engine_id, SilenceScope::Engine);
-        }
-        let report = AttemptReport {
-            query_id: attempt.query_id,
-            attempt: attempt.number,
-            outcome: if was_sent { outcome } else { unsent_outcome },
-            engine_id: channel.engine_id,
-            latency_ms: now_ms - attempt.sent_ms,
-            pages: Pages::new(),
+    }
+
+    /// Counts and logs the end of an attempt.
+    fn note_ended(&self, report: &AttemptReport) {
+        self.registry.counters.count_outcome(report.outcome);
+        let key = AttemptKey {
+            query_id: report.query_id,
+            attempt: report.attempt,
+            engine_id: report.engine_id,
         };
-        if report.outcome == Outcome::Cancelled {
-            self.report_abandoned(report);
-        } else {
-            self.report_ended(report);
-        }
+        let event = TraceEvent::AttemptEnded(report.outcome);
+        self.registry.trace_attempt(&key, event);
+        tracing::debug!(
+            query_id = report.query_id,
+            attempt = report.attempt,
+            engine_id = %format_args!("{:08x}", report.engine_id),
+            outcome = ?report.outcome,
+            latency_ms = report.latency_ms,
+            "attempt ended"
+        );
     }
 }
--- a/crates/dispatcher/src/engine/timeouts.rs
+++ b/crates/dispatcher/src/engine/timeouts.rs
@@ -1,15 +1,19 @@
 //! Expires attempts, health checks, incomplete frames and idle connections.
 
+use super::abandon::Abandoner;
 use super::channel::Channel;
 use super::connection::{CloseReason, Connection, ConnectionState};
+use super::engine_table::EngineTable;
+use super::idle_reuse::ReuseTracker;
 use super::keep_alive::MIN_IDLE_MS;
-use super::pool::EnginePool;
 use super::protocol_error::ProtocolError;
+use super::reports::Reporter;
+use crate::clock::Clock;
 use std::rc::Rc;
 use tansymux::events::Outcome;
 
 /// A retired connection unused for this long (ms) is closed without writing the rest of its outbox: its engine does
-/// not read. Twice the connect timeout of the operators' pages.
+/// not read. Twice the operators' connect timeout.
 const LAST_WRITE_MS: f64 = 500.0;
 
 /// How long connections may currently idle.
@@ -20,104 +24,135 @@
     allowed_ms: f64,
 }
 
+impl IdleLimits {
+    /// How long (ms) a connection may idle before it is closed. Where idle connections are not trusted, an unused one is
+    /// the spare for the next attempt and stays open.
+    fn limit(&self, connection: &Connection, was_used_last: bool) -> f64 {
+        let keeps_spare = self.trusted_ms <= MIN_IDLE_MS;
+        if connection.unused && keeps_spare {
+            self.allowed_ms
+        } else if was_used_last {
+            self.trusted_ms.min(self.allowed_ms)
+        } else {
+            MIN_IDLE_MS
+        }
+    }
+}
+
 /// A connection to examine.
 struct Entry {
     channel: Rc<Channel>,
-    /// It is the most recently used idle connection to its engine. Only that one may idle for longer: if every
-    /// dispatcher kept all of its own, engines would hold too many.
+    /// Whether it is the most recently used idle connection to its engine. Only that one may idle for longer: if every
+    /// dispatcher kept all of its own, each engine would hold too many.
     was_used_last: bool,
 }
 
-impl EnginePool {
-    /// Moves all later deadlines of attempts forward to `deadline_ms`.
-    pub fn limit_deadlines(&self, deadline_ms: f64) {
-        let engines = self.engines.borrow();
-        for channel in engines.values().flat_map(|engine| &engine.channels) {
-            channel.connection.borrow_mut().limit_deadlines(deadline_ms);
+/// The result of an expiry.
+pub(super) struct Expired {
+    /// When to expire again (ms), or infinity.
+    pub next_ms: f64,
+    /// Engines whose reachability is due to be checked.
+    pub unsure_engines: Vec<u64>,
+}
+
+/// Expires what is due.
+pub(super) struct Timeouts {
+    clock: Clock,
+    /// Idle time (ms) that the settings allow.
+    max_idle_ms: f64,
+    engines: Rc<EngineTable>,
+    abandoner: Rc<Abandoner>,
+    reporter: Rc<Reporter>,
+    reuses: Rc<ReuseTracker>,
+}
+
+impl Timeouts {
+    /// Timeouts of the connections in `engines`, which may idle for `max_idle_ms` by the settings.
+    pub fn new(
+        clock: Clock,
+        max_idle_ms: f64,
+        engines: Rc<EngineTable>,
+        abandoner: Rc<Abandoner>,
+        reporter: Rc<Reporter>,
+        reuses: Rc<ReuseTracker>,
+    ) -> Self {
+        Timeouts {
+            clock,
+            max_idle_ms,
+            engines,
+            abandoner,
+            reporter,
+            reuses,
         }
     }
 
-    /// Expires what is due and closes idle connections. Returns the time (ms) at which to call it again, or infinity.
-    pub fn expire(self: &Rc<Self>) -> f64 {
+    /// Expires what is due on all connections, and retires those that have idled for too long.
+    pub fn expire(&self) -> Expired {
         let now_ms = self.clock.now();
-        let mut next_ms = self.publish_settled(now_ms);
+        let mut expired = Expired {
+            next_ms: self.reporter.publish_settled(now_ms),
+            unsure_engines: Vec::new(),
+        };
         let idle_limits = IdleLimits {
-            trusted_ms: self.keep_alive.borrow_mut().max_idle_ms(now_ms),
-            allowed_ms: self.settings.max_idle_ms(),
+            trusted_ms: self.reuses.max_idle_ms(now_ms),
+            allowed_ms: self.max_idle_ms,
         };
-        let mut unsure_engines = Vec::new();
-        for Entry {
-            channel,
-            was_used_last,
-        } in self.entries()
-        {
-            self.expire_attempts(&channel, now_ms);
-            self.expire_health_checks(&channel, now_ms);
-            let mut connection = channel.connection.borrow_mut();
-            if connection.take_stalled_frame(now_ms) {
-                connection.close_reason = Some(CloseReason::Protocol(ProtocolError::StalledFrame));
-                channel.notify.notify();
-            }
-            if connection.take_due_reachability_check(now_ms) {
-                unsure_engines.push(channel.engine_id);
-            }
-            let max_idle_ms = idle_limits.limit(&connection, was_used_last);
-            if retire_if_idle(&mut connection, now_ms, max_idle_ms) {
-                channel.notify.notify();
-            }
-            next_ms = next_ms.min(connection.next_deadline_ms(now_ms));
-        }
-        self.evict_for_waiting();
-        for engine_id in unsure_engines {
-            self.check_reachability(engine_id);
+        for entry in self.entries() {
+            self.expire_channel(&entry, &idle_limits, now_ms, &mut expired);
         }
-        next_ms
+        expired
     }
 
     /// All connections; which one was used last is determined before anything expires.
     fn entries(&self) -> Vec<Entry> {
-        let idle_since_ms = |channel: &Rc<Channel>| channel.connection.borrow().idle_since_ms();
         let mut entries = Vec::new();
-        for engine in self.engines.borrow().values() {
-            let idle_times = engine.channels.iter().map(idle_since_ms);
+        self.engines.for_each(|engine| {
+            let idle_times = engine
+                .channels()
+                .iter()
+                .map(|channel| channel.idle_since_ms());
             let last_ms = idle_times.fold(f64::NEG_INFINITY, f64::max);
-            for channel in &engine.channels {
+            for channel in engine.channels() {
                 entries.push(Entry {
-                    was_used_last: idle_since_ms(channel) >= last_ms,
+                    was_used_last: channel.idle_since_ms() >= last_ms,
                     channel: channel.clone(),
                 });
             }
-        }
+        });
         entries
     }
 
-    fn expire_attempts(&self, channel: &Channel, now_ms: f64) {
-        let expired = channel.connection.borrow().expired_attempts(now_ms);
-        for id in &expired {
-            self.abandon(channel, id, Outcome::Timeout);
+    fn expire_channel(
+        &self,
+        entry: &Entry,
+        idle_limits: &IdleLimits,
+        now_ms: f64,
+        expired: &mut Expired,
+    ) {
+        let channel = &entry.channel;
+        self.abandoner.abandon_expired(channel, now_ms);
+        self.expire_health_checks(channel, now_ms);
+        let mut connection = channel.connection.borrow_mut();
+        if connection.take_stalled_frame(now_ms) {
+            connection.close_reason = Some(CloseReason::Protocol(ProtocolError::StalledFrame));
+            channel.notify.notify();
         }
+        if connection.take_due_reachability_check(now_ms) {
+            expired.unsure_engines.push(channel.engine_id);
+        }
+        let max_idle_ms = idle_limits.limit(&connection, entry.was_used_last);
+        if retire_if_idle(&mut connection, now_ms, max_idle_ms) {
+            channel.notify.notify();
+        }
+        expired.next_ms = expired.next_ms.min(connection.next_deadline_ms(now_ms));
     }
 
     fn expire_health_checks(&self, channel: &Channel, now_ms: f64) {
         let mut connection = channel.connection.borrow_mut();
         let expired = connection.expire_health_checks(now_ms);
         connection.retired |= expired.connection_silent;
-        self.report_health(channel.engine_id, Outcome::Timeout, expired.count);
-    }
-}
-
-impl IdleLimits {
-    /// How long (ms) a connection may idle before it is closed. If idle connections are not trusted, an unused one is
-    /// the spare for the next attempt and is kept.
-    fn limit(&self, connection: &Connection, was_used_last: bool) -> f64 {
-        let keeps_spare = self.trusted_ms <= MIN_IDLE_MS;
-        if connection.unused && keeps_spare {
-            self.allowed_ms
-        } else if was_used_last {
-            self.trusted_ms.min(self.allowed_ms)
-        } else {
-            MIN_IDLE_MS
-        }
+        self.reporter
+            .report_health(channel.engine_id, Outcome::Timeout, expired.count);
     }
 }
 
