--- a/crates/dispatcher/src/config/endpoints.rs
+++ b/crates/dispatcher/src/config/endpoints.rs
@@ -42,7 +42,7 @@
     if known.is_missing() {
         return Ok(directory);
     }
-    directory.serial = known.child("cursor").number_or(0.0, 0.0)? as u32;
+    directory.set_serial(known.child("cursor").number_or(0.0, 0.0)? as u32);
     for event in known.child("cmds").items()? {
         for instance in event.child("nodes").child("instances").items()? {
             let entry = read_endpoint(&instance, &mut directory)?;
--- a/crates/dispatcher/src/config/tests.rs
+++ b/crates/dispatcher/src/config/tests.rs
@@ -27,7 +27,7 @@
         (
             config.connection_settings.connect_timeout_ms,
             config.connection_settings.idle_timeout_ms,
-            config.directory.serial
+            config.directory.serial()
         ),
         (9.0, 30_000.0, 2)
     );
--- a/crates/dispatcher/src/discovery/directory.rs
+++ b/crates/dispatcher/src/discovery/directory.rs
@@ -1,6 +1,9 @@
 //! The accepted endpoint list, and the rules by which an answer of the name service changes it. No I/O, no clock.
 
+use super::departed_engines::DepartedEngines;
+use super::engine_ids::EngineIds;
 use super::engine_starts::EngineStarts;
+use super::list_version::{AnswerSource, ListVersion, Relation};
 use super::records::{
     drop_superseded, entry_of, fingerprint, merge_duplicates, start_of, HostName,
 };
@@ -8,59 +11,27 @@
 use crate::clock::WallClock;
 use crate::dns::Answer;
 use crate::query_registry::EndpointEntry;
-use rustc_hash::{FxHashMap, FxHashSet};
-use std::collections::VecDeque;
+use rustc_hash::FxHashMap;
 use tansymux::events::EndpointState;
 
-/// Endpoints of a list at most: a bound on memory, above the largest pool (operators' page: 3,200).
+/// Maximum number of endpoints in a list: a bound on memory, above the largest pool of the operators (3,200).
 const MAX_ENGINES: usize = 4096;
-/// Serial steps per engine that are plausible between two answers: it drains, leaves and is replaced, twice over.
-const MAX_EVENTS_PER_ENGINE: usize = 6;
 
-/// The accepted endpoint list. Every dispatcher gives an engine the same number, derived from its id alone.
+/// The accepted endpoint list.
 #[derive(Debug, Default)]
 pub struct EndpointDirectory {
-    engine_ids: FxHashMap<String, u64>,
-    /// The numbers in `engine_ids`.
-    assigned: FxHashSet<u64>,
+    engine_ids: EngineIds,
     /// The list as last reported.
     engines: FxHashMap<u64, EndpointEntry>,
-    /// The serial of the list: the number of its latest change.
-    pub serial: u32,
-    /// Fingerprint of the accepted answer; `None` while the list comes from the configuration.
-    fingerprint: Option<u64>,
-    /// Number of the query that was answered by the list.
-    query: u64,
-    /// A contradicting answer that waits to be confirmed by a second one.
-    unconfirmed: Option<AnswerSource>,
-    /// Engines that left, with their start times: an older list does not bring them back.
-    gone: FxHashMap<u64, Option<f64>>,
-    /// Their numbers, the latest last.
-    gone_order: VecDeque<u64>,
+    version: ListVersion,
+    departed: DepartedEngines,
     starts: EngineStarts,
 }
 
-/// What identifies an answer.
-#[derive(Debug, Clone, Copy)]
-struct AnswerSource {
-    serial: u32,
-    fingerprint: u64,
-    query: u64,
-}
-
-impl AnswerSource {
-    /// Whether a later answer has the same content, or a newer serial.
-    fn is_confirmed_by(&self, later: &AnswerSource) -> bool {
-        let steps = later.serial.wrapping_sub(self.serial) as i32;
-        let is_same = steps == 0 && later.fingerprint == self.fingerprint;
-        later.query > self.query && (is_same || steps > 0)
-    }
-}
-
-/// The result of an answer.
+/// The effect of an answer on the list.
 #[derive(Debug, PartialEq)]
 pub enum AnswerOutcome {
-    /// It was accepted: the whole list, followed by the engines that are gone.
+    /// It was accepted: the complete list, followed by the engines that are gone.
     Updated(Vec<EndpointEntry>),
     /// It brings nothing new.
     Unchanged,
@@ -68,35 +39,28 @@
     Rejected(RejectReason),
 }
 
-/// How an answer relates to the list.
-enum Relation {
-    /// It is newer by a plausible number of changes.
-    Newer,
-    /// It is the accepted answer.
-    Same,
-    /// It contradicts the list: one of the two is corrupt or outdated.
-    Contradicting(RejectReason),
-}
-
 /// An accepted update that has begun.
 struct Update {
     source: AnswerSource,
-    /// Its serial is not above that of the list, so it may come from a name service that lags behind.
+    /// Whether its serial is not above that of the list, so it may come from a name service that lags behind.
     is_not_newer: bool,
 }
 
 impl EndpointDirectory {
-    /// The number of an engine: a hash of its id, or the next free number if that is taken.
+    /// The number of an engine, derived from its id alone: see [`EngineIds::assign`].
     pub fn engine_id(&mut self, id: &str) -> u64 {
-        if let Some(&engine_id) = self.engine_ids.get(id) {
-            return engine_id;
-        }
-        let mut engine_id = u64::from(tansymux_operator_config::name_hash(id));
-        while !self.assigned.insert(engine_id) {
-            engine_id = (engine_id + 1) & 0xffff_ffff;
-        }
-        self.engine_ids.insert(id.to_owned(), engine_id);
-        engine_id
+        self.engine_ids.assign(id)
+    }
+
+    /// The serial of the list: the number of its latest change.
+    #[cfg(test)]
+    pub fn serial(&self) -> u32 {
+        self.version.serial
+    }
+
+    /// Sets the serial of the configuration's list.
+    pub fn set_serial(&mut self, serial: u32) {
+        self.version.serial = serial;
     }
 
     /// Adds or replaces an engine of the configuration's list.
@@ -104,7 +68,7 @@
         self.engines.insert(engine.engine_id, engine);
     }
 
-    /// The list's start times, which are Unix times, are times of the program's clock from now on.
+    /// Translates the list's start times, which are Unix times, to the program's clock, and all later ones.
     pub fn set_wall_clock(&mut self, wall_clock: WallClock) {
         self.starts.set_wall_clock(wall_clock);
         let starts = &mut self.starts;
@@ -117,7 +81,7 @@
         starts.on_list();
     }
 
-    /// Looks whether the wall clock was stepped.
+    /// Checks whether the wall clock was stepped.
     pub fn observe_wall_clock(&mut self) {
         self.starts.observe_wall_clock();
     }
@@ -129,9 +93,9 @@
         endpoints
     }
 
-    /// Applies the answer to query number `query`. One with a plausibly newer serial is accepted at once. One whose
-    /// serial leaps ahead or goes back, or whose records differ under the same serial, is accepted when the answer to
-    /// a later query confirms it. An engine without records is gone.
+    /// Applies the answer to query number `query`. An answer with a plausibly newer serial is accepted
+    /// immediately. If its serial is implausibly far ahead or older, or its records differ under the same serial, it is
+    /// accepted once the answer to a later query confirms it. An engine without records is gone.
     pub fn apply_answer(&mut self, answer: &Answer, query: u64) -> AnswerOutcome {
         let update = match self.begin_update(answer, query) {
             Ok(Some(update)) => update,
@@ -160,55 +124,28 @@
             fingerprint: fingerprint(answer),
             query,
         };
-        match self.relation(&source, answer.srv.len()) {
+        let endpoints = self.engines.len() + answer.srv.len();
+        match self.version.relation(&source, endpoints) {
             Relation::Same => {
                 self.starts.on_list();
-                self.unconfirmed = None;
-                self.query = self.query.max(query);
-                self.fingerprint = Some(source.fingerprint);
+                self.version.on_repeated(&source);
                 return Ok(None);
             }
             Relation::Newer => {}
             // An answer that arrived late is outdated, not suspicious.
-            Relation::Contradicting(_) if query <= self.query => return Ok(None),
-            Relation::Contradicting(reason) => self.confirm(source).ok_or(reason)?,
+            Relation::Contradicting(_) if self.version.is_late(&source) => return Ok(None),
+            Relation::Contradicting(reason) if !self.version.confirm(source) => {
+                return Err(reason);
+            }
+            Relation::Contradicting(_) => {}
         }
-        let is_not_newer = serial.wrapping_sub(self.serial) as i32 <= 0;
+        let is_not_newer = self.version.steps_to(&source) <= 0;
         Ok(Some(Update {
             source,
             is_not_newer,
         }))
     }
 
-    /// `Some` if this contradicting answer confirms the one before; otherwise it waits to be confirmed itself.
-    fn confirm(&mut self, source: AnswerSource) -> Option<()> {
-        match self.unconfirmed {
-            Some(first) if first.is_confirmed_by(&source) => Some(()),
-            // A copy of the waiting answer, or an earlier one, does not replace it.
-            Some(first) if source.query <= first.query => None,
-            _ => {
-                self.unconfirmed = Some(source);
-                None
-            }
-        }
-    }
-
-    fn relation(&self, source: &AnswerSource, endpoints: usize) -> Relation {
-        let steps = source.serial.wrapping_sub(self.serial) as i32;
-        let max_steps = (MAX_EVENTS_PER_ENGINE * (self.engines.len() + endpoints + 1)) as i32;
-        // The list of the configuration has no fingerprint to compare with.
-        let is_same = self
-            .fingerprint
-            .is_none_or(|known| known == source.fingerprint);
-        match steps {
-            0 if is_same => Relation::Same,
-            0 => Relation::Contradicting(RejectReason::RecordsDiffer),
-            1.. if steps <= max_steps => Relation::Newer,
-            1.. => Relation::Contradicting(RejectReason::SerialLeapsAhead),
-            _ => Relation::Contradicting(RejectReason::SerialGoesBack),
-        }
-    }
-
     fn entries_of(&mut self, answer: &Answer) -> Vec<EndpointEntry> {
         let mut entries = Vec::new();
         for srv in &answer.srv {
@@ -230,15 +167,16 @@
     }
 
     /// Keeps engines draining or gone that were reported so, unless they have restarted since: an older list may come
-    /// from a name service that lags behind. If that would leave no engine ready, the list is taken as it is.
+    /// from a name service that lags behind. If that would leave no engine ready, the list is accepted unchanged.
     fn keep_known_ends(&self, entries: &mut Vec<EndpointEntry>) {
         let is_ready = |entry: &EndpointEntry| entry.state == EndpointState::Ready;
-        let has_ended = |entry: &EndpointEntry| self.was_draining(entry) || self.was_gone(entry);
+        let has_ended =
+            |entry: &EndpointEntry| self.was_draining(entry) || self.departed.contains(entry);
         let mut ready = entries.iter().filter(|entry| is_ready(entry)).peekable();
         if ready.peek().is_some() && ready.all(has_ended) {
             return;
         }
-        entries.retain(|entry| !self.was_gone(entry));
+        entries.retain(|entry| !self.departed.contains(entry));
         for entry in entries.iter_mut() {
             if self.was_draining(entry) {
                 entry.state = EndpointState::Draining;
@@ -254,12 +192,6 @@
         })
     }
 
-    /// Whether this process was reported as gone.
-    fn was_gone(&self, entry: &EndpointEntry) -> bool {
-        let gone = self.gone.get(&entry.engine_id);
-        gone.is_some_and(|started| start_of(entry) <= started.unwrap_or(0.0))
-    }
-
     /// Replaces the list by `entries`. Returns them, followed by the engines that are gone.
     fn finish_update(
         &mut self,
@@ -267,16 +199,13 @@
         mut entries: Vec<EndpointEntry>,
     ) -> Vec<EndpointEntry> {
         self.starts.on_list();
-        self.serial = update.source.serial;
-        self.fingerprint = Some(update.source.fingerprint);
-        self.query = update.source.query;
-        self.unconfirmed = None;
+        self.version.on_accepted(&update.source);
         let before = std::mem::take(&mut self.engines);
         for entry in &entries {
             self.engines.insert(entry.engine_id, entry.clone());
         }
         let mut gone = self.missing_from_list(before);
-        self.remember_gone(&gone);
+        self.record_departed(&gone);
         entries.append(&mut gone);
         entries
     }
@@ -294,34 +223,16 @@
         gone
     }
 
-    /// Remembers the engines that are gone, and frees their numbers: one that returns gets the same by its id.
-    fn remember_gone(&mut self, gone: &[EndpointEntry]) {
+    /// Remembers the engines that are gone, and frees the numbers of those that are not listed.
+    fn record_departed(&mut self, gone: &[EndpointEntry]) {
         let engines = &self.engines;
-        self.gone
-            .retain(|engine_id, _| !engines.contains_key(engine_id));
-        self.gone_order
-            .retain(|engine_id| !engines.contains_key(engine_id));
-        for entry in gone {
-            if self
-                .gone
-                .insert(entry.engine_id, entry.started_ms)
-                .is_none()
-            {
-                self.gone_order.push_back(entry.engine_id);
-            }
-        }
-        while self.gone_order.len() > MAX_ENGINES {
-            if let Some(oldest) = self.gone_order.pop_front() {
-                self.gone.remove(&oldest);
-            }
-        }
-        let gone = &self.gone;
+        let is_listed = |engine_id: u64| engines.contains_key(&engine_id);
+        self.departed.retain(|engine_id| !is_listed(engine_id));
+        self.departed.add(gone, MAX_ENGINES);
+        let departed = &self.departed;
         self.starts
-            .retain(|engine_id| engines.contains_key(&engine_id) || gone.contains_key(&engine_id));
-        self.engine_ids
-            .retain(|_, engine_id| engines.contains_key(engine_id));
-        self.assigned
-            .retain(|engine_id| engines.contains_key(engine_id));
+            .retain(|engine_id| is_listed(engine_id) || departed.contains_engine(engine_id));
+        self.engine_ids.retain(is_listed);
     }
 }
 
--- a/crates/dispatcher/src/discovery/directory/tests.rs
+++ b/crates/dispatcher/src/discovery/directory/tests.rs
@@ -34,10 +34,8 @@
 
 /// A directory with both engines ready, from the answer to query 10.
 fn directory_of_two(serial: u32) -> EndpointDirectory {
-    let mut directory = EndpointDirectory {
-        serial: serial - 1,
-        ..EndpointDirectory::default()
-    };
+    let mut directory = EndpointDirectory::default();
+    directory.set_serial(serial - 1);
     assert!(matches!(
         directory.apply_answer(&answer(serial, TWO), 10),
         AnswerOutcome::Updated(_)
@@ -56,10 +54,8 @@
 
 #[test]
 fn an_engine_without_records_is_gone_and_an_older_answer_is_ignored() {
-    let mut directory = EndpointDirectory {
-        serial: 3,
-        ..EndpointDirectory::default()
-    };
+    let mut directory = EndpointDirectory::default();
+    directory.set_serial(3);
     assert_eq!(
         directory.apply_answer(&answer(3, TWO), 1),
         AnswerOutcome::Unchanged
@@ -108,12 +104,8 @@
         AnswerOutcome::Unchanged
     );
     assert_eq!(
-        (
-            directory.engine_ids.len(),
-            directory.assigned.len(),
-            directory.engine_id("s-old")
-        ),
-        (1, 1, old)
+        (directory.engine_ids.counts(), directory.engine_id("s-old")),
+        ((1, 1), old)
     );
 }
 
@@ -154,7 +146,7 @@
         directory.apply_answer(&answer(90_001, TWO), 16),
         AnswerOutcome::Updated(_)
     ));
-    assert_eq!(directory.serial, 90_001);
+    assert_eq!(directory.serial(), 90_001);
 }
 
 #[test]
@@ -180,7 +172,7 @@
         directory.apply_answer(&answer(5, TWO), 13),
         AnswerOutcome::Updated(_)
     ));
-    assert_eq!(directory.serial, 5);
+    assert_eq!(directory.serial(), 5);
     // The same with different records under the same serial.
     let other = [("s-1", true, 0.0), ("s-2", false, 0.0)];
     let rejected = AnswerOutcome::Rejected(RejectReason::RecordsDiffer);
@@ -320,6 +312,6 @@
         (engine_id, engine_id)
     );
     let mut taken = EndpointDirectory::default();
-    taken.assigned.insert(engine_id);
+    taken.engine_ids.reserve(engine_id);
     assert_eq!(taken.engine_id("s-341e1dd2"), (engine_id + 1) & 0xffff_ffff);
 }
--- a/crates/dispatcher/src/discovery/mod.rs
+++ b/crates/dispatcher/src/discovery/mod.rs
@@ -3,8 +3,11 @@
 //! It owns the socket and the [`EndpointDirectory`], the accepted endpoint list, which also decides whether an answer
 //! is accepted. An accepted update leaves as one event; nothing else is decided here.
 
+mod departed_engines;
 mod directory;
+mod engine_ids;
 mod engine_starts;
+mod list_version;
 mod protocol;
 mod records;
 mod reject_reason;
