--- a/crates/dispatcher/src/query_registry/guarding.rs
+++ b/crates/dispatcher/src/query_registry/guarding.rs
@@ -1,7 +1,7 @@
 //! The registry's part of the guard: what it knows of a query whose attempt is about to begin, and what becomes of
 //! refusals and violations.
 
-use super::QueryRegistry;
+use super::{Query, QueryRegistry};
 use crate::guard::{AttemptFacts, BeginPermit, BeginRefusal, EndpointFacts, QueryFacts, Violation};
 use crate::trace::TraceEvent;
 use tansymux::events::EndReason;
@@ -33,20 +33,25 @@
         endpoint: Option<EndpointFacts>,
         now_ms: f64,
     ) -> Result<BeginPermit, BeginRefusal> {
-        let queries = self.queries.borrow();
-        let query = queries.get(&key.query_id).map(|query| QueryFacts {
-            is_over: query.is_over(),
-            attempt_in_flight: query.attempt_number_in_flight(),
-            resource_group: &query.resource_group,
-        });
-        let facts = AttemptFacts {
-            query,
-            attempt: key.attempt,
-            deadline_ms,
-            start_by_ms,
-            endpoint,
+        let may_begin = |query: Option<QueryFacts>| {
+            let facts = AttemptFacts {
+                query,
+                attempt: key.attempt,
+                deadline_ms,
+                start_by_ms,
+                endpoint,
+            };
+            self.guard.may_begin(&facts, now_ms)
+        };
+        let of_query = |query: &Query| {
+            may_begin(Some(QueryFacts {
+                is_over: query.is_over(),
+                attempt_in_flight: query.attempt_number_in_flight(),
+                resource_group: &query.resource_group,
+            }))
         };
-        self.guard.may_begin(&facts, now_ms)
+        let permit = self.queries.with(key.query_id, of_query);
+        permit.unwrap_or_else(|| may_begin(None))
     }
 
     /// The first byte of an attempt's request went out.
@@ -100,9 +105,7 @@
     /// # Errors
     /// Queries are owed an answer.
     pub fn may_end(&self) -> Result<(), Violation> {
-        let queries = self.queries.borrow();
-        let unanswered = queries.values().filter(|query| !query.is_over());
-        self.guard.may_end(unanswered.count())
+        self.guard.may_end(self.queries.unanswered())
     }
 
     /// Counts and logs a violation; a debug build panics.
--- a/crates/dispatcher/src/query_registry/query.rs
+++ b/crates/dispatcher/src/query_registry/query.rs
@@ -162,6 +162,19 @@
         }
     }
 
+    /// Begins an attempt on an engine and returns its number; `None` if the query is over or has an attempt in flight.
+    pub(super) fn begin_attempt(&mut self, engine_id: u64) -> Option<usize> {
+        if self.is_over() || self.attempt_in_flight {
+            return None;
+        }
+        let attempt = self.attempts;
+        self.attempts += 1;
+        self.attempt_in_flight = true;
+        self.waited = false;
+        self.engine_id = engine_id;
+        Some(attempt)
+    }
+
     /// The number of the attempt in flight, if one is.
     pub(super) fn attempt_number_in_flight(&self) -> Option<usize> {
         let last = self.attempts.checked_sub(1)?;
--- /dev/null
+++ b/crates/dispatcher/src/query_registry/query_table.rs
@@ -0,0 +1,134 @@
+//! The queries in flight, by their numbers and by the ids that clients chose, within the bounds on memory.
+
+use super::completed_ids::CompletedIds;
+use super::query::{AnswerSlot, Query, QueryRequest};
+use rustc_hash::FxHashMap;
+use std::cell::{Cell, RefCell};
+use std::rc::Rc;
+
+/// Maximum number of queries in flight: a bound on memory. Queries beyond it are rejected at admission.
+const MAX_QUERIES: usize = 4096;
+
+/// Why a query was not admitted.
+#[derive(Debug, PartialEq, thiserror::Error)]
+pub enum AdmissionError {
+    /// A query with the same id is in flight.
+    #[error("a query with this id is in flight")]
+    InFlight,
+    /// A query with the same id was submitted to an engine before: it may have had its effect.
+    #[error("a query with this id was submitted before")]
+    AlreadySubmitted,
+    /// There are too many queries, or too many bytes of statements, in flight.
+    #[error("too many queries or bytes of statements in flight")]
+    Overloaded,
+}
+
+/// The queries in flight.
+pub(super) struct QueryTable {
+    /// No query has a deadline later than this (ms): the program ends then.
+    latest_deadline_ms: Cell<f64>,
+    queries: RefCell<FxHashMap<u64, Query>>,
+    /// Query numbers by the ids that clients chose.
+    query_by_client_id: RefCell<FxHashMap<Rc<str>, u64>>,
+    completed_ids: RefCell<CompletedIds>,
+    last_query_id: Cell<u64>,
+    /// Total size of the statements in flight (bytes).
+    statement_bytes: Cell<usize>,
+    max_statement_bytes: usize,
+}
+
+impl QueryTable {
+    /// An empty table for statements of `max_statement_bytes` in total.
+    pub fn new(max_statement_bytes: usize) -> Self {
+        QueryTable {
+            latest_deadline_ms: Cell::new(f64::INFINITY),
+            queries: RefCell::default(),
+            query_by_client_id: RefCell::default(),
+            completed_ids: RefCell::default(),
+            last_query_id: Cell::default(),
+            statement_bytes: Cell::default(),
+            max_statement_bytes,
+        }
+    }
+
+    /// Adds a query. Returns its number, and the slot for its answer.
+    ///
+    /// # Errors
+    /// The query's id is in flight or was used before, or the table is full; the table is unchanged then.
+    pub fn insert(&self, request: &QueryRequest) -> Result<(u64, Rc<AnswerSlot>), AdmissionError> {
+        if self.query_by_client_id.borrow().contains_key(request.id) {
+            return Err(AdmissionError::InFlight);
+        }
+        if self.completed_ids.borrow().contains(request.id) {
+            return Err(AdmissionError::AlreadySubmitted);
+        }
+        let statement_bytes = self.statement_bytes.get() + request.statement.len();
+        if self.len() >= MAX_QUERIES || statement_bytes > self.max_statement_bytes {
+            return Err(AdmissionError::Overloaded);
+        }
+        self.statement_bytes.set(statement_bytes);
+        let query_id = self.last_query_id.get() + 1;
+        self.last_query_id.set(query_id);
+        let id: Rc<str> = request.id.into();
+        let slot = Rc::new(AnswerSlot::default());
+        let mut query = Query::new(request, id.clone(), slot.clone());
+        query.deadline_ms = query.deadline_ms.min(self.latest_deadline_ms.get());
+        self.queries.borrow_mut().insert(query_id, query);
+        self.query_by_client_id.borrow_mut().insert(id, query_id);
+        Ok((query_id, slot))
+    }
+
+    /// Number of queries in flight.
+    pub fn len(&self) -> usize {
+        self.queries.borrow().len()
+    }
+
+    /// Number of queries that are owed an answer.
+    pub fn unanswered(&self) -> usize {
+        let queries = self.queries.borrow();
+        queries.values().filter(|query| !query.is_over()).count()
+    }
+
+    /// Reads a query; `None` if it is not in flight.
+    pub fn with<T>(&self, query_id: u64, read: impl FnOnce(&Query) -> T) -> Option<T> {
+        self.queries.borrow().get(&query_id).map(read)
+    }
+
+    /// Changes a query; `None` if it is not in flight.
+    pub fn with_mut<T>(&self, query_id: u64, change: impl FnOnce(&mut Query) -> T) -> Option<T> {
+        self.queries.borrow_mut().get_mut(&query_id).map(change)
+    }
+
+    /// Moves the deadlines of all queries, also of later ones, forward to `latest_ms`.
+    pub fn limit_deadlines(&self, latest_ms: f64) {
+        self.latest_deadline_ms.set(latest_ms);
+        for query in self.queries.borrow_mut().values_mut() {
+            query.deadline_ms = query.deadline_ms.min(latest_ms);
+        }
+    }
+
+    /// Removes a query that is over and has no attempt in flight. Its id is remembered if it ever had an attempt.
+    pub fn remove_if_over(&self, query_id: u64) {
+        let mut queries = self.queries.borrow_mut();
+        let is_over = |query: &Query| query.is_over() && !query.attempt_in_flight;
+        if !queries.get(&query_id).is_some_and(is_over) {
+            return;
+        }
+        let Some(query) = queries.remove(&query_id) else {
+            return;
+        };
+        self.query_by_client_id.borrow_mut().remove(&query.id);
+        let statement_bytes = self.statement_bytes.get();
+        self.statement_bytes
+            .set(statement_bytes.saturating_sub(query.statement.len()));
+        if query.attempts > 0 {
+            self.completed_ids.borrow_mut().remember(query.id);
+        }
+    }
+
+    /// Remembers the id of a query that was submitted to an engine and is over.
+    #[cfg(test)]
+    pub fn remember_completed(&self, id: Rc<str>) {
+        self.completed_ids.borrow_mut().remember(id);
+    }
+}
--- a/crates/dispatcher/src/query_registry/tests.rs
+++ b/crates/dispatcher/src/query_registry/tests.rs
@@ -66,12 +66,7 @@
         registry.admit(&REQUEST).map(|_| ()),
         Err(AdmissionError::AlreadySubmitted)
     );
-    (0..MAX_COMPLETED_IDS).for_each(|n| {
-        registry
-            .completed_ids
-            .borrow_mut()
-            .remember(n.to_string().into())
-    });
+    (0..MAX_COMPLETED_IDS).for_each(|n| registry.queries.remember_completed(n.to_string().into()));
     assert!(registry.admit(&REQUEST).is_ok());
 }
 
