--- a/crates/dispatcher/src/client/mod.rs
+++ b/crates/dispatcher/src/client/mod.rs
@@ -9,6 +9,7 @@
 mod answer_writer;
 mod connection_table;
 mod http;
+mod inbound;
 mod listener;
 mod phase;
 mod protocol;
