--- a/crates/dispatcher/src/engine/connection.rs
+++ b/crates/dispatcher/src/engine/connection.rs
@@ -1,101 +1,28 @@
 //! State machine of one connection to an engine: its attempts, its health checks and its outbox. No I/O and no clock:
-//! `channel` moves the bytes, and every call that depends on time is given it.
+//! the connection's task transfers the bytes, and times are passed in.
 
 mod attempt;
 mod deadlines;
 mod outbox;
 mod receive;
+mod state;
 
 pub use attempt::Attempt;
 pub use receive::FrameEvent;
+pub use state::{Abandoned, CloseReason, ConnectionState, HealthCheck, IdleReuse, Suitability};
 
 use super::protocol::{Command, RequestFields};
-use super::protocol_error::ProtocolError;
 use crate::guard::BeginPermit;
 use outbox::{Outbox, Withdrawal};
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::io::IoSlice;
 use std::rc::Rc;
-use thiserror::Error;
 
-/// Outbox size (bytes) from which on a connection accepts no attempt; a bound on memory.
+/// A connection with an outbox of this size (bytes) or more accepts no attempt: a bound on memory.
 pub const MAX_OUTBOX_BYTES: usize = 4 << 20;
-/// Abandoned attempts after which a connection is retired: the id of each stays in memory.
+/// Number of abandoned attempts after which a connection is retired: the id of each stays in memory.
 const MAX_ABANDONED: usize = 256;
 
-/// Life-cycle state of a connection.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ConnectionState {
-    /// Connecting, within the connect timeout.
-    Connecting,
-    /// The connect timed out but goes on. Nothing is queued here.
-    Late,
-    /// Connected.
-    Up,
-    /// Closed.
-    Closed,
-}
-
-/// How suitable a connection is for another attempt, best first.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Suitability {
-    /// Idle for less than the trusted time.
-    Proven,
-    /// Never used.
-    Fresh,
-    /// Other attempts are in flight on it.
-    Shared,
-    /// Idle for longer than is trusted: the other end may have closed it.
-    Stale,
-}
-
-/// Why this side closes a connection, even with attempts in flight.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-pub enum CloseReason {
-    /// The engine violated the protocol.
-    #[error("protocol error: {0}")]
-    Protocol(#[from] ProtocolError),
-    /// A request was withdrawn after some of its bytes were written. Closing keeps the engine from ever having all of
-    /// it.
-    #[error("a request was given up half written")]
-    RequestPartlyWritten,
-    /// It idled and has been silent since it was reused, while its engine accepts connections; others were lost so.
-    #[error("silent after idling, as others before")]
-    ForgottenByEngine,
-    /// It has been silent, and the engine accepts no other connection.
-    #[error("no other connection comes up")]
-    EngineUnreachable,
-}
-
-/// A health check in flight. Times are milliseconds of the program's clock.
-#[derive(Debug)]
-pub struct HealthCheck {
-    /// The id that the answer repeats.
-    pub tag: Rc<str>,
-    /// When it was handed to the connection.
-    pub sent_ms: f64,
-    /// When it counts as failed.
-    pub deadline_ms: f64,
-}
-
-/// The reuse of a connection after it had idled.
-#[derive(Debug, Clone, Copy)]
-pub struct IdleReuse {
-    /// How long (ms) the connection had idled.
-    pub idle_ms: f64,
-    /// When the attempt was queued (ms).
-    pub sent_ms: f64,
-}
-
-/// An attempt that this side abandoned.
-#[derive(Debug)]
-pub struct Abandoned {
-    /// The attempt.
-    pub attempt: Attempt,
-    /// Its request was written whole, so it may have run.
-    pub was_sent: bool,
-}
-
 /// A connection to an engine. Times are milliseconds of the program's clock.
 #[derive(Debug)]
 pub struct Connection {
@@ -105,23 +32,23 @@
     pub last_frame_ms: f64,
     /// When it was last used, or came up.
     pub last_used_ms: f64,
-    /// Never used.
+    /// Whether it was never used.
     pub unused: bool,
     /// The last reuse after idling; cleared by the first frame that arrives.
     pub idle_reuse: Option<IdleReuse>,
-    /// Since when an incomplete frame has been waiting for its rest.
+    /// Since when (ms) a frame has been incomplete.
     pub partial_frame_since_ms: Option<f64>,
-    /// When to check the engine over another connection, if this one was reused after idling and stays silent; else
+    /// When to check the engine over another connection if this one, reused after idling, is still silent; otherwise
     /// infinity.
     pub check_at_ms: f64,
-    /// Set when it is to be closed at once.
+    /// Set when the connection is to close immediately, even with attempts in flight.
     pub close_reason: Option<CloseReason>,
-    /// Accepts nothing new and closes when nothing is in flight.
+    /// Whether it accepts nothing new and closes when nothing is in flight.
     pub retired: bool,
     /// Attempts in flight, by the ids of their queries.
     pub attempts: FxHashMap<Rc<str>, Attempt>,
-    /// Ids of attempts that were abandoned after they had been sent. They are not reused here: a late answer would be
-    /// taken for that of the new attempt.
+    /// Ids of attempts that were abandoned after they had been sent. They are not reused here: a late reply would be
+    /// mistaken for one to the new attempt.
     abandoned_ids: FxHashSet<Rc<str>>,
     /// Health checks in flight.
     pub health_checks: Vec<HealthCheck>,
@@ -129,7 +56,7 @@
 }
 
 impl Connection {
-    /// A connection whose connect is about to begin.
+    /// A connection that has not started to connect.
     pub fn new(now_ms: f64) -> Self {
         Connection {
             state: ConnectionState::Connecting,
@@ -150,7 +77,7 @@
 
     // ---- Transitions ----
 
-    /// The connect timed out. Drops the health checks queued here and returns their number.
+    /// Records that the connect timed out. Drops the health checks queued here and returns their number.
     pub fn on_connect_timeout(&mut self) -> usize {
         self.state = ConnectionState::Late;
         let dropped = std::mem::take(&mut self.health_checks).len();
@@ -158,8 +85,8 @@
         dropped
     }
 
-    /// The connect succeeded. If nothing is queued here any more, the connection idles from now on and counts as
-    /// unused.
+    /// Records that the connect succeeded. If nothing is queued here any more, the connection idles from now on and
+    /// counts as unused.
     pub fn on_connected(&mut self, now_ms: f64) {
         self.state = ConnectionState::Up;
         self.last_used_ms = now_ms;
@@ -169,14 +96,14 @@
         }
     }
 
-    // ---- What it is good for ----
+    // ---- Suitability ----
 
     /// Number of attempts and health checks in flight.
     pub fn in_flight(&self) -> usize {
         self.attempts.len() + self.health_checks.len()
     }
 
-    /// Since when (ms) it has idled; minus infinity if it is not up, is retired or has something in flight.
+    /// Start of the current idle time (ms); minus infinity if it is not up, is retired or has something in flight.
     pub fn idle_since_ms(&self) -> f64 {
         if self.in_flight() == 0 && !self.retired && self.state == ConnectionState::Up {
             self.last_used_ms
@@ -185,7 +112,7 @@
         }
     }
 
-    /// Its suitability for another attempt, if idling for less than `trusted_idle_ms` is trusted.
+    /// Its suitability for another attempt, if idle times below `trusted_idle_ms` are trusted.
     pub fn suitability(&self, now_ms: f64, trusted_idle_ms: f64) -> Suitability {
         if self.in_flight() > 0 {
             Suitability::Shared
@@ -209,7 +136,7 @@
         open && has_room && id_is_new
     }
 
-    // ---- What goes out ----
+    // ---- Messages to the engine ----
 
     /// Queues an attempt's request.
     pub fn submit(
@@ -280,19 +207,19 @@
         self.outbox.unstarted_requests()
     }
 
-    /// The attempt whose request would go out next and needs a permit.
+    /// The attempt whose request is next to be written and needs a permit.
     pub fn next_to_begin(&mut self) -> Option<(Rc<str>, &Attempt)> {
         let id = self.outbox.next_to_begin()?;
         let attempt = self.attempts.get(&id)?;
         Some((id, attempt))
     }
 
-    /// Lets an attempt's request go out.
+    /// Releases an attempt's request for writing.
     pub fn begin(&mut self, id: &str, permit: &BeginPermit) {
         self.outbox.begin(id, permit);
     }
 
-    /// Whether an attempt's request was written whole.
+    /// Whether an attempt's request was written completely.
     pub fn is_fully_written(&self, id: &str) -> bool {
         !self.outbox.holds_request(id)
     }
--- a/crates/dispatcher/src/engine/connection/attempt.rs
+++ b/crates/dispatcher/src/engine/connection/attempt.rs
@@ -5,9 +5,9 @@
 use crate::query_registry::Pages;
 use tansymux::events::AttemptLimits;
 
-/// Pages of one result at most; the protocol's longest result has 8 of them.
+/// Maximum number of pages of a result; the protocol's longest result has 8 of them.
 const MAX_PAGES: usize = 64;
-/// Bytes of one result's rows, as JSON, at most; the protocol's longest result has 48,000 bytes of rows.
+/// Maximum size (bytes) of a result's rows as JSON; the protocol's longest result has 48,000 bytes of rows.
 const MAX_RESULT_BYTES: usize = 128 * 1024;
 
 /// An attempt in flight on a connection. Times are milliseconds of the program's clock.
--- a/crates/dispatcher/src/engine/connection/deadlines.rs
+++ b/crates/dispatcher/src/engine/connection/deadlines.rs
@@ -3,8 +3,8 @@
 use super::{Attempt, Connection};
 use std::rc::Rc;
 
-/// An incomplete frame without a further byte for this long (ms) counts as cut off. Twice the connect timeout of the
-/// operators' pages.
+/// An incomplete frame that receives no byte for this long (ms) counts as truncated. Twice the operators' connect
+/// timeout.
 pub const FRAME_STALL_MS: f64 = 500.0;
 
 /// Health checks that timed out.
@@ -12,7 +12,7 @@
 pub struct ExpiredHealthChecks {
     /// How many.
     pub count: usize,
-    /// No frame at all arrived on the connection since one of them was queued.
+    /// Whether no frame has arrived on the connection since one of them was queued.
     pub connection_silent: bool,
 }
 
--- a/crates/dispatcher/src/engine/connection/outbox.rs
+++ b/crates/dispatcher/src/engine/connection/outbox.rs
@@ -1,5 +1,5 @@
-//! The messages queued on one connection, and how much of them is written. A request goes out only with a permit of the
-//! guard, which also gives its time limit.
+//! The queue of messages to write on one connection. A request is written only with a permit of the guard, which
+//! contains its time limit.
 
 use crate::engine::protocol::{Command, RequestFields};
 use crate::guard::BeginPermit;
@@ -7,7 +7,7 @@
 use std::io::IoSlice;
 use std::rc::Rc;
 
-/// What a held message counts for beside its own bytes: head and line ends of a request that is not encoded yet.
+/// Estimated size (bytes) of a request's head and line ends, before it is encoded.
 const REQUEST_HEAD_BYTES: usize = 96;
 
 /// An attempt's request.
@@ -16,7 +16,7 @@
     id: Rc<str>,
     fields: RequestFields,
     statement: Rc<[u8]>,
-    /// Encoded when it may begin, with the time that is left then; empty before.
+    /// Encoded with the remaining time once the request may begin; empty before.
     head: Vec<u8>,
 }
 
@@ -48,7 +48,7 @@
         }
     }
 
-    /// The bytes that go out; none for a request that may not begin yet.
+    /// The bytes to write; empty for a request that may not begin yet.
     fn slices(&self) -> [&[u8]; 3] {
         match self {
             Message::Command(bytes) => [bytes, b"", b""],
@@ -67,7 +67,7 @@
         self.request().is_some_and(|request| !request.has_permit())
     }
 
-    /// What it counts for in the bound on memory.
+    /// The message's size in the bound on memory (bytes).
     fn held_bytes(&self) -> usize {
         match self {
             Message::Command(bytes) => bytes.len(),
@@ -83,11 +83,11 @@
 /// How much of a request was written when it was withdrawn.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Withdrawal {
-    /// Nothing, and nothing will be.
+    /// No byte was written, and none will be.
     NotStarted,
-    /// Some of it: the connection cannot be used any more.
+    /// Some bytes were written: the connection cannot be used any more.
     PartlyWritten,
-    /// All of it: the engine may have it.
+    /// All bytes were written: the engine may have received them.
     Written,
 }
 
@@ -102,7 +102,7 @@
 }
 
 impl Outbox {
-    /// Queues a request. It does not go out before [`Outbox::begin`].
+    /// Queues a request. It is not written before [`Outbox::begin`].
     pub fn push_request(&mut self, id: &Rc<str>, fields: RequestFields, statement: Rc<[u8]>) {
         self.push(Message::Request(Request {
             id: id.clone(),
@@ -122,8 +122,8 @@
         self.messages.push_back(message);
     }
 
-    /// The request that would go out next, once the one before it is written. A permit that was given before, and of whose
-    /// request no byte went out, is void: its time limit would grow old.
+    /// The request to write next, once the one before it is written. An earlier permit for it is revoked if no byte was
+    /// written: its time limit would be out of date.
     pub fn next_to_begin(&mut self) -> Option<Rc<str>> {
         let is_started = self.written > 0;
         let mut messages = self.messages.iter_mut().enumerate();
@@ -138,7 +138,7 @@
         Some(next.id.clone())
     }
 
-    /// Lets a request go out.
+    /// Releases a request for writing, with the time limit of its permit.
     pub fn begin(&mut self, id: &str, permit: &BeginPermit) {
         for message in &mut self.messages {
             match message {
@@ -206,12 +206,12 @@
         self.messages.is_empty()
     }
 
-    /// Bytes held. A message counts until all of it is written.
+    /// Size of the queued messages (bytes). A message counts until it is written completely.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Appends the bytes to write next, as `max` slices at most: up to the first request without a permit.
+    /// Appends the bytes to write next, up to the first request without a permit, as `max` slices at most.
     pub fn slices<'a>(&'a self, out: &mut Vec<IoSlice<'a>>, max: usize) {
         let mut skip = self.written;
         let messages = self.messages.iter();
--- a/crates/dispatcher/src/engine/connection/tests.rs
+++ b/crates/dispatcher/src/engine/connection/tests.rs
@@ -1,5 +1,6 @@
 use super::*;
 use crate::engine::protocol::ProgressNote;
+use crate::engine::protocol_error::ProtocolError;
 use crate::engine::resp;
 use tansymux::events::{AttemptLimits, NoteKind, Outcome};
 
--- a/crates/dispatcher/src/engine/keep_alive.rs
+++ b/crates/dispatcher/src/engine/keep_alive.rs
@@ -1,43 +1,44 @@
 //! How long a connection to an engine may idle and still be reused. No I/O, no clock.
 //!
-//! The other end, or a middlebox on the way, may close idle connections without a sign, and a request that then goes
-//! out is lost without a sign of whether it was read. Opening a connection for every attempt would avoid that, but
-//! then a fleet opens more connections than it sends queries. The true idle limit isn't known, so it is estimated:
-//! from connections that idled and were reused, and from what became of them.
+//! The engine, or a middlebox, may drop idle connections without a reset. A request that is then written is lost, and it
+//! is unknown whether it ran. Opening a connection for every attempt would avoid that, but the fleet would open as many
+//! connections as it sends attempts. The true idle limit is unknown, so it is estimated from the outcomes of reused
+//! connections.
 
-/// Idle time (ms) below which a connection is always reused, also for what must not be lost.
+/// Idle time (ms) below which a connection is always reused, also for attempts with side effects.
 pub const MIN_IDLE_MS: f64 = 50.0;
 /// Number of idle-time buckets. Each is twice as wide as the one before; the first ends at twice [`MIN_IDLE_MS`].
 const BUCKETS: usize = 12;
-/// Time constant (ms) with which counts decay: a middlebox may be replaced, and a reset may have been one process.
+/// Time constant (ms) of the decay of counts: a middlebox may be replaced, and a reset may concern a single process.
 const DECAY_MS: f64 = 10_000.0;
-/// Prior of reuses that succeeded: connections are trusted until experience speaks against it.
+/// Prior count of successful reuses: connections are trusted at first.
 const PRIOR_REUSED: f64 = 5.0;
-/// Prior of reuses that were lost.
+/// Prior count of lost reuses.
 const PRIOR_LOST: f64 = 0.25;
 /// A longer idle time is trusted while less than this fraction of reuses is lost. A loss costs one retry of a query
-/// that may be retried, about as much as the connections that would be opened otherwise.
+/// that may be retried: about as much as the connections that would be opened otherwise.
 const MAX_LOST_FRACTION: f64 = 0.1;
 
-/// A loss in silence counts for this many: it costs a client its whole wait, where a reset costs one retry.
+/// Weight of a loss in silence. It may cost a client all of its waiting time, where a reset costs one retry.
 const SILENT_LOSS_WEIGHT: f64 = 3.0;
-/// Losses in silence within this time (ms) are one: they were under way together.
+/// Losses in silence within this time (ms) count as one: the requests were in flight together.
 const SAME_LOSS_MS: f64 = 2_000.0;
-/// Each further loss in silence without a reuse that succeeded doubles the time for which losses count, so often.
+/// Maximum number of times that the decay time of losses doubles: once for each loss in silence after the first, until a
+/// reuse succeeds.
 const MAX_BACKOFF_DOUBLINGS: u32 = 5;
-/// Successes from which on an idle time counts as proven.
+/// Minimum count of successful reuses for which an idle time counts as proven.
 const PROVEN_REUSES: f64 = 0.5;
-/// A trial of a longer idle time than was proven is over after this time (ms), if nothing is heard of it.
+/// A trial of an idle time above the proven one ends after this time (ms) if it has no outcome until then.
 const TRIAL_MS: f64 = 2_000.0;
 
-/// What became of a connection that was reused after it had idled.
+/// The outcome of the reuse of an idle connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReuseOutcome {
     /// The engine answered on it.
     Answered,
-    /// It ended before it brought any answer.
+    /// The connection closed before any reply.
     Lost,
-    /// Nothing came on it, neither an answer nor an end, while its engine answered on another.
+    /// Neither a reply nor a close arrived, while the engine answered on another connection.
     LostInSilence,
 }
 
@@ -48,11 +49,13 @@
     lost: [f64; BUCKETS],
     /// When the counts were last decayed.
     decayed_at_ms: f64,
-    /// Losses in silence since a reuse after as long an idle time last succeeded, and when and where the last was.
+    /// Losses in silence since the last successful reuse after as long an idle time.
     silent_losses: u32,
+    /// When the last loss in silence was recorded (ms).
     last_silent_loss_ms: f64,
+    /// The lowest bucket of these losses.
     silent_bucket: usize,
-    /// Since when a connection is tried that idled for longer than was proven.
+    /// Start (ms) of the current trial of an idle time above the proven one.
     trial_since_ms: Option<f64>,
 }
 
@@ -76,7 +79,7 @@
         self.lost.iter_mut().for_each(|count| *count *= factor);
     }
 
-    /// A connection that had idled for `idle_ms` was reused, with this outcome.
+    /// Records the outcome of the reuse of a connection that had idled for `idle_ms`.
     pub fn record(&mut self, now_ms: f64, idle_ms: f64, outcome: ReuseOutcome) {
         self.decay(now_ms);
         let bucket = bucket_of(idle_ms);
@@ -106,21 +109,21 @@
         self.lost[bucket] += SILENT_LOSS_WEIGHT;
     }
 
-    /// Whether connections were lost in silence, and none has been reused since after as long an idle time.
+    /// Whether connections were lost in silence, and no reuse after as long an idle time has succeeded since.
     pub fn has_silent_losses(&self) -> bool {
         self.silent_losses > 0
     }
 
-    /// A connection that had idled for `idle_ms` is reused. One that idled for longer than was proven is a trial, and
-    /// others of its kind wait for what becomes of it.
+    /// Records that a connection that had idled for `idle_ms` is reused. An idle time above the proven one is a trial:
+    /// until its outcome is known, no other connection is reused after an idle time above the proven one.
     pub fn begin_reuse(&mut self, now_ms: f64, idle_ms: f64) {
         if idle_ms > self.proven_idle_ms() {
             self.trial_since_ms = Some(now_ms);
         }
     }
 
-    /// How long (ms) a connection may idle to be reused now: [`KeepAlive::max_idle_ms`], or less while a trial of a longer
-    /// idle time is under way.
+    /// Longest idle time (ms) after which a connection is reused now: [`KeepAlive::max_idle_ms`], or the proven idle time
+    /// during a trial of a longer one.
     pub fn trusted_idle_ms(&mut self, now_ms: f64) -> f64 {
         let max_idle_ms = self.max_idle_ms(now_ms);
         let is_trial = |since_ms: &f64| now_ms - since_ms < TRIAL_MS;
@@ -130,7 +133,7 @@
         }
     }
 
-    /// The longest idle time (ms) after which connections were reused with success of late.
+    /// The longest idle time (ms) after which recent reuses succeeded.
     fn proven_idle_ms(&self) -> f64 {
         let mut answered = 0.0;
         for bucket in (0..BUCKETS).rev() {
@@ -142,12 +145,13 @@
         MIN_IDLE_MS
     }
 
-    /// How long (ms) a connection may idle to be reused: [`MIN_IDLE_MS`] or more, infinite where no limit shows.
+    /// Longest idle time (ms) after which a connection is reused: at least [`MIN_IDLE_MS`], infinite without evidence of a
+    /// limit.
     ///
-    /// A loss after a short idle time counts against all longer ones, a success after a long one for all shorter ones.
+    /// A loss counts against its idle time and all longer ones, a success for its idle time and all shorter ones.
     pub fn max_idle_ms(&mut self, now_ms: f64) -> f64 {
         self.decay(now_ms);
-        // Losses up to the bucket looked at, and successes from it on.
+        // Losses up to the current bucket, and successes from it on.
         let mut lost = 0.0;
         let mut answered = self.answered.iter().sum::<f64>();
         let mut max_idle_ms = MIN_IDLE_MS;
--- a/crates/dispatcher/src/engine/mod.rs
+++ b/crates/dispatcher/src/engine/mod.rs
@@ -1,8 +1,8 @@
-//! Engine side: runs attempts, cancels and health checks on connections to the engines, and reports how they ended.
+//! Engine side: runs attempts, cancellations and health checks on connections to the engines, and reports their outcomes.
 //!
-//! It owns the connections and nothing else. The decisions choose the engine of each attempt and send an
-//! [`EngineCommand`](crate::query_registry::EngineCommand); results go back to them as an
-//! [`Event`](crate::query_registry::Event). The engine side never retries and never chooses another engine by itself.
+//! This module owns the connections. The decisions choose the engine of each attempt and send an
+//! [`EngineCommand`](crate::query_registry::EngineCommand); results return to them as an
+//! [`Event`](crate::query_registry::Event). The engine side never retries and never chooses another engine.
 //!
 //! Start reading at [`pool`], which composes the owners of the state:
 //!
--- a/crates/dispatcher/src/engine/pool/commands.rs
+++ b/crates/dispatcher/src/engine/pool/commands.rs
@@ -13,7 +13,7 @@
 use tansymux::events::{AttemptLimits, Outcome};
 
 /// After an attempt was sent on a connection that had idled, the engine is checked over another connection if no
-/// frame arrived for this multiple of the attempt's estimated run time: a dead connection accepts writes and never
+/// frame arrived for this multiple of the attempt's estimated run time: a lost connection accepts writes and never
 /// answers.
 const CHECK_AFTER_RUN_TIMES: f64 = 2.0;
 
--- a/crates/dispatcher/src/engine/resp.rs
+++ b/crates/dispatcher/src/engine/resp.rs
@@ -2,21 +2,21 @@
 
 use super::protocol_error::ProtocolError;
 
-/// Elements of one array at most: the protocol's longest reply has 4.
+/// Maximum number of elements of an array; the protocol's longest reply has 4.
 pub const MAX_ELEMENTS: usize = 8;
-/// Bytes of one element at most: the protocol's longest is a page of 6,000 bytes.
+/// Maximum size (bytes) of an element; the protocol's longest is a page of 6,000 bytes.
 pub const MAX_ELEMENT_BYTES: usize = 8 * 1024;
-/// Digits of a count or a length at most; more than any that the two limits above let through.
+/// Maximum number of digits of a count or a length; no value within the two limits above has as many.
 const MAX_LENGTH_DIGITS: usize = 8;
 /// Line end after each length and each element.
 const CRLF: &[u8] = b"\r\n";
 
-/// One array, borrowed from the bytes that it came in.
+/// An array, borrowed from the received bytes.
 #[derive(Debug, PartialEq)]
 pub struct Frame<'a> {
     elements: [&'a [u8]; MAX_ELEMENTS],
     count: usize,
-    /// Bytes that the array takes in the input.
+    /// Size of the array in the input (bytes).
     pub size: usize,
 }
 
@@ -32,13 +32,13 @@
     }
 }
 
-/// A count or a length that was read, and where the next line begins.
+/// A parsed count or length, and the position of the next line.
 struct Length {
     value: usize,
     next: usize,
 }
 
-/// Reads the line at `at`: `marker`, a decimal number, CRLF. `None` while it has not come whole.
+/// Reads the line at `at`: `marker`, a decimal number, CRLF. `None` while it is incomplete.
 fn parse_length(bytes: &[u8], at: usize, marker: u8) -> Result<Option<Length>, ProtocolError> {
     let line = &bytes[at.min(bytes.len())..];
     let Some(&first) = line.first() else {
@@ -70,7 +70,7 @@
     }
 }
 
-/// The array at the start of `bytes`; `None` while it has not come whole.
+/// The array at the start of `bytes`; `None` while it is incomplete.
 ///
 /// # Errors
 /// The bytes cannot be the beginning of an array within the limits.
--- a/crates/dispatcher/src/engine/rows.rs
+++ b/crates/dispatcher/src/engine/rows.rs
@@ -34,7 +34,7 @@
         return Ok(Vec::new());
     }
     let rows = text.strip_suffix('\n').ok_or(RowsError::CutOff)?;
-    // Quotes, commas and brackets: room for about half as much again saves most reallocations.
+    // Capacity for quotes, commas and brackets: avoids most reallocations.
     let mut json = Vec::with_capacity(page.len() + page.len() / 2 + 8);
     for (number, row) in rows.split('\n').enumerate() {
         let columns = row.split('\t').count();
--- a/crates/dispatcher/src/engine/settings.rs
+++ b/crates/dispatcher/src/engine/settings.rs
@@ -2,17 +2,17 @@
 
 use std::time::Duration;
 
-/// Connections to one engine at most, unless [`MAX_ATTEMPTS_PER_ENGINE`] needs more.
+/// Maximum number of connections to one engine, unless [`MAX_ATTEMPTS_PER_ENGINE`] requires more.
 const MAX_CONNECTIONS_PER_ENGINE: usize = 12;
-/// Attempts that the connections to one engine must be able to carry together, however few each one takes.
+/// Minimum number of attempts that the connections to one engine can carry together.
 const MAX_ATTEMPTS_PER_ENGINE: usize = 384;
-/// Fraction of the configured idle timeout after which this side closes a connection, before the engine does.
+/// Fraction of the engines' idle timeout after which this side closes an idle connection, before the engine does.
 const IDLE_FRACTION: f64 = 0.8;
-/// A connection that was silent for this many progress intervals may be dead.
+/// A connection that was silent for this multiple of the progress interval may be lost.
 const SILENCE_INTERVALS: f64 = 1.25;
-/// Silence (ms) below which a connection never counts as dead.
+/// Silence (ms) below which a connection never counts as lost.
 pub const MIN_SILENCE_MS: f64 = 250.0;
-/// Upper bound of the connect timeout (s); keeps an absurd setting within the range of a timer.
+/// Upper bound of the connect timeout (s): keeps any setting within the range of a timer.
 const MAX_CONNECT_TIMEOUT_S: f64 = 3600.0;
 
 /// Settings of connections to engines.
@@ -50,7 +50,7 @@
         IDLE_FRACTION * self.idle_timeout_ms
     }
 
-    /// Silence (ms) after which a connection with an attempt in flight may be dead.
+    /// Silence (ms) after which a connection with an attempt in flight may be lost.
     pub fn max_silence_ms(&self) -> f64 {
         let interval_ms = if self.progress_interval_ms > 0.0 {
             self.progress_interval_ms
