--- a/crates/dispatcher/src/config/endpoints.rs
+++ b/crates/dispatcher/src/config/endpoints.rs
@@ -40,7 +40,7 @@
     if known.is_missing() {
         return Ok(directory);
     }
-    directory.serial = known.child(keys::SERIAL).number_or(0.0, 0.0)? as u32;
+    directory.set_serial(known.child(keys::SERIAL).number_or(0.0, 0.0)? as u32);
     for update in known.child(keys::UPDATES).items()? {
         let endpoints = update.child(keys::NODES).child(keys::INSTANCES);
         for instance in endpoints.items()? {
