--- a/crates/codec/src/lib.rs
+++ b/crates/codec/src/lib.rs
@@ -2,6 +2,7 @@
 //!
 //! # What it owns
 //! - [`ByteReader`] and [`ByteWriter`]: fields read from the front of a datagram, and appended to one.
+//! - [`wire_enum!`]: enums that are one byte on the wire.
 //! - [`DecodeError`]: why bytes could not be decoded.
 //! - [`fnv1a_16`], [`fnv1a_32`] and [`fnv1a_64`]: the hashes of names and texts that stand in messages.
 //!
@@ -18,6 +19,7 @@
 mod error;
 mod hash;
 mod reader;
+mod wire_enum;
 mod writer;
 
 pub use error::DecodeError;
--- a/crates/coordination/src/codec.rs
+++ b/crates/coordination/src/codec.rs
@@ -11,54 +11,90 @@
 //! | element | layout (bytes) |
 //! | --- | --- |
 //! | ballot | round (4), leader (8) |
-//! | record | key (8), ballot (12), stamp number (4), value (19, padded with zeros), remaining ms (4, all ones: no end) |
+//! | record | key (8), ballot (12), stamp number (4), value (19, padded with zeros), remaining ms (4, all ones: no expiry) |
 //! | value: tombstone | 0 (1) |
 //! | value: disruption | 1 (1), kind (1), reason (1), zone (4), session (4), grant id (8) |
 //! | value: halt | 2 (1), reason (1), number (4), by (8) |
 //! | value: release | 3 (1), stage (1), number (4), to (4), from (4) |
 //! | value: zone | 4 (1), stage (1), step (1), reason (1), zone (4), number (4) |
 //!
-//! Records fill a message to its end. Bytes after a message of fixed length are passed over, as are those after
+//! Records fill a message to its end. Bytes after a message of fixed length are ignored, as are those after
 //! [`MAX_DATAGRAM_BYTES`].
 
 use crate::message::{LeasedRecord, Message};
 use crate::record::{Ballot, DisruptionReason, Record, RecordValue, ReleaseStage, Stamp, UnitKind};
-use tansymux_codec::{ByteReader, ByteWriter, DecodeError};
+use tansymux_codec::{wire_enum, ByteReader, ByteWriter, DecodeError};
 
-/// The longest message (bytes): what membership carries in one datagram.
+/// Limit on the length of a message (bytes): the most that membership carries in one datagram.
 pub const MAX_DATAGRAM_BYTES: usize = 225;
+/// Length of a ballot (bytes).
 const BALLOT_BYTES: usize = 12;
+/// Length of a stamp (bytes).
 const STAMP_BYTES: usize = BALLOT_BYTES + 4;
+/// Length of a record's value (bytes), padding included.
 const VALUE_BYTES: usize = 19;
+/// Length of a record's remaining time (bytes).
 const REMAINING_BYTES: usize = 4;
 /// Length of one record (bytes).
 pub const RECORD_BYTES: usize = 8 + STAMP_BYTES + VALUE_BYTES + REMAINING_BYTES;
-/// The longest head in front of records: that of a promise.
+/// Length of the longest head in front of records (bytes): that of a promise.
 const MAX_HEAD_BYTES: usize = 1 + BALLOT_BYTES + 8 + 4;
-/// Records that fit in one message.
+/// Number of records that fit in one message.
 pub const MAX_RECORDS_PER_MESSAGE: usize = (MAX_DATAGRAM_BYTES - MAX_HEAD_BYTES) / RECORD_BYTES;
 
-/// A record without an end.
-const NO_END: u32 = u32::MAX;
+/// Remaining time of a record that does not expire.
+const NO_EXPIRY: u32 = u32::MAX;
 
-const PREPARE: u8 = 1;
-const PROMISE: u8 = 2;
-const ACCEPT: u8 = 3;
-const ACCEPTED: u8 = 4;
-const REJECT: u8 = 5;
+wire_enum! {
+    /// The first byte of a message.
+    enum MessageKind {
+        /// [`Message::Prepare`].
+        Prepare = 1,
+        /// [`Message::Promise`].
+        Promise = 2,
+        /// [`Message::Accept`].
+        Accept = 3,
+        /// [`Message::Accepted`].
+        Accepted = 4,
+        /// [`Message::Reject`].
+        Reject = 5,
+    }
+}
 
-const TOMBSTONE: u8 = 0;
-const DISRUPTION: u8 = 1;
-const HALT: u8 = 2;
-const RELEASE: u8 = 3;
-const ZONE: u8 = 4;
+wire_enum! {
+    /// The first byte of a record's value.
+    enum ValueKind {
+        /// [`RecordValue::Tombstone`].
+        Tombstone = 0,
+        /// [`RecordValue::Disruption`].
+        Disruption = 1,
+        /// [`RecordValue::Halt`].
+        Halt = 2,
+        /// [`RecordValue::Release`].
+        Release = 3,
+        /// [`RecordValue::Zone`].
+        Zone = 4,
+    }
+}
 
-/// The bytes of a message. Records that do not fit ([`MAX_RECORDS_PER_MESSAGE`]) are left out.
+impl ValueKind {
+    fn of(value: RecordValue) -> Self {
+        match value {
+            RecordValue::Tombstone => ValueKind::Tombstone,
+            RecordValue::Disruption { .. } => ValueKind::Disruption,
+            RecordValue::Halt { .. } => ValueKind::Halt,
+            RecordValue::Release { .. } => ValueKind::Release,
+            RecordValue::Zone { .. } => ValueKind::Zone,
+        }
+    }
+}
+
+/// Encodes a message. Records beyond [`MAX_RECORDS_PER_MESSAGE`] are left out.
 pub fn encode(message: &Message) -> Vec<u8> {
     let mut writer = ByteWriter::with_capacity(MAX_DATAGRAM_BYTES);
     match message {
         Message::Prepare { ballot, nonce } => {
-            encode_head(&mut writer, PREPARE, *ballot);
+            encode_head(&mut writer, MessageKind::Prepare, *ballot);
             writer.u64(*nonce);
         }
         Message::Promise {
@@ -68,7 +104,7 @@
             fragment_count,
             records,
         } => {
-            encode_head(&mut writer, PROMISE, *ballot);
+            encode_head(&mut writer, MessageKind::Promise, *ballot);
             writer.u64(*nonce).u16(*fragment).u16(*fragment_count);
             encode_records(&mut writer, records);
         }
@@ -77,7 +113,7 @@
             number,
             records,
         } => {
-            encode_head(&mut writer, ACCEPT, *ballot);
+            encode_head(&mut writer, MessageKind::Accept, *ballot);
             writer.u32(*number);
             encode_records(&mut writer, records);
         }
@@ -86,16 +122,16 @@
             number,
             digest,
         } => {
-            encode_head(&mut writer, ACCEPTED, *ballot);
+            encode_head(&mut writer, MessageKind::Accepted, *ballot);
             writer.u32(*number).u32(*digest);
         }
-        Message::Reject { ballot } => encode_head(&mut writer, REJECT, *ballot),
+        Message::Reject { ballot } => encode_head(&mut writer, MessageKind::Reject, *ballot),
     }
     writer.into_bytes()
 }
 
-fn encode_head(writer: &mut ByteWriter, code: u8, ballot: Ballot) {
-    writer.u8(code);
+fn encode_head(writer: &mut ByteWriter, kind: MessageKind, ballot: Ballot) {
+    writer.u8(kind.code());
     encode_ballot(writer, ballot);
 }
 
@@ -118,12 +154,13 @@
     let value_start = writer.len();
     encode_value(writer, record.value);
     writer.pad_to(value_start + VALUE_BYTES);
-    writer.u32(leased.remaining_ms.unwrap_or(NO_END));
+    writer.u32(leased.remaining_ms.unwrap_or(NO_EXPIRY));
 }
 
 fn encode_value(writer: &mut ByteWriter, value: RecordValue) {
+    writer.u8(ValueKind::of(value).code());
     match value {
-        RecordValue::Tombstone => writer.u8(TOMBSTONE),
+        RecordValue::Tombstone => writer,
         RecordValue::Disruption {
             kind,
             reason,
@@ -131,76 +168,65 @@
             session,
             grant_id,
         } => writer
-            .u8(DISRUPTION)
-            .u8(kind as u8)
-            .u8(reason as u8)
+            .u8(kind.code())
+            .u8(reason.code())
             .u32(zone)
             .u32(session)
             .u64(grant_id),
-        RecordValue::Halt { number, by, reason } => writer.u8(HALT).u8(reason).u32(number).u64(by),
+        RecordValue::Halt { number, by, reason } => writer.u8(reason).u32(number).u64(by),
         RecordValue::Release {
             number,
             to,
             from,
             stage,
-        } => writer
-            .u8(RELEASE)
-            .u8(stage as u8)
-            .u32(number)
-            .u32(to)
-            .u32(from),
+        } => writer.u8(stage.code()).u32(number).u32(to).u32(from),
         RecordValue::Zone {
             zone,
             stage,
             step,
             reason,
             number,
-        } => writer
-            .u8(ZONE)
-            .u8(stage)
-            .u8(step)
-            .u8(reason)
-            .u32(zone)
-            .u32(number),
+        } => writer.u8(stage).u8(step).u8(reason).u32(zone).u32(number),
     };
 }
 
-/// Reads a message.
+/// Decodes a message.
 ///
 /// # Errors
-/// A [`DecodeError`] for bytes that are no such message. The receiver drops those.
+/// A [`DecodeError`] for malformed bytes, which the receiver drops.
 pub fn decode(datagram: &[u8]) -> Result<Message, DecodeError> {
     let length = datagram.len().min(MAX_DATAGRAM_BYTES);
     let mut reader = ByteReader::new(&datagram[..length]);
     let code = reader.u8()?;
     let ballot = decode_ballot(&mut reader)?;
-    match code {
-        PREPARE => Ok(Message::Prepare {
+    // A datagram that ends within the ballot counts as truncated, whatever its code.
+    let kind = MessageKind::from_code(code).ok_or(DecodeError::UnknownCode {
+        field: "message",
+        code,
+    })?;
+    match kind {
+        MessageKind::Prepare => Ok(Message::Prepare {
             ballot,
             nonce: reader.u64()?,
         }),
-        PROMISE => Ok(Message::Promise {
+        MessageKind::Promise => Ok(Message::Promise {
             ballot,
             nonce: reader.u64()?,
             fragment: reader.u16()?,
             fragment_count: reader.u16()?,
             records: decode_records(&mut reader)?,
         }),
-        ACCEPT => Ok(Message::Accept {
+        MessageKind::Accept => Ok(Message::Accept {
             ballot,
             number: reader.u32()?,
             records: decode_records(&mut reader)?,
         }),
-        ACCEPTED => Ok(Message::Accepted {
+        MessageKind::Accepted => Ok(Message::Accepted {
             ballot,
             number: reader.u32()?,
             digest: reader.u32()?,
         }),
-        REJECT => Ok(Message::Reject { ballot }),
-        code => Err(DecodeError::UnknownCode {
-            field: "message",
-            code,
-        }),
+        MessageKind::Reject => Ok(Message::Reject { ballot }),
     }
 }
 
@@ -211,10 +237,10 @@
     })
 }
 
-/// Reads records up to the end of the datagram.
+/// Decodes records up to the end of the datagram.
 ///
 /// # Errors
-/// A [`DecodeError`] where one of them is malformed.
+/// A [`DecodeError`] where a record is malformed.
 pub fn decode_records(reader: &mut ByteReader) -> Result<Vec<LeasedRecord>, DecodeError> {
     let mut records = Vec::new();
     while !reader.is_empty() {
@@ -233,52 +259,38 @@
     let remaining_ms = reader.u32()?;
     Ok(LeasedRecord {
         record: Record { key, stamp, value },
-        remaining_ms: (remaining_ms != NO_END).then_some(remaining_ms),
+        remaining_ms: (remaining_ms != NO_EXPIRY).then_some(remaining_ms),
     })
 }
 
+/// Decodes a value. Struct fields are evaluated in the order in which they are written: that of the wire.
 fn decode_value(reader: &mut ByteReader) -> Result<RecordValue, DecodeError> {
-    match reader.u8()? {
-        TOMBSTONE => Ok(RecordValue::Tombstone),
-        DISRUPTION => Ok(RecordValue::Disruption {
+    match reader.code("record value", ValueKind::from_code)? {
+        ValueKind::Tombstone => Ok(RecordValue::Tombstone),
+        ValueKind::Disruption => Ok(RecordValue::Disruption {
             kind: reader.code("unit kind", UnitKind::from_code)?,
             reason: reader.code("disruption reason", DisruptionReason::from_code)?,
             zone: reader.u32()?,
             session: reader.u32()?,
             grant_id: reader.u64()?,
         }),
-        HALT => {
-            let reason = reader.u8()?;
-            Ok(RecordValue::Halt {
-                number: reader.u32()?,
-                by: reader.u64()?,
-                reason,
-            })
-        }
-        RELEASE => {
-            let stage = reader.code("release stage", ReleaseStage::from_code)?;
-            Ok(RecordValue::Release {
-                number: reader.u32()?,
-                to: reader.u32()?,
-                from: reader.u32()?,
-                stage,
-            })
-        }
-        ZONE => {
-            let stage = reader.u8()?;
-            let step = reader.u8()?;
-            let reason = reader.u8()?;
-            Ok(RecordValue::Zone {
-                zone: reader.u32()?,
-                stage,
-                step,
-                reason,
-                number: reader.u32()?,
-            })
-        }
-        code => Err(DecodeError::UnknownCode {
-            field: "record value",
-            code,
+        ValueKind::Halt => Ok(RecordValue::Halt {
+            reason: reader.u8()?,
+            number: reader.u32()?,
+            by: reader.u64()?,
+        }),
+        ValueKind::Release => Ok(RecordValue::Release {
+            stage: reader.code("release stage", ReleaseStage::from_code)?,
+            number: reader.u32()?,
+            to: reader.u32()?,
+            from: reader.u32()?,
+        }),
+        ValueKind::Zone => Ok(RecordValue::Zone {
+            stage: reader.u8()?,
+            step: reader.u8()?,
+            reason: reader.u8()?,
+            zone: reader.u32()?,
+            number: reader.u32()?,
         }),
     }
 }
--- a/crates/coordination/src/config.rs
+++ b/crates/coordination/src/config.rs
@@ -1,18 +1,18 @@
 //! Timing of the voters.
 
-/// Timing of elections, leases and retransmission. All voters of a fleet have to share it.
+/// Timing of elections, leases and retransmission. It has to be the same at all voters of a fleet.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct QuorumConfig {
-    /// Leader lease (ms): a leader that no majority has answered for this long steps down, and a voter that has not
-    /// heard from a leader for this long may become a candidate.
+    /// Leader lease (ms): a leader that no majority has answered for this long steps down, and a voter that received
+    /// nothing from a leader for this long may become a candidate.
     pub leader_lease_ms: f64,
-    /// The longest term of any restart lease or other record that ends by itself (ms).
+    /// Limit on the term of a restart lease or any other record that expires (ms).
     pub max_grant_ms: f64,
-    /// How far two clocks may run apart, as a fraction: 0.02 is two parts in a hundred.
+    /// Limit on the difference in rate between two clocks, as a fraction.
     pub max_clock_skew: f64,
-    /// An unanswered message is sent again after this long (ms).
+    /// Retransmission interval of an unanswered message (ms).
     pub retransmit_ms: f64,
-    /// The longest that a datagram may be under way (ms).
+    /// Limit on the time that a datagram is in flight (ms).
     pub max_datagram_delay_ms: f64,
 }
 
@@ -29,8 +29,8 @@
 }
 
 impl QuorumConfig {
-    /// How long a voter without memory takes no part (ms): everything that it may have promised or accepted before has
-    /// ended by then, and no datagram of that time is still under way.
+    /// Time for which a voter that lost its memory takes no part (ms): afterwards all that it may have promised or
+    /// accepted has ended, and no datagram of that time is still in flight.
     pub fn quarantine_ms(&self) -> f64 {
         let longest_promise_ms = self.max_grant_ms.max(self.leader_lease_ms);
         (longest_promise_ms + 2.0 * self.leader_lease_ms + self.max_datagram_delay_ms)
--- a/crates/coordination/src/disruption_budget.rs
+++ b/crates/coordination/src/disruption_budget.rs
@@ -1,24 +1,27 @@
-//! The disruption budget: whether one more unit may be unavailable. Limits by count and fraction, by zone and version,
-//! the load that the others must carry, and a minimum interval. Every request is decided here, whoever makes it.
+//! The disruption budget: whether one more unit may be unavailable.
+//!
+//! It limits the unavailable units by count and fraction, in the fleet, a zone and a version. It also requires that the
+//! remaining units can carry the load, and a minimum interval. Members' and operators' requests are decided alike.
 
 use crate::record::{DisruptionReason, Id, UnitKind};
+use tansymux_codec::wire_enum;
 
 /// Fraction of a fleet that may be unavailable where nothing is configured.
 const DEFAULT_MAX_FRACTION: f64 = 0.1;
 /// Utilization of the remaining capacity that is allowed where nothing is configured.
 const DEFAULT_MAX_UTILIZATION: f64 = 0.9;
 
-/// The smaller of a count and a fraction; none of both: no limit.
+/// A limit on unavailable units: the smaller of a count and a fraction; neither of the two: no limit.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Limit {
-    /// At most this many.
+    /// Limit on the number of units.
     pub max_count: Option<u32>,
-    /// At most this fraction of all that are known, rounded down, and not less than one.
+    /// Limit as a fraction of all known units, rounded down to units and at least one.
     pub max_fraction: Option<f64>,
 }
 
 impl Limit {
-    /// How many of `total` may be unavailable; none: no limit.
+    /// The number of `total` units that may be unavailable; `None`: no limit.
     pub fn resolve(&self, total: usize) -> Option<usize> {
         let max_count = self.max_count.map(|count| count as usize);
         let by_fraction = self
@@ -34,7 +37,7 @@
 /// The limits for one kind of unit.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct DisruptionBudget {
-    /// Limit for the whole fleet.
+    /// Limit for all units of the fleet.
     pub fleet: Limit,
     /// Limit for each zone.
     pub zone: Limit,
@@ -61,18 +64,18 @@
     }
 }
 
-/// A dispatcher or an engine that is known.
+/// A known dispatcher or engine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Unit {
-    /// Its number.
+    /// The unit's identifier.
     pub id: Id,
-    /// Its zone.
+    /// The unit's zone.
     pub zone: u32,
-    /// Its version.
+    /// The unit's version.
     pub version: u32,
-    /// It is observed to serve.
+    /// Whether the unit is observed to serve.
     pub available: bool,
-    /// What it can carry: 1 for a dispatcher, cores for an engine.
+    /// The load that the unit can carry: 1 for a dispatcher, cores for an engine.
     pub capacity: f64,
 }
 
@@ -83,64 +86,54 @@
     pub id: Id,
     /// Why it is unavailable.
     pub reason: DisruptionReason,
-    /// The request that it answers.
+    /// Identifies the request that was granted.
     pub grant_id: u64,
 }
 
-/// A request to let one more unit be unavailable.
+/// A request to make one more unit unavailable.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct DisruptionRequest {
     /// The unit.
     pub id: Id,
     /// Dispatcher or engine.
     pub kind: UnitKind,
-    /// Why.
+    /// Why the unit is to be unavailable.
     pub reason: DisruptionReason,
-    /// Drawn by the requester for each disruption: a repeated request has the same one.
+    /// Identifies the request; drawn by the requester. A repeated request has the same one.
     pub grant_id: u64,
 }
 
-/// Which limit of a budget is exhausted.
-#[derive(Debug, Clone, Copy, PartialEq)]
-#[repr(u8)]
-pub enum Scope {
-    /// That of the whole fleet.
-    Fleet = 0,
-    /// That of the unit's zone.
-    Zone = 1,
-    /// That of the unit's version.
-    Version = 2,
-}
-
-impl Scope {
-    /// All scopes, in the order of their codes.
-    pub const ALL: [Scope; 3] = [Scope::Fleet, Scope::Zone, Scope::Version];
-
-    /// The scope with this code on the wire.
-    pub fn from_code(code: u8) -> Option<Self> {
-        Scope::ALL.get(usize::from(code)).copied()
+wire_enum! {
+    /// Which limit of a budget is exhausted.
+    pub enum Scope {
+        /// The limit for the fleet.
+        Fleet = 0,
+        /// The limit for the unit's zone.
+        Zone = 1,
+        /// The limit for the unit's version.
+        Version = 2,
     }
 }
 
-/// What was decided on a request.
+/// The decision on a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Decision {
     /// The unit may be unavailable.
     Granted,
-    /// This very request was granted before.
+    /// The same request was granted before.
     AlreadyGranted,
-    /// A limit is reached; try later.
+    /// A limit is reached; retry later.
     BudgetExhausted {
         /// Which limit.
         scope: Scope,
         /// Units that are unavailable.
         unavailable: usize,
-        /// Units that may be.
+        /// Units that may be unavailable.
         max_unavailable: usize,
     },
-    /// The last disruption is too recent; try later.
+    /// The last disruption is too recent; retry later.
     TooSoon {
-        /// When to try again, from now (ms).
+        /// Time until a retry may succeed (ms).
         wait_ms: f64,
     },
     /// The unit is unavailable for another reason.
@@ -148,7 +141,7 @@
         /// That reason.
         reason: DisruptionReason,
     },
-    /// The other units could not carry the load.
+    /// The remaining units could not carry the load.
     InsufficientCapacity {
         /// The observed load.
         load: f64,
@@ -159,39 +152,27 @@
     UnknownUnit,
 }
 
-/// Why no disruption is granted at all.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-#[repr(u8)]
-pub enum HaltReason {
-    /// An operator's command.
-    Operator = 0,
-    /// The released dispatchers serve worse than the others.
-    CanaryWorse = 1,
-    /// Failures alone have exhausted the budget.
-    BudgetExhausted = 2,
-    /// Members were lost during a release.
-    MembersLost = 3,
-    /// The canaries had too little traffic for a comparison.
-    Inconclusive = 4,
+wire_enum! {
+    /// Why all disruptions are halted.
+    pub enum HaltReason {
+        /// An operator's command.
+        Operator = 0,
+        /// The released dispatchers perform worse than the others.
+        CanaryWorse = 1,
+        /// Lost members alone exhaust the budget.
+        BudgetExhausted = 2,
+        /// Members were lost during a release.
+        MembersLost = 3,
+        /// The canaries had too little traffic for a comparison.
+        Inconclusive = 4,
+    }
 }
 
 impl HaltReason {
-    /// All reasons, in the order of their codes.
-    pub const ALL: [HaltReason; 5] = [
-        HaltReason::Operator,
-        HaltReason::CanaryWorse,
-        HaltReason::BudgetExhausted,
-        HaltReason::MembersLost,
-        HaltReason::Inconclusive,
-    ];
-
     /// The reason with this code on the wire. A code of a later version counts as an operator's halt: it has to be
     /// resumed by hand as well.
-    pub fn from_code(code: u8) -> HaltReason {
-        HaltReason::ALL
-            .get(usize::from(code))
-            .copied()
-            .unwrap_or(HaltReason::Operator)
+    pub fn from_code_lossy(code: u8) -> HaltReason {
+        HaltReason::from_code(code).unwrap_or(HaltReason::Operator)
     }
 
     /// The words that `tansymux fleet` prints; scripts may read them.
@@ -206,7 +187,7 @@
     }
 }
 
-/// Number of units, and how many of them are unavailable.
+/// Number of units in total and unavailable.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct UnitCount {
     /// Units that are unavailable.
@@ -215,21 +196,21 @@
     pub total: usize,
 }
 
-/// What is known of one kind of unit at present.
+/// The state of all units of one kind.
 #[derive(Debug, Clone, Copy)]
 pub struct FleetView<'a> {
-    /// All units that are known.
+    /// All known units.
     pub units: &'a [Unit],
-    /// Disruptions by record.
+    /// Disruptions that are on record.
     pub disruptions: &'a [Disruption],
     /// When the last disruption was granted (ms).
     pub last_granted_ms: f64,
-    /// The load of all units, in the measure of their capacity.
+    /// The load of all units, in the unit of their capacity.
     pub load: f64,
 }
 
 impl FleetView<'_> {
-    /// Whether a unit counts as unavailable: by a record, or because it is not observed to serve.
+    /// Whether a unit counts as unavailable: it has a disruption on record, or is not observed to serve.
     pub fn is_unavailable(&self, unit: &Unit) -> bool {
         !unit.available || self.disruptions.iter().any(|out| out.id == unit.id)
     }
@@ -247,7 +228,7 @@
         count
     }
 
-    /// Counts all units. One that is only known by its disruption counts too.
+    /// Counts all units, including those of which only the disruption is known.
     pub fn count_all(&self) -> UnitCount {
         let known = self.count(|_| true);
         let unlisted = self.unlisted_disruptions();
@@ -257,7 +238,7 @@
         }
     }
 
-    /// Disruptions of units of which nothing else is known.
+    /// Number of disruptions whose unit is not among the known ones.
     fn unlisted_disruptions(&self) -> usize {
         self.disruptions
             .iter()
@@ -265,7 +246,7 @@
             .count()
     }
 
-    /// Capacity that remains if this unit is unavailable too.
+    /// The capacity of all available units other than `without`.
     fn remaining_capacity(&self, without: Id) -> f64 {
         self.units
             .iter()
@@ -316,7 +297,7 @@
 
 /// The first limit that one more unavailable unit would exceed.
 fn exhausted_limit(unit: &Unit, budget: &DisruptionBudget, view: &FleetView) -> Option<Decision> {
-    // A unit that is not there anyway uses no more of the budget than it does already.
+    // A unit that is unavailable already counts against the budget.
     let additional = usize::from(unit.available);
     let scopes = [
         (Scope::Fleet, budget.fleet, view.count_all()),
--- a/crates/coordination/src/event.rs
+++ b/crates/coordination/src/event.rs
@@ -1,14 +1,14 @@
-//! What goes into a quorum node and comes out of it: events, actions and proposals.
+//! Input and output of a quorum node: events, actions and proposals.
 
 use crate::codec::MAX_RECORDS_PER_MESSAGE;
 use crate::message::Message;
 use crate::record::{Ballot, Id, RecordValue};
 use thiserror::Error;
 
-/// What happened to a voter.
+/// An input of a voter.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// A message came.
+    /// A message arrived.
     Received {
         /// The sender.
         from: Id,
@@ -17,7 +17,7 @@
     },
 }
 
-/// What a voter wants done.
+/// An output of a voter, to be executed by the caller.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
     /// Send a message. It may be lost.
@@ -29,19 +29,19 @@
     },
 }
 
-/// A record that the leader is to write.
+/// A record for the leader to write.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Proposal {
     /// The record's key.
     pub key: u64,
-    /// Its new value.
+    /// The new value.
     pub value: RecordValue,
-    /// How long it counts (ms); none: without an end.
+    /// Time until the record expires (ms); `None`: it does not.
     pub term_ms: Option<f64>,
 }
 
 impl Proposal {
-    /// A value without an end.
+    /// A record that does not expire.
     pub fn lasting(key: u64, value: RecordValue) -> Self {
         Proposal {
             key,
@@ -50,37 +50,37 @@
         }
     }
 
-    /// Ends the record of a key.
+    /// The tombstone that ends the record of a key.
     pub fn tombstone(key: u64) -> Self {
         Proposal::lasting(key, RecordValue::Tombstone)
     }
 }
 
-/// Tells one accept request of a leader from all others.
+/// Identifies an accept request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ProposalId {
     /// The leader's ballot.
     pub ballot: Ballot,
-    /// Number of the accept request.
+    /// Number of the accept request under this ballot.
     pub number: u32,
 }
 
-/// Why proposals were not taken up. None of them was written.
+/// Why proposals were rejected. None of them was written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum ProposeError {
-    /// This voter does not lead.
+    /// This voter is not the leader.
     #[error("this voter does not lead")]
     NotLeader,
-    /// There was none, or more than fit in one message.
+    /// There were no proposals, or more than fit in one message.
     #[error("{count} proposals: 1 to {MAX_RECORDS_PER_MESSAGE} are allowed")]
     ProposalCount {
-        /// How many there were.
+        /// Number of proposals.
         count: usize,
     },
     /// Too many accept requests are in flight.
     #[error("too many accept requests are in flight")]
     TooManyInFlight,
-    /// The table has no room for the new keys.
+    /// The table of records has no capacity for the new keys.
     #[error("the table of records is full")]
     TableFull,
 }
--- a/crates/coordination/src/message.rs
+++ b/crates/coordination/src/message.rs
@@ -2,26 +2,26 @@
 
 use crate::record::{Ballot, Record};
 
-/// A record, and how long it still counts.
+/// A record and its remaining time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct LeasedRecord {
     /// The record.
     pub record: Record,
-    /// Milliseconds until it ends by itself; none: it has no end.
+    /// Time until the record expires (ms); `None`: it does not.
     pub remaining_ms: Option<u32>,
 }
 
 /// A message between voters.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Message {
-    /// A candidate asks for a promise.
+    /// A candidate requests a promise (phase 1a).
     Prepare {
         /// The candidate's ballot.
         ballot: Ballot,
-        /// Drawn for each candidacy.
+        /// Identifies the candidacy; drawn at random.
         nonce: u64,
     },
-    /// One fragment of a promise, with what the voter has accepted so far.
+    /// An acceptor promises a ballot, with the records that it accepted (phase 1b). A promise has one or more fragments.
     Promise {
         /// The promised ballot.
         ballot: Ballot,
@@ -31,30 +31,30 @@
         fragment: u16,
         /// Number of fragments.
         fragment_count: u16,
-        /// Some of the voter's records.
+        /// This fragment's part of the acceptor's records.
         records: Vec<LeasedRecord>,
     },
-    /// The leader asks to accept records; none: a heartbeat.
+    /// The leader requests that records be accepted (phase 2a). Without records it is a heartbeat.
     Accept {
         /// The leader's ballot.
         ballot: Ballot,
-        /// Tells one accept request of the leader from another.
+        /// Number of the accept request under this ballot.
         number: u32,
         /// The records.
         records: Vec<LeasedRecord>,
     },
-    /// The voter accepted.
+    /// An acceptor accepted the records (phase 2b).
     Accepted {
         /// The leader's ballot.
         ballot: Ballot,
         /// The number of the accept request.
         number: u32,
-        /// Digest of all records that the voter holds, see [`crate::digest`].
+        /// Digest of all records of the acceptor, see [`crate::digest`].
         digest: u32,
     },
-    /// The voter follows another leader, or is quarantined.
+    /// An acceptor rejects a request: it promised a higher ballot, follows another leader or is quarantined.
     Reject {
-        /// The ballot that the voter promised.
+        /// The ballot that the acceptor promised.
         ballot: Ballot,
     },
 }
--- a/crates/coordination/src/record.rs
+++ b/crates/coordination/src/record.rs
@@ -1,6 +1,8 @@
 //! The replicated records. Of two records with one key, the one with the higher stamp is the later one.
 
-/// Number of a dispatcher (as in membership) or of an engine.
+use tansymux_codec::wire_enum;
+
+/// Identifier of a dispatcher (as in membership) or of an engine.
 pub type Id = u64;
 
 /// Key of the record that halts all disruptions.
@@ -8,18 +10,20 @@
 /// Key of the record of the release.
 pub const RELEASE_KEY: u64 = 2;
 
-/// Keys of dispatchers and engines: the id, mixed with a constant for each kind so that the two don't collide.
+/// XORed onto a dispatcher's id for the key of its record, so that it does not collide with an engine's.
 const DISPATCHER_KEY_SALT: u64 = 0x5851_F42D_4C95_7F2D;
+/// XORed onto an engine's id for the key of its record.
 const ENGINE_KEY_SALT: u64 = 0x1405_7B7E_F767_814F;
-/// Upper half of the keys of zones.
+/// Upper half of a zone's key; the lower half is the zone.
 const ZONE_KEY_PREFIX: u64 = 0x5A4F_4E45 << 32;
 
-/// The number under which a leader writes. Of two leaders in one round, the one with the higher id wins.
+/// A Paxos ballot number: the round, then the proposer's id. Of two proposers in one round, the one with the higher id
+/// wins.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Ballot {
-    /// Goes up with each candidacy.
+    /// The round: higher for each candidacy.
     pub round: u32,
-    /// The candidate.
+    /// The proposer: a candidate, and the leader once it is elected.
     pub leader: Id,
 }
 
@@ -32,90 +36,50 @@
     pub number: u32,
 }
 
-/// What kind of unit a disruption is about.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-#[repr(u8)]
-pub enum UnitKind {
-    /// A dispatcher: a member of the fleet.
-    Dispatcher = 0,
-    /// An engine.
-    Engine = 1,
-}
-
-impl UnitKind {
-    /// All kinds, in the order of their codes.
-    pub const ALL: [UnitKind; 2] = [UnitKind::Dispatcher, UnitKind::Engine];
-
-    /// The kind with this code on the wire.
-    pub fn from_code(code: u8) -> Option<Self> {
-        UnitKind::ALL.get(usize::from(code)).copied()
+wire_enum! {
+    /// The kind of unit that a disruption makes unavailable.
+    pub enum UnitKind {
+        /// A dispatcher: a member of the fleet.
+        Dispatcher = 0,
+        /// An engine.
+        Engine = 1,
     }
 }
 
-/// Why a unit is unavailable.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-#[repr(u8)]
-pub enum DisruptionReason {
-    /// A dispatcher holds a restart lease.
-    RestartLease = 0,
-    /// The operators drain it.
-    Drain = 1,
-    /// Enough dispatchers found the engine failing.
-    Ejected = 2,
-    /// It disappeared without a lease, or did not come back from one.
-    Lost = 3,
-    /// The name service lists it as unavailable, which can't be refused.
-    Announced = 4,
-}
-
-impl DisruptionReason {
-    /// All reasons, in the order of their codes.
-    pub const ALL: [DisruptionReason; 5] = [
-        DisruptionReason::RestartLease,
-        DisruptionReason::Drain,
-        DisruptionReason::Ejected,
-        DisruptionReason::Lost,
-        DisruptionReason::Announced,
-    ];
-
-    /// The reason with this code on the wire.
-    pub fn from_code(code: u8) -> Option<Self> {
-        DisruptionReason::ALL.get(usize::from(code)).copied()
+wire_enum! {
+    /// Why a unit is unavailable.
+    pub enum DisruptionReason {
+        /// A dispatcher holds a restart lease.
+        RestartLease = 0,
+        /// The operators drain the unit.
+        Drain = 1,
+        /// Enough dispatchers found the engine failing.
+        Ejected = 2,
+        /// The unit disappeared without a lease, or did not come back from one.
+        Lost = 3,
+        /// The name service lists the unit as unavailable, which cannot be rejected.
+        Announced = 4,
     }
 }
 
-/// How far a release is.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-#[repr(u8)]
-pub enum ReleaseStage {
-    /// Only the canaries restart.
-    Canaries = 0,
-    /// All others restart, one wave for each zone.
-    Waves = 1,
-    /// Released dispatchers go back to the previous version.
-    RollingBack = 2,
-    /// All have the new version.
-    Completed = 3,
-    /// All went back.
-    RolledBack = 4,
+wire_enum! {
+    /// The stage of a release.
+    pub enum ReleaseStage {
+        /// Only the canaries restart.
+        Canaries = 0,
+        /// All other dispatchers restart, in one wave for each zone.
+        Waves = 1,
+        /// Released dispatchers return to the previous version.
+        RollingBack = 2,
+        /// All dispatchers have the new version.
+        Completed = 3,
+        /// All dispatchers have the previous version again.
+        RolledBack = 4,
+    }
 }
 
 impl ReleaseStage {
-    /// All stages, in the order of their codes.
-    pub const ALL: [ReleaseStage; 5] = [
-        ReleaseStage::Canaries,
-        ReleaseStage::Waves,
-        ReleaseStage::RollingBack,
-        ReleaseStage::Completed,
-        ReleaseStage::RolledBack,
-    ];
-
-    /// The stage with this code on the wire.
-    pub fn from_code(code: u8) -> Option<Self> {
-        ReleaseStage::ALL.get(usize::from(code)).copied()
-    }
-
-    /// Whether nothing of the release is left to do.
+    /// Whether the release is over.
     pub fn is_final(self) -> bool {
         matches!(self, ReleaseStage::Completed | ReleaseStage::RolledBack)
     }
@@ -132,18 +96,18 @@
         kind: UnitKind,
         /// Why it is unavailable.
         reason: DisruptionReason,
-        /// Its zone.
+        /// The unit's zone.
         zone: u32,
-        /// The session of the dispatcher's life that the disruption ends; 0 for engines.
+        /// The session of the dispatcher that the disruption ends; 0 for engines.
         session: u32,
-        /// Drawn by the requester for each disruption: a repeated request has the same one.
+        /// Identifies the request; drawn by the requester. A repeated request has the same one.
         grant_id: u64,
     },
     /// No new disruption is granted.
     Halt {
-        /// Drawn for each halt, so that only this one can be resumed by it.
+        /// Identifies this halt: resuming has to name it.
         number: u32,
-        /// The leader that wrote it.
+        /// The leader that wrote the record.
         by: Id,
         /// Code of a [`crate::disruption_budget::HaltReason`].
         reason: u8,
@@ -158,7 +122,7 @@
         step: u8,
         /// Code of the reason.
         reason: u8,
-        /// Goes up with each change of the zone.
+        /// Number of the decision: higher for each change of the zone.
         number: u32,
     },
     /// A release.
@@ -167,9 +131,9 @@
         number: u32,
         /// The new version.
         to: u32,
-        /// Only dispatchers at this version take part; 0: all that are not at `to`.
+        /// Only dispatchers with this version take part; 0: all that do not have `to`.
         from: u32,
-        /// How far it is.
+        /// The stage of the release.
         stage: ReleaseStage,
     },
 }
@@ -177,11 +141,11 @@
 /// One replicated register.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Record {
-    /// Names the register: see [`Record::unit_key`], [`Record::zone_key`], [`HALT_KEY`] and [`RELEASE_KEY`].
+    /// Identifies the register: see [`Record::unit_key`], [`Record::zone_key`], [`HALT_KEY`] and [`RELEASE_KEY`].
     pub key: u64,
-    /// When it was written.
+    /// Orders the record among others with its key.
     pub stamp: Stamp,
-    /// Its content.
+    /// The content.
     pub value: RecordValue,
 }
 
--- a/crates/coordination/src/record_table.rs
+++ b/crates/coordination/src/record_table.rs
@@ -1,25 +1,25 @@
-//! The records that one voter holds, and which of two records with one key holds.
+//! The records of one voter, and the rule that decides between two records with one key.
 
 use crate::message::LeasedRecord;
 use crate::record::{Record, Stamp};
 use std::collections::BTreeMap;
 
-/// Records held at most, tombstones included.
+/// Limit on the number of records, tombstones included.
 pub const MAX_RECORDS: usize = 512;
-/// A tombstone is remembered for this long (ms), so that an older record of its key does not come back.
+/// Retention of a tombstone (ms), so that an older record with its key does not come back.
 const TOMBSTONE_RETENTION_MS: f64 = 600_000.0;
 
-/// One record as a voter holds it.
+/// A record in the table of a voter.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct StoredRecord {
     pub(crate) record: Record,
-    /// When it ends by itself; infinite: never.
+    /// When the record expires; infinite: never.
     pub(crate) expires_at_ms: f64,
     pub(crate) accepted_at_ms: f64,
 }
 
 impl StoredRecord {
-    /// The record with the time that it still counts.
+    /// The record with its remaining time.
     pub(crate) fn leased(&self, now_ms: f64) -> LeasedRecord {
         let remaining_ms = (self.expires_at_ms - now_ms)
             .clamp(0.0, f64::from(u32::MAX - 1))
@@ -54,22 +54,21 @@
         self.records.values_mut()
     }
 
-    /// Whether records with these keys fit.
+    /// Whether the table has capacity for records with these keys.
     pub(crate) fn has_room_for(&self, keys: impl Iterator<Item = u64>) -> bool {
         let new_keys = keys.filter(|key| !self.records.contains_key(key)).count();
         self.records.len() + new_keys <= MAX_RECORDS
     }
 
-    /// Stores a record of this voter's own, whatever was held before.
+    /// Stores a record that this voter wrote itself, in place of any other with its key.
     pub(crate) fn insert(&mut self, stored: StoredRecord) {
         self.records.insert(stored.record.key, stored);
     }
 
-    /// Takes in a record of another voter if it is the later one.
+    /// Stores a record of another voter if it is the later one.
     ///
-    /// Where a majority has lost its memory, rounds may begin anew, so that a stamp proves nothing against time: an
-    /// expired record yields to one that counts, whatever the stamps. Of two that count for the same unit the later
-    /// end holds.
+    /// Rounds may begin again from a low number after a majority lost its memory. An expired record is therefore replaced
+    /// by an unexpired one with any stamp. If both are unexpired and neither is a tombstone, the later expiry applies.
     pub(crate) fn merge(&mut self, leased: LeasedRecord, now_ms: f64, max_clock_skew: f64) {
         let record = leased.record;
         let incoming = StoredRecord {
@@ -124,7 +123,7 @@
     }
 }
 
-/// Digest of a set of records, tombstones left out: the same in any order. Two tables with one digest hold the same.
+/// Digest of a set of records without its tombstones, independent of their order. Equal digests mean equal records.
 pub fn digest<'a>(records: impl Iterator<Item = &'a Record>) -> u32 {
     records
         .filter(|record| !record.is_tombstone())
--- a/crates/rollout/src/codec/answer.rs
+++ b/crates/rollout/src/codec/answer.rs
@@ -33,18 +33,18 @@
         Answer::Pending => writer.u8(1),
         Answer::Granted { remaining_ms } => writer.u8(2).u32(remaining_ms),
         Answer::Done => writer.u8(3),
-        Answer::Halted { reason, by, number } => writer.u8(4).u8(reason as u8).u64(by).u32(number),
+        Answer::Halted { reason, by, number } => writer.u8(4).u8(reason.code()).u64(by).u32(number),
         Answer::BudgetExhausted {
             scope,
             unavailable,
             max_unavailable,
         } => writer
             .u8(5)
-            .u8(scope as u8)
+            .u8(scope.code())
             .u32(unavailable)
             .u32(max_unavailable),
         Answer::TooSoon { wait_ms } => writer.u8(6).u32(wait_ms),
-        Answer::AlreadyOut { reason } => writer.u8(7).u8(reason as u8),
+        Answer::AlreadyOut { reason } => writer.u8(7).u8(reason.code()),
         Answer::InsufficientCapacity { load, remaining } => writer.u8(8).f32(load).f32(remaining),
         Answer::UnknownUnit => writer.u8(9),
         Answer::OthersFirst => writer.u8(10),
@@ -79,12 +79,12 @@
         .u32(status.pairs)
         .f32(status.mean_difference);
     match status.halt {
-        Some((reason, number)) => writer.u8(reason as u8).u32(number),
+        Some((reason, number)) => writer.u8(reason.code()).u32(number),
         None => writer.u8(NO_CODE).u32(0),
     };
     match status.release {
         Some(release) => writer
-            .u8(release.stage as u8)
+            .u8(release.stage.code())
             .u32(release.number)
             .u32(release.to)
             .u32(release.from),
@@ -101,7 +101,7 @@
         },
         3 => Answer::Done,
         4 => Answer::Halted {
-            reason: HaltReason::from_code(reader.u8()?),
+            reason: HaltReason::from_code_lossy(reader.u8()?),
             by: reader.u64()?,
             number: reader.u32()?,
         },
@@ -171,7 +171,7 @@
     let halt_reason = reader.u8()?;
     let halt_number = reader.u32()?;
     if halt_reason != NO_CODE {
-        status.halt = Some((HaltReason::from_code(halt_reason), halt_number));
+        status.halt = Some((HaltReason::from_code_lossy(halt_reason), halt_number));
     }
     let stage = reader.u8()?;
     let number = reader.u32()?;
--- a/crates/rollout/src/rollout_controller.rs
+++ b/crates/rollout/src/rollout_controller.rs
@@ -332,7 +332,7 @@
     match node.active(HALT_KEY)?.record.value {
         RecordValue::Halt { number, by, reason } => Some(ActiveHalt {
             number,
-            reason: HaltReason::from_code(reason),
+            reason: HaltReason::from_code_lossy(reason),
             by,
         }),
         _ => None,
--- a/crates/rollout/src/rollout_controller/commands.rs
+++ b/crates/rollout/src/rollout_controller/commands.rs
@@ -283,7 +283,7 @@
     let value = RecordValue::Halt {
         number,
         by: node.id(),
-        reason: reason as u8,
+        reason: reason.code(),
     };
     propose(node, &[Proposal::lasting(HALT_KEY, value)], now_ms);
     when_chosen(node, HALT_KEY, Answer::Done)
--- a/crates/rollout/src/zone_coordinator.rs
+++ b/crates/rollout/src/zone_coordinator.rs
@@ -67,10 +67,10 @@
         return None;
     };
     let state = ZoneStatus {
-        stage: Stage::from_number(stage)?,
+        stage: Stage::from_code(stage)?,
         step,
         decision_number: number,
-        reason: Reason::from_number(reason)?,
+        reason: Reason::from_code(reason)?,
     };
     Some((zone, state))
 }
@@ -82,9 +82,9 @@
             key,
             RecordValue::Zone {
                 zone,
-                stage: state.stage as u8,
+                stage: state.stage.code(),
                 step: state.step,
-                reason: state.reason as u8,
+                reason: state.reason.code(),
                 number: state.decision_number,
             },
         ),
--- a/crates/zone-evacuation/src/codec.rs
+++ b/crates/zone-evacuation/src/codec.rs
@@ -70,7 +70,7 @@
     for evidence in report.zones.iter().take(MAX_ZONES) {
         writer
             .u32(evidence.zone)
-            .u8(evidence.reachability as u8)
+            .u8(evidence.reachability.code())
             .f32(evidence.threads)
             .u16(evidence.successes)
             .u16(evidence.failures);
@@ -102,7 +102,7 @@
     let mut reader = ByteReader::new(entry);
     Ok(Evidence {
         zone: reader.u32()?,
-        reachability: reader.code("reachability", Reachability::from_number)?,
+        reachability: reader.code("reachability", Reachability::from_code)?,
         threads: reader.finite_f32()?,
         successes: reader.u16()?,
         failures: reader.u16()?,
@@ -117,10 +117,10 @@
         let status = &entry.status;
         writer
             .u32(entry.zone)
-            .u8(status.stage as u8)
+            .u8(status.stage.code())
             .u8(status.step)
             .u32(status.decision_number)
-            .u8(status.reason as u8)
+            .u8(status.reason.code())
             .f32(entry.quota);
     }
     writer.into_bytes()
@@ -149,10 +149,10 @@
     Ok(ZoneEntry {
         zone: reader.u32()?,
         status: ZoneStatus {
-            stage: reader.code("stage", Stage::from_number)?,
+            stage: reader.code("stage", Stage::from_code)?,
             step: reader.u8()?,
             decision_number: reader.u32()?,
-            reason: reader.code("reason", Reason::from_number)?,
+            reason: reader.code("reason", Reason::from_code)?,
         },
         quota: reader.finite_f32()?,
     })
--- a/crates/zone-evacuation/src/model.rs
+++ b/crates/zone-evacuation/src/model.rs
@@ -1,6 +1,7 @@
 //! What the controller, the followers and the codec have in common: zones, their agreed status, and evidence.
 
 use std::fmt;
+use tansymux_codec::wire_enum;
 
 /// A zone's identifier, derived from its name.
 pub type ZoneId = u32;
@@ -10,57 +11,31 @@
 /// Limit on the number of zones.
 pub const MAX_ZONES: usize = 12;
 
-/// Stage of an evacuation. Its number is part of the fleet's records and messages.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-#[repr(u8)]
-pub enum Stage {
-    /// Nothing new is sent there from outside.
-    Evacuated = 0,
-    /// The zone gets what its ramp step allows, shared by quotas.
-    Recovering = 1,
-}
-
-impl Stage {
-    /// The stage with this number; `None` if there is none.
-    pub fn from_number(number: u8) -> Option<Stage> {
-        match number {
-            0 => Some(Stage::Evacuated),
-            1 => Some(Stage::Recovering),
-            _ => None,
-        }
+wire_enum! {
+    /// Stage of an evacuation. Its number is part of the fleet's records and messages.
+    pub enum Stage {
+        /// Nothing new is sent there from outside.
+        Evacuated = 0,
+        /// The zone gets what its ramp step allows, shared by quotas.
+        Recovering = 1,
     }
 }
 
-/// Why a zone's status changed. Its number is part of the fleet's records and messages.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-#[repr(u8)]
-pub enum Reason {
-    /// Nobody outside reaches the zone, and nobody inside reports that it does.
-    Lost = 0,
-    /// Nobody outside reaches the zone; those inside go on using it.
-    CutOff = 1,
-    /// An operator's command.
-    Operator = 2,
-    /// The zone is reached again.
-    Reached = 3,
-    /// Failures increased during the return, or the zone was lost again.
-    FailuresIncreased = 4,
-    /// The last step of the return went well.
-    Restored = 5,
-}
-
-impl Reason {
-    /// The reason with this number; `None` if there is none.
-    pub fn from_number(number: u8) -> Option<Reason> {
-        match number {
-            0 => Some(Reason::Lost),
-            1 => Some(Reason::CutOff),
-            2 => Some(Reason::Operator),
-            3 => Some(Reason::Reached),
-            4 => Some(Reason::FailuresIncreased),
-            5 => Some(Reason::Restored),
-            _ => None,
-        }
+wire_enum! {
+    /// Why a zone's status changed. Its number is part of the fleet's records and messages.
+    pub enum Reason {
+        /// Nobody outside reaches the zone, and nobody inside reports that it does.
+        Lost = 0,
+        /// Nobody outside reaches the zone; those inside go on using it.
+        CutOff = 1,
+        /// An operator's command.
+        Operator = 2,
+        /// The zone is reached again.
+        Reached = 3,
+        /// Failures increased during the return, or the zone was lost again.
+        FailuresIncreased = 4,
+        /// The last step of the return went well.
+        Restored = 5,
     }
 }
 
@@ -117,32 +92,21 @@
     CutOff,
 }
 
-/// Whether a member reaches a zone. Its number is part of the messages.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-#[repr(u8)]
-pub enum Reachability {
-    /// It has no recent evidence.
-    Unknown = 0,
-    /// Engines answer.
-    Reachable = 1,
-    /// Engines answer again, and the member increases its load step by step.
-    Recovering = 2,
-    /// Engines do not answer.
-    Unreachable = 3,
+wire_enum! {
+    /// Whether a member reaches a zone. Its number is part of the messages.
+    pub enum Reachability {
+        /// It has no recent evidence.
+        Unknown = 0,
+        /// Engines answer.
+        Reachable = 1,
+        /// Engines answer again, and the member increases its load step by step.
+        Recovering = 2,
+        /// Engines do not answer.
+        Unreachable = 3,
+    }
 }
 
 impl Reachability {
-    /// The reachability with this number; `None` if there is none.
-    pub fn from_number(number: u8) -> Option<Reachability> {
-        match number {
-            0 => Some(Reachability::Unknown),
-            1 => Some(Reachability::Reachable),
-            2 => Some(Reachability::Recovering),
-            3 => Some(Reachability::Unreachable),
-            _ => None,
-        }
-    }
-
     /// Whether engines of the zone answer.
     pub(crate) fn is_reached(self) -> bool {
         matches!(self, Reachability::Reachable | Reachability::Recovering)
--- a/crates/zone-evacuation/tests/codec.rs
+++ b/crates/zone-evacuation/tests/codec.rs
@@ -100,7 +100,7 @@
 #[test]
 fn printed_reasons_keep_their_words() {
     let words: Vec<String> = (0..6)
-        .filter_map(Reason::from_number)
+        .filter_map(Reason::from_code)
         .map(|reason| reason.to_string())
         .collect();
     assert_eq!(
