--- a/crates/rollout/src/fleet_node.rs
+++ b/crates/rollout/src/fleet_node.rs
@@ -10,12 +10,11 @@
 use crate::zone_coordinator::ZoneCoordinator;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
-use std::collections::VecDeque;
 use std::net::SocketAddr;
 use tansymux_coordination::disruption_budget::Unit;
 use tansymux_coordination::{
-    Action, DisruptionReason, Id, QuorumConfig, QuorumNode, Record, Role, UnitKind, VoterMemory,
-    VoterStart,
+    Action, DisruptionReason, Id, Outbox, QuorumConfig, QuorumNode, Record, Role, UnitKind,
+    VoterMemory, VoterStart,
 };
 use tansymux_membership::{
     member_id_of, Event as MembershipEvent, Keys, MemberState, SwimDetector,
@@ -87,10 +86,8 @@
     /// Messages to itself.
     local_messages: Vec<Message>,
     now_ms: f64,
-    outbox: VecDeque<FleetAction>,
+    outbox: Outbox<FleetAction>,
     next_poll_ms: f64,
-    /// The timers ran, and their actions are being handed out.
-    draining: bool,
 }
 
 impl FleetNode {
@@ -136,9 +133,8 @@
             zones,
             local_messages: Vec::new(),
             now_ms,
-            outbox: VecDeque::new(),
+            outbox: Outbox::default(),
             next_poll_ms: now_ms,
-            draining: false,
         }
     }
 
@@ -275,13 +271,10 @@
 
     /// The next action that is due; none: nothing before [`FleetNode::next_poll_ms`]. Call it until it gives none.
     pub fn poll(&mut self, now_ms: f64) -> Option<FleetAction> {
-        if !self.draining {
-            self.draining = true;
+        if self.outbox.begin_poll() {
             self.run_timers(now_ms);
         }
-        let action = self.outbox.pop_front();
-        self.draining = action.is_some();
-        action
+        self.outbox.pop()
     }
 
     /// When to poll again (ms), if no event comes before.
@@ -304,7 +297,7 @@
         let output = self.detector.poll(now_ms);
         self.wake_at(output.next_poll_ms);
         for sent in output.datagrams {
-            self.outbox.push_back(FleetAction::Send {
+            self.outbox.push(FleetAction::Send {
                 to: sent.to,
                 datagram: sent.bytes,
             });
--- a/crates/rollout/src/fleet_node/messages.rs
+++ b/crates/rollout/src/fleet_node/messages.rs
@@ -4,7 +4,8 @@
 use crate::codec;
 use crate::member_agent::{Destination, Gossip};
 use crate::message::{Command, Message, Report};
-use crate::rollout_controller::{propose, RolloutController};
+use crate::quorum_records::propose;
+use crate::rollout_controller::RolloutController;
 use tansymux_coordination::{
     DisruptionReason, Event, Id, LeasedRecord, Proposal, RecordValue, Role,
 };
--- a/crates/rollout/src/member_agent.rs
+++ b/crates/rollout/src/member_agent.rs
@@ -5,10 +5,11 @@
 use crate::message::{Answer, Command, Message, Report};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
-use std::collections::{BTreeMap, VecDeque};
+use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use tansymux_coordination::{
-    DisruptionReason, Id, LeasedRecord, Record, RecordValue, UnitKind, HALT_KEY, MAX_RECORDS,
+    DisruptionReason, Id, LeasedRecord, Outbox, Record, RecordValue, UnitKind, HALT_KEY,
+    MAX_RECORDS,
 };
 
 /// Interval between two reports (ms), spread by a fifth.
@@ -107,10 +108,8 @@
     next_report_ms: f64,
     calls: CallTable,
     rng: Pcg32,
-    outbox: VecDeque<AgentAction>,
+    outbox: Outbox<AgentAction>,
     next_poll_ms: f64,
-    /// The timers ran, and their actions are being handed out.
-    draining: bool,
 }
 
 impl MemberAgent {
@@ -130,9 +129,8 @@
             next_report_ms: f64::NEG_INFINITY,
             calls: CallTable::default(),
             rng,
-            outbox: VecDeque::new(),
+            outbox: Outbox::default(),
             next_poll_ms: f64::NEG_INFINITY,
-            draining: false,
         }
     }
 
@@ -331,13 +329,10 @@
 
     /// The next action that is due; none: nothing before [`MemberAgent::next_poll_ms`]. Call it until it gives none.
     pub fn poll(&mut self, now_ms: f64) -> Option<AgentAction> {
-        if !self.draining {
-            self.draining = true;
+        if self.outbox.begin_poll() {
             self.run_timers(now_ms);
         }
-        let action = self.outbox.pop_front();
-        self.draining = action.is_some();
-        action
+        self.outbox.pop()
     }
 
     /// When to poll again (ms), if nothing comes before.
@@ -383,6 +378,6 @@
     }
 
     fn send(&mut self, to: Destination, message: Message) {
-        self.outbox.push_back(AgentAction::Send { to, message });
+        self.outbox.push(AgentAction::Send { to, message });
     }
 }
--- a/crates/rollout/src/rollout_controller/commands.rs
+++ b/crates/rollout/src/rollout_controller/commands.rs
@@ -1,9 +1,14 @@
 //! Commands of members and operators: leases, drains, halts and releases.
 
-use super::{active_halt, active_release, propose, release_proposal, RolloutController};
+use super::grants::GrantRequest;
+use super::status::fleet_status;
+use super::RolloutController;
 use crate::message::{Answer, Command};
+use crate::quorum_records::{
+    active_halt, active_release, end_record, propose, release_proposal, when_chosen, write_halt,
+};
 use crate::rollout_plan::{NotYet, Release, RestartRequest};
-use tansymux_coordination::disruption_budget::{Decision, DisruptionRequest, HaltReason};
+use tansymux_coordination::disruption_budget::{DisruptionRequest, HaltReason};
 use tansymux_coordination::{
     DisruptionReason, Id, Proposal, QuorumNode, Record, RecordValue, ReleaseStage, UnitKind,
     HALT_KEY, RELEASE_KEY,
@@ -17,24 +22,15 @@
     grant_id: u64,
 }
 
-/// What a granted disruption is recorded with.
-#[derive(Debug, Clone, Copy)]
-pub(super) struct GrantTerms {
-    /// The session of the dispatcher's life that it ends; 0 for engines.
-    pub(super) session: u32,
-    /// How long it counts (ms); none: until it is ended.
-    pub(super) term_ms: Option<f64>,
-}
-
 impl RolloutController {
-    /// Answers a command. The member asks again until the answer is other than [`Answer::Pending`]; a command may come
-    /// twice, which its number makes harmless.
+    /// Answers a command. The member repeats it until the answer is other than [`Answer::Pending`]; the number in a
+    /// command makes it idempotent.
     pub fn on_command(&mut self, node: &mut QuorumNode, command: Command, now_ms: f64) -> Answer {
         if !self.is_settled_leader(node, now_ms) {
             return Answer::NoLeader;
         }
         match command {
-            Command::Status => Answer::Status(self.status(node)),
+            Command::Status => Answer::Status(fleet_status(node, &self.fleet, &self.progress)),
             Command::RequestLease { id, to, grant_id } => {
                 let requested = RequestedLease { id, to, grant_id };
                 self.grant_lease(node, requested, now_ms)
@@ -50,12 +46,12 @@
                     from,
                     stage,
                 };
-                self.start_release(node, release, now_ms)
+                start_release(node, release, now_ms)
             }
             Command::RollBack { number } => roll_back(node, number, now_ms),
             Command::Halt { number } => match active_halt(node) {
                 Some(_) => when_chosen(node, HALT_KEY, Answer::Done),
-                None => halt(node, HaltReason::Operator, number, now_ms),
+                None => write_halt(node, HaltReason::Operator, number, now_ms),
             },
             Command::Resume { number } => self.resume(node, number, now_ms),
             Command::Forget { id } => self.forget(node, id, now_ms),
@@ -72,171 +68,87 @@
         requested: RequestedLease,
         now_ms: f64,
     ) -> Answer {
-        let report = self.report_of(requested.id);
-        let Some(report) = report.filter(|_| self.is_present(requested.id)) else {
+        let report = self.fleet.report_of(requested.id);
+        let Some(report) = report.filter(|_| self.fleet.is_present(requested.id)) else {
             return Answer::UnknownUnit;
         };
         let changes_version = requested.to != 0 && requested.to != report.version;
         if changes_version && !holds_lease(node, requested.id, requested.grant_id) {
-            let request = RestartRequest {
-                id: requested.id,
-                to: requested.to,
-            };
-            let release = active_release(node);
-            let participants = self.participants(node);
-            let is_paused = now_ms < self.paused_until_ms;
-            let admitted =
-                self.config
-                    .plan
-                    .admit(release.as_ref(), &participants, request, is_paused);
-            if let Err(not_yet) = admitted {
+            if let Err(not_yet) = self.admit_to_release(node, requested, now_ms) {
                 return not_yet.into();
             }
         }
-        let request = DisruptionRequest {
-            id: requested.id,
-            kind: UnitKind::Dispatcher,
-            reason: DisruptionReason::RestartLease,
-            grant_id: requested.grant_id,
-        };
-        let terms = GrantTerms {
+        let request = GrantRequest {
+            disruption: DisruptionRequest {
+                id: requested.id,
+                kind: UnitKind::Dispatcher,
+                reason: DisruptionReason::RestartLease,
+                grant_id: requested.grant_id,
+            },
             session: report.session,
             term_ms: Some(self.config.lease_term_ms),
         };
-        self.grant_disruption(node, request, terms, now_ms)
+        self.grants
+            .grant(node, &self.fleet, &self.config, request, now_ms)
     }
 
-    fn drain(&mut self, node: &mut QuorumNode, engine: Id, grant_id: u64, now_ms: f64) -> Answer {
-        let request = DisruptionRequest {
-            id: engine,
-            kind: UnitKind::Engine,
-            reason: DisruptionReason::Drain,
-            grant_id,
+    /// Whether the order of the release lets a dispatcher restart to another version now.
+    fn admit_to_release(
+        &self,
+        node: &QuorumNode,
+        requested: RequestedLease,
+        now_ms: f64,
+    ) -> Result<(), NotYet> {
+        let request = RestartRequest {
+            id: requested.id,
+            to: requested.to,
         };
-        let terms = GrantTerms {
+        let release = active_release(node);
+        let participants = self.fleet.participants(node);
+        let is_paused = self.progress.is_paused(now_ms);
+        self.config
+            .plan
+            .admit(release.as_ref(), &participants, request, is_paused)
+    }
+
+    fn drain(&mut self, node: &mut QuorumNode, engine: Id, grant_id: u64, now_ms: f64) -> Answer {
+        let request = GrantRequest {
+            disruption: DisruptionRequest {
+                id: engine,
+                kind: UnitKind::Engine,
+                reason: DisruptionReason::Drain,
+                grant_id,
+            },
             session: 0,
             term_ms: None,
         };
-        match self.grant_disruption(node, request, terms, now_ms) {
+        let answer = self
+            .grants
+            .grant(node, &self.fleet, &self.config, request, now_ms);
+        match answer {
             Answer::Granted { .. } => Answer::Done,
             answer => answer,
         }
     }
 
-    /// Grants a disruption under the budget, unless all is halted.
-    pub(super) fn grant_disruption(
-        &mut self,
-        node: &mut QuorumNode,
-        request: DisruptionRequest,
-        terms: GrantTerms,
-        now_ms: f64,
-    ) -> Answer {
-        if let Some(halt) = active_halt(node) {
-            return halted(halt);
-        }
-        let key = Record::unit_key(request.kind, request.id);
-        match self.decide(node, request, now_ms) {
-            Decision::Granted => {
-                self.write_grant(node, request, terms, now_ms);
-                granted(node, key)
-            }
-            // A disruption that is being ended is not granted once more.
-            Decision::AlreadyGranted if node.is_ending(key) => Answer::AlreadyOut {
-                reason: request.reason,
-            },
-            Decision::AlreadyGranted => granted(node, key),
-            Decision::BudgetExhausted {
-                scope,
-                unavailable,
-                max_unavailable,
-            } => Answer::BudgetExhausted {
-                scope,
-                unavailable: unavailable as u32,
-                max_unavailable: max_unavailable as u32,
-            },
-            Decision::TooSoon { wait_ms } => Answer::TooSoon {
-                wait_ms: wait_ms.ceil() as u32,
-            },
-            Decision::AlreadyOut { reason } => Answer::AlreadyOut { reason },
-            Decision::InsufficientCapacity { load, remaining } => Answer::InsufficientCapacity {
-                load: load as f32,
-                remaining: remaining as f32,
-            },
-            Decision::UnknownUnit => Answer::UnknownUnit,
-        }
-    }
-
-    fn write_grant(
-        &mut self,
-        node: &mut QuorumNode,
-        request: DisruptionRequest,
-        terms: GrantTerms,
-        now_ms: f64,
-    ) {
-        let value = RecordValue::Disruption {
-            kind: request.kind,
-            reason: request.reason,
-            zone: self.zone_of_unit(request.kind, request.id),
-            session: terms.session,
-            grant_id: request.grant_id,
-        };
-        let proposal = Proposal {
-            key: Record::unit_key(request.kind, request.id),
-            value,
-            term_ms: terms.term_ms,
-        };
-        if node.propose(&[proposal], now_ms).is_ok() {
-            self.last_granted.set(request.kind, now_ms);
-        }
-    }
-
-    fn zone_of_unit(&self, kind: UnitKind, id: Id) -> u32 {
-        match kind {
-            UnitKind::Dispatcher => self.zone_of(id).unwrap_or(0),
-            UnitKind::Engine => {
-                let engine = self.engines.iter().find(|unit| unit.id == id);
-                engine.map_or(0, |unit| unit.zone)
-            }
-        }
-    }
-
     fn resume(&mut self, node: &mut QuorumNode, number: u32, now_ms: f64) -> Answer {
         match active_halt(node) {
             Some(halt) if halt.number == number => {
-                // Whoever resumes knows of the members that are lost: they count as lost at the start.
-                self.analysed_release = None;
+                self.progress.on_resume();
                 end_record(node, HALT_KEY, now_ms)
             }
-            Some(halt) => halted(halt),
+            Some(halt) => halt.into(),
             None => Answer::Done,
         }
     }
 
     fn forget(&mut self, node: &mut QuorumNode, id: Id, now_ms: f64) -> Answer {
-        if self.is_present(id) {
+        if self.fleet.is_present(id) {
             return Answer::Already;
         }
-        self.forgotten.insert(id);
+        self.fleet.forget(id);
         end_record(node, Record::unit_key(UnitKind::Dispatcher, id), now_ms)
     }
-
-    fn start_release(&mut self, node: &mut QuorumNode, release: Release, now_ms: f64) -> Answer {
-        if let Some(halt) = active_halt(node) {
-            return halted(halt);
-        }
-        match active_release(node) {
-            Some(running) if running.number == release.number => {
-                when_chosen(node, RELEASE_KEY, Answer::Done)
-            }
-            Some(running) if !running.stage.is_final() => Answer::ReleaseInProgress {
-                number: running.number,
-            },
-            _ => {
-                propose(node, &[release_proposal(release)], now_ms);
-                when_chosen(node, RELEASE_KEY, Answer::Done)
-            }
-        }
-    }
 }
 
 impl From<NotYet> for Answer {
@@ -250,46 +162,7 @@
     }
 }
 
-fn halted(halt: super::ActiveHalt) -> Answer {
-    Answer::Halted {
-        reason: halt.reason,
-        by: halt.by,
-        number: halt.number,
-    }
-}
-
-/// The answer once a majority accepted the record of a key.
-fn when_chosen(node: &QuorumNode, key: u64, answer: Answer) -> Answer {
-    if node.is_chosen(key) {
-        answer
-    } else {
-        Answer::Pending
-    }
-}
-
-/// Ends the record of a key, once.
-fn end_record(node: &mut QuorumNode, key: u64, now_ms: f64) -> Answer {
-    if node.active(key).is_none() {
-        return Answer::Done;
-    }
-    if !node.is_ending(key) {
-        propose(node, &[Proposal::tombstone(key)], now_ms);
-    }
-    Answer::Pending
-}
-
-/// Halts all disruptions.
-pub(super) fn halt(node: &mut QuorumNode, reason: HaltReason, number: u32, now_ms: f64) -> Answer {
-    let value = RecordValue::Halt {
-        number,
-        by: node.id(),
-        reason: reason.code(),
-    };
-    propose(node, &[Proposal::lasting(HALT_KEY, value)], now_ms);
-    when_chosen(node, HALT_KEY, Answer::Done)
-}
-
-/// Whether a dispatcher's record is this very lease.
+/// Whether a dispatcher's record is the lease with this grant id.
 fn holds_lease(node: &QuorumNode, id: Id, lease: u64) -> bool {
     let key = Record::unit_key(UnitKind::Dispatcher, id);
     let value = node.active(key).map(|leased| leased.record.value);
@@ -310,19 +183,6 @@
     end_record(node, Record::unit_key(UnitKind::Dispatcher, id), now_ms)
 }
 
-/// The term that is left of a chosen grant, without the allowance for clock skew that the records include.
-fn granted(node: &QuorumNode, key: u64) -> Answer {
-    let remaining_ms = node
-        .active(key)
-        .and_then(|leased| leased.remaining_ms)
-        .unwrap_or(0);
-    let term_ms = f64::from(remaining_ms) / (1.0 + node.config().max_clock_skew);
-    let answer = Answer::Granted {
-        remaining_ms: term_ms as u32,
-    };
-    when_chosen(node, key, answer)
-}
-
 fn undrain(node: &mut QuorumNode, engine: Id, now_ms: f64) -> Answer {
     let key = Record::unit_key(UnitKind::Engine, engine);
     match node.active(key).map(|leased| leased.record.value) {
@@ -335,6 +195,24 @@
     }
 }
 
+fn start_release(node: &mut QuorumNode, release: Release, now_ms: f64) -> Answer {
+    if let Some(halt) = active_halt(node) {
+        return halt.into();
+    }
+    match active_release(node) {
+        Some(running) if running.number == release.number => {
+            when_chosen(node, RELEASE_KEY, Answer::Done)
+        }
+        Some(running) if !running.stage.is_final() => Answer::ReleaseInProgress {
+            number: running.number,
+        },
+        _ => {
+            propose(node, &[release_proposal(release)], now_ms);
+            when_chosen(node, RELEASE_KEY, Answer::Done)
+        }
+    }
+}
+
 /// Rolls a release back, and ends the halt that it may have caused.
 fn roll_back(node: &mut QuorumNode, number: u32, now_ms: f64) -> Answer {
     let Some(release) = active_release(node).filter(|release| release.number == number) else {
--- /dev/null
+++ b/crates/rollout/src/rollout_controller/engine_failures.rs
@@ -0,0 +1,43 @@
+//! Dispatchers' reports that an engine fails: the evidence for ejecting it.
+
+use super::fleet_state::REPORT_RETENTION_MS;
+use std::collections::BTreeMap;
+use tansymux_coordination::Id;
+
+/// By engine: when each dispatcher last found it failing (ms).
+#[derive(Debug, Clone, Default)]
+pub(super) struct EngineFailures {
+    reported_ms: BTreeMap<Id, BTreeMap<Id, f64>>,
+}
+
+impl EngineFailures {
+    /// Records that a dispatcher found an engine failing.
+    pub(super) fn record(&mut self, engine: Id, witness: Id, now_ms: f64) {
+        let witnesses = self.reported_ms.entry(engine).or_default();
+        witnesses.insert(witness, now_ms);
+    }
+
+    /// The engines that at least `min_witnesses` dispatchers found failing lately.
+    pub(super) fn failing_engines(&mut self, min_witnesses: usize, now_ms: f64) -> Vec<Id> {
+        for witnesses in self.reported_ms.values_mut() {
+            witnesses.retain(|_, reported_ms| now_ms - *reported_ms < REPORT_RETENTION_MS);
+        }
+        self.reported_ms
+            .retain(|_, witnesses| !witnesses.is_empty());
+        self.reported_ms
+            .iter()
+            .filter(|(_, witnesses)| witnesses.len() >= min_witnesses)
+            .map(|(engine, _)| *engine)
+            .collect()
+    }
+
+    /// Drops the reports about an engine.
+    pub(super) fn remove(&mut self, engine: Id) {
+        self.reported_ms.remove(&engine);
+    }
+
+    /// Drops all reports.
+    pub(super) fn clear(&mut self) {
+        self.reported_ms.clear();
+    }
+}
--- a/crates/rollout/src/rollout_controller/fleet_state.rs
+++ b/crates/rollout/src/rollout_controller/fleet_state.rs
@@ -1,34 +1,144 @@
-//! What the controller knows of the fleet: units, disruptions, load and the status for operators.
-
-use super::{active_halt, active_release, RolloutController, REPORT_RETENTION_MS};
-use crate::canary_analysis::AnalysisResult;
-use crate::message::{Report, Status};
-use crate::rollout_plan::{Participant, Release};
-use std::collections::BTreeMap;
-use tansymux_coordination::disruption_budget::{
-    self, Decision, Disruption, DisruptionRequest, FleetView, Unit, UnitCount,
-};
+//! The leader's knowledge of the fleet: members, their reports, and engines. Units, disruptions and load are derived from
+//! it and the quorum records.
+
+use crate::message::Report;
+use crate::rollout_plan::Participant;
+use std::collections::{BTreeMap, BTreeSet};
+use tansymux_coordination::disruption_budget::{Disruption, FleetView, Unit, UnitCount};
 use tansymux_coordination::{
     DisruptionReason, Id, LeasedRecord, QuorumNode, Record, RecordValue, UnitKind,
 };
 use tansymux_membership::MemberState;
 
-impl RolloutController {
-    /// Whether membership finds a dispatcher there.
+/// Limit on the members whose state and reports are stored.
+const MAX_MEMBERS: usize = 1024;
+/// Load and failing engines of a report count for this long (ms). Whether the member is present is membership's
+/// decision.
+pub(super) const REPORT_RETENTION_MS: f64 = 10_000.0;
+
+/// A member's last report.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub(super) struct ReceivedReport {
+    pub(super) report: Report,
+    pub(super) received_ms: f64,
+    /// A time (ms) at which the member was present: when the leader sent the tick that the report echoes. A datagram may
+    /// be late, but a tick is never echoed before it was sent.
+    pub(super) proven_ms: f64,
+}
+
+/// The outcome of [`FleetState::record_report`].
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub(super) enum ReportUpdate {
+    /// The table is full, or a later report arrived before.
+    Ignored,
+    /// The report is now the member's last one.
+    Recorded {
+        /// The one before.
+        previous: Option<Report>,
+    },
+}
+
+/// Members, reports and engines.
+#[derive(Debug, Clone, Default)]
+pub(super) struct FleetState {
+    members: BTreeMap<Id, MemberState>,
+    reports: BTreeMap<Id, ReceivedReport>,
+    /// In the order of their ids.
+    engines: Vec<Unit>,
+    /// Members that will not come back, by an operator's command.
+    forgotten: BTreeSet<Id>,
+}
+
+impl FleetState {
+    /// Replaces the members.
+    pub(super) fn set_members(&mut self, members: impl Iterator<Item = (Id, MemberState)>) {
+        self.members.clear();
+        self.members.extend(members.take(MAX_MEMBERS));
+    }
+
+    /// Replaces the engines.
+    pub(super) fn set_engines(&mut self, engines: &[Unit]) {
+        self.engines = engines.to_vec();
+        self.engines.sort_by_key(|unit| unit.id);
+    }
+
+    /// Stores a member's report, unless a later one arrived before.
+    pub(super) fn record_report(&mut self, from: Id, received: ReceivedReport) -> ReportUpdate {
+        if self.reports.len() >= MAX_MEMBERS && !self.reports.contains_key(&from) {
+            return ReportUpdate::Ignored;
+        }
+        let previous = self.reports.get(&from).copied();
+        if previous.is_some_and(|previous| received.proven_ms < previous.proven_ms) {
+            return ReportUpdate::Ignored;
+        }
+        self.reports.insert(from, received);
+        ReportUpdate::Recorded {
+            previous: previous.map(|previous| previous.report),
+        }
+    }
+
+    /// Records that a member will not come back.
+    pub(super) fn forget(&mut self, id: Id) {
+        self.forgotten.insert(id);
+    }
+
+    /// Drops forgotten members that came back all the same.
+    pub(super) fn drop_returned_from_forgotten(&mut self) {
+        let members = &self.members;
+        self.forgotten.retain(|id| {
+            let state = members.get(id);
+            state.is_none_or(|state| !state.is_present())
+        });
+    }
+
+    /// Whether a dispatcher is present by membership.
     pub(super) fn is_present(&self, id: Id) -> bool {
         self.members
             .get(&id)
             .is_some_and(|state| state.is_present())
     }
 
+    /// The last report of a member, with the times of its receipt.
+    pub(super) fn received_report(&self, id: Id) -> Option<&ReceivedReport> {
+        self.reports.get(&id)
+    }
+
+    /// The last report of a member.
     pub(super) fn report_of(&self, id: Id) -> Option<Report> {
         self.reports.get(&id).map(|received| received.report)
     }
 
+    /// The zone of a unit; `None` if it is unknown.
+    pub(super) fn zone_of(&self, kind: UnitKind, id: Id) -> Option<u32> {
+        match kind {
+            UnitKind::Dispatcher => self.report_of(id).map(|report| report.zone),
+            UnitKind::Engine => {
+                let engine = self.engines.iter().find(|unit| unit.id == id);
+                engine.map(|unit| unit.zone)
+            }
+        }
+    }
+
     pub(super) fn knows_engine(&self, id: Id) -> bool {
         self.engines.iter().any(|engine| engine.id == id)
     }
 
+    /// The members by the keys of their records.
+    pub(super) fn members_by_key(&self) -> BTreeMap<u64, Id> {
+        self.members
+            .keys()
+            .map(|id| (Record::unit_key(UnitKind::Dispatcher, *id), *id))
+            .collect()
+    }
+
+    /// Members that are neither present nor forgotten, with their state.
+    pub(super) fn absent_members(&self) -> impl Iterator<Item = (Id, MemberState)> + '_ {
+        self.members
+            .iter()
+            .filter(|(id, state)| !state.is_present() && !self.forgotten.contains(id))
+            .map(|(id, state)| (*id, *state))
+    }
+
     /// The ids of all known units by the keys of their records.
     fn ids_by_key(&self, kind: UnitKind) -> BTreeMap<u64, Id> {
         let by_key = |id: &Id| (Record::unit_key(kind, *id), *id);
@@ -44,7 +154,7 @@
         }
     }
 
-    /// The disruptions of one kind of unit. One of which only the record is known goes by its key.
+    /// The disruptions of one kind of unit. If the unit of a record is unknown, the record's key serves as its id.
     pub(super) fn disruptions(&self, node: &QuorumNode, kind: UnitKind) -> Vec<Disruption> {
         let ids = self.ids_by_key(kind);
         let to_disruption = |leased: LeasedRecord| match leased.record.value {
@@ -77,7 +187,7 @@
             .collect()
     }
 
-    /// A dispatcher as a unit; none: it left or was forgotten, and is no part of the fleet any more.
+    /// A dispatcher as a unit; `None`: it left or was forgotten, and no longer belongs to the fleet.
     fn dispatcher_unit(&self, node: &QuorumNode, id: Id, state: MemberState) -> Option<Unit> {
         let available = state.is_present();
         let has_left = || state == MemberState::Left && !has_disruption(node, id);
@@ -94,8 +204,8 @@
         })
     }
 
-    /// Load of all units of one kind, by recent reports.
-    fn load(&self, kind: UnitKind, now_ms: f64) -> f64 {
+    /// The load of all units of one kind, by recent reports.
+    pub(super) fn load(&self, kind: UnitKind, now_ms: f64) -> f64 {
         let load_of = |report: &Report| match kind {
             UnitKind::Engine => f64::from(report.threads),
             UnitKind::Dispatcher => f64::from(report.utilization),
@@ -107,7 +217,7 @@
             .sum()
     }
 
-    /// The dispatchers that take part in a release: one that has not reported its version does not.
+    /// The dispatchers that take part in a release: all that have reported their version.
     pub(super) fn participants(&self, node: &QuorumNode) -> Vec<Participant> {
         self.units(node, UnitKind::Dispatcher)
             .into_iter()
@@ -121,29 +231,7 @@
             .collect()
     }
 
-    /// Decides on a request under the disruption budget.
-    pub(super) fn decide(
-        &self,
-        node: &QuorumNode,
-        request: DisruptionRequest,
-        now_ms: f64,
-    ) -> Decision {
-        let units = self.units(node, request.kind);
-        let disruptions = self.disruptions(node, request.kind);
-        let budget = match request.kind {
-            UnitKind::Dispatcher => &self.config.dispatchers,
-            UnitKind::Engine => &self.config.engines,
-        };
-        let view = FleetView {
-            units: &units,
-            disruptions: &disruptions,
-            last_granted_ms: self.last_granted.of(request.kind),
-            load: self.load(request.kind, now_ms),
-        };
-        disruption_budget::evaluate(request, budget, view, now_ms)
-    }
-
-    /// Dispatchers that are unavailable without a lease or drain.
+    /// Number of dispatchers that are unavailable without a lease or drain.
     pub(super) fn lost_count(&self, node: &QuorumNode) -> usize {
         let disruptions = self.disruptions(node, UnitKind::Dispatcher);
         let recorded = disruptions
@@ -162,7 +250,8 @@
         recorded + not_recorded
     }
 
-    fn count_units(&self, node: &QuorumNode, kind: UnitKind) -> UnitCount {
+    /// Number of units of one kind, in total and unavailable.
+    pub(super) fn count_units(&self, node: &QuorumNode, kind: UnitKind) -> UnitCount {
         let view = FleetView {
             units: &self.units(node, kind),
             disruptions: &self.disruptions(node, kind),
@@ -171,64 +260,9 @@
         };
         view.count_all()
     }
-
-    /// The state of the fleet for operators.
-    pub(super) fn status(&self, node: &QuorumNode) -> Status {
-        let dispatchers = self.count_units(node, UnitKind::Dispatcher);
-        let engines = self.count_units(node, UnitKind::Engine);
-        let release = active_release(node);
-        let participants = self.participants(node);
-        let (pairs, mean_difference) = self.analysis_figures();
-        Status {
-            leader: node.id(),
-            members: dispatchers.total as u32,
-            unavailable: dispatchers.unavailable as u32,
-            lost: self.lost_count(node) as u32,
-            engines: engines.total as u32,
-            engines_unavailable: engines.unavailable as u32,
-            halt: active_halt(node).map(|halt| (halt.reason, halt.number)),
-            release,
-            released: release.map_or(0, |release| released_count(&release, &participants)),
-            remaining: release.map_or(0, |release| remaining_count(&release, &participants)),
-            pairs: pairs as u32,
-            mean_difference: mean_difference as f32,
-        }
-    }
-
-    /// Pairs and mean difference of the last analysis.
-    fn analysis_figures(&self) -> (usize, f64) {
-        match self.analysis_result {
-            None => (0, 0.0),
-            Some(AnalysisResult::Inconclusive { pairs }) => (pairs, 0.0),
-            Some(
-                AnalysisResult::NotWorse {
-                    pairs,
-                    mean_difference,
-                }
-                | AnalysisResult::Worse {
-                    pairs,
-                    mean_difference,
-                },
-            ) => (pairs, mean_difference),
-        }
-    }
-}
-
-fn released_count(release: &Release, participants: &[Participant]) -> u32 {
-    let target_version = release.target_version();
-    let released = participants
-        .iter()
-        .filter(|participant| participant.version == target_version);
-    released.count() as u32
-}
-
-fn remaining_count(release: &Release, participants: &[Participant]) -> u32 {
-    let remaining = participants
-        .iter()
-        .filter(|participant| release.has_to_restart(participant));
-    remaining.count() as u32
 }
 
+/// Whether a dispatcher has a disruption on record.
 fn has_disruption(node: &QuorumNode, id: Id) -> bool {
     let key = Record::unit_key(UnitKind::Dispatcher, id);
     node.active(key)
--- /dev/null
+++ b/crates/rollout/src/rollout_controller/record_requests.rs
@@ -0,0 +1,54 @@
+//! When the leader requests a member's copy of the records.
+//!
+//! A member whose records still differ after it was sent all of the leader's has records that the voters lost, by
+//! restarting one after the other. The leader restores them from the member's copy.
+
+use std::collections::BTreeMap;
+use tansymux_coordination::Id;
+
+/// Number of reports in a row whose records differ, after which a member's records are requested.
+const REPORTS_UNTIL_REQUEST: u32 = 3;
+/// Minimum interval between two requests (ms).
+const MIN_INTERVAL_MS: f64 = 100.0;
+
+/// Members whose records differ, and the last request.
+#[derive(Debug, Clone)]
+pub(super) struct RecordRequests {
+    /// Number of reports in a row in which a member's records differed.
+    differing_reports: BTreeMap<Id, u32>,
+    last_request_ms: f64,
+}
+
+impl Default for RecordRequests {
+    fn default() -> Self {
+        RecordRequests {
+            differing_reports: BTreeMap::new(),
+            last_request_ms: f64::NEG_INFINITY,
+        }
+    }
+}
+
+impl RecordRequests {
+    /// Records that a member reported the leader's records.
+    pub(super) fn record_equal(&mut self, from: Id) {
+        self.differing_reports.remove(&from);
+    }
+
+    /// Records that a member reported other records than the leader's, and returns whether to request them now. A new
+    /// leader requests them at once.
+    pub(super) fn record_differing(&mut self, from: Id, is_new_leader: bool, now_ms: f64) -> bool {
+        let count = self.differing_reports.entry(from).or_insert(0);
+        *count += 1;
+        let is_due = *count >= REPORTS_UNTIL_REQUEST || is_new_leader;
+        if !is_due || now_ms - self.last_request_ms < MIN_INTERVAL_MS {
+            return false;
+        }
+        self.last_request_ms = now_ms;
+        true
+    }
+
+    /// Drops the counts of all members.
+    pub(super) fn clear(&mut self) {
+        self.differing_reports.clear();
+    }
+}
--- a/crates/rollout/src/zone_coordinator.rs
+++ b/crates/rollout/src/zone_coordinator.rs
@@ -2,7 +2,8 @@
 //! the quorum records and messages.
 
 use crate::message::{Answer, Command, ZoneList};
-use crate::rollout_controller::{propose, RolloutController};
+use crate::quorum_records::propose;
+use crate::rollout_controller::RolloutController;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 use std::collections::{BTreeMap, VecDeque};
