--- a/crates/rollout/src/codec.rs
+++ b/crates/rollout/src/codec.rs
@@ -17,7 +17,7 @@
 //!
 //! The layouts of commands and answers are in `codec/command.rs` and `codec/answer.rs`.
 //!
-//! Bytes after a message of fixed length are passed over, as are those after
+//! Bytes after a message of fixed length are ignored, as are those after
 //! [`tansymux_coordination::codec::MAX_DATAGRAM_BYTES`].
 
 mod answer;
@@ -26,7 +26,7 @@
 use crate::message::{Message, Report};
 use answer::{decode_answer, encode_answer};
 use command::{decode_command, encode_command};
-use tansymux_codec::{ByteReader, ByteWriter, DecodeError};
+use tansymux_codec::{wire_enum, ByteReader, ByteWriter, DecodeError};
 use tansymux_coordination::codec::{
     decode_records, encode_record, MAX_DATAGRAM_BYTES, RECORD_BYTES,
 };
@@ -34,87 +34,110 @@
 use tansymux_zone_evacuation::codec as zone_codec;
 use tansymux_zone_evacuation::codec::LeaderReply;
 
-/// The longest head in front of records: that of gossip.
+/// Length of the longest head in front of records (bytes): that of gossip.
 const MAX_HEAD_BYTES: usize = 1 + 8 + 4;
-/// Records that fit in any of these messages.
+/// Number of records that fit in any of these messages.
 pub const MAX_RECORDS_PER_MESSAGE: usize = (MAX_DATAGRAM_BYTES - MAX_HEAD_BYTES) / RECORD_BYTES;
 
-/// The lowest code; those below are the voters'.
-const FIRST_CODE: u8 = 16;
-const REPORT: u8 = FIRST_CODE;
-const GOSSIP: u8 = FIRST_CODE + 1;
-const RECORDS_REQUEST: u8 = FIRST_CODE + 2;
-const RECORDS: u8 = FIRST_CODE + 3;
-const COMMAND: u8 = FIRST_CODE + 4;
-const ANSWER: u8 = FIRST_CODE + 5;
-const HELLO: u8 = FIRST_CODE + 6;
-const NONCE: u8 = FIRST_CODE + 7;
-const CALL: u8 = FIRST_CODE + 8;
-const ZONE_REPORT: u8 = FIRST_CODE + 9;
-const ZONE_PLAN: u8 = FIRST_CODE + 10;
+wire_enum! {
+    /// The first byte of a message. Lower codes are those of the voters.
+    enum MessageKind {
+        /// [`Message::Report`].
+        Report = 16,
+        /// [`Message::Gossip`].
+        Gossip = 17,
+        /// [`Message::RecordsRequest`].
+        RecordsRequest = 18,
+        /// [`Message::Records`].
+        Records = 19,
+        /// [`Message::Command`].
+        Command = 20,
+        /// [`Message::Answer`].
+        Answer = 21,
+        /// [`Message::Hello`].
+        Hello = 22,
+        /// [`Message::Nonce`].
+        Nonce = 23,
+        /// [`Message::Call`].
+        Call = 24,
+        /// [`Message::ZoneReport`].
+        ZoneReport = 25,
+        /// [`Message::ZonePlan`].
+        ZonePlan = 26,
+    }
+}
 
-/// Whether a datagram is one of these messages, and not a voter's.
+impl MessageKind {
+    fn of(message: &Message) -> Self {
+        match message {
+            Message::Report(_) => MessageKind::Report,
+            Message::Gossip { .. } => MessageKind::Gossip,
+            Message::RecordsRequest => MessageKind::RecordsRequest,
+            Message::Records { .. } => MessageKind::Records,
+            Message::Command { .. } => MessageKind::Command,
+            Message::Answer { .. } => MessageKind::Answer,
+            Message::Hello { .. } => MessageKind::Hello,
+            Message::Nonce { .. } => MessageKind::Nonce,
+            Message::Call { .. } => MessageKind::Call,
+            Message::ZoneReport(_) => MessageKind::ZoneReport,
+            Message::ZonePlan(_) => MessageKind::ZonePlan,
+        }
+    }
+}
+
+/// The lowest code of [`MessageKind`].
+const FIRST_CODE: u8 = MessageKind::Report.code();
+
+/// Whether a datagram has one of these messages, not a voter's.
 pub fn is_rollout_message(datagram: &[u8]) -> bool {
     datagram.first().is_some_and(|code| *code >= FIRST_CODE)
 }
 
-/// The bytes of a message. Records that do not fit ([`MAX_RECORDS_PER_MESSAGE`]) are left out.
+/// Encodes a message. Records beyond [`MAX_RECORDS_PER_MESSAGE`] are left out.
 pub fn encode(message: &Message) -> Vec<u8> {
     let mut writer = ByteWriter::with_capacity(MAX_DATAGRAM_BYTES);
+    writer.u8(MessageKind::of(message).code());
+    encode_fields(&mut writer, message);
+    writer.into_bytes()
+}
+
+fn encode_fields(writer: &mut ByteWriter, message: &Message) {
     match message {
-        Message::Report(report) => encode_report(&mut writer, report),
+        Message::Report(report) => encode_report(writer, report),
         Message::Gossip {
             leader,
             tick,
             records,
         } => {
-            writer.u8(GOSSIP).u64(*leader).u32(*tick);
-            encode_records(&mut writer, records);
-        }
-        Message::RecordsRequest => {
-            writer.u8(RECORDS_REQUEST);
-        }
-        Message::Records { records } => {
-            writer.u8(RECORDS);
-            encode_records(&mut writer, records);
-        }
-        Message::Command { call, command } => {
-            writer.u8(COMMAND).u64(*call);
-            encode_command(&mut writer, command);
-        }
-        Message::Answer { call, answer } => {
-            writer.u8(ANSWER).u64(*call);
-            encode_answer(&mut writer, answer);
+            writer.u64(*leader).u32(*tick);
+            encode_records(writer, records);
         }
+        Message::RecordsRequest => {}
+        Message::Records { records } => encode_records(writer, records),
+        Message::Command { call, command } => encode_command(writer.u64(*call), command),
+        Message::Answer { call, answer } => encode_answer(writer.u64(*call), answer),
         Message::Hello { call } => {
-            writer.u8(HELLO).u64(*call);
+            writer.u64(*call);
         }
         Message::Nonce { call, nonce } => {
-            writer.u8(NONCE).u64(*call).u64(*nonce);
+            writer.u64(*call).u64(*nonce);
         }
         Message::Call {
             call,
             nonce,
             command,
-        } => {
-            writer.u8(CALL).u64(*call).u64(*nonce);
-            encode_command(&mut writer, command);
-        }
+        } => encode_command(writer.u64(*call).u64(*nonce), command),
         Message::ZoneReport(report) => {
-            writer
-                .u8(ZONE_REPORT)
-                .bytes(&zone_codec::encode_report(report));
+            writer.bytes(&zone_codec::encode_report(report));
         }
         Message::ZonePlan(plan) => {
-            writer.u8(ZONE_PLAN).bytes(&zone_codec::encode_reply(plan));
+            writer.bytes(&zone_codec::encode_reply(plan));
         }
     }
-    writer.into_bytes()
 }
 
 fn encode_report(writer: &mut ByteWriter, report: &Report) {
     writer
-        .u8(REPORT)
         .u32(report.digest)
         .u32(report.round)
         .u32(report.zone)
@@ -135,52 +158,48 @@
     }
 }
 
-/// Reads a message.
+/// Decodes a message.
 ///
 /// # Errors
-/// A [`DecodeError`] for bytes that are no such message. The receiver drops those.
+/// A [`DecodeError`] for malformed bytes, which the receiver drops.
 pub fn decode(datagram: &[u8]) -> Result<Message, DecodeError> {
     let length = datagram.len().min(MAX_DATAGRAM_BYTES);
     let mut reader = ByteReader::new(&datagram[..length]);
-    match reader.u8()? {
-        REPORT => Ok(Message::Report(decode_report(&mut reader)?)),
-        GOSSIP => Ok(Message::Gossip {
+    match reader.code("message", MessageKind::from_code)? {
+        MessageKind::Report => Ok(Message::Report(decode_report(&mut reader)?)),
+        MessageKind::Gossip => Ok(Message::Gossip {
             leader: reader.u64()?,
             tick: reader.u32()?,
             records: decode_records(&mut reader)?,
         }),
-        RECORDS_REQUEST => Ok(Message::RecordsRequest),
-        RECORDS => Ok(Message::Records {
+        MessageKind::RecordsRequest => Ok(Message::RecordsRequest),
+        MessageKind::Records => Ok(Message::Records {
             records: decode_records(&mut reader)?,
         }),
-        COMMAND => Ok(Message::Command {
+        MessageKind::Command => Ok(Message::Command {
             call: reader.u64()?,
             command: decode_command(&mut reader)?,
         }),
-        ANSWER => Ok(Message::Answer {
+        MessageKind::Answer => Ok(Message::Answer {
             call: reader.u64()?,
             answer: decode_answer(&mut reader)?,
         }),
-        HELLO => Ok(Message::Hello {
+        MessageKind::Hello => Ok(Message::Hello {
             call: reader.u64()?,
         }),
-        NONCE => Ok(Message::Nonce {
+        MessageKind::Nonce => Ok(Message::Nonce {
             call: reader.u64()?,
             nonce: reader.u64()?,
         }),
-        CALL => Ok(Message::Call {
+        MessageKind::Call => Ok(Message::Call {
             call: reader.u64()?,
             nonce: reader.u64()?,
             command: decode_command(&mut reader)?,
         }),
-        ZONE_REPORT => zone_codec::decode_report(reader.take_remaining())
+        MessageKind::ZoneReport => zone_codec::decode_report(reader.take_remaining())
             .map(Message::ZoneReport)
             .map_err(|_| DecodeError::Embedded("zone report")),
-        ZONE_PLAN => decode_zone_plan(&mut reader).map(Message::ZonePlan),
-        code => Err(DecodeError::UnknownCode {
-            field: "message",
-            code,
-        }),
+        MessageKind::ZonePlan => decode_zone_plan(&mut reader).map(Message::ZonePlan),
     }
 }
 
--- a/crates/rollout/src/codec/answer.rs
+++ b/crates/rollout/src/codec/answer.rs
@@ -1,4 +1,4 @@
-//! Bytes of answers. Numbers are big-endian.
+//! Encoding of answers. Numbers are big-endian.
 //!
 //! | answer | layout (bytes) |
 //! | --- | --- |
@@ -18,52 +18,123 @@
 use super::decode_zone_plan;
 use crate::message::{Answer, Status, ZoneList};
 use crate::rollout_plan::Release;
-use tansymux_codec::{ByteReader, ByteWriter, DecodeError};
+use tansymux_codec::{wire_enum, ByteReader, ByteWriter, DecodeError};
 use tansymux_coordination::disruption_budget::{HaltReason, Scope};
 use tansymux_coordination::{DisruptionReason, ReleaseStage};
 use tansymux_zone_evacuation::codec as zone_codec;
 use tansymux_zone_evacuation::codec::LeaderReply;
 
-/// Stands for "none" where a code is expected.
+/// The code of an optional value that is absent.
 const NO_CODE: u8 = u8::MAX;
 
+wire_enum! {
+    /// The first byte of an answer.
+    enum AnswerKind {
+        /// [`Answer::NoLeader`].
+        NoLeader = 0,
+        /// [`Answer::Pending`].
+        Pending = 1,
+        /// [`Answer::Granted`].
+        Granted = 2,
+        /// [`Answer::Done`].
+        Done = 3,
+        /// [`Answer::Halted`].
+        Halted = 4,
+        /// [`Answer::BudgetExhausted`].
+        BudgetExhausted = 5,
+        /// [`Answer::TooSoon`].
+        TooSoon = 6,
+        /// [`Answer::AlreadyOut`].
+        AlreadyOut = 7,
+        /// [`Answer::InsufficientCapacity`].
+        InsufficientCapacity = 8,
+        /// [`Answer::UnknownUnit`].
+        UnknownUnit = 9,
+        /// [`Answer::OthersFirst`].
+        OthersFirst = 10,
+        /// [`Answer::PausedAfterZone`].
+        PausedAfterZone = 11,
+        /// [`Answer::NoSuchRelease`].
+        NoSuchRelease = 12,
+        /// [`Answer::Already`].
+        Already = 13,
+        /// [`Answer::ReleaseInProgress`].
+        ReleaseInProgress = 14,
+        /// [`Answer::NoPreviousVersion`].
+        NoPreviousVersion = 15,
+        /// [`Answer::Status`].
+        Status = 16,
+        /// [`Answer::TooManyCoresEvacuated`].
+        TooManyCoresEvacuated = 17,
+        /// [`Answer::Zones`].
+        Zones = 18,
+    }
+}
+
+impl AnswerKind {
+    fn of(answer: &Answer) -> Self {
+        match answer {
+            Answer::NoLeader => AnswerKind::NoLeader,
+            Answer::Pending => AnswerKind::Pending,
+            Answer::Granted { .. } => AnswerKind::Granted,
+            Answer::Done => AnswerKind::Done,
+            Answer::Halted { .. } => AnswerKind::Halted,
+            Answer::BudgetExhausted { .. } => AnswerKind::BudgetExhausted,
+            Answer::TooSoon { .. } => AnswerKind::TooSoon,
+            Answer::AlreadyOut { .. } => AnswerKind::AlreadyOut,
+            Answer::InsufficientCapacity { .. } => AnswerKind::InsufficientCapacity,
+            Answer::UnknownUnit => AnswerKind::UnknownUnit,
+            Answer::OthersFirst => AnswerKind::OthersFirst,
+            Answer::PausedAfterZone => AnswerKind::PausedAfterZone,
+            Answer::NoSuchRelease => AnswerKind::NoSuchRelease,
+            Answer::Already => AnswerKind::Already,
+            Answer::ReleaseInProgress { .. } => AnswerKind::ReleaseInProgress,
+            Answer::NoPreviousVersion => AnswerKind::NoPreviousVersion,
+            Answer::Status(_) => AnswerKind::Status,
+            Answer::TooManyCoresEvacuated { .. } => AnswerKind::TooManyCoresEvacuated,
+            Answer::Zones(_) => AnswerKind::Zones,
+        }
+    }
+}
+
 pub(super) fn encode_answer(writer: &mut ByteWriter, answer: &Answer) {
+    writer.u8(AnswerKind::of(answer).code());
     match *answer {
-        Answer::NoLeader => writer.u8(0),
-        Answer::Pending => writer.u8(1),
-        Answer::Granted { remaining_ms } => writer.u8(2).u32(remaining_ms),
-        Answer::Done => writer.u8(3),
-        Answer::Halted { reason, by, number } => writer.u8(4).u8(reason.code()).u64(by).u32(number),
+        Answer::NoLeader
+        | Answer::Pending
+        | Answer::Done
+        | Answer::UnknownUnit
+        | Answer::OthersFirst
+        | Answer::PausedAfterZone
+        | Answer::NoSuchRelease
+        | Answer::Already
+        | Answer::NoPreviousVersion => writer,
+        Answer::Granted { remaining_ms } => writer.u32(remaining_ms),
+        Answer::Halted { reason, by, number } => writer.u8(reason.code()).u64(by).u32(number),
         Answer::BudgetExhausted {
             scope,
             unavailable,
             max_unavailable,
         } => writer
-            .u8(5)
             .u8(scope.code())
             .u32(unavailable)
             .u32(max_unavailable),
-        Answer::TooSoon { wait_ms } => writer.u8(6).u32(wait_ms),
-        Answer::AlreadyOut { reason } => writer.u8(7).u8(reason.code()),
-        Answer::InsufficientCapacity { load, remaining } => writer.u8(8).f32(load).f32(remaining),
-        Answer::UnknownUnit => writer.u8(9),
-        Answer::OthersFirst => writer.u8(10),
-        Answer::PausedAfterZone => writer.u8(11),
-        Answer::NoSuchRelease => writer.u8(12),
-        Answer::Already => writer.u8(13),
-        Answer::ReleaseInProgress { number } => writer.u8(14).u32(number),
-        Answer::NoPreviousVersion => writer.u8(15),
-        Answer::Status(ref status) => encode_status(writer.u8(16), status),
-        Answer::TooManyCoresEvacuated { fraction } => writer.u8(17).f32(fraction),
-        Answer::Zones(ref list) => {
-            let zones = list.iter().flatten().copied().collect();
-            let reply = LeaderReply {
-                sequence_number: 0,
-                zones,
-            };
-            writer.u8(18).bytes(&zone_codec::encode_reply(&reply))
-        }
+        Answer::TooSoon { wait_ms } => writer.u32(wait_ms),
+        Answer::AlreadyOut { reason } => writer.u8(reason.code()),
+        Answer::InsufficientCapacity { load, remaining } => writer.f32(load).f32(remaining),
+        Answer::ReleaseInProgress { number } => writer.u32(number),
+        Answer::Status(ref status) => encode_status(writer, status),
+        Answer::TooManyCoresEvacuated { fraction } => writer.f32(fraction),
+        Answer::Zones(ref list) => encode_zone_list(writer, list),
+    };
+}
+
+fn encode_zone_list<'a>(writer: &'a mut ByteWriter, list: &ZoneList) -> &'a mut ByteWriter {
+    let reply = LeaderReply {
+        sequence_number: 0,
+        zones: list.iter().flatten().copied().collect(),
     };
+    writer.bytes(&zone_codec::encode_reply(&reply))
 }
 
 fn encode_status<'a>(writer: &'a mut ByteWriter, status: &Status) -> &'a mut ByteWriter {
@@ -93,55 +164,60 @@
 }
 
 pub(super) fn decode_answer(reader: &mut ByteReader) -> Result<Answer, DecodeError> {
-    let answer = match reader.u8()? {
-        0 => Answer::NoLeader,
-        1 => Answer::Pending,
-        2 => Answer::Granted {
+    Ok(match reader.code("answer", AnswerKind::from_code)? {
+        AnswerKind::NoLeader => Answer::NoLeader,
+        AnswerKind::Pending => Answer::Pending,
+        AnswerKind::Granted => Answer::Granted {
             remaining_ms: reader.u32()?,
         },
-        3 => Answer::Done,
-        4 => Answer::Halted {
-            reason: HaltReason::from_code_lossy(reader.u8()?),
-            by: reader.u64()?,
-            number: reader.u32()?,
-        },
-        5 => Answer::BudgetExhausted {
-            scope: reader.code("scope", Scope::from_code)?,
-            unavailable: reader.u32()?,
-            max_unavailable: reader.u32()?,
-        },
-        6 => Answer::TooSoon {
+        AnswerKind::Done => Answer::Done,
+        AnswerKind::Halted => decode_halted(reader)?,
+        AnswerKind::BudgetExhausted => decode_budget_exhausted(reader)?,
+        AnswerKind::TooSoon => Answer::TooSoon {
             wait_ms: reader.u32()?,
         },
-        7 => Answer::AlreadyOut {
+        AnswerKind::AlreadyOut => Answer::AlreadyOut {
             reason: reader.code("disruption reason", DisruptionReason::from_code)?,
         },
-        8 => Answer::InsufficientCapacity {
-            load: reader.finite_f32()?,
-            remaining: reader.finite_f32()?,
-        },
-        9 => Answer::UnknownUnit,
-        10 => Answer::OthersFirst,
-        11 => Answer::PausedAfterZone,
-        12 => Answer::NoSuchRelease,
-        13 => Answer::Already,
-        14 => Answer::ReleaseInProgress {
+        AnswerKind::InsufficientCapacity => decode_insufficient_capacity(reader)?,
+        AnswerKind::UnknownUnit => Answer::UnknownUnit,
+        AnswerKind::OthersFirst => Answer::OthersFirst,
+        AnswerKind::PausedAfterZone => Answer::PausedAfterZone,
+        AnswerKind::NoSuchRelease => Answer::NoSuchRelease,
+        AnswerKind::Already => Answer::Already,
+        AnswerKind::ReleaseInProgress => Answer::ReleaseInProgress {
             number: reader.u32()?,
         },
-        15 => Answer::NoPreviousVersion,
-        16 => Answer::Status(decode_status(reader)?),
-        17 => Answer::TooManyCoresEvacuated {
+        AnswerKind::NoPreviousVersion => Answer::NoPreviousVersion,
+        AnswerKind::Status => Answer::Status(decode_status(reader)?),
+        AnswerKind::TooManyCoresEvacuated => Answer::TooManyCoresEvacuated {
             fraction: reader.finite_f32()?,
         },
-        18 => Answer::Zones(decode_zone_list(reader)?),
-        code => {
-            return Err(DecodeError::UnknownCode {
-                field: "answer",
-                code,
-            })
-        }
-    };
-    Ok(answer)
+        AnswerKind::Zones => Answer::Zones(decode_zone_list(reader)?),
+    })
+}
+
+fn decode_halted(reader: &mut ByteReader) -> Result<Answer, DecodeError> {
+    Ok(Answer::Halted {
+        reason: HaltReason::from_code_lossy(reader.u8()?),
+        by: reader.u64()?,
+        number: reader.u32()?,
+    })
+}
+
+fn decode_budget_exhausted(reader: &mut ByteReader) -> Result<Answer, DecodeError> {
+    Ok(Answer::BudgetExhausted {
+        scope: reader.code("scope", Scope::from_code)?,
+        unavailable: reader.u32()?,
+        max_unavailable: reader.u32()?,
+    })
+}
+
+fn decode_insufficient_capacity(reader: &mut ByteReader) -> Result<Answer, DecodeError> {
+    Ok(Answer::InsufficientCapacity {
+        load: reader.finite_f32()?,
+        remaining: reader.finite_f32()?,
+    })
 }
 
 fn decode_zone_list(reader: &mut ByteReader) -> Result<ZoneList, DecodeError> {
--- a/crates/rollout/src/codec/command.rs
+++ b/crates/rollout/src/codec/command.rs
@@ -1,4 +1,4 @@
-//! Bytes of commands. Numbers are big-endian.
+//! Encoding of commands. Numbers are big-endian.
 //!
 //! | command | layout (bytes) |
 //! | --- | --- |
@@ -15,74 +15,127 @@
 //! | [`Command::ListZones`] | 12 (1) |
 
 use crate::message::Command;
-use tansymux_codec::{ByteReader, ByteWriter, DecodeError};
+use tansymux_codec::{wire_enum, ByteReader, ByteWriter, DecodeError};
+
+wire_enum! {
+    /// The first byte of a command.
+    enum CommandKind {
+        /// [`Command::Status`].
+        Status = 0,
+        /// [`Command::RequestLease`].
+        RequestLease = 1,
+        /// [`Command::ReturnLease`].
+        ReturnLease = 2,
+        /// [`Command::Drain`].
+        Drain = 3,
+        /// [`Command::Undrain`].
+        Undrain = 4,
+        /// [`Command::Release`].
+        Release = 5,
+        /// [`Command::RollBack`].
+        RollBack = 6,
+        /// [`Command::Halt`].
+        Halt = 7,
+        /// [`Command::Resume`].
+        Resume = 8,
+        /// [`Command::Forget`].
+        Forget = 9,
+        /// [`Command::EvacuateZone`].
+        EvacuateZone = 10,
+        /// [`Command::ReturnToZone`].
+        ReturnToZone = 11,
+        /// [`Command::ListZones`].
+        ListZones = 12,
+    }
+}
+
+impl CommandKind {
+    fn of(command: &Command) -> Self {
+        match command {
+            Command::Status => CommandKind::Status,
+            Command::RequestLease { .. } => CommandKind::RequestLease,
+            Command::ReturnLease { .. } => CommandKind::ReturnLease,
+            Command::Drain { .. } => CommandKind::Drain,
+            Command::Undrain { .. } => CommandKind::Undrain,
+            Command::Release { .. } => CommandKind::Release,
+            Command::RollBack { .. } => CommandKind::RollBack,
+            Command::Halt { .. } => CommandKind::Halt,
+            Command::Resume { .. } => CommandKind::Resume,
+            Command::Forget { .. } => CommandKind::Forget,
+            Command::EvacuateZone { .. } => CommandKind::EvacuateZone,
+            Command::ReturnToZone { .. } => CommandKind::ReturnToZone,
+            Command::ListZones => CommandKind::ListZones,
+        }
+    }
+}
 
 pub(super) fn encode_command(writer: &mut ByteWriter, command: &Command) {
+    writer.u8(CommandKind::of(command).code());
     match *command {
-        Command::Status => writer.u8(0),
-        Command::RequestLease { id, to, grant_id } => writer.u8(1).u64(id).u32(to).u64(grant_id),
-        Command::ReturnLease { id, grant_id } => writer.u8(2).u64(id).u64(grant_id),
-        Command::Drain { engine, grant_id } => writer.u8(3).u64(engine).u64(grant_id),
-        Command::Undrain { engine } => writer.u8(4).u64(engine),
-        Command::Release { number, to, from } => writer.u8(5).u32(number).u32(to).u32(from),
-        Command::RollBack { number } => writer.u8(6).u32(number),
-        Command::Halt { number } => writer.u8(7).u32(number),
-        Command::Resume { number } => writer.u8(8).u32(number),
-        Command::Forget { id } => writer.u8(9).u64(id),
-        Command::EvacuateZone { zone, dry_run } => writer.u8(10).u32(zone).u8(u8::from(dry_run)),
-        Command::ReturnToZone { zone } => writer.u8(11).u32(zone),
-        Command::ListZones => writer.u8(12),
+        Command::Status | Command::ListZones => writer,
+        Command::RequestLease { id, to, grant_id } => writer.u64(id).u32(to).u64(grant_id),
+        Command::ReturnLease { id, grant_id } => writer.u64(id).u64(grant_id),
+        Command::Drain { engine, grant_id } => writer.u64(engine).u64(grant_id),
+        Command::Undrain { engine } => writer.u64(engine),
+        Command::Release { number, to, from } => writer.u32(number).u32(to).u32(from),
+        Command::RollBack { number } => writer.u32(number),
+        Command::Halt { number } => writer.u32(number),
+        Command::Resume { number } => writer.u32(number),
+        Command::Forget { id } => writer.u64(id),
+        Command::EvacuateZone { zone, dry_run } => writer.u32(zone).u8(u8::from(dry_run)),
+        Command::ReturnToZone { zone } => writer.u32(zone),
     };
 }
 
 pub(super) fn decode_command(reader: &mut ByteReader) -> Result<Command, DecodeError> {
-    let command = match reader.u8()? {
-        0 => Command::Status,
-        1 => Command::RequestLease {
-            id: reader.u64()?,
-            to: reader.u32()?,
-            grant_id: reader.u64()?,
-        },
-        2 => Command::ReturnLease {
+    Ok(match reader.code("command", CommandKind::from_code)? {
+        CommandKind::Status => Command::Status,
+        CommandKind::RequestLease => decode_lease_request(reader)?,
+        CommandKind::ReturnLease => Command::ReturnLease {
             id: reader.u64()?,
             grant_id: reader.u64()?,
         },
-        3 => Command::Drain {
+        CommandKind::Drain => Command::Drain {
             engine: reader.u64()?,
             grant_id: reader.u64()?,
         },
-        4 => Command::Undrain {
+        CommandKind::Undrain => Command::Undrain {
             engine: reader.u64()?,
         },
-        5 => Command::Release {
+        CommandKind::Release => decode_release(reader)?,
+        CommandKind::RollBack => Command::RollBack {
             number: reader.u32()?,
-            to: reader.u32()?,
-            from: reader.u32()?,
         },
-        6 => Command::RollBack {
+        CommandKind::Halt => Command::Halt {
             number: reader.u32()?,
         },
-        7 => Command::Halt {
+        CommandKind::Resume => Command::Resume {
             number: reader.u32()?,
         },
-        8 => Command::Resume {
-            number: reader.u32()?,
-        },
-        9 => Command::Forget { id: reader.u64()? },
-        10 => Command::EvacuateZone {
+        CommandKind::Forget => Command::Forget { id: reader.u64()? },
+        CommandKind::EvacuateZone => Command::EvacuateZone {
             zone: reader.u32()?,
             dry_run: reader.u8()? != 0,
         },
-        11 => Command::ReturnToZone {
+        CommandKind::ReturnToZone => Command::ReturnToZone {
             zone: reader.u32()?,
         },
-        12 => Command::ListZones,
-        code => {
-            return Err(DecodeError::UnknownCode {
-                field: "command",
-                code,
-            })
-        }
-    };
-    Ok(command)
+        CommandKind::ListZones => Command::ListZones,
+    })
+}
+
+fn decode_lease_request(reader: &mut ByteReader) -> Result<Command, DecodeError> {
+    Ok(Command::RequestLease {
+        id: reader.u64()?,
+        to: reader.u32()?,
+        grant_id: reader.u64()?,
+    })
+}
+
+fn decode_release(reader: &mut ByteReader) -> Result<Command, DecodeError> {
+    Ok(Command::Release {
+        number: reader.u32()?,
+        to: reader.u32()?,
+        from: reader.u32()?,
+    })
 }
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -36,6 +36,7 @@
 mod member_agent;
 pub mod message;
 mod quorum_records;
+mod record_copies;
 mod restart_lease;
 mod rollout_config;
 mod rollout_controller;
--- a/crates/rollout/src/member_agent.rs
+++ b/crates/rollout/src/member_agent.rs
@@ -1,44 +1,40 @@
-//! What every member does: it keeps a copy of the fleet's records, reports of itself, and asks the leader on behalf of
-//! clients.
+//! The part of a member that every one has: it copies the quorum records, reports its status to the leader, and forwards
+//! clients' commands to it.
 
 use crate::call_table::CallTable;
 use crate::message::{Answer, Command, Message, Report};
+use crate::record_copies::RecordCopies;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
-use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use tansymux_coordination::{
-    DisruptionReason, Id, LeasedRecord, Outbox, Record, RecordValue, UnitKind, HALT_KEY,
-    MAX_RECORDS,
-};
+use tansymux_coordination::{DisruptionReason, Id, LeasedRecord, Outbox};
 
-/// Interval between two reports (ms), spread by a fifth.
+/// Mean interval between two reports (ms).
 const REPORT_INTERVAL_MS: f64 = 1000.0;
-/// A leader that was not named for this long is no longer known (ms).
+/// Width of the range that the interval between two reports is drawn from, as a fraction of its mean.
+const REPORT_JITTER: f64 = 0.2;
+/// Time after which a leader that no gossip named is no longer known (ms).
 const LEADER_TIMEOUT_MS: f64 = 4000.0;
-/// A tombstone is remembered for this long (ms), as by the voters.
-const TOMBSTONE_RETENTION_MS: f64 = 600_000.0;
-
-/// The state of a dispatcher, for its reports.
+/// The status of a dispatcher, for its reports.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct MemberStatus {
-    /// Its zone.
+    /// The dispatcher's zone.
     pub zone: u32,
-    /// Its version.
+    /// The dispatcher's version.
     pub version: u32,
-    /// Fraction of its capacity that is in use.
+    /// Fraction of the capacity that is in use.
     pub utilization: f64,
-    /// Threads that its queries run on.
+    /// Number of threads that the queries use.
     pub threads: f64,
-    /// Requests that succeeded since its start.
+    /// Number of requests that succeeded since the start.
     pub succeeded: u32,
-    /// All requests since its start.
+    /// Number of all requests since the start.
     pub total: u32,
-    /// An engine that it finds failing.
+    /// An engine that the dispatcher finds failing.
     pub failing_engine: Option<u64>,
 }
 
-/// To whom a message goes.
+/// The receiver of a message.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Destination {
     /// A member.
@@ -47,7 +43,7 @@
     Client(SocketAddr),
 }
 
-/// What an agent wants done.
+/// An output of an agent, to be executed by the caller.
 #[derive(Debug, Clone, PartialEq)]
 pub enum AgentAction {
     /// Send a message. It may be lost.
@@ -59,21 +55,14 @@
     },
 }
 
-#[derive(Debug, Clone, Copy)]
-struct RecordCopy {
-    record: Record,
-    expires_at_ms: f64,
-    received_at_ms: f64,
-}
-
-/// The last contact with a member.
+/// The leader, as gossip last named it.
 #[derive(Debug, Clone, Copy)]
 struct KnownLeader {
     id: Id,
     named_at_ms: f64,
 }
 
-/// The last tick that was received.
+/// The last tick that arrived.
 #[derive(Debug, Clone, Copy)]
 struct ReceivedTick {
     from: Id,
@@ -85,24 +74,24 @@
 pub struct Gossip {
     /// The voter.
     pub from: Id,
-    /// The leader that it knows; 0: none.
+    /// The leader that the voter knows; 0: none.
     pub leader: Id,
-    /// Its time (ms), the low 32 bits.
+    /// The voter's time (ms), the low 32 bits.
     pub tick: u32,
     /// Records that this member lacked.
     pub records: Vec<LeasedRecord>,
 }
 
-/// One member's side of the fleet.
+/// The agent of one member.
 #[derive(Debug, Clone)]
 pub struct MemberAgent {
     id: Id,
     voters: Vec<Id>,
     session: u32,
-    /// The restart lease under which it was started.
+    /// The restart lease under which the member was started; 0: none.
     grant_id: u64,
     status: MemberStatus,
-    copies: BTreeMap<u64, RecordCopy>,
+    copies: RecordCopies,
     leader: Option<KnownLeader>,
     received_tick: Option<ReceivedTick>,
     next_report_ms: f64,
@@ -113,7 +102,7 @@
 }
 
 impl MemberAgent {
-    /// The agent of a member that was started under a restart lease (0: none).
+    /// The agent of a member that was started under a restart lease (0: none). `seed` has to be drawn at each start.
     pub fn new(id: Id, voters: &[Id], grant_id: u64, seed: u64) -> Self {
         let mut rng = Pcg32::seed_from_u64(seed);
         let session = rng.random::<u32>() | 1;
@@ -123,7 +112,7 @@
             session,
             grant_id,
             status: MemberStatus::default(),
-            copies: BTreeMap::new(),
+            copies: RecordCopies::default(),
             leader: None,
             received_tick: None,
             next_report_ms: f64::NEG_INFINITY,
@@ -134,32 +123,26 @@
         }
     }
 
-    /// Its session: drawn at each start.
+    /// The member's session: drawn at each start.
     pub fn session(&self) -> u32 {
         self.session
     }
 
-    /// Takes over the state of the dispatcher, for its next reports.
+    /// Replaces the status of the dispatcher, for the next reports.
     pub fn set_status(&mut self, status: MemberStatus) {
         self.status = status;
     }
 
-    /// The leader, if it was named lately.
+    /// The leader, if gossip named it within the last [`LEADER_TIMEOUT_MS`].
     pub fn leader(&self, now_ms: f64) -> Option<Id> {
         self.leader
             .filter(|known| now_ms - known.named_at_ms < LEADER_TIMEOUT_MS)
             .map(|known| known.id)
     }
 
-    /// The records that it knows, tombstones included.
+    /// The member's copies of the records, tombstones included.
     pub fn records(&self, now_ms: f64) -> impl Iterator<Item = LeasedRecord> + '_ {
-        self.copies.values().map(move |copy| {
-            let remaining_ms = (copy.expires_at_ms - now_ms).max(0.0) as u32;
-            LeasedRecord {
-                record: copy.record,
-                remaining_ms: copy.expires_at_ms.is_finite().then_some(remaining_ms),
-            }
-        })
+        self.copies.records(now_ms)
     }
 
     /// Keys and reasons of the engines that are unavailable by a record.
@@ -167,69 +150,30 @@
         &self,
         now_ms: f64,
     ) -> impl Iterator<Item = (u64, DisruptionReason)> + '_ {
-        self.copies
-            .values()
-            .filter(move |copy| now_ms < copy.expires_at_ms)
-            .filter_map(|copy| match copy.record.value {
-                RecordValue::Disruption {
-                    kind: UnitKind::Engine,
-                    reason,
-                    ..
-                } => Some((copy.record.key, reason)),
-                _ => None,
-            })
+        self.copies.unavailable_engines(now_ms)
     }
 
-    /// Number of the halt that it knows of.
+    /// Number of the halt, if the member knows of one.
     pub fn halt(&self) -> Option<u32> {
-        match self.copies.get(&HALT_KEY)?.record.value {
-            RecordValue::Halt { number, .. } => Some(number),
-            _ => None,
-        }
+        self.copies.halt()
     }
 
-    /// Takes records in. Of two with one key the later one holds, and one that counts replaces one that has expired.
+    /// Merges records into the copies: the later record of a key wins, and an unexpired one over an expired one.
     pub fn merge(&mut self, records: impl Iterator<Item = LeasedRecord>, now_ms: f64) {
-        for leased in records {
-            let incoming = RecordCopy {
-                record: leased.record,
-                expires_at_ms: leased.remaining_ms.map_or(f64::INFINITY, |remaining_ms| {
-                    now_ms + f64::from(remaining_ms)
-                }),
-                received_at_ms: now_ms,
-            };
-            let has_room = self.copies.len() < MAX_RECORDS;
-            let Some(known) = self.copies.get_mut(&leased.record.key) else {
-                if has_room {
-                    self.copies.insert(leased.record.key, incoming);
-                }
-                continue;
-            };
-            let known_counts = now_ms < known.expires_at_ms;
-            let incoming_counts = now_ms < incoming.expires_at_ms;
-            let is_later = known.record.stamp < incoming.record.stamp;
-            if incoming_counts && !known_counts || incoming_counts == known_counts && is_later {
-                *known = incoming;
-            }
-        }
+        self.copies.merge(records, now_ms);
     }
 
-    /// Digest of the records that it knows.
+    /// Digest of the member's copies of the records.
     pub fn digest(&self) -> u32 {
-        tansymux_coordination::digest(self.copies.values().map(|copy| &copy.record))
+        self.copies.digest()
     }
 
     /// The report to a voter.
     pub fn report(&self, to: Id) -> Report {
-        let highest_round = self
-            .copies
-            .values()
-            .map(|copy| copy.record.stamp.ballot.round)
-            .max();
         let echoed_tick = self.received_tick.filter(|received| received.from == to);
         Report {
             digest: self.digest(),
-            round: highest_round.unwrap_or(0),
+            round: self.copies.highest_round(),
             zone: self.status.zone,
             version: self.status.version,
             session: self.session,
@@ -243,16 +187,16 @@
         }
     }
 
-    /// A voter's answer to a report.
+    /// Handles a voter's answer to a report.
     pub fn on_gossip(&mut self, gossip: Gossip, now_ms: f64) {
-        // A datagram that was overtaken may set an older tick for a while: the voter recognizes its own ticks. They are
-        // not compared here, because its clock may have been set back.
+        // A reordered datagram may set an older tick for a while, which the voter recognizes. Ticks are not compared here,
+        // because the voter's clock may have been set back.
         self.received_tick = Some(ReceivedTick {
             from: gossip.from,
             tick: gossip.tick,
         });
         if gossip.leader != 0 {
-            // A voter may be wrong for a while about another leader than itself.
+            // A voter's knowledge of a leader other than itself may be outdated.
             let is_known = self.leader(now_ms) == Some(gossip.leader);
             if gossip.from == gossip.leader || !is_known {
                 self.leader = Some(KnownLeader {
@@ -266,14 +210,14 @@
         self.merge(gossip.records.into_iter(), now_ms);
     }
 
-    /// A client asks for a nonce. Where the table of calls is full nothing is answered, and the client asks again.
+    /// Handles a client's request for a nonce. There is no answer while the table of calls is full; the client retries.
     pub fn on_hello(&mut self, call: u64, from: SocketAddr, now_ms: f64) {
         if let Some(nonce) = self.calls.nonce_for(call, from, now_ms, &mut self.rng) {
             self.send(Destination::Client(from), Message::Nonce { call, nonce });
         }
     }
 
-    /// A client's command. The leader is asked once, however often the call comes.
+    /// Handles a client's command. A retried call adds no further command to the leader.
     pub fn on_call(
         &mut self,
         call: u64,
@@ -288,7 +232,7 @@
         }
     }
 
-    /// A client that names no dispatcher means the member that it calls.
+    /// The command with this member's id where the client named no dispatcher.
     fn with_own_id(&self, command: Command) -> Command {
         match command {
             Command::RequestLease {
@@ -308,13 +252,13 @@
         }
     }
 
-    /// The leader's answer to a command.
+    /// Handles the leader's answer to a command.
     pub fn on_answer(&mut self, call: u64, answer: Answer, now_ms: f64) {
         let Some(pending) = self.calls.pending(call) else {
             return;
         };
         match answer {
-            // The leader is asked again until it answers otherwise or the call times out.
+            // The command is retried until there is another answer or the call times out.
             Answer::Pending => {}
             Answer::NoLeader if !pending.has_timed_out(now_ms) => {
                 self.leader = None;
@@ -327,7 +271,8 @@
         }
     }
 
-    /// The next action that is due; none: nothing before [`MemberAgent::next_poll_ms`]. Call it until it gives none.
+    /// The next action. Call this function until it returns `None`: nothing is due before
+    /// [`MemberAgent::next_poll_ms`] then.
     pub fn poll(&mut self, now_ms: f64) -> Option<AgentAction> {
         if self.outbox.begin_poll() {
             self.run_timers(now_ms);
@@ -335,15 +280,13 @@
         self.outbox.pop()
     }
 
-    /// When to poll again (ms), if nothing comes before.
+    /// When to poll again (ms), if no message arrives before.
     pub fn next_poll_ms(&self) -> f64 {
         self.next_poll_ms
     }
 
     fn run_timers(&mut self, now_ms: f64) {
-        self.copies.retain(|_, copy| {
-            !copy.record.is_tombstone() || now_ms - copy.received_at_ms < TOMBSTONE_RETENTION_MS
-        });
+        self.copies.drop_old_tombstones(now_ms);
         let leader = self.leader(now_ms);
         if now_ms >= self.next_report_ms {
             self.send_report(leader, now_ms);
@@ -362,7 +305,7 @@
     }
 
     fn send_report(&mut self, leader: Option<Id>, now_ms: f64) {
-        let spread = 0.9 + 0.2 * self.rng.random::<f64>();
+        let spread = 1.0 - REPORT_JITTER / 2.0 + REPORT_JITTER * self.rng.random::<f64>();
         self.next_report_ms = now_ms + REPORT_INTERVAL_MS * spread;
         if let Some(to) = leader.or_else(|| self.random_voter()) {
             let report = self.report(to);
