--- a/crates/dispatcher/src/dispatcher.rs
+++ b/crates/dispatcher/src/dispatcher.rs
@@ -1,17 +1,17 @@
-//! The driver: one task that feeds the decisions what came in, carries their orders to where they are executed, and
-//! leads the program through its phases.
+//! The driver: one task that passes events to the decisions, has their commands executed, and moves the program
+//! through its phases.
 //!
 //! It owns the decisions ([`Control`]) and the phase. It never waits for a socket: clients, engines, discovery, peers
-//! and the fleet are tasks of their own on the same thread, and leave events in the query registry. Start reading at
-//! [`Dispatcher::run`] and `run_round`.
+//! and the fleet are separate tasks on the same thread, which queue their events in the query registry. Start reading
+//! at [`Dispatcher::run`] and `run_round`.
 //!
 //! | file | concern |
 //! | --- | --- |
 //! | `startup` | from a checked configuration to bound sockets |
-//! | `event_feed` | events of the registry, as the decisions and the subsystems take them |
-//! | `decision_sink` | what was decided, as commands of the registry and messages to peers |
-//! | `reload` | SIGHUP |
-//! | `start_retry` | steps of a start that fail for a moment |
+//! | `event_feed` | events of the registry, delivered to the decisions and the subsystems |
+//! | `decision_sink` | decisions, turned into commands of the registry and messages to peers |
+//! | `reload` | reload of both files at SIGHUP |
+//! | `start_retry` | retry with backoff for steps of the start that fail transiently |
 
 mod decision_sink;
 mod event_feed;
@@ -46,12 +46,11 @@
 use tansymux::events::EndpointListKind;
 use tansymux::settings::SettingsMap;
 
-/// Longest time (ms) between two rounds. Nothing needs it; it bounds how long a missed wake-up could last.
+/// Longest time (ms) between two rounds: a bound on the delay that a missed wake-up could cause.
 const MAX_SLEEP_MS: f64 = 1000.0;
-/// Longest time (ms) between two rounds during shutdown, whose phases end by the state of connections.
+/// Longest time (ms) between two rounds during shutdown: no event reports that the last connection closed.
 const SHUTDOWN_POLL_MS: f64 = 20.0;
-
-/// Events that SIGUSR1 writes.
+/// Maximum number of trace events that SIGUSR1 writes to the log.
 const MAX_DUMPED_EVENTS: usize = 256;
 
 /// The program as one object.
@@ -64,24 +63,24 @@
     engines: Rc<EnginePool>,
     peers: Option<Rc<Peers>>,
     subsystems: Subsystems,
-    /// Descriptors that it may hold.
+    /// Maximum number of descriptors that the program may hold.
     max_sockets: f64,
-    /// Tasks that run beside the driver until it ends: dropping them ends them.
+    /// The tasks beside the driver. Dropping a task cancels it.
     tasks: Vec<Task<()>>,
-    /// How long (ms) after SIGTERM all is answered.
+    /// Time (ms) from SIGTERM until every query is answered.
     shutdown_grace_ms: f64,
-    /// The configuration that the program was started with, to tell what a reload would change.
+    /// The configuration file of the start, with which a reload compares its own.
     started_with: Value,
     settings: SettingsMap,
-    /// Where the name service is; shared with discovery, and changed by a reload.
+    /// Address of the name service, shared with discovery and changed by a reload.
     resolver: Rc<Cell<Option<SocketAddr>>>,
     /// Flags, which override the operators' file.
     common: Common,
-    /// When (ms) the decisions want their next round.
+    /// Time (ms) at which the decisions want their next round.
     timer_ms: f64,
 }
 
-/// What ended a wait.
+/// The event that ended a wait.
 enum Wake {
     Events,
     Terminate,
@@ -90,7 +89,7 @@
 }
 
 impl Dispatcher {
-    /// Runs until all is answered after SIGTERM, then prints the counters.
+    /// Runs until the shutdown after SIGTERM is complete, then prints the counters.
     pub async fn run(mut self, signals: impl Stream<Item = Signal>) {
         let signals = signals.map(|signal| match signal {
             Signal::Reload => Wake::Reload,
@@ -102,27 +101,38 @@
         loop {
             let next_round_ms = self.run_round();
             if self.phase == Phase::Ended {
-                // Nothing can be done for what is owed any more, but it is told.
+                // Too late to answer queries that are still owed an answer, but the violation is reported.
                 if let Err(violation) = self.registry.may_end() {
                     self.registry.report_violation(violation, None);
                 }
                 break;
             }
             self.wait(&mut wakes, next_round_ms).await;
-            // Even if the next round is due already, the other tasks get their turn.
+            // The other tasks must run even if the next round is already due.
             future::yield_now().await;
         }
         self.tasks.clear();
         eprint!("{}", self.subsystems.counters(&self.registry));
     }
 
-    /// One round: deadlines of the engine side, events, decisions, periodic work, commands. Gives the time (ms) at which
-    /// the next is due.
+    /// Runs one round: deadlines of the engine side, events and decisions, periodic work, commands, the next phase.
+    /// Returns the time (ms) at which the next round is due.
     fn run_round(&mut self) -> f64 {
         let engines_due_ms = self.engines.expire();
         let now_ms = self.clock.now();
         self.registry.counters.rounds.increment();
         let open_descriptors = self.clients.connection_count() + self.engines.connection_count();
+        self.run_decisions(now_ms);
+        self.tick_levels(now_ms, open_descriptors);
+        self.tick_zones(now_ms);
+        self.tick_fleet(now_ms, open_descriptors);
+        self.engines.execute_commands();
+        self.advance_phase(now_ms);
+        engines_due_ms.min(self.timer_ms).min(now_ms + MAX_SLEEP_MS)
+    }
+
+    /// Delivers the queued events to the decisions, and queues the commands that they decide on.
+    fn run_decisions(&mut self, now_ms: f64) {
         if now_ms >= self.timer_ms {
             self.timer_ms = f64::INFINITY;
         }
@@ -140,14 +150,9 @@
             timer_ms: &mut self.timer_ms,
         };
         self.control.run_round(now_ms, &mut feed, &mut sink);
-        self.tick_levels(now_ms, open_descriptors);
-        self.tick_zones(now_ms);
-        self.tick_fleet(now_ms, open_descriptors);
-        self.engines.execute_commands();
-        self.advance_phase(now_ms);
-        engines_due_ms.min(self.timer_ms).min(now_ms + MAX_SLEEP_MS)
     }
 
+    /// Evaluates the service level, and sends its message to peers where one is due.
     fn tick_levels(&mut self, now_ms: f64, open_descriptors: usize) {
         let levels = &self.subsystems.levels;
         if let Some(message) = levels.tick(now_ms, open_descriptors, &mut self.control) {
@@ -155,6 +160,7 @@
         }
     }
 
+    /// Evaluates zone routing: its message to peers, its health check, and the spills that the client side shows.
     fn tick_zones(&mut self, now_ms: f64) {
         let zones = &self.subsystems.zones;
         let fleet = self.subsystems.fleet.as_deref();
@@ -174,6 +180,7 @@
         *self.clients.spilled_threads().borrow_mut() = spills;
     }
 
+    /// Reports this dispatcher's load to the fleet, and queues the endpoint changes that the fleet decided on.
     fn tick_fleet(&mut self, now_ms: f64, open_descriptors: usize) {
         let Some(fleet) = &self.subsystems.fleet else {
             return;
@@ -191,7 +198,7 @@
         }
     }
 
-    /// Sends a subsystem's message to all peers, where the settings let dispatchers talk.
+    /// Sends a subsystem's message to all peers, where the settings allow messages between dispatchers.
     fn send_to_all_peers(&self, message: &[u8]) {
         if !self.control.capabilities().peer_messages {
             return;
@@ -201,7 +208,7 @@
         }
     }
 
-    /// Goes to the next phase, if its time has come.
+    /// Enters the next phase, if it is due.
     fn advance_phase(&mut self, now_ms: f64) {
         let next = self.phase.next(PhaseInput {
             now_ms,
@@ -216,7 +223,8 @@
         self.phase = next;
     }
 
-    /// SIGTERM: the health path answers 503 from now on, and no query has a deadline later than the end of the program.
+    /// Begins the graceful shutdown at SIGTERM: the health path answers 503 from now on, and all deadlines are cut to the
+    /// end of the program.
     fn begin_shutdown(&mut self) {
         if !self.phase.is_before_shutdown() {
             return;
@@ -235,7 +243,7 @@
         self.phase = Phase::Draining { since_ms: now_ms };
     }
 
-    /// SIGUSR1: the last events go to the log, in one piece and so beside its limit on the rate.
+    /// Writes the last trace events to the log at SIGUSR1, as one piece that the log's rate limit does not apply to.
     fn dump_trace(&self) {
         let lines = self.registry.trace.lines(None, MAX_DUMPED_EVENTS);
         let mut text = String::new();
@@ -248,7 +256,7 @@
         tracing::info!(events = lines.len(), "trace written");
     }
 
-    /// Waits for an event, a signal or the next round's time (ms), and acts on a signal.
+    /// Waits for an event, a signal or the time of the next round (ms), and handles the signal.
     async fn wait(
         &mut self,
         wakes: &mut (impl Stream<Item = Wake> + Unpin),
--- a/crates/dispatcher/src/dispatcher/decision_sink.rs
+++ b/crates/dispatcher/src/dispatcher/decision_sink.rs
@@ -1,4 +1,4 @@
-//! Where decisions go: commands in the registry for the engine side, answers for the client side, messages to peers.
+//! The sink of decisions: commands in the registry for the engine side, answers for the client side, messages to peers.
 
 use crate::peers::Peers;
 use crate::query_registry::{Answer, Grant, QueryRegistry};
@@ -10,9 +10,9 @@
     pub registry: &'a QueryRegistry,
     pub peers: Option<&'a Peers>,
     pub levels: &'a ServiceLevels,
-    /// Time of the round.
+    /// Time of the round (ms).
     pub now_ms: f64,
-    /// When the decisions want their next round: the earliest of what they ask for.
+    /// Time (ms) of the next round that the decisions want: the earliest of their timers.
     pub timer_ms: &'a mut f64,
 }
 
@@ -64,11 +64,11 @@
         *self.timer_ms = self.timer_ms.min(self.now_ms + delay_ms);
     }
 
-    /// Discovery polls the name service all the time, and pushes what changes.
+    /// Does nothing: discovery polls the name service from the start, and queues each change as an event.
     fn watch_endpoints(&mut self) {}
 }
 
-/// Counts an answer for the service levels, if the query is still owed one. To be called before it is given.
+/// Counts an answer for the service levels, if the query is not answered yet. Must be called before the answer is given.
 pub(super) fn record_answer(
     registry: &QueryRegistry,
     levels: &ServiceLevels,
--- a/crates/dispatcher/src/dispatcher/event_feed.rs
+++ b/crates/dispatcher/src/dispatcher/event_feed.rs
@@ -1,4 +1,4 @@
-//! The events of a round: taken from the registry, counted by the subsystems, and handed to the decisions.
+//! The event source of a round: takes events from the registry, and passes each to the subsystems and the decisions.
 
 use super::decision_sink::record_answer;
 use crate::engine::EnginePool;
@@ -14,12 +14,12 @@
     Outcome, PeerMessage, ProgressNote, QueryArrived,
 };
 
-/// What waits in the registry, as the decisions take it.
+/// The events that are queued in the registry, as an [`EventSource`].
 pub(super) struct EventFeed<'a> {
     pub registry: &'a QueryRegistry,
     pub engines: &'a EnginePool,
     pub subsystems: &'a Subsystems,
-    /// Time of the round.
+    /// Time of the round (ms).
     pub now_ms: f64,
 }
 
@@ -32,13 +32,11 @@
 }
 
 impl EventFeed<'_> {
+    /// Calls the handler of one event.
     fn deliver_event(&self, event: Event, control: &mut Control, out: &mut dyn DecisionSink) {
         match event {
             Event::QueryArrived(arrived) => self.on_query_arrived(&arrived, control, out),
-            Event::ClientLeft { query_id } => {
-                control.on_client_gone(query_id, out);
-                self.registry.forget_if_over(query_id);
-            }
+            Event::ClientLeft { query_id } => self.on_client_left(query_id, control, out),
             Event::AttemptEnded {
                 query_id,
                 attempt,
@@ -73,27 +71,16 @@
                 self.on_progress_note(&note, control);
             }
             Event::HealthCheckEnded { engine_id, outcome } => {
-                let ended = HealthCheckEnded { engine_id, outcome };
-                let zones = &self.subsystems.zones;
-                zones.on_health_check_ended(&ended, self.now_ms);
-                control.on_health_check_ended(&ended);
+                self.on_health_check_ended(&HealthCheckEnded { engine_id, outcome }, control);
             }
             Event::EndpointList { kind, endpoints } => {
                 self.on_endpoint_list(kind, endpoints, control, out);
             }
-            Event::PeerMessage { peer, content } => {
-                let message = PeerMessage {
-                    peer,
-                    content: &content,
-                };
-                if !self.subsystems.on_peer_message(&message, self.now_ms) {
-                    control.on_peer_message(&message);
-                }
-            }
+            Event::PeerMessage { peer, content } => self.on_peer_message(peer, &content, control),
         }
     }
 
-    /// A query whose client left while it waited for this round is passed over: the decisions never learn of it.
+    /// Passes a query to the decisions, unless its client left before this round.
     fn on_query_arrived(
         &self,
         arrived: &ArrivedQuery,
@@ -127,6 +114,13 @@
         }
     }
 
+    fn on_client_left(&self, query_id: u64, control: &mut Control, out: &mut dyn DecisionSink) {
+        control.on_client_gone(query_id, out);
+        self.registry.forget_if_over(query_id);
+    }
+
+    /// Passes the end of an attempt to the subsystems, answers the query if it completed, and then lets the decisions
+    /// know whether it has its answer.
     fn on_attempt_ended(
         &self,
         mut ended: AttemptEnded,
@@ -143,13 +137,8 @@
             .on_attempt_ended(&ended, statement.as_ref(), self.now_ms);
         if ended.outcome == Outcome::Completed {
             let levels = &self.subsystems.levels;
-            record_answer(
-                self.registry,
-                levels,
-                query_id,
-                self.now_ms,
-                AnswerKind::Completed,
-            );
+            let kind = AnswerKind::Completed;
+            record_answer(self.registry, levels, query_id, self.now_ms, kind);
             self.registry.answer(query_id, Answer::Completed(pages));
         }
         ended.answer_delivered = self.registry.is_over(query_id);
@@ -173,7 +162,21 @@
         control.on_progress_note(note);
     }
 
-    /// Engines and decisions see the list as the subsystems leave it.
+    fn on_health_check_ended(&self, ended: &HealthCheckEnded, control: &mut Control) {
+        let zones = &self.subsystems.zones;
+        zones.on_health_check_ended(ended, self.now_ms);
+        control.on_health_check_ended(ended);
+    }
+
+    /// Passes a message to the subsystem that it is for, else to the decisions.
+    fn on_peer_message(&self, peer: u32, content: &[u8], control: &mut Control) {
+        let message = PeerMessage { peer, content };
+        if !self.subsystems.on_peer_message(&message, self.now_ms) {
+            control.on_peer_message(&message);
+        }
+    }
+
+    /// Passes endpoints to the subsystems, which may change them, and then to the engine side and the decisions.
     fn on_endpoint_list(
         &self,
         kind: EndpointListKind,
@@ -198,7 +201,7 @@
     }
 }
 
-/// What the statement classifier learns from, where the query's statement was read.
+/// The input that the statement classifier learns from; none where the query's statement was not classified.
 fn classified_attempt(query: &Query) -> Option<ClassifiedAttempt> {
     Some(ClassifiedAttempt {
         shape: query.shape?,
--- a/crates/dispatcher/src/dispatcher/reload.rs
+++ b/crates/dispatcher/src/dispatcher/reload.rs
@@ -1,7 +1,8 @@
-//! SIGHUP: the configuration and the operators' file are read again. Each is applied or rejected whole, on its own.
+//! Reload at SIGHUP of the configuration and the operators' file. Each file is either applied or rejected, independently
+//! of the other.
 //!
-//! Of the configuration only `resolver` takes effect; other keys that differ are named in the log. Of the operators'
-//! file all takes effect but most of `fleet`.
+//! In the configuration only `resolver` takes effect; the log names other keys that differ. In the operators' file
+//! everything takes effect except most of `fleet`.
 
 use super::Dispatcher;
 use crate::config::{self, StartupConfig};
@@ -10,7 +11,7 @@
 use tansymux_operator_config::Operator;
 
 impl Dispatcher {
-    /// Reads both files again. One that has faults changes nothing.
+    /// Reads both files again. A file with errors changes nothing.
     pub(super) fn reload(&mut self) {
         if !self.phase.is_before_shutdown() {
             tracing::info!("SIGHUP ignored during shutdown");
--- a/crates/dispatcher/src/dispatcher/start_retry.rs
+++ b/crates/dispatcher/src/dispatcher/start_retry.rs
@@ -1,14 +1,15 @@
-//! Steps of a start that the system refuses for a moment: tried again with a backoff, for as long as a start may take.
-//! What can't pass ends the start at once.
+//! Retry with exponential backoff for steps of the start that fail transiently, such as binding an address that is still
+//! in use. A permanent error ends the start at once.
 
 use std::io;
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How long a start tries in all: the platform allows 10 s until a dispatcher is ready.
+/// Total time of all steps, retries included. The platform allows 10 s until a dispatcher is ready.
 const MAX_START_TIME: Duration = Duration::from_secs(8);
-/// Pause before the first retry; each further one is twice as long, up to the longest.
+/// Backoff before the first retry. It doubles with each retry.
 const FIRST_PAUSE: Duration = Duration::from_millis(10);
+/// Longest backoff between two retries.
 const MAX_PAUSE: Duration = Duration::from_millis(500);
 
 /// The retries of one start.
@@ -18,14 +19,15 @@
 }
 
 impl StartRetry {
-    /// The start begins now.
+    /// Starts the time limit.
     pub fn begin() -> Self {
         StartRetry {
             until: Instant::now() + MAX_START_TIME,
         }
     }
 
-    /// Tries a step until it succeeds, fails for good or the start's time is over. `step` names it in the log.
+    /// Runs a step until it succeeds, fails permanently, or the time limit leaves no further retry. The log names it
+    /// `step`.
     ///
     /// # Errors
     /// The last error of the step.
@@ -33,8 +35,13 @@
         let mut pause = FIRST_PAUSE;
         loop {
             match attempt() {
-                Err(error) if may_pass(&error) && Instant::now() + pause < self.until => {
-                    tracing::warn!(step, %error, retry_after_ms = pause.as_millis(), "address not bound or resource short, trying again");
+                Err(error) if is_transient(&error) && Instant::now() + pause < self.until => {
+                    tracing::warn!(
+                        step,
+                        %error,
+                        retry_after_ms = pause.as_millis(),
+                        "address not bound or resource short, trying again"
+                    );
                     thread::sleep(pause);
                     pause = (2 * pause).min(MAX_PAUSE);
                 }
@@ -44,9 +51,9 @@
     }
 }
 
-/// Whether an error of socket, bind, listen, open or pipe may pass without anyone's help (socket(2), bind(2), listen(2)).
-/// An address that is not this machine's, or that may not be used, stays so.
-fn may_pass(error: &io::Error) -> bool {
+/// Whether an error of socket, bind, listen, open or pipe is transient (socket(2), bind(2), listen(2)). An address that
+/// is not local, or that the process may not bind, is a permanent error.
+fn is_transient(error: &io::Error) -> bool {
     matches!(
         error.raw_os_error(),
         Some(
--- a/crates/dispatcher/src/dispatcher/startup.rs
+++ b/crates/dispatcher/src/dispatcher/startup.rs
@@ -1,12 +1,13 @@
-//! From a checked configuration to a dispatcher whose sockets are bound. Nothing is accepted before the first round.
+//! The start: turns a valid configuration into a dispatcher whose sockets are bound. No connection is accepted before the
+//! first round.
 
 use super::{Dispatcher, StartRetry};
 use crate::cli::Common;
-use crate::client::ClientFrontend;
+use crate::client::{AdmissionLimits, ClientFrontend};
 use crate::clock::{Clock, WallClock};
 use crate::config::{PeerAddresses, StartupConfig};
 use crate::discovery::{self, EndpointDirectory};
-use crate::engine::EnginePool;
+use crate::engine::{ConnectionSettings, EnginePool};
 use crate::guard::{Guard, GuardRules};
 use crate::lifecycle::Phase;
 use crate::operator_config::{check_against_settings, OperatorConfigErrors};
@@ -30,16 +31,16 @@
 use tansymux::settings::{Settings, SettingsError};
 use tansymux_operator_config::Operator;
 
-/// Sets the key of shapes' hashes apart from the other draws that start from the same seed.
+/// Salt of the seed for the hash key of shapes, so that the key is independent of other draws from the same seed.
 const SHAPE_KEY_SALT: u64 = 0x5DEE_CE66_D1CE_B00C;
 
-/// Why the program did not start.
+/// An error that prevents the start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// The operators' file does not go with the settings.
+    /// The operators' file contradicts the settings.
     #[error("the operators' file: {0}")]
     OperatorConfig(OperatorConfigErrors),
-    /// The decisions cannot use the settings.
+    /// The settings are invalid for the decisions.
     #[error("settings: {0}")]
     Settings(#[from] SettingsError),
     /// The address for messages of other dispatchers cannot be bound.
@@ -47,10 +48,10 @@
     Peers {
         /// The address.
         address: SocketAddr,
-        /// What the system says.
+        /// The system's error.
         source: io::Error,
     },
-    /// The fleet's part cannot start.
+    /// The fleet service cannot start.
     #[error(transparent)]
     Fleet(#[from] FleetStartError),
     /// The address for clients cannot be bound.
@@ -58,7 +59,7 @@
     Listen {
         /// The address.
         address: SocketAddr,
-        /// What the system says.
+        /// The system's error.
         source: io::Error,
     },
 }
@@ -67,7 +68,7 @@
     /// Binds all sockets and starts the tasks beside the driver.
     ///
     /// # Errors
-    /// The operators' file does not go with the settings, the settings cannot be used, or an address cannot be bound.
+    /// The operators' file contradicts the settings, the settings are invalid, or an address cannot be bound.
     pub fn start(
         config: StartupConfig,
         operator: &Operator,
@@ -78,32 +79,11 @@
         check_against_settings(operator, &config.settings).map_err(StartError::OperatorConfig)?;
         let settings = Rc::new(Settings::read(&config.settings)?);
         let mut control = Control::new(config.seed, &config.settings)?;
-        let clock = Clock::start();
-        let guard = Guard::new(GuardRules::of(&settings));
-        let registry = QueryRegistry::new(config.max_statement_bytes, guard, clock);
-        let mut launcher = Launcher {
-            clock,
-            registry: Rc::new(registry),
-            executor,
-            retry,
-            tasks: Vec::new(),
-        };
-        let engines = EnginePool::new(
-            launcher.registry.clone(),
-            launcher.clock,
-            launcher.executor.clone(),
-            config.connection_settings,
-        );
+        let mut launcher = Launcher::new(&config, &settings, executor, retry);
+        let engines = launcher.new_engine_pool(config.connection_settings);
         let mut subsystems = new_subsystems(&config, &settings);
         subsystems.reconfigure(operator, launcher.clock.now(), &mut control);
-        let clients = Rc::new(ClientFrontend::new(
-            launcher.registry.clone(),
-            launcher.clock,
-            config.admission,
-            subsystems.statements.clone(),
-            subsystems.levels.clone(),
-            subsystems.zones.clone(),
-        ));
+        let clients = launcher.new_client_frontend(config.admission, &subsystems);
         let peers = launcher.start_peers(config.peers)?;
         subsystems.fleet = launcher.start_fleet(operator, &settings, config.seed)?;
         let resolver = Rc::new(Cell::new(config.resolver));
@@ -130,22 +110,67 @@
     }
 }
 
-/// Starts the parts of the program that are tasks of their own.
+/// Creates the two sides of the program, and starts the parts that are tasks beside the driver.
 struct Launcher {
     clock: Clock,
     registry: Rc<QueryRegistry>,
     executor: Rc<LocalExecutor<'static>>,
     retry: StartRetry,
-    /// What was started so far.
+    /// The tasks that are already running.
     tasks: Vec<Task<()>>,
 }
 
 impl Launcher {
+    /// Starts the program's clock. No task runs yet.
+    fn new(
+        config: &StartupConfig,
+        settings: &Settings,
+        executor: Rc<LocalExecutor<'static>>,
+        retry: StartRetry,
+    ) -> Self {
+        let clock = Clock::start();
+        let guard = Guard::new(GuardRules::of(settings));
+        let registry = QueryRegistry::new(config.max_statement_bytes, guard, clock);
+        Launcher {
+            clock,
+            registry: Rc::new(registry),
+            executor,
+            retry,
+            tasks: Vec::new(),
+        }
+    }
+
+    /// The engine side, without connections.
+    fn new_engine_pool(&self, settings: ConnectionSettings) -> Rc<EnginePool> {
+        EnginePool::new(
+            self.registry.clone(),
+            self.clock,
+            self.executor.clone(),
+            settings,
+        )
+    }
+
+    /// The client side, without its listener.
+    fn new_client_frontend(
+        &self,
+        limits: AdmissionLimits,
+        subsystems: &Subsystems,
+    ) -> Rc<ClientFrontend> {
+        Rc::new(ClientFrontend::new(
+            self.registry.clone(),
+            self.clock,
+            limits,
+            subsystems.statements.clone(),
+            subsystems.levels.clone(),
+            subsystems.zones.clone(),
+        ))
+    }
+
     fn spawn(&mut self, task: impl Future<Output = ()> + 'static) {
         self.tasks.push(self.executor.spawn(task));
     }
 
-    /// The exchange with other dispatchers, where the configuration has an address for it.
+    /// Starts the exchange with other dispatchers, where the configuration has an address for it.
     fn start_peers(
         &mut self,
         addresses: Option<PeerAddresses>,
@@ -164,7 +189,7 @@
         Ok(Some(peers))
     }
 
-    /// The membership of a fleet, where the operators' file defines one.
+    /// Starts this dispatcher's membership of a fleet, where the operators' file defines one.
     fn start_fleet(
         &mut self,
         operator: &Operator,
@@ -184,7 +209,7 @@
         Ok(fleet)
     }
 
-    /// Makes the configuration's endpoint list the first event, and follows the name service from there.
+    /// Queues the configuration's endpoint list as the first event, and starts polling the name service.
     fn start_discovery(
         &mut self,
         mut directory: EndpointDirectory,
@@ -205,7 +230,7 @@
         ));
     }
 
-    /// The socket for clients: the last that is bound, so that none connects to a program that does not start.
+    /// Binds the address for clients. It is the last one, so that no client connects to a program whose start fails.
     fn start_listener(
         &mut self,
         clients: &Rc<ClientFrontend>,
@@ -221,7 +246,7 @@
     }
 }
 
-/// All subsystems, off.
+/// All subsystems, still disabled.
 fn new_subsystems(config: &StartupConfig, settings: &Rc<Settings>) -> Subsystems {
     let limits = ResourceLimits {
         memory_bytes: config.max_memory_bytes,
@@ -240,7 +265,7 @@
     }
 }
 
-/// A secret for the hashes of shapes, from the seed of this start.
+/// The secret hash key of shapes, derived from the seed of this start.
 fn shape_hash_key(seed: u64) -> [u8; 16] {
     let mut rng = Pcg::new(seed ^ SHAPE_KEY_SALT);
     std::array::from_fn(|_| rng.below(256) as u8)
