--- a/crates/dispatcher/src/subsystems/fleet.rs
+++ b/crates/dispatcher/src/subsystems/fleet.rs
@@ -1,16 +1,27 @@
-//! The fleet in the program: its datagrams in and out, this dispatcher's reports, and the engines that the fleet has
-//! drained. What is agreed on is decided in `tansymux-rollout` and `tansymux-coordination`.
+//! The fleet in the program: its datagrams, this dispatcher's reports, and the engines that the fleet has drained. The
+//! decisions of the fleet are made in `tansymux-rollout` and `tansymux-coordination`.
 //!
 //! [`FleetService::run`] is the task on the socket; everything else is called by the driver.
+//!
+//! | file | concern |
+//! | --- | --- |
+//! | `definition` | values of the operators' file and the environment |
+//! | `socket` | datagrams in and out, and their counts |
+//! | `engine_watch` | the endpoint list, and the engines that the fleet has drained |
 
+mod definition;
 mod engine_watch;
+mod socket;
 
 use crate::clock::Clock;
-use crate::net::{receive_datagram, send_datagram, uninterrupted};
 use crate::query_registry::{EndpointEntry, QueryRegistry};
 use async_io::{Async, Timer};
+use definition::{
+    failure_threshold, incarnation_seed, listen_address, member_config, version_hash,
+};
 use engine_watch::EngineWatch;
 use futures_lite::future;
+use socket::{FleetSocket, MAX_DATAGRAM_BYTES};
 use std::cell::{Cell, RefCell};
 use std::fmt::Write;
 use std::io;
@@ -25,27 +36,23 @@
 use tansymux_rollout::{FleetAction, FleetEvent, FleetNode, MemberStatus};
 use tansymux_zone_evacuation::{Evidence as ZoneEvidence, ZoneUse};
 
-/// How often (ms) this dispatcher's report is put together.
+/// Interval (ms) of this dispatcher's reports.
 const REPORT_INTERVAL_MS: f64 = 200.0;
-/// Datagrams that are read at a time, before answers to them go out.
+/// Maximum number of datagrams that are received before the answers to them are sent.
 const MAX_RECEIVE_BATCH: usize = 128;
-/// Longest datagram that is read, in bytes; messages of the fleet are shorter.
-const MAX_DATAGRAM_BYTES: usize = 512;
 /// Pause after an error of the socket, so that a lasting one does not take all processor time.
 const ERROR_PAUSE: Duration = Duration::from_millis(20);
-/// Environment variable with the restart lease (in hex) under which the program is started.
-const TURN_VARIABLE: &str = "TANSYMUX_TURN";
 
-/// Why the fleet's part could not start.
+/// An error that prevents the start of the fleet service.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetStartError {
-    /// `fleet` is there without all its required keys.
+    /// A required key of `fleet` is missing.
     #[error("fleet: a required key is missing")]
     Incomplete,
-    /// `fleet.listen` cannot be used.
+    /// `fleet.listen` is not an address with a port.
     #[error("fleet.listen is {value:?}, allowed is an address with a port")]
     InvalidListen {
-        /// What stands in the file.
+        /// The value in the file.
         value: String,
     },
     /// The address cannot be bound.
@@ -53,41 +60,39 @@
     Bind {
         /// The address.
         address: SocketAddr,
-        /// What the system says.
+        /// The system's error.
         source: io::Error,
     },
 }
 
-/// What the driver knows of this dispatcher, for its report.
+/// The load of this dispatcher, for its report.
 #[derive(Debug, Clone, Copy)]
 pub struct LoadReport {
-    /// Fraction of its descriptors that is in use.
+    /// Fraction of its maximum number of descriptors that is in use.
     pub descriptors_used: f64,
-    /// Threads that its queries use on engines.
+    /// Threads that the dispatcher's queries use on engines.
     pub threads_in_flight: f64,
 }
 
 /// This dispatcher as a member of a fleet.
 pub struct FleetService {
     member: RefCell<FleetNode>,
-    socket: Async<UdpSocket>,
+    socket: FleetSocket,
     clock: Clock,
     registry: Rc<QueryRegistry>,
-    evidence: RefCell<EngineOutcomes>,
-    /// When an engine counts as bad; none where engines are not ejected.
-    ejection: Cell<Option<FailureThreshold>>,
-    zone: u32,
-    version: Cell<u32>,
+    engine_outcomes: RefCell<EngineOutcomes>,
+    /// The failures at which an engine counts as an outlier; none where engines are not ejected.
+    failure_threshold: Cell<Option<FailureThreshold>>,
+    zone_hash: u32,
+    version_hash: Cell<u32>,
     engines: RefCell<EngineWatch>,
     last_report_ms: Cell<f64>,
-    /// Whether this member led at the last report; none before the first.
+    /// Whether this member was the leader at the last report; none before the first.
     was_leader: Cell<Option<bool>>,
-    datagrams_sent: Cell<u64>,
-    datagrams_received: Cell<u64>,
 }
 
 impl FleetService {
-    /// None where the operators' file defines no fleet.
+    /// Joins the fleet; none where the operators' file defines no fleet. `bind` binds the address of `fleet.listen`.
     ///
     /// # Errors
     /// A required key is missing, or the address cannot be bound.
@@ -102,42 +107,37 @@
         let Some(definition) = definition else {
             return Ok(None);
         };
-        let mut member_settings =
-            tansymux_operator_config::fleet_config(definition, lease_of_start())
-                .ok_or(FleetStartError::Incomplete)?;
-        let zone = settings.local_zone.as_deref().map_or(0, name_hash);
-        if let Some((own_zone, _)) = &mut member_settings.zones {
-            *own_zone = zone;
-        }
+        let zone_hash = settings.local_zone.as_deref().map_or(0, name_hash);
+        let member_config = member_config(definition, zone_hash)?;
         let address = listen_address(definition)?;
         let socket = bind(address).map_err(|source| FleetStartError::Bind { address, source })?;
         let now_ms = clock.now();
         let seed = incarnation_seed(seed, now_ms);
         let service = Rc::new(FleetService {
-            member: RefCell::new(FleetNode::new(&member_settings, now_ms, seed)),
-            socket,
+            member: RefCell::new(FleetNode::new(&member_config, now_ms, seed)),
+            socket: FleetSocket::new(socket),
             clock,
             registry,
-            evidence: RefCell::default(),
-            ejection: Cell::new(ejection_settings(definition)),
-            zone,
-            version: Cell::new(version_number(definition)),
+            engine_outcomes: RefCell::default(),
+            failure_threshold: Cell::new(failure_threshold(definition)),
+            zone_hash,
+            version_hash: Cell::new(version_hash(definition)),
             engines: RefCell::new(EngineWatch::new(settings.clone())),
             last_report_ms: Cell::new(f64::NEG_INFINITY),
             was_leader: Cell::default(),
-            datagrams_sent: Cell::default(),
-            datagrams_received: Cell::default(),
         });
-        let counted = service.clone();
-        let counters = &service.registry.counters;
-        counters
-            .extra_reports
-            .borrow_mut()
-            .push(Box::new(move |text| counted.write_counters(text)));
+        service.clone().register_counters();
         Ok(Some(service))
     }
 
-    /// Applies what of `fleet` may change while the program runs; the rest waits for the next start.
+    /// Adds the fleet's counters to those that the registry reports.
+    fn register_counters(self: Rc<Self>) {
+        let registry = self.registry.clone();
+        let mut reports = registry.counters.extra_reports.borrow_mut();
+        reports.push(Box::new(move |text| self.write_counters(text)));
+    }
+
+    /// Applies the keys of `fleet` that may change while the program runs; the others take effect at the next start.
     pub fn reconfigure(&self, definition: Option<&schema::Fleet>) {
         let Some(definition) = definition else {
             tracing::warn!("fleet kept as it was: the operators' file defines none any more");
@@ -147,8 +147,8 @@
             tracing::warn!("fleet kept as it was: a required key is missing");
             return;
         };
-        self.ejection.set(ejection_settings(definition));
-        self.version.set(version_number(definition));
+        self.failure_threshold.set(failure_threshold(definition));
+        self.version_hash.set(version_hash(definition));
         let zones = settings.zones.map(|(_, zones)| zones);
         self.member
             .borrow_mut()
@@ -160,15 +160,15 @@
         let mut buffer = [0; MAX_DATAGRAM_BYTES];
         loop {
             let wake_ms = self.send_due();
-            let datagram = async { Some(receive_datagram(&self.socket, &mut buffer).await) };
+            let datagram = async { Some(self.socket.receive(&mut buffer).await) };
             let timer = async {
                 Timer::at(self.clock.instant(wake_ms)).await;
                 None
             };
             match future::or(datagram, timer).await {
                 Some(Ok((count, from))) => {
-                    self.receive(from, &buffer[..count]);
-                    self.receive_pending(&mut buffer);
+                    self.handle_datagram(from, &buffer[..count]);
+                    self.handle_pending_datagrams(&mut buffer);
                 }
                 Some(Err(error)) => {
                     tracing::warn!(%error, "fleet datagram not received");
@@ -180,56 +180,48 @@
         }
     }
 
-    /// Takes what else has arrived, up to a batch.
-    fn receive_pending(&self, buffer: &mut [u8]) {
+    /// Handles the datagrams that have already arrived, up to the rest of a batch.
+    fn handle_pending_datagrams(&self, buffer: &mut [u8]) {
         for _ in 1..MAX_RECEIVE_BATCH {
-            let socket = self.socket.get_ref();
-            let Ok((count, from)) = uninterrupted(|| socket.recv_from(buffer)) else {
+            let Ok((count, from)) = self.socket.try_receive(buffer) else {
                 return;
             };
-            self.receive(from, &buffer[..count]);
+            self.handle_datagram(from, &buffer[..count]);
         }
     }
 
-    fn receive(&self, from: SocketAddr, datagram: &[u8]) {
-        self.datagrams_received
-            .set(self.datagrams_received.get() + 1);
-        self.member.borrow_mut().handle(
-            FleetEvent::DatagramReceived { from, datagram },
-            self.clock.now(),
-        );
+    fn handle_datagram(&self, from: SocketAddr, datagram: &[u8]) {
+        self.socket.count_received();
+        let event = FleetEvent::DatagramReceived { from, datagram };
+        self.member.borrow_mut().handle(event, self.clock.now());
     }
 
-    /// Sends what is due. Gives the time (ms) at which something will be due next.
+    /// Sends the datagrams that are due. Returns the time (ms) at which the next may be due.
     fn send_due(&self) -> f64 {
         let mut member = self.member.borrow_mut();
         let now_ms = self.clock.now();
         while let Some(FleetAction::Send { to, datagram }) = member.poll(now_ms) {
-            match send_datagram(&self.socket, &datagram, to) {
-                Ok(_) => self.datagrams_sent.set(self.datagrams_sent.get() + 1),
-                // Counts as lost on its way: the protocol sends again what matters.
-                Err(error) => tracing::debug!(%to, %error, "fleet datagram not sent"),
-            }
+            self.socket.send(&datagram, to);
         }
         member.next_poll_ms()
     }
 
-    /// What this dispatcher observed of zones, for the fleet. `isolated`: it is cut off itself.
+    /// Reports this dispatcher's evidence on zones to the fleet. `isolated`: the dispatcher itself is cut off.
     pub fn report_zones(&self, evidence: Vec<ZoneEvidence>, isolated: bool) {
         self.member.borrow_mut().observe_zones(evidence, isolated);
     }
 
-    /// How a zone may be used, as the fleet agreed.
+    /// The use of a zone that the fleet agreed on.
     pub fn zone_use(&self, zone: &str) -> ZoneUse {
         self.member.borrow().use_of(name_hash(zone))
     }
 
-    /// Whether the fleet evacuates zones and returns to them as a whole.
+    /// Whether the fleet decides on the evacuation of zones and the return to them.
     pub fn coordinates_zones(&self) -> bool {
         self.member.borrow().zones().is_some()
     }
 
-    /// Leaves the fleet: tells the other members at once.
+    /// Leaves the fleet, and notifies the other members at once.
     pub fn leave(&self) {
         self.member
             .borrow_mut()
@@ -239,7 +231,7 @@
 
     /// Counts an attempt's end as evidence for or against its engine, where engines may be ejected.
     pub fn on_attempt_ended(&self, event: &AttemptEnded, now_ms: f64) {
-        if self.ejection.get().is_none() {
+        if self.failure_threshold.get().is_none() {
             return;
         }
         let is_failure = match event.outcome {
@@ -247,20 +239,19 @@
             Outcome::Error | Outcome::Reset | Outcome::Timeout | Outcome::NoConnection => true,
             Outcome::Full | Outcome::Cancelled | Outcome::NotSent | Outcome::Withdrawn => return,
         };
-        self.evidence
+        self.engine_outcomes
             .borrow_mut()
             .record(event.engine_id, is_failure, now_ms);
     }
 
-    /// Merges entries of an endpoint list, and marks those that the fleet has drained as draining, whatever the list
-    /// says.
+    /// Merges entries of an endpoint list. Ready engines that the fleet has drained are marked as draining.
     pub fn on_endpoints(&self, entries: &mut [EndpointEntry]) {
         let mut member = self.member.borrow_mut();
         self.engines.borrow_mut().merge(entries, &mut member);
     }
 
-    /// Reports how this dispatcher does, every [`REPORT_INTERVAL_MS`]. Gives the engines that the fleet has drained or
-    /// released since the last time, as endpoint entries.
+    /// Updates this dispatcher's report, every [`REPORT_INTERVAL_MS`]. Returns endpoint entries of the engines that the
+    /// fleet has drained or released since the last call.
     pub fn tick(&self, now_ms: f64, load: LoadReport) -> Vec<EndpointEntry> {
         if now_ms - self.last_report_ms.get() < REPORT_INTERVAL_MS {
             return Vec::new();
@@ -286,88 +277,52 @@
         tracing::info!(is_leader, term, "leadership changed");
     }
 
-    /// What this dispatcher reports of itself. Counts go as they are, modulo 2^32: the leader takes differences.
+    /// The status that this dispatcher reports. Counts are sent modulo 2^32, and the leader takes differences.
     fn own_report(&self, now_ms: f64, load: LoadReport) -> MemberStatus {
         let counters = &self.registry.counters;
-        let good = counters.completed.get() as u32;
-        let not_good = counters.failed.get() + counters.rejected.get();
-        let bad = self.ejection.get().and_then(|threshold| {
-            self.evidence
-                .borrow_mut()
-                .failing_engine(&threshold, now_ms)
+        let succeeded = counters.completed.get() as u32;
+        let not_succeeded = counters.failed.get() + counters.rejected.get();
+        let failing_engine = self.failure_threshold.get().and_then(|threshold| {
+            let mut outcomes = self.engine_outcomes.borrow_mut();
+            outcomes.failing_engine(&threshold, now_ms)
         });
         MemberStatus {
-            zone: self.zone,
-            version: self.version.get(),
+            zone: self.zone_hash,
+            version: self.version_hash.get(),
             utilization: load.descriptors_used,
             threads: load.threads_in_flight,
-            succeeded: good,
-            total: good.wrapping_add(not_good as u32),
-            failing_engine: bad,
+            succeeded,
+            total: succeeded.wrapping_add(not_succeeded as u32),
+            failing_engine,
         }
     }
 
-    /// Lines for the counters.
+    /// Appends a line for each counter.
     pub fn write_counters(&self, text: &mut String) {
         let member = self.member.borrow();
         let agent = member.agent();
-        let leads = matches!(member.role(), Some(Role::Leader(_)));
-        let recalls = matches!(member.role(), Some(Role::Quarantined { .. }));
+        let is_leader = matches!(member.role(), Some(Role::Leader(_)));
+        let is_quarantined = matches!(member.role(), Some(Role::Quarantined { .. }));
         let leader_known = agent.leader(self.clock.now()).is_some();
-        let zones_out = member
+        let evacuated_zones = member
             .zones()
             .map_or(0, |zones| zones.follower.statuses().count());
         for (name, value) in [
             ("fleet_members", member.detector().present_count() as u64),
-            ("fleet_leads", u64::from(leads)),
-            ("fleet_recalls", u64::from(recalls)),
+            ("fleet_leads", u64::from(is_leader)),
+            ("fleet_recalls", u64::from(is_quarantined)),
             ("fleet_leader_known", u64::from(leader_known)),
             ("fleet_halted", u64::from(agent.halt().is_some())),
             (
                 "fleet_engines_out",
                 member.unavailable_engine_count() as u64,
             ),
-            ("fleet_zones_out", zones_out as u64),
-            ("fleet_datagrams_sent", self.datagrams_sent.get()),
-            ("fleet_datagrams_heard", self.datagrams_received.get()),
+            ("fleet_zones_out", evacuated_zones as u64),
+            ("fleet_datagrams_sent", self.socket.sent()),
+            ("fleet_datagrams_heard", self.socket.received()),
         ] {
             // Writing to a String cannot fail.
             let _ = writeln!(text, "{name} {value}");
         }
     }
 }
-
-/// The restart lease that the environment names, 0 for none.
-fn lease_of_start() -> u64 {
-    let Ok(lease) = std::env::var(TURN_VARIABLE) else {
-        return 0;
-    };
-    u64::from_str_radix(lease.trim(), 16).unwrap_or(0)
-}
-
-/// The seed of the decisions comes from the platform, and may be the same at the next start. What tells one life of a
-/// member from the next may not.
-fn incarnation_seed(seed: u64, now_ms: f64) -> u64 {
-    seed ^ (now_ms * 1000.0) as u64 ^ u64::from(std::process::id()) << 32
-}
-
-fn listen_address(definition: &schema::Fleet) -> Result<SocketAddr, FleetStartError> {
-    let listen = definition.listen();
-    listen.parse().map_err(|_| FleetStartError::InvalidListen {
-        value: listen.to_owned(),
-    })
-}
-
-fn ejection_settings(definition: &schema::Fleet) -> Option<FailureThreshold> {
-    let ejection = definition.ejection.as_ref()?;
-    Some(FailureThreshold {
-        min_attempts: ejection.ends(),
-        failure_fraction: ejection.part(),
-    })
-}
-
-/// The version that this member reports: the one of the operators' file, else the program's.
-fn version_number(definition: &schema::Fleet) -> u32 {
-    let version = definition.version.as_deref();
-    name_hash(version.unwrap_or(env!("CARGO_PKG_VERSION")))
-}
--- a/crates/dispatcher/src/subsystems/fleet/engine_watch.rs
+++ b/crates/dispatcher/src/subsystems/fleet/engine_watch.rs
@@ -1,4 +1,4 @@
-//! The endpoint list as the fleet sees it, and which of its engines the fleet has drained.
+//! The endpoint list in the fleet's form, and the engines on it that the fleet has drained.
 
 use crate::query_registry::EndpointEntry;
 use std::rc::Rc;
@@ -8,17 +8,17 @@
 use tansymux_operator_config::name_hash;
 use tansymux_rollout::FleetNode;
 
-/// Follows the endpoint list and the engines that are out by the fleet's agreement.
+/// Tracks the endpoint list, and which of its engines the fleet has drained.
 pub struct EngineWatch {
     settings: Rc<Settings>,
-    /// The endpoint list as it last came, in the order of engine ids.
+    /// The current endpoint list, sorted by engine id.
     endpoints: Vec<EndpointEntry>,
-    /// The engines that were drained when [`EngineWatch::changes`] was last called.
+    /// The engines that were drained at the last call of [`EngineWatch::changes`].
     drained: Vec<u64>,
 }
 
 impl EngineWatch {
-    /// No engine is known yet.
+    /// With an empty endpoint list.
     pub fn new(settings: Rc<Settings>) -> Self {
         EngineWatch {
             settings,
@@ -27,7 +27,8 @@
         }
     }
 
-    /// Merges entries of an endpoint list, hands the fleet the whole, and marks entries that the fleet has drained.
+    /// Merges entries of an endpoint list, passes the merged list to the fleet, and marks ready entries that the fleet
+    /// has drained as draining.
     pub fn merge(&mut self, entries: &mut [EndpointEntry], member: &mut FleetNode) {
         for entry in entries.iter() {
             self.endpoints
@@ -79,7 +80,7 @@
             }
             if was_drained && !is_drained {
                 tracing::info!(engine_id = %format_args!("{engine_id:08x}"), "engine released by the fleet");
-                // As one that has just started, so that all dispatchers return to it in the same way.
+                // A new start time makes all dispatchers warm the engine up by the same rule.
                 changes.push(EndpointEntry {
                     started_ms: Some(now_ms),
                     ..endpoint.clone()
--- a/crates/dispatcher/src/subsystems/mod.rs
+++ b/crates/dispatcher/src/subsystems/mod.rs
@@ -1,26 +1,26 @@
-//! What is fed beside the decisions: statement classification, service levels, zone routing and the fleet. Each turns
-//! events of the program into what its own package needs, and hands the result to the decisions or to peers. None
-//! places or rejects a query.
+//! The subsystems: statement classification, service levels, zone routing and the fleet. Each converts events of the
+//! program into the input of its own package, and passes the result to the decisions or to peers. None of them places
+//! or rejects a query.
 //!
-//! # One form
-//! Every subsystem is off until the operators' file defines it, and has the same verbs, as far as they mean something
-//! for it:
+//! # Interface
+//! Every subsystem is off until the operators' file defines it. All have the same methods, except those that have no
+//! meaning for a subsystem:
 //!
-//! | verb | called | gives |
+//! | method | called | returns |
 //! | --- | --- | --- |
 //! | `new(settings, ..)` | once, at the start | the subsystem, off |
-//! | `reconfigure(definition, now_ms, ..)` | at the start, and at SIGHUP with a file that was checked | |
-//! | `on_endpoints(entries, now_ms)` | at each endpoint list update, with the entries that changed | |
+//! | `reconfigure(definition, now_ms, ..)` | at the start, and at SIGHUP with a valid file | |
+//! | `on_endpoints(entries, now_ms)` | at each endpoint list update, with the changed entries | |
 //! | `on_attempt_ended(event, now_ms)` | at the end of each attempt | |
-//! | `on_peer_message(message, now_ms)` | at each message of a peer | whether the message is this subsystem's |
-//! | `tick(now_ms, ..)` | each round; it keeps its own interval | what is to be done: messages, endpoint changes |
-//! | `write_counters(text)` | for `/_counters` and at the end | its lines; none while off |
-//! | `to_json(now_ms, ..)` | for its path | its state |
+//! | `on_peer_message(message, now_ms)` | at each message of a peer | whether the message is for this subsystem |
+//! | `tick(now_ms, ..)` | in each round; the subsystem keeps its own interval | messages and endpoint changes that are due |
+//! | `write_counters(text)` | for `/_counters` and at the end of the program | its lines; none while off |
+//! | `to_json(now_ms, ..)` | for its HTTP path | its state |
 //!
-//! Times are milliseconds on the program's clock; `now_ms` comes behind what happened, and is left out where a subsystem
-//! does not need it. [`Subsystems`] holds the four and passes each event to those that want
-//! it, always in the same order. The program is one thread: state is in `Cell` and `RefCell`, and no borrow is held over
-//! a call to another subsystem but from zone routing to the fleet, which never calls back.
+//! Times are milliseconds on the program's clock. `now_ms` follows the event in the parameters, and is left out where a
+//! subsystem does not need it. [`Subsystems`] holds all four and passes each event on in a fixed order. The program has
+//! one thread: state is in `Cell` and `RefCell`, and no borrow is held during a call to another subsystem. The one
+//! exception is the call from zone routing to the fleet, which never calls back.
 
 pub mod fleet;
 pub mod service_levels;
@@ -40,18 +40,18 @@
 
 /// The four subsystems. The client side shares three of them.
 pub struct Subsystems {
-    /// Classes and costs of statements.
+    /// Classification of statements and their costs.
     pub statements: Rc<StatementClassifier>,
     /// Graceful degradation.
     pub levels: Rc<ServiceLevels>,
-    /// Health of zones as this dispatcher sees it, and the routing plan.
+    /// Health of zones by this dispatcher's evidence, and the routing plan.
     pub zones: Rc<ZoneRouting>,
     /// Membership of a fleet, where the operators' file defined one at the start.
     pub fleet: Option<Rc<FleetService>>,
 }
 
 impl Subsystems {
-    /// Applies an operators' file that was checked.
+    /// Applies a valid operators' file.
     pub fn reconfigure(&self, operator: &Operator, now_ms: f64, control: &mut Control) {
         self.statements.reconfigure(operator.statements.as_ref());
         self.levels
@@ -60,7 +60,7 @@
             .reconfigure(operator.halls.as_ref(), now_ms, control);
     }
 
-    /// Passes entries of an endpoint list on. The fleet marks engines that it drained as draining, so it comes first.
+    /// Passes on entries of an endpoint list. The fleet is first, since it marks the engines that it drained.
     pub fn on_endpoints(&self, endpoints: &mut [EndpointEntry], now_ms: f64) {
         if let Some(fleet) = &self.fleet {
             fleet.on_endpoints(endpoints);
@@ -69,7 +69,7 @@
         self.zones.on_endpoints(endpoints, now_ms);
     }
 
-    /// `statement`: what the query's statement was read as, where it was read.
+    /// Passes on the end of an attempt. `statement`: the classification of the query's statement, if it was classified.
     pub fn on_attempt_ended(
         &self,
         event: &AttemptEnded,
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Whether the message was one of a subsystem's; else it is the decisions'.
+    /// Whether a subsystem handled the message; otherwise it is for the decisions.
     pub fn on_peer_message(&self, message: &PeerMessage, now_ms: f64) -> bool {
         self.levels.on_peer_message(message, now_ms) || self.zones.on_peer_message(message, now_ms)
     }
--- a/crates/dispatcher/src/subsystems/service_levels.rs
+++ b/crates/dispatcher/src/subsystems/service_levels.rs
@@ -1,10 +1,20 @@
-//! Service levels (graceful degradation) in the program: reads the signals that levels are entered by, exchanges levels
-//! with peers, and hands the decisions what the level in force asks for. It never rejects a query itself.
+//! Service levels (graceful degradation) in the program: reads the signals by which levels are entered, exchanges levels
+//! with peers, and passes the degradation of the level in force to the decisions. It never rejects a query itself.
 //!
 //! The state machine is the `tansymux-service-levels` package. Start reading at [`ServiceLevels::tick`].
+//!
+//! | file | concern |
+//! | --- | --- |
+//! | `effects` | the degradation of a level in the decisions' form |
+//! | `resident_memory` | the memory signal |
+//! | `display` | JSON for `/_levels`, log lines |
 
 mod display;
+mod effects;
+mod resident_memory;
 
+use effects::level_effects;
+use resident_memory::ResidentMemory;
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
 use std::fmt::Write;
@@ -13,29 +23,25 @@
 use tansymux::settings::{matches_name, GroupSettings, Settings};
 use tansymux::LevelEffects;
 use tansymux_operator_config::schema;
-use tansymux_service_levels::{
-    Config, Degradation, LevelStateMachine, OutcomeWindows, QueryOutcome, Signal,
-};
+use tansymux_service_levels::{Config, LevelStateMachine, OutcomeWindows, QueryOutcome, Signal};
 
-/// How often (ms) signals are read.
+/// Milliseconds in a second.
+const MS_PER_S: f64 = 1000.0;
+/// Interval (ms) at which signals are read.
 const TICK_INTERVAL_MS: f64 = 250.0;
-/// How often (ms) the program's resident memory is read; that is a file of the kernel's.
-const MEMORY_INTERVAL_MS: f64 = 2000.0;
-/// Bytes of a page, in which the kernel counts resident memory.
-const PAGE_BYTES: f64 = 4096.0;
-/// Clients that may wait for the next change of level at once. Each holds a connection.
+/// Maximum number of clients that wait for the next change of level. Each holds a connection.
 pub const MAX_WATCHERS: usize = 8;
-/// How long (ms) a client may wait for the next change of level.
+/// Longest time (ms) that a client may wait for the next change of level.
 pub const MAX_WATCH_MS: f64 = 25_000.0;
 
 /// The levels that the operators' file defines.
 struct ActiveLevels {
     machine: LevelStateMachine,
-    /// What the definition's terms read.
+    /// The signals that the definition uses.
     signals: Vec<Signal>,
-    /// The signals' values at the last tick; NaN where one has none.
+    /// The signals' readings at the last tick; NaN for an unknown reading.
     readings: Vec<f64>,
-    /// Ends of queries by resource group.
+    /// Outcomes of queries by resource group.
     windows: OutcomeWindows,
 }
 
@@ -50,7 +56,7 @@
         }
     }
 
-    /// Takes another definition on, if it is another. The level in force is kept where the new definition has it.
+    /// Replaces the definition, if it differs. The level in force is kept where the new definition has it.
     fn redefine(&mut self, now_ms: f64, definition: Config) {
         if *self.machine.config() == definition {
             return;
@@ -61,38 +67,48 @@
         self.signals = self.machine.config().signals();
         self.readings = vec![f64::NAN; self.signals.len()];
     }
+
+    /// Pins the level that the operators' file names, or ends the pin where it names none.
+    fn apply_pin(&mut self, now_ms: f64, levels: &schema::Levels) {
+        let pin_for_s = levels.pin_for_s();
+        let pinned_until_ms = now_ms + pin_for_s * MS_PER_S;
+        self.machine.pin(levels.pin.as_deref(), pinned_until_ms);
+        if let Some(level) = &levels.pin {
+            tracing::info!(level, pin_for_s, "service level pinned");
+        }
+    }
 }
 
-/// The limits that signals of the program's own resources are fractions of.
+/// Limits on the program's own resources. The resource signals are fractions of these.
 #[derive(Debug, Clone, Copy)]
 pub struct ResourceLimits {
     /// Memory that the program may use, in bytes.
     pub memory_bytes: f64,
-    /// Descriptors that it may hold.
+    /// Descriptors that the program may hold.
     pub descriptors: f64,
 }
 
-/// How a query was answered.
+/// The kind of a query's answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnswerKind {
-    /// With a result.
+    /// A result.
     Completed,
-    /// With a time to come back after.
+    /// A rejection with `Retry-After`.
     Rejected,
-    /// With a final error.
+    /// A final error.
     Failed,
 }
 
 /// A query was answered.
 #[derive(Debug, Clone, Copy)]
 pub struct QueryAnswered<'a> {
-    /// Name of its resource group.
+    /// Name of the query's resource group.
     pub group: &'a str,
-    /// How it was answered.
+    /// The kind of the answer.
     pub kind: AnswerKind,
-    /// Time (ms) from its arrival to the answer.
+    /// Time (ms) from the query's arrival to the answer.
     pub latency_ms: f64,
-    /// Estimated cost (ms on one core), 0 where it is not known.
+    /// Estimated cost (ms on one core); 0 if unknown.
     pub cost_ms: f64,
 }
 
@@ -101,11 +117,9 @@
     active: RefCell<Option<ActiveLevels>>,
     groups: Vec<GroupSettings>,
     limits: ResourceLimits,
-    /// Fraction of the memory limit that was resident when it was last read, and when that was.
-    memory_fraction: Cell<f64>,
-    memory_read_ms: Cell<f64>,
+    memory: ResidentMemory,
     last_tick_ms: Cell<f64>,
-    /// Clients that wait for the next change now, [`MAX_WATCHERS`] at most.
+    /// Number of clients that wait for the next change, up to [`MAX_WATCHERS`].
     pub watchers: Cell<usize>,
 }
 
@@ -116,14 +130,13 @@
             active: RefCell::default(),
             groups: settings.groups.clone(),
             limits,
-            memory_fraction: Cell::new(f64::NAN),
-            memory_read_ms: Cell::new(f64::NEG_INFINITY),
+            memory: ResidentMemory::new(limits.memory_bytes),
             last_tick_ms: Cell::new(f64::NEG_INFINITY),
             watchers: Cell::default(),
         }
     }
 
-    /// Applies `levels` of an operators' file that was checked. Without levels the decisions are back at full service.
+    /// Applies `levels` of a valid operators' file. Without levels the decisions return to full service.
     pub fn reconfigure(&self, levels: Option<&schema::Levels>, now_ms: f64, control: &mut Control) {
         let definition = levels
             .map(tansymux_operator_config::service_level_config)
@@ -141,18 +154,10 @@
             }
         }
         if let (Some(current), Some(levels)) = (active.as_mut(), levels) {
-            let pinned_until_ms = now_ms + levels.pin_for_s() * 1000.0;
-            current.machine.pin(levels.pin.as_deref(), pinned_until_ms);
-            if let Some(level) = &levels.pin {
-                tracing::info!(
-                    level,
-                    pin_for_s = levels.pin_for_s(),
-                    "service level pinned"
-                );
-            }
+            current.apply_pin(now_ms, levels);
         }
         let effects = match active.as_ref() {
-            Some(current) => self.effects(&current.machine.degradation()),
+            Some(current) => level_effects(&current.machine.degradation(), &self.groups),
             None => LevelEffects::default(),
         };
         control.set_level_effects(effects);
@@ -165,37 +170,6 @@
             .position(|group| matches_name(&group.name, name))
     }
 
-    /// What a level asks of the decisions, with groups by their index.
-    fn effects(&self, degradation: &Degradation) -> LevelEffects {
-        LevelEffects {
-            concurrency_factor: degradation.concurrency_factor,
-            demotion_factor: degradation.demotion_factor,
-            grant_factor: degradation.grant_factor,
-            retry_after_factor: degradation.retry_after_factor,
-            retry_after_jitter: degradation.retry_after_jitter,
-            withhold_low_retries: degradation.withhold_low_retries,
-            reject_over_quota: degradation.reject_over_quota,
-            min_confidence: degradation.min_confidence,
-            group_fractions: self.group_fractions(degradation),
-        }
-    }
-
-    /// Fraction of queries that is admitted, by group; empty where all are.
-    fn group_fractions(&self, degradation: &Degradation) -> Vec<f64> {
-        if degradation.classes.is_empty() {
-            return Vec::new();
-        }
-        let mut fractions = Vec::with_capacity(self.groups.len());
-        for group in &self.groups {
-            let named = degradation
-                .classes
-                .iter()
-                .find(|named| matches_name(&group.name, &named.class));
-            fractions.push(named.map_or(1.0, |named| named.fraction));
-        }
-        fractions
-    }
-
     /// Counts an answer for the signals on late and rejected queries.
     pub fn on_query_answered(&self, event: &QueryAnswered, now_ms: f64) {
         let mut active = self.active.borrow_mut();
@@ -217,8 +191,8 @@
         active.windows.record(index, ended, now_ms);
     }
 
-    /// Reads the signals and changes the level, every [`TICK_INTERVAL_MS`]. Gives the message for all peers that is due.
-    /// `open_descriptors`: connections of both sides.
+    /// Reads the signals and evaluates the level, every [`TICK_INTERVAL_MS`]. Returns the message for all peers, if one
+    /// is due. `open_descriptors`: connections of both sides.
     pub fn tick(
         &self,
         now_ms: f64,
@@ -236,45 +210,36 @@
                 Signal::PressuredEngines(zone) => control.pressured_fraction(zone.as_deref()),
                 Signal::ConcurrencyUsed => control.concurrency_used_fraction(),
                 Signal::LateQueries(group) => {
-                    let class = self.signal_group(group);
-                    active.windows.late_fraction(class, now_ms)
+                    let group = self.signal_group(group);
+                    active.windows.late_fraction(group, now_ms)
                 }
                 Signal::RejectedQueries(group) => {
-                    let class = self.signal_group(group);
-                    active.windows.rejected_fraction(class, now_ms)
+                    let group = self.signal_group(group);
+                    active.windows.rejected_fraction(group, now_ms)
                 }
                 Signal::ReadyEngines => control.ready_fraction(),
                 Signal::WarmingUpEngines => control.warming_fraction(),
                 Signal::EjectedEngines => control.ejected_fraction(),
-                Signal::Memory => self.memory_fraction(now_ms),
+                Signal::Memory => self.memory.fraction(now_ms),
                 Signal::Descriptors => open_descriptors as f64 / self.limits.descriptors,
             };
         }
         if let Some(change) = active.machine.evaluate(&active.readings, now_ms).cloned() {
             display::log_change(&active.machine, &change);
-            control.set_level_effects(self.effects(&active.machine.degradation()));
+            let degradation = active.machine.degradation();
+            control.set_level_effects(level_effects(&degradation, &self.groups));
         }
         active.machine.poll_message(now_ms)
     }
 
-    /// The group that a signal reads: none for all. One that the settings do not have reads nothing.
+    /// Index of the group that a signal reads; none for all groups. A name that the settings do not have gets an index
+    /// beyond all groups, for which the windows have no outcomes.
     fn signal_group(&self, name: &Option<String>) -> Option<usize> {
         name.as_deref()
             .map(|name| self.group_index(name).unwrap_or(usize::MAX))
     }
 
-    /// Resident memory as a fraction of the limit, read every [`MEMORY_INTERVAL_MS`]; NaN where it cannot be read.
-    fn memory_fraction(&self, now_ms: f64) -> f64 {
-        if now_ms - self.memory_read_ms.get() >= MEMORY_INTERVAL_MS {
-            self.memory_read_ms.set(now_ms);
-            let fraction =
-                resident_pages().map(|pages| pages * PAGE_BYTES / self.limits.memory_bytes);
-            self.memory_fraction.set(fraction.unwrap_or(f64::NAN));
-        }
-        self.memory_fraction.get()
-    }
-
-    /// Whether it is a message about levels. While levels are off it is passed over.
+    /// Handles a message about levels; false for other messages. While levels are off, the message is ignored.
     pub fn on_peer_message(&self, message: &PeerMessage, now_ms: f64) -> bool {
         if message.content.first() != Some(&tansymux_service_levels::codec::MESSAGE_KIND) {
             return false;
@@ -287,7 +252,7 @@
         true
     }
 
-    /// Grows with each change of level; 0 while off.
+    /// A number that increases with each change of level; 0 while off.
     pub fn version(&self) -> u64 {
         self.active
             .borrow()
@@ -295,7 +260,7 @@
             .map_or(0, |active| active.machine.version())
     }
 
-    /// What `/_levels` answers.
+    /// The answer of `/_levels`.
     pub fn to_json(&self, now_ms: f64) -> Value {
         match self.active.borrow().as_ref() {
             Some(active) => display::to_json(&active.machine, now_ms),
@@ -303,7 +268,7 @@
         }
     }
 
-    /// Lines for the counters; none while off.
+    /// Appends a line for each counter; none while off.
     pub fn write_counters(&self, text: &mut String) {
         let active = self.active.borrow();
         let Some(active) = active.as_ref() else {
@@ -323,9 +288,3 @@
         }
     }
 }
-
-/// Resident memory of this process, in pages.
-fn resident_pages() -> Option<f64> {
-    let text = std::fs::read_to_string("/proc/self/statm").ok()?;
-    text.split(' ').nth(1)?.parse().ok()
-}
--- a/crates/dispatcher/src/subsystems/statement_classifier.rs
+++ b/crates/dispatcher/src/subsystems/statement_classifier.rs
@@ -1,48 +1,57 @@
-//! Classification of statements by their text, where the operators' file asks for it: the resource group of a query that
-//! names none, its likely cost, and whether its text does more than its class promises.
+//! Classification of statements by their text, where the operators' file enables it: the resource group of a query that
+//! names none, its estimated cost, and whether its text may write although its class is read-only.
 //!
-//! Only the group of a query without one is decided here. What else the text shows goes to the decisions with the query.
-//! Reading SQL is the `tansymux-sql-analysis` package's. Start reading at [`StatementClassifier::classify`].
+//! The classifier decides only on the group of a query without one. Other findings are passed to the decisions with the
+//! query. The `tansymux-sql-analysis` package analyzes SQL. Start reading at [`StatementClassifier::classify`].
+//!
+//! | file | concern |
+//! | --- | --- |
+//! | `definition` | the operators' file as configuration of the analysis |
+//! | `counters` | counts of statements |
+//! | `warm_up` | engines that are warming up |
 
+mod counters;
 mod definition;
+mod warm_up;
 
 pub use definition::analysis_settings;
 
 use crate::query_registry::EndpointEntry;
 use crate::statement_shape::{ClassifiedAttempt, StatementShape};
+use counters::StatementCounters;
 use rustc_hash::FxHashMap;
-use std::cell::{Cell, RefCell};
-use std::fmt::Write;
+use std::cell::RefCell;
 use std::rc::Rc;
-use tansymux::events::{AttemptEnded, EndpointState, Outcome, StatementTraits};
+use tansymux::events::{AttemptEnded, Outcome, StatementTraits};
 use tansymux::settings::{self, GroupSettings, Settings};
 use tansymux_operator_config::schema;
 use tansymux_operator_config::schema::statements::Check;
 use tansymux_sql_analysis::{
-    AnalyzedStatement, CacheCounts, Class, Effect, Execution, ExecutionEnd, StatementAnalyzer,
+    Analysis, AnalyzedStatement, Class, Effect, Execution, ExecutionEnd, StatementAnalyzer,
 };
+use warm_up::WarmUpTracker;
 
-/// What a query's statement was read as, when the query came in.
+/// The classification of a query's statement at the query's arrival.
 #[derive(Debug, Clone)]
 pub struct ClassifiedStatement {
-    /// The resource group that its class runs in; none where the query names its group.
+    /// The resource group of the statement's class; none where the query names its group.
     pub group: Option<Rc<str>>,
-    /// Estimated cost (ms on one core); 0 where the query names its group: what its client says holds.
+    /// Estimated cost (ms on one core); 0 where the query names its group, since the client's own estimate is used then.
     pub cost_ms: f64,
     /// Estimated memory (MB); 0 where the query names its group.
     pub memory_mb: f64,
-    /// For the decisions.
+    /// Input of the decisions.
     pub traits: StatementTraits,
-    /// For the cost model, when an attempt ends.
+    /// Input of the cost model at the end of an attempt.
     pub shape: StatementShape,
 }
 
-/// What the operators' file asks for.
+/// The classifier while the operators' file enables it.
 struct ActiveClassifier {
     analyzer: StatementAnalyzer,
-    /// Path that statements without a class come by.
+    /// HTTP path of statements without a class.
     path: Option<Rc<str>>,
-    /// What is done about statements with a class.
+    /// Whether the class that a query names is compared with its statement, and enforced.
     check: Check,
     /// Resource groups by class, in the order of `Class::ALL`.
     groups: Option<[Rc<str>; 4]>,
@@ -52,30 +61,14 @@
 pub struct StatementClassifier {
     active: RefCell<Option<ActiveClassifier>>,
     groups: FxHashMap<String, GroupSettings>,
-    /// How long (ms) after its start an engine is cold.
-    warm_up_ms: f64,
-    /// When engines started, where the endpoint list says so.
-    engine_starts_ms: RefCell<FxHashMap<u64, f64>>,
+    warm_up: WarmUpTracker,
     hash_key: [u8; 16],
-    counts: StatementCounts,
-}
-
-/// Counts since the start.
-#[derive(Debug, Default)]
-struct StatementCounts {
-    /// Statements without a class.
-    unclassed: Cell<u64>,
-    /// Of these, the ones that could not be classified.
-    unknown: Cell<u64>,
-    /// Statements whose class promises to read only, and whose text does not show that.
-    understated: Cell<u64>,
-    /// Statements whose text is of another class than they name.
-    other_class: Cell<u64>,
+    counters: StatementCounters,
 }
 
 impl StatementClassifier {
-    /// Classification is off until [`reconfigure`](Self::reconfigure) defines it. `warm_up_ms`: how long after its start an
-    /// engine is cold. `hash_key` is secret: with it a client could make shapes collide.
+    /// Classification is off until [`reconfigure`](Self::reconfigure) defines it. `warm_up_ms`: how long an engine is
+    /// warming up after its start. `hash_key` is secret: a client that knows it could make shapes collide.
     pub fn new(settings: &Settings, warm_up_ms: f64, hash_key: [u8; 16]) -> Self {
         let mut groups = FxHashMap::default();
         for group in &settings.groups {
@@ -84,21 +77,19 @@
         StatementClassifier {
             active: RefCell::default(),
             groups,
-            warm_up_ms,
-            engine_starts_ms: RefCell::default(),
+            warm_up: WarmUpTracker::new(warm_up_ms),
             hash_key,
-            counts: StatementCounts::default(),
+            counters: StatementCounters::default(),
         }
     }
 
-    /// Applies `statements` of an operators' file that was checked. What was learned of costs is kept, unless
-    /// classification is switched off.
+    /// Applies `statements` of a valid operators' file. Learned costs are kept, unless classification is switched off.
     pub fn reconfigure(&self, definition: Option<&schema::Statements>) {
         let mut active = self.active.borrow_mut();
-        let is_wanted = |definition: &&schema::Statements| {
+        let is_enabled = |definition: &&schema::Statements| {
             definition.path.is_some() || definition.check() != Check::Off
         };
-        let Some(definition) = definition.filter(is_wanted) else {
+        let Some(definition) = definition.filter(is_enabled) else {
             *active = None;
             return;
         };
@@ -137,7 +128,7 @@
             .map_or(name, String::as_str)
     }
 
-    /// Whether queries without a class come by this path.
+    /// Whether this is the HTTP path of queries without a class.
     pub fn is_path(&self, path: &str) -> bool {
         let active = self.active.borrow();
         active
@@ -145,7 +136,7 @@
             .is_some_and(|active| active.path.as_deref() == Some(path))
     }
 
-    /// Reads a statement that comes without a class. None while that is off.
+    /// Classifies the statement of a query that names no class; none while that is off.
     pub fn classify(&self, statement: &[u8], now_ms: f64) -> Option<ClassifiedStatement> {
         let mut active = self.active.borrow_mut();
         let active = active.as_mut()?;
@@ -153,10 +144,8 @@
         let analysis = &analyzed.analysis;
         let groups = active.groups.as_ref()?;
         let group = groups[analysis.class as usize].clone();
-        increment(&self.counts.unclassed);
-        if analysis.class == Class::Unknown {
-            increment(&self.counts.unknown);
-        }
+        self.counters
+            .count_unclassed(analysis.class == Class::Unknown);
         let estimate = active.analyzer.estimate(&analyzed, now_ms);
         Some(ClassifiedStatement {
             group: Some(group),
@@ -170,7 +159,8 @@
         })
     }
 
-    /// Reads a statement that names its class, and compares the two. None while that is off.
+    /// Compares the statement of a query with the class (`group`) that the query names; none while that is off. `id` is
+    /// the query's id, for the log.
     pub fn check(&self, group: &str, id: &str, statement: &[u8]) -> Option<ClassifiedStatement> {
         let mut active = self.active.borrow_mut();
         let active = active
@@ -178,13 +168,9 @@
             .filter(|active| active.check != Check::Off)?;
         let analyzed = active.analyzer.analyze(statement);
         let analysis = &analyzed.analysis;
-        let promises_read_only = self
-            .groups
-            .get(group)
-            .is_some_and(|group| group.effect == settings::Effect::ReadOnly);
-        let understated = promises_read_only && analysis.effect != Effect::ReadOnly;
-        if understated {
-            increment(&self.counts.understated);
+        let is_understated = self.is_understated(group, analysis);
+        if is_understated {
+            self.counters.count_understated();
             tracing::warn!(
                 query = id,
                 class = group,
@@ -195,7 +181,7 @@
         }
         if let Some(groups) = &active.groups {
             if *groups[analysis.class as usize] != *group {
-                increment(&self.counts.other_class);
+                self.counters.count_other_class();
             }
         }
         Some(ClassifiedStatement {
@@ -204,33 +190,32 @@
             memory_mb: 0.0,
             traits: StatementTraits {
                 confidence: 1.0,
-                may_write: understated && active.check == Check::Enforce,
+                may_write: is_understated && active.check == Check::Enforce,
             },
             shape: shape_of(&analyzed),
         })
     }
 
-    /// Keeps when engines started: a run on a cold one says little of a statement's cost.
+    /// Whether the group is one of read-only queries, and the statement is not proven read-only.
+    fn is_understated(&self, group: &str, analysis: &Analysis) -> bool {
+        let is_read_only_group = self
+            .groups
+            .get(group)
+            .is_some_and(|group| group.effect == settings::Effect::ReadOnly);
+        is_read_only_group && analysis.effect != Effect::ReadOnly
+    }
+
+    /// Records the start times of engines: the cost model gives runs on an engine that is warming up less weight.
     pub fn on_endpoints(&self, entries: &[EndpointEntry]) {
-        let mut starts = self.engine_starts_ms.borrow_mut();
-        for entry in entries {
-            match entry.started_ms {
-                Some(started_ms) if entry.state != EndpointState::Gone => {
-                    starts.insert(entry.engine_id, started_ms);
-                }
-                _ => {
-                    starts.remove(&entry.engine_id);
-                }
-            }
-        }
+        self.warm_up.on_endpoints(entries);
     }
 
-    /// Learns from the end of an attempt of a query whose statement was read.
+    /// Updates the cost model with the end of an attempt of a classified query.
     pub fn on_attempt_ended(&self, event: &AttemptEnded, attempt: &ClassifiedAttempt, now_ms: f64) {
         let end = match event.outcome {
             Outcome::Completed => ExecutionEnd::Completed,
             Outcome::Timeout => ExecutionEnd::Interrupted,
-            // It never ran, or ended for what may have nothing to do with its cost.
+            // The query never ran, or its end may be unrelated to its cost.
             _ => return,
         };
         let mut active = self.active.borrow_mut();
@@ -245,7 +230,7 @@
             threads: group.map_or(1.0, |group| group.threads),
             end,
             waited: attempt.waited,
-            warming_up: self.is_cold(event.engine_id, now_ms),
+            warming_up: self.warm_up.is_warming_up(event.engine_id, now_ms),
         };
         let shape = attempt.shape;
         active
@@ -253,44 +238,10 @@
             .record_execution(shape.shape_id, shape.class, shape.cost_ms, &execution);
     }
 
-    fn is_cold(&self, engine_id: u64, now_ms: f64) -> bool {
-        let starts = self.engine_starts_ms.borrow();
-        starts
-            .get(&engine_id)
-            .is_some_and(|started_ms| now_ms - started_ms < self.warm_up_ms)
-    }
-
-    /// Counts of the analysis; none while off.
-    fn analysis_counts(&self) -> Option<CacheCounts> {
-        let active = self.active.borrow();
-        active.as_ref().map(|active| active.analyzer.counts())
-    }
-
-    /// Lines for the counters; none while off.
+    /// Appends a line for each counter; none while off.
     pub fn write_counters(&self, text: &mut String) {
-        let Some(analysis) = self.analysis_counts() else {
-            return;
-        };
-        for (name, count) in [
-            ("statements_bare", self.counts.unclassed.get()),
-            ("statements_unknown", self.counts.unknown.get()),
-            (
-                "statements_milder_class_named",
-                self.counts.understated.get(),
-            ),
-            (
-                "statements_other_class_named",
-                self.counts.other_class.get(),
-            ),
-            ("statement_hits", analysis.hits),
-            ("statement_misses", analysis.misses),
-            ("statement_collisions", analysis.collisions),
-            ("statement_shapes", analysis.shapes as u64),
-            ("statement_shape_bytes", analysis.bytes),
-            ("statement_costs", analysis.learned_costs as u64),
-        ] {
-            // Writing to a String cannot fail.
-            let _ = writeln!(text, "{name} {count}");
+        if let Some(active) = self.active.borrow().as_ref() {
+            self.counters.write(&active.analyzer.counts(), text);
         }
     }
 }
@@ -299,15 +250,11 @@
     fn fmt(&self, formatter: &mut std::fmt::Formatter) -> std::fmt::Result {
         formatter
             .debug_struct("StatementClassifier")
-            .field("counts", &self.counts)
+            .field("counters", &self.counters)
             .finish_non_exhaustive()
     }
 }
 
-fn increment(count: &Cell<u64>) {
-    count.set(count.get() + 1);
-}
-
 fn shape_of(analyzed: &AnalyzedStatement) -> StatementShape {
     StatementShape {
         shape_id: analyzed.shape_id,
--- a/crates/dispatcher/src/subsystems/statement_classifier/definition.rs
+++ b/crates/dispatcher/src/subsystems/statement_classifier/definition.rs
@@ -1,10 +1,13 @@
-//! Turns `statements` of the operators' file into the settings of the analysis.
+//! Conversion of `statements` of the operators' file into the configuration of the analysis.
 
 use tansymux_operator_config::schema::statements::Dialect as SchemaDialect;
 use tansymux_operator_config::schema::{self, Class as SchemaClass};
 use tansymux_sql_analysis::{BaseCosts, Class, Config, CostModelConfig, Dialect, Rule};
 
-/// The settings of the analysis; what the file does not give takes its default.
+/// Milliseconds in a second.
+const MS_PER_S: f64 = 1000.0;
+
+/// The configuration of the analysis. Keys that the file leaves out have their defaults.
 pub fn analysis_settings(definition: &schema::Statements) -> Config {
     let mut config = Config::default();
     if !definition.dialect.is_empty() {
@@ -23,7 +26,7 @@
     let learning = definition.learning.unwrap_or_default();
     config.cost_model = CostModelConfig {
         half_confidence_samples: learning.half_sure(),
-        half_life_ms: learning.half_life_s() * 1000.0,
+        half_life_ms: learning.half_life_s() * MS_PER_S,
         shift_after: learning.shift_after(),
         max_step_factor: learning.most_step(),
     };
@@ -39,7 +42,7 @@
     }
 }
 
-/// Names of functions are compared in lower case.
+/// The names in lower case, in which function names are compared.
 fn lower_case<C: FromIterator<String>>(names: &[String]) -> C {
     names.iter().map(|name| name.to_ascii_lowercase()).collect()
 }
--- a/crates/dispatcher/src/subsystems/statement_classifier/tests.rs
+++ b/crates/dispatcher/src/subsystems/statement_classifier/tests.rs
@@ -90,7 +90,7 @@
             .traits
             .may_write
     );
-    assert_eq!(classes.counts.understated.get(), 2);
+    assert_eq!(classes.counters.understated.get(), 2);
     let again = classes
         .classify(b"select a from t where b = 2", 0.0)
         .unwrap();
--- a/crates/dispatcher/src/subsystems/zone_routing.rs
+++ b/crates/dispatcher/src/subsystems/zone_routing.rs
@@ -1,12 +1,19 @@
-//! Zone routing in the program: gathers evidence on the health of zones, exchanges it with peers and the fleet, and
-//! hands the decisions the routing plan that follows. It places no query.
+//! Zone routing in the program: collects evidence on the health of zones, exchanges it with peers and the fleet, and
+//! passes the resulting routing plan to the decisions. It places no query.
 //!
-//! What is made of the evidence is the `tansymux-zone-routing` package's. Start reading at [`ZoneRouting::tick`].
+//! The `tansymux-zone-routing` package evaluates the evidence. Start reading at [`ZoneRouting::tick`].
+//!
+//! | file | concern |
+//! | --- | --- |
+//! | `conversion` | evidence in the fleet's form, the plan in the decisions' form |
+//! | `display` | JSON for `/_halls`, log lines |
 
+mod conversion;
 mod display;
 
 use super::fleet::FleetService;
 use crate::query_registry::EndpointEntry;
+use conversion::{decisions_plan, fleet_evidence};
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
 use std::fmt::Write;
@@ -14,24 +21,23 @@
 use tansymux::control::Control;
 use tansymux::events::{AttemptEnded, EndpointState, HealthCheckEnded, Outcome, PeerMessage};
 use tansymux::settings::Settings;
-use tansymux::zone_plan;
-use tansymux_operator_config::{name_hash, schema};
-use tansymux_zone_evacuation::{Evidence, Reachability as FleetReachability, ZoneUse};
+use tansymux_operator_config::schema;
+use tansymux_zone_evacuation::ZoneUse;
 use tansymux_zone_routing::codec::MESSAGE_KIND;
 use tansymux_zone_routing::{
-    Engine, Event, Observation, ObservationKind, Reachability, RoutingPlan, ZoneHealthDetector,
-    ZoneState,
+    Engine, Event, Observation, ObservationKind, RoutingPlan, ZoneHealthDetector, ZoneState,
 };
 
-/// Threads that a dispatcher asks the fleet for beside those in flight: one with nothing in flight wants some too.
+/// Threads that a dispatcher requests of the fleet in addition to those in flight, so that a dispatcher without queries
+/// gets a quota too.
 const MIN_DEMAND_THREADS: f64 = 0.1;
-/// How often (ms) evidence is evaluated.
+/// Interval (ms) at which evidence is evaluated.
 const TICK_INTERVAL_MS: f64 = 100.0;
 
-/// What a tick of zone routing asks for.
+/// The result of a tick of zone routing.
 #[derive(Debug, Default)]
 pub struct ZoneTick {
-    /// Evidence was evaluated in this round; what follows from it is done then, and not in every round.
+    /// Evidence was evaluated in this round, so health checks and spills are due.
     pub evaluated: bool,
     /// A message for all peers.
     pub peer_message: Option<Vec<u8>>,
@@ -45,7 +51,7 @@
     groups: Vec<String>,
     dispatcher_count: f64,
     settings: Rc<Settings>,
-    /// The endpoint list as it last came, in the order of engine ids.
+    /// The current endpoint list, sorted by engine id.
     endpoints: RefCell<Vec<Engine>>,
     last_tick_ms: Cell<f64>,
     /// Changes of a zone's state since the start.
@@ -71,7 +77,7 @@
         }
     }
 
-    /// Applies `halls` of an operators' file that was checked. What is known of zones is kept.
+    /// Applies `halls` of a valid operators' file. The state of zones is kept.
     pub fn reconfigure(&self, zones: Option<&schema::Halls>, now_ms: f64, control: &mut Control) {
         let definition = zones.map(tansymux_operator_config::zone_routing_config);
         let mut detector = self.detector.borrow_mut();
@@ -94,7 +100,7 @@
                 *detector = Some(new);
             }
         }
-        // The next round evaluates, and hands out the plan.
+        // The next round evaluates the evidence and passes the plan on.
         self.last_tick_ms.set(f64::NEG_INFINITY);
     }
 
@@ -119,12 +125,12 @@
         }
     }
 
-    /// Evidence on an engine's zone: whether the attempt reached the engine.
+    /// Records evidence on an engine's zone: whether the attempt reached the engine.
     pub fn on_attempt_ended(&self, event: &AttemptEnded, now_ms: f64) {
         self.observe_outcome(event.engine_id, event.outcome, now_ms);
     }
 
-    /// Evidence on an engine's zone: whether the health check reached the engine.
+    /// Records evidence on an engine's zone: whether the health check reached the engine.
     pub fn on_health_check_ended(&self, event: &HealthCheckEnded, now_ms: f64) {
         self.observe_outcome(event.engine_id, event.outcome, now_ms);
     }
@@ -133,13 +139,13 @@
         let kind = match outcome {
             Outcome::Completed | Outcome::Error | Outcome::Full => ObservationKind::Answered,
             Outcome::NoConnection | Outcome::Reset | Outcome::Timeout => ObservationKind::NoAnswer,
-            // Cancelled here, or never sent: that says nothing of the engine.
+            // Cancelled by this dispatcher, or never sent: no evidence on the engine.
             Outcome::Cancelled | Outcome::NotSent | Outcome::Withdrawn => return,
         };
         self.observe(engine_id, kind, now_ms);
     }
 
-    /// An engine sent a progress note, so it is reached.
+    /// Records evidence on an engine's zone: a progress note shows that the engine is reachable.
     pub fn on_progress_note(&self, engine_id: u64, now_ms: f64) {
         self.observe(engine_id, ObservationKind::Answered, now_ms);
     }
@@ -156,7 +162,7 @@
         self.detector.borrow().is_some()
     }
 
-    /// Evaluates the evidence, every [`TICK_INTERVAL_MS`], and hands the decisions the plan that follows.
+    /// Evaluates the evidence and passes the resulting plan to the decisions, every [`TICK_INTERVAL_MS`].
     pub fn tick(
         &self,
         now_ms: f64,
@@ -169,29 +175,21 @@
         };
         if now_ms - self.last_tick_ms.get() < TICK_INTERVAL_MS {
             return ZoneTick {
-                // A second round at the same time goes on from the first one's.
+                // A second round at the same time counts as part of the first.
                 evaluated: self.last_tick_ms.get() == now_ms,
                 peer_message: None,
             };
         }
         self.last_tick_ms.set(now_ms);
         detector.evaluate(now_ms);
-        for change in detector.take_changes() {
-            self.state_changes.set(self.state_changes.get() + 1);
-            display::log_change(&change);
-        }
+        self.report_changes(detector);
         let mut plan = detector.routing_plan(&self.local_zone, &self.groups);
         if let Some(fleet) = fleet.filter(|fleet| fleet.coordinates_zones()) {
             let demand_threads = control.threads_in_flight() + MIN_DEMAND_THREADS;
-            fleet.report_zones(
-                fleet_evidence(detector, demand_threads),
-                detector.is_isolated(),
-            );
-            self.apply_fleet_decisions(
-                fleet,
-                detector.config().recovery_ramp.full_threads_per_core,
-                &mut plan,
-            );
+            let evidence = fleet_evidence(detector, demand_threads);
+            fleet.report_zones(evidence, detector.is_isolated());
+            let max_utilization = detector.config().recovery_ramp.full_threads_per_core;
+            self.apply_fleet_decisions(fleet, max_utilization, &mut plan);
         }
         control.set_zone_plan(Some(&decisions_plan(&plan)));
         ZoneTick {
@@ -200,8 +198,16 @@
         }
     }
 
-    /// Replaces what this dispatcher judged alone by what the fleet decided, for the zones that it decided on.
-    /// `max_utilization`: threads a core that an engine may get at most.
+    /// Counts and logs the changes of zones' states since the last tick.
+    fn report_changes(&self, detector: &mut ZoneHealthDetector) {
+        for change in detector.take_changes() {
+            self.state_changes.set(self.state_changes.get() + 1);
+            display::log_change(&change);
+        }
+    }
+
+    /// Replaces this dispatcher's own state of a zone by the fleet's decision, for zones that the fleet decided on.
+    /// `max_utilization`: maximum threads for each core of an engine.
     fn apply_fleet_decisions(
         &self,
         fleet: &FleetService,
@@ -231,7 +237,7 @@
         }
     }
 
-    /// The engine of a zone that is cut off whose health is to be checked now, if one is.
+    /// The engine of an unreachable zone whose health check is due, if one is.
     pub fn next_health_check(&self, now_ms: f64) -> Option<u64> {
         self.detector
             .borrow_mut()
@@ -239,7 +245,7 @@
             .poll_health_check(now_ms)
     }
 
-    /// Whether it is a message about zones. While zone routing is off it is passed over.
+    /// Handles a message about zones; false for other messages. While zone routing is off, the message is ignored.
     pub fn on_peer_message(&self, message: &PeerMessage, now_ms: f64) -> bool {
         if message.content.first() != Some(&MESSAGE_KIND) {
             return false;
@@ -254,8 +260,8 @@
         true
     }
 
-    /// Threads of low work that spilled into each zone of the endpoint list. `spilled_threads` reads them from the
-    /// decisions.
+    /// Low-lane threads that spilled into each zone of the endpoint list. `spilled_threads` reads a zone's number from
+    /// the decisions.
     pub fn spills(&self, spilled_threads: impl Fn(&str) -> f64) -> Vec<(String, f64)> {
         let mut spills: Vec<(String, f64)> = Vec::new();
         for engine in &*self.endpoints.borrow() {
@@ -266,7 +272,7 @@
         spills
     }
 
-    /// What `/_halls` answers. `spilled_threads`: what spilled into a zone, as last read.
+    /// The answer of `/_halls`. `spilled_threads` returns the last number of low-lane threads spilled into a zone.
     pub fn to_json(&self, now_ms: f64, spilled_threads: impl Fn(&str) -> f64) -> Value {
         let detector = self.detector.borrow();
         let Some(detector) = detector.as_ref() else {
@@ -287,7 +293,7 @@
         })
     }
 
-    /// Lines for the counters; none while off.
+    /// Appends a line for each counter; none while off.
     pub fn write_counters(&self, text: &mut String) {
         let detector = self.detector.borrow();
         let Some(detector) = detector.as_ref() else {
@@ -298,46 +304,3 @@
         let _ = writeln!(text, "halls_alone {}", u8::from(detector.is_isolated()));
     }
 }
-
-/// What this dispatcher observed of each zone, in the fleet's form.
-fn fleet_evidence(detector: &ZoneHealthDetector, demand_threads: f64) -> Vec<Evidence> {
-    let mut evidence = Vec::new();
-    for observed in detector.evidence() {
-        evidence.push(Evidence {
-            zone: name_hash(observed.zone),
-            reachability: match observed.reachability {
-                Reachability::Reachable => FleetReachability::Reachable,
-                Reachability::Recovering => FleetReachability::Recovering,
-                Reachability::Unreachable => FleetReachability::Unreachable,
-                Reachability::Unknown => FleetReachability::Unknown,
-            },
-            threads: demand_threads as f32,
-            successes: observed.successes,
-            failures: observed.failures,
-        });
-    }
-    evidence
-}
-
-/// The plan in the decisions' form.
-fn decisions_plan(plan: &RoutingPlan) -> zone_plan::ZonePlan {
-    let mut zones = Vec::new();
-    for zone in &plan.zones {
-        zones.push(zone_plan::ZoneLimits {
-            name: zone.name.clone(),
-            tiers: zone.ranks.clone(),
-            max_spill_threads: zone.spill_threads,
-            max_spill_threads_by_group: zone.spill_threads_by_class.clone(),
-        });
-    }
-    zone_plan::ZonePlan {
-        zones,
-        engines: plan
-            .engines
-            .iter()
-            .map(|engine| (engine.engine_id, engine.threads))
-            .collect(),
-        cross_zone_retry_ratio: plan.cross_zone_retry_fraction,
-        isolated: plan.is_isolated,
-    }
-}
--- a/crates/dispatcher/src/subsystems/zone_routing/display.rs
+++ b/crates/dispatcher/src/subsystems/zone_routing/display.rs
@@ -17,7 +17,7 @@
     pub local_zone: &'a str,
     /// All zones fail from here: this dispatcher is cut off itself.
     pub isolated: bool,
-    /// Each zone, as [`zone_json`] gives it.
+    /// The result of [`zone_json`] for each zone.
     pub zones: Vec<Value>,
     /// Changes of zones' states, the latest last.
     pub history: &'a [ZoneChange],
