--- a/crates/service-levels/src/codec.rs
+++ b/crates/service-levels/src/codec.rs
@@ -6,36 +6,37 @@
 //! | 1 | version: 1 |
 //! | 2 | fingerprint of the sender's configuration |
 //! | 1 | depth in force at the sender, or [`DEPTH_UNKNOWN`] |
-//! | 1 | depth that the sender's own signals ask for |
+//! | 1 | depth that the sender's own signals call for |
 //! | 2 | sequence number |
 //!
-//! A longer message of the same version is read as far as it is known.
+//! Of a longer message of the same version, the bytes beyond these are ignored.
 
 /// First byte of a message about levels.
 pub const MESSAGE_KIND: u8 = 2;
+/// Version of the layout.
 const VERSION: u8 = 1;
 /// Length of a message (bytes).
 pub const MESSAGE_LEN: usize = 8;
-/// Depth of a sender that has just started and asks for the depths of the others.
+/// Depth in the messages of a new instance, which request the depths of the others.
 pub const DEPTH_UNKNOWN: u8 = 255;
 
-/// What a dispatcher reports about its level.
+/// A dispatcher's report about its level.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PeerReport {
-    /// [`crate::Config::fingerprint`] of its configuration.
+    /// [`crate::Config::fingerprint`] of the sender's configuration.
     pub config_fingerprint: u16,
     /// The depth in force, or [`DEPTH_UNKNOWN`].
     pub depth: u8,
-    /// The depth that its own signals ask for.
+    /// The depth that the sender's own signals call for.
     pub wanted_depth: u8,
-    /// Counts its messages, so that a late one does not replace a newer one.
+    /// Number of the sender's message, so that a late message does not replace a newer one.
     pub sequence_number: u16,
 }
 
-/// Why bytes are not a message about levels.
+/// An error of decoding a message about levels.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// Too short, or another kind or version.
+    /// The bytes are too short, or of another kind or version.
     #[error("no message about levels of version {VERSION}")]
     NotLevelReport,
 }
@@ -59,7 +60,7 @@
 /// Decodes a message.
 ///
 /// # Errors
-/// Where the bytes are too short, or of another kind or version.
+/// The bytes are too short, or of another kind or version.
 pub fn decode(bytes: &[u8]) -> Result<PeerReport, DecodeError> {
     let message = bytes
         .get(..MESSAGE_LEN)
--- a/crates/service-levels/src/config.rs
+++ b/crates/service-levels/src/config.rs
@@ -1,4 +1,4 @@
-//! Levels as operators configure them.
+//! The configuration of levels.
 
 mod fingerprint;
 mod validation;
@@ -9,11 +9,11 @@
 /// The name of full service.
 pub const FULL_SERVICE: &str = "full";
 
-/// A signal with two thresholds (a Schmitt trigger): it switches on once the one was reached for a time, and off once
-/// the other was.
+/// A signal with two thresholds (a Schmitt trigger). The trigger switches on once its signal has reached one threshold for
+/// a time, and off once it has reached the other.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Trigger {
-    /// What is measured.
+    /// The measured signal.
     pub signal: Signal,
     /// Threshold to switch on.
     pub enter_threshold: f64,
@@ -26,12 +26,12 @@
 }
 
 impl Trigger {
-    /// Whether high readings switch it on; otherwise low ones do.
+    /// Whether high readings switch the trigger on; otherwise low readings do.
     pub fn is_high_active(&self) -> bool {
         self.enter_threshold > self.leave_threshold
     }
 
-    /// Whether a reading reaches the threshold to switch on; never for one that is not a number.
+    /// Whether a reading reaches the threshold to switch on; false for NaN.
     pub(crate) fn enters_at(&self, reading: f64) -> bool {
         if self.is_high_active() {
             reading >= self.enter_threshold
@@ -50,12 +50,12 @@
     }
 }
 
-/// Holds while all of `all` are on, and one of `any` where there are some.
+/// A condition on triggers: all of `all`, and at least one of `any` unless it is empty.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Condition {
-    /// All of these must be on.
+    /// Triggers that must all be on.
     pub all: Vec<Trigger>,
-    /// One of these must be on, where there are some.
+    /// Triggers of which at least one must be on, unless there are none.
     pub any: Vec<Trigger>,
 }
 
@@ -66,7 +66,7 @@
     }
 }
 
-/// The fraction of its capacity that the low-priority work of a class finds; 0 closes the class.
+/// The fraction of capacity that the low-priority work of a class may use; 0 closes the class.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ClassFraction {
     /// The class (resource group).
@@ -75,7 +75,7 @@
     pub fraction: f64,
 }
 
-/// What a level asks of admission control. At full service all factors are 1.
+/// The changes of admission control at a level. At full service all factors are 1.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Degradation {
     /// Factor on the concurrency limits of the low lane, up to 1.
@@ -86,15 +86,15 @@
     pub grant_factor: f64,
     /// Factor on `retry_after_ms` of rejected queries, from 1.
     pub retry_after_factor: f64,
-    /// Random spread of `retry_after_ms` beyond that (fraction).
+    /// Random jitter added to `retry_after_ms`, as a fraction of it.
     pub retry_after_jitter: f64,
     /// Low-priority work is not retried.
     pub withhold_low_retries: bool,
-    /// Low-priority work of tenants over their quota finds no capacity.
+    /// Low-priority work of tenants over their quota gets no capacity.
     pub reject_over_quota: bool,
-    /// Low-priority work finds no capacity if the confidence in its estimated cost is below this.
+    /// Low-priority work gets no capacity if the confidence in its estimated cost is below this.
     pub min_confidence: f64,
-    /// Capacity of low-priority work by class; classes not named find all of it.
+    /// Capacity for low-priority work by class; classes that are not named may use all capacity.
     pub classes: Vec<ClassFraction>,
 }
 
@@ -115,7 +115,7 @@
 }
 
 impl Degradation {
-    /// The fraction of its capacity that a class's low-priority work finds.
+    /// The fraction of capacity that a class's low-priority work may use.
     pub fn class_fraction(&self, class: &str) -> f64 {
         let named = self.classes.iter().find(|known| known.class == class);
         named.map_or(1.0, |known| known.fraction)
@@ -125,13 +125,13 @@
 /// A level below full service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Level {
-    /// Its name, shown to operators and clients.
+    /// Name of the level, shown to operators and clients.
     pub name: String,
-    /// When it is entered, and by the triggers' lower thresholds left.
+    /// The condition to enter the level. The level is left by the same triggers' other thresholds.
     pub enter: Condition,
-    /// How long it stays in force at least (ms).
+    /// Shortest time that the level stays in force (ms).
     pub min_stay_ms: f64,
-    /// What it asks of admission control.
+    /// The level's changes of admission control.
     pub degradation: Degradation,
 }
 
--- a/crates/service-levels/src/config/validation.rs
+++ b/crates/service-levels/src/config/validation.rs
@@ -1,11 +1,11 @@
-//! Which levels cannot work: those that would flap, can't be entered or left, or make another one useless.
+//! Validation of levels: rejects levels that would flap, cannot be entered or left, or shadow another level.
 
 use super::{Condition, Config, Degradation, Level, Trigger, FULL_SERVICE};
 
-/// Thresholds of a trigger that are nearer to each other than this are crossed by noise alone.
+/// Smallest distance between a trigger's thresholds: noise would cross both of a closer pair.
 const MIN_THRESHOLD_GAP: f64 = 0.02;
 
-/// A setting of a level that cannot work.
+/// An invalid setting of a level.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 #[error("level {level}, {key}: {found}; allowed: {allowed}")]
 pub struct ConfigError {
@@ -13,9 +13,9 @@
     pub level: usize,
     /// The key within the level, as in the operators' file.
     pub key: String,
-    /// What was there.
+    /// The value found.
     pub found: String,
-    /// What is allowed.
+    /// The values allowed.
     pub allowed: &'static str,
 }
 
@@ -37,7 +37,7 @@
 }
 
 impl Config {
-    /// All settings that cannot work; empty for a valid configuration.
+    /// All errors of the configuration; empty if it is valid.
     pub fn validate(&self) -> Vec<ConfigError> {
         let mut errors = Vec::new();
         for index in 0..self.levels.len() {
@@ -121,7 +121,7 @@
     }
 }
 
-/// A level that only rejections hold would keep itself in force, since it causes them.
+/// Rejects a condition that holds by rejections alone: the level itself causes them, so it could not be left.
 fn validate_can_be_left(condition: &Condition, errors: &mut LevelErrors<'_>) {
     let holds_itself =
         |trigger: &Trigger| trigger.signal.is_raised_by_levels() && trigger.is_high_active();
@@ -136,7 +136,7 @@
     }
 }
 
-/// Checks a level against the milder one before it.
+/// Checks a level against the level before it, which must be milder.
 fn validate_order(level: &Level, before: &Level, errors: &mut LevelErrors<'_>) {
     if is_entered_no_later(&level.enter, &before.enter) {
         errors.add(
@@ -161,15 +161,9 @@
     }
 }
 
-/// Whether whatever meets `earlier` meets `later` as well: each trigger of `later` is covered by one of `earlier` that
-/// asks for as much.
+/// Whether readings that meet `earlier` meet `later` too: each trigger of `later` is implied by a trigger of `earlier`.
 fn is_entered_no_later(later: &Condition, earlier: &Condition) -> bool {
-    let is_covered = |trigger: &Trigger| {
-        earlier
-            .all
-            .iter()
-            .any(|other| asks_for_as_much(other, trigger))
-    };
+    let is_covered = |trigger: &Trigger| earlier.all.iter().any(|other| implies(other, trigger));
     if !later.all.iter().all(is_covered) {
         return false;
     }
@@ -177,7 +171,7 @@
     later.any.is_empty() || later.any == earlier.any || later.any.iter().any(is_covered)
 }
 
-fn asks_for_as_much(other: &Trigger, trigger: &Trigger) -> bool {
+fn implies(other: &Trigger, trigger: &Trigger) -> bool {
     let reaches_as_far = if trigger.is_high_active() {
         other.enter_threshold >= trigger.enter_threshold
     } else {
--- a/crates/service-levels/src/latch.rs
+++ b/crates/service-levels/src/latch.rs
@@ -1,18 +1,18 @@
-//! The memory of a trigger: whether it is on, and how long the threshold to switch has been reached.
+//! The latch of a trigger: whether it is on, and how long the threshold to switch has been reached.
 
 use crate::config::Trigger;
 
-/// A signal that was not reported for this long switches off (ms): a level is not kept in force by what nobody
-/// measures any more.
+/// A trigger whose signal was not reported for this long switches off (ms), so that a missing signal does not keep a level
+/// in force.
 pub(crate) const MISSING_SIGNAL_TIMEOUT_MS: f64 = 30_000.0;
 
 /// State of a trigger.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub(crate) struct Latch {
     pub(crate) is_on: bool,
-    /// How long the threshold to switch has been reached without a break (ms).
+    /// How long the threshold to switch has been reached without interruption (ms).
     pub(crate) held_ms: f64,
-    /// How long the signal was not reported (ms).
+    /// How long the signal has not been reported (ms).
     pub(crate) missing_ms: f64,
 }
 
@@ -24,7 +24,7 @@
         missing_ms: 0.0,
     };
 
-    /// Takes a reading, `elapsed_ms` after the one before; not a number: the signal was not reported.
+    /// Applies a reading, `elapsed_ms` after the last one. NaN means that the signal was not reported.
     pub(crate) fn update(&mut self, trigger: &Trigger, reading: f64, elapsed_ms: f64) {
         if reading.is_nan() {
             self.missing_ms += elapsed_ms;
--- a/crates/service-levels/src/lib.rs
+++ b/crates/service-levels/src/lib.rs
@@ -5,8 +5,9 @@
 //! What differs: a fleet agrees on a level by the median of what its members want, each level changes at most once in
 //! [`MIN_CHANGE_INTERVAL_MS`], and a level sheds nothing itself but scales the limits of admission control.
 //!
-//! Owns: when the level changes ([`LevelStateMachine`]), the outcomes that are measured for it ([`OutcomeWindows`]),
-//! the messages between dispatchers ([`codec`]) and which configurations cannot work ([`Config::validate`]). It never
+//! Owns: when the level changes ([`LevelStateMachine`]), the counts of outcomes for two of its signals
+//! ([`OutcomeWindows`]), the messages between dispatchers ([`codec`]) and the validation of configurations
+//! ([`Config::validate`]). It never
 //! does I/O, reads no clock and draws no random numbers. It rejects or moves no query: a level hands a [`Degradation`]
 //! to admission control.
 //!
@@ -36,6 +37,6 @@
     MIN_CHANGE_INTERVAL_MS,
 };
 
-/// What the signals read at a moment: one value for each signal of a configuration, in the order of
-/// [`Config::signals`]; not a number where it is not known.
+/// The readings of all signals at one time: a value for each signal of a configuration, in the order of
+/// [`Config::signals`]; NaN if unknown.
 pub type Readings = [f64];
--- a/crates/service-levels/src/outcome_windows.rs
+++ b/crates/service-levels/src/outcome_windows.rs
@@ -1,6 +1,6 @@
-//! Late answers and rejections of the last ten seconds, by class: counts in buckets of a second.
+//! Counts of late answers and rejections within the last ten seconds, by class, in buckets of one second.
 
-/// How a query ended.
+/// The outcome of a query.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QueryOutcome {
     /// It completed within its latency objective.
@@ -17,12 +17,12 @@
 const BUCKETS: usize = 10;
 /// Length of a bucket (ms).
 const BUCKET_MS: f64 = 1000.0;
-/// With fewer outcomes in the window than this a fraction reads 0.
+/// Fewest outcomes in the window for a fraction above 0.
 const MIN_OUTCOMES: u32 = 5;
 
 #[derive(Debug, Clone, Copy, Default)]
 struct Bucket {
-    /// Which second it counts; an empty bucket has number 0.
+    /// Number of the second that the bucket counts, from 1; 0 for an empty bucket.
     number: u64,
     completed: u32,
     late: u32,
--- a/crates/service-levels/src/signal.rs
+++ b/crates/service-levels/src/signal.rs
@@ -1,4 +1,4 @@
-//! What is measured to choose a level.
+//! The measured signals that levels are entered and left by.
 
 /// A measured signal. All are fractions from 0 to 1.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
--- a/crates/service-levels/src/state_machine.rs
+++ b/crates/service-levels/src/state_machine.rs
@@ -1,156 +1,122 @@
-//! The state machine of one dispatcher: which level is in force, by its own signals, its peers and its operators.
+//! The state machine of one dispatcher: the level in force, by its own signals, its peers and its operators.
 //!
-//! [`LevelStateMachine::evaluate`] takes readings and makes at most one step (submodule `steps`); `startup` says where
-//! a new instance begins, `peers` what is exchanged with others, `reconfigure` what becomes of the level in force when
-//! the configuration changes, and `status` what is shown.
+//! [`LevelStateMachine::evaluate`] applies readings and makes at most one step.
+//!
+//! | file | concern |
+//! | --- | --- |
+//! | `triggers` | the triggers' latches, and the last readings |
+//! | `depth` | the depth in force, and the record of its changes |
+//! | `peers` | reports of peers, and the schedule of own messages |
+//! | `steps` | steps deeper and back |
+//! | `status` | the state for display and for model checking |
 
+mod depth;
 mod peers;
-mod reconfigure;
-mod startup;
 mod status;
 mod steps;
+mod triggers;
 
-use crate::config::{Condition, Config, Degradation, FULL_SERVICE};
-use crate::latch::Latch;
-use crate::signal::Signal;
+use crate::codec::{self, PeerReport, DEPTH_UNKNOWN};
+use crate::config::{Config, Degradation, Level, FULL_SERVICE};
 use crate::Readings;
-use peers::Peer;
+use depth::DepthRecord;
+use peers::{MessageSchedule, PeerReports};
 pub use status::{Status, TriggerStatus};
+use triggers::TriggerStates;
 
-/// Each level changes at most once in this time (ms): half a second more than the minute that is promised, for clocks
-/// that count it differently.
+/// Shortest time between two changes of one level (ms): the minute that the operators' pages promise, and half a second
+/// for differences between clocks.
 pub const MIN_CHANGE_INTERVAL_MS: f64 = 60_500.0;
-/// A longer time between two evaluations is a pause of the process (ms): thresholds must be reached anew after it,
-/// since nobody measured.
-const MAX_EVALUATION_GAP_MS: f64 = 2000.0;
-/// Changes that are kept for display.
-const MAX_HISTORY: usize = 64;
+/// How long a new instance waits for reports of peers before it chooses its initial depth (ms).
+const STARTUP_LISTEN_MS: f64 = 2500.0;
 /// A time before all others (ms).
 const LONG_AGO_MS: f64 = -1e12;
 
-/// A signal and what it read.
+/// A signal with its reading.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SignalReading {
     /// [`Signal::name`].
     pub signal: String,
-    /// Its reading.
+    /// The signal's reading.
     pub reading: f64,
 }
 
-/// Why the level changed.
+/// The reason of a change of level.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Reason {
-    /// Own signals: those that switched on or off.
+    /// Own signals that switched on or off.
     Signals(Vec<SignalReading>),
-    /// The median of what this dispatcher and its peers want.
+    /// The median of the depths that this dispatcher and its peers want.
     Peers {
-        /// Peers whose reports count.
+        /// Number of peers with a current report.
         peers: usize,
         /// The median.
         wanted_depth: usize,
     },
     /// An operator pinned a level.
     Pinned,
-    /// Where a new instance began.
+    /// The initial depth of a new instance.
     Startup {
-        /// Peers that reported their depth; 0: own signals chose.
+        /// Number of peers that reported their depth; 0: the initial depth follows from own signals.
         peers: usize,
     },
     /// The configuration changed.
     Reconfigured,
 }
 
-/// A change of the level: one step, or where an instance began.
+/// A change of level: one step, or the initial depth of an instance.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LevelChange {
-    /// When (ms).
+    /// Time of the change (ms).
     pub at_ms: f64,
     /// The depth before.
     pub from: usize,
-    /// The depth from then on.
+    /// The depth after the change.
     pub to: usize,
-    /// Why.
+    /// The reason.
     pub reason: Reason,
 }
 
-/// A trigger's memory, and where its signal is among the readings.
-#[derive(Debug, Clone, Copy, PartialEq)]
-struct TriggerState {
-    reading_index: usize,
-    latch: Latch,
-}
-
-/// An operator's pin.
+/// A level that an operator pinned.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct Pin {
     depth: usize,
     until_ms: f64,
 }
 
-/// Which level is in force. All times in milliseconds of the caller's clock.
+/// The state machine. All times are milliseconds on the caller's clock.
 #[derive(Debug, Clone)]
 pub struct LevelStateMachine {
     config: Config,
     config_fingerprint: u16,
-    /// For each level the state of its triggers, in the order of [`Condition::triggers`].
-    triggers: Vec<Vec<TriggerState>>,
-    /// The last readings, for display.
-    readings: Vec<f64>,
-    /// Levels in force: 0 is full service.
-    depth: usize,
-    depth_since_ms: f64,
-    /// When each level last changed.
-    level_changed_ms: Vec<f64>,
+    triggers: TriggerStates,
+    depth: DepthRecord,
+    peers: PeerReports,
+    messages: MessageSchedule,
+    pin: Option<Pin>,
     now_ms: f64,
+    /// Time of the first evaluation.
     started_ms: Option<f64>,
-    /// Whether a new instance has chosen where to begin.
+    /// Whether a new instance has chosen its initial depth.
     is_settled: bool,
-    peers: Vec<Peer>,
-    /// Since when less than the depth in force has been wanted.
+    /// Start of the time for which a depth below the one in force has been wanted.
     recovering_since_ms: Option<f64>,
-    previous_peer_count: usize,
-    /// When the number of peers whose reports count last fell.
-    peer_lost_ms: f64,
-    pin: Option<Pin>,
-    message_sent_ms: f64,
-    sequence_number: u16,
-    time_at_depth_ms: Vec<f64>,
-    change_counts: Vec<u64>,
-    version: u64,
-    history: Vec<LevelChange>,
 }
 
 impl LevelStateMachine {
     /// A new instance with a valid configuration: see [`Config::validate`].
     pub fn new(config: Config) -> Self {
-        let signals = config.signals();
-        let triggers = config
-            .levels
-            .iter()
-            .map(|level| initial_states(&level.enter, &signals))
-            .collect();
-        let levels = config.levels.len();
         LevelStateMachine {
             config_fingerprint: config.fingerprint(),
-            triggers,
-            readings: vec![f64::NAN; signals.len()],
-            depth: 0,
-            depth_since_ms: 0.0,
-            level_changed_ms: vec![LONG_AGO_MS; levels],
+            triggers: TriggerStates::new(&config),
+            depth: DepthRecord::new(config.levels.len()),
+            peers: PeerReports::new(),
+            messages: MessageSchedule::new(),
+            pin: None,
             now_ms: LONG_AGO_MS,
             started_ms: None,
             is_settled: false,
-            peers: Vec::new(),
             recovering_since_ms: None,
-            previous_peer_count: 0,
-            peer_lost_ms: LONG_AGO_MS,
-            pin: None,
-            message_sent_ms: LONG_AGO_MS,
-            sequence_number: 0,
-            time_at_depth_ms: vec![0.0; levels + 1],
-            change_counts: vec![0; levels],
-            version: 1,
-            history: Vec::new(),
             config,
         }
     }
@@ -160,56 +126,50 @@
         &self.config
     }
 
-    /// Levels in force: 0 is full service.
+    /// Number of levels in force; 0 is full service.
     pub fn depth(&self) -> usize {
-        self.depth
+        self.depth.depth()
     }
 
-    /// Counts changes: whoever has seen a number can wait for a higher one.
+    /// A number that increases with each change, so that a client can wait for a higher one.
     pub fn version(&self) -> u64 {
-        self.version
+        self.depth.version()
     }
 
     /// The last changes, oldest first.
     pub fn history(&self) -> &[LevelChange] {
-        &self.history
+        self.depth.history()
     }
 
-    /// The name of the level at a depth; that of full service at 0 and at depths that are not configured.
-    pub fn level_name(&self, depth: usize) -> &str {
-        let level = depth
-            .checked_sub(1)
-            .and_then(|index| self.config.levels.get(index));
-        match level {
-            Some(level) => &level.name,
-            None => FULL_SERVICE,
-        }
-    }
-
-    /// Time at each depth (ms), from 0.
+    /// Time at each depth (ms), from depth 0.
     pub fn time_at_depth_ms(&self) -> &[f64] {
-        &self.time_at_depth_ms
+        self.depth.time_at_depth_ms()
     }
 
-    /// How often each level changed.
+    /// Number of changes of each level.
     pub fn change_counts(&self) -> &[u64] {
-        &self.change_counts
+        self.depth.change_counts()
+    }
+
+    /// The name of the level at a depth; that of full service at 0 and at depths that are not configured.
+    pub fn level_name(&self, depth: usize) -> &str {
+        self.level_at(depth)
+            .map_or(FULL_SERVICE, |level| &level.name)
     }
 
-    /// What the level in force asks of admission control.
+    /// The degradation of the level in force.
     pub fn degradation(&self) -> Degradation {
-        let level = self
-            .depth
-            .checked_sub(1)
-            .and_then(|index| self.config.levels.get(index));
-        match level {
-            Some(level) => level.degradation.clone(),
-            None => Degradation::default(),
-        }
+        self.level_at(self.depth())
+            .map_or_else(Degradation::default, |level| level.degradation.clone())
     }
 
-    /// Takes readings, and makes at most one step; to be called some times a second. A clock that goes back is
-    /// taken to stand still.
+    /// The level at a depth; `None` at 0 and at depths that are not configured.
+    fn level_at(&self, depth: usize) -> Option<&Level> {
+        self.config.levels.get(depth.checked_sub(1)?)
+    }
+
+    /// Applies readings, and makes at most one step. To be called several times a second. If the clock goes back, the
+    /// time of the last call is used.
     pub fn evaluate(&mut self, readings: &Readings, now_ms: f64) -> Option<&LevelChange> {
         let elapsed_ms = if self.now_ms == LONG_AGO_MS {
             0.0
@@ -218,80 +178,57 @@
         };
         let now_ms = now_ms.max(self.now_ms);
         self.now_ms = now_ms;
-        self.time_at_depth_ms[self.depth] += elapsed_ms;
-        self.update_triggers(readings, elapsed_ms);
+        self.depth.advance_time(elapsed_ms);
+        self.triggers.update(&self.config, readings, elapsed_ms);
         let started_ms = *self.started_ms.get_or_insert(now_ms);
-        self.forget_silent_peers();
+        self.peers.remove_expired(now_ms);
         if self.is_settled {
             return self.step();
         }
-        if now_ms - started_ms < startup::LISTEN_MS {
+        if now_ms - started_ms < STARTUP_LISTEN_MS {
             return None;
         }
         self.choose_initial_depth()
     }
 
-    fn update_triggers(&mut self, readings: &Readings, elapsed_ms: f64) {
-        let was_paused = elapsed_ms > MAX_EVALUATION_GAP_MS;
-        let counted_ms = if was_paused { 0.0 } else { elapsed_ms };
-        for (index, reading) in self.readings.iter_mut().enumerate() {
-            *reading = readings.get(index).copied().unwrap_or(f64::NAN);
-        }
-        for (level, states) in self.config.levels.iter().zip(&mut self.triggers) {
-            for (trigger, state) in level.enter.triggers().zip(states) {
-                if was_paused {
-                    state.latch.held_ms = 0.0;
-                }
-                let reading = self.readings[state.reading_index];
-                state.latch.update(trigger, reading, counted_ms);
-            }
-        }
-    }
-
-    /// Switches on the triggers of the first `levels` levels: they have to clear like any other level in force.
-    fn latch_levels(&mut self, levels: usize) {
-        for state in self.triggers[..levels].iter_mut().flatten() {
-            state.latch = Latch::ON;
+    /// The message that is due to peers, if one is: at once after a change, else at an interval. A message of a new
+    /// instance requests the others' depths.
+    pub fn poll_message(&mut self, now_ms: f64) -> Option<[u8; codec::MESSAGE_LEN]> {
+        if !self.messages.is_due(self.is_settled, now_ms) || self.config.levels.is_empty() {
+            return None;
         }
+        let depth = if self.is_settled {
+            depth_byte(self.depth())
+        } else {
+            DEPTH_UNKNOWN
+        };
+        Some(codec::encode(PeerReport {
+            config_fingerprint: self.config_fingerprint,
+            depth,
+            wanted_depth: depth_byte(self.wanted_depth()),
+            sequence_number: self.messages.next_sequence_number(now_ms),
+        }))
     }
 
-    /// Sets the depth, notes the change at each level between and records it.
-    fn change_depth(&mut self, to: usize, reason: Reason) -> Option<&LevelChange> {
-        let from = self.depth;
-        for level in from.min(to)..from.max(to) {
-            self.level_changed_ms[level] = self.now_ms;
-            self.change_counts[level] += 1;
+    /// Records a peer's message. Ignores messages with another configuration, and those older than the last one.
+    pub fn handle_peer_message(&mut self, peer: u32, content: &[u8], now_ms: f64) {
+        let Ok(report) = codec::decode(content) else {
+            return;
+        };
+        if report.config_fingerprint != self.config_fingerprint {
+            return;
         }
-        self.depth = to;
-        self.depth_since_ms = self.now_ms;
-        self.recovering_since_ms = None;
-        self.version += 1;
-        // The next message is due at once.
-        self.message_sent_ms = LONG_AGO_MS;
-        self.record_change(from, to, reason, self.now_ms)
-    }
-
-    fn record_change(
-        &mut self,
-        from: usize,
-        to: usize,
-        reason: Reason,
-        at_ms: f64,
-    ) -> Option<&LevelChange> {
-        if self.history.len() >= MAX_HISTORY {
-            self.history.remove(0);
+        let now_ms = now_ms.max(self.now_ms);
+        if report.depth == DEPTH_UNKNOWN {
+            // A new instance does not count as a peer before it has chosen its initial depth.
+            self.messages.answer_new_instance(now_ms);
+            return;
         }
-        self.history.push(LevelChange {
-            at_ms,
-            from,
-            to,
-            reason,
-        });
-        self.history.last()
+        self.peers.record(peer, report, now_ms);
     }
 
-    /// Pins a level by its name until a time; `None` ends the pin. False for a name that is not known, which leaves
-    /// things as they are.
+    /// Pins a level by its name until a time; `None` ends the pin. Returns false for an unknown name, which changes
+    /// nothing.
     pub fn pin(&mut self, name: Option<&str>, until_ms: f64) -> bool {
         let Some(name) = name else {
             self.pin = None;
@@ -303,17 +240,39 @@
         }
         depth.is_some()
     }
+
+    /// Replaces the configuration. Levels in force stay in force, by their names, and have to clear anew; levels that are
+    /// not in the new configuration are left. A pin ends. Peers count again once they report with the new configuration.
+    pub fn reconfigure(&mut self, config: Config, now_ms: f64) -> Option<&LevelChange> {
+        let now_ms = now_ms.max(self.now_ms);
+        let old = std::mem::replace(self, LevelStateMachine::new(config));
+        self.now_ms = old.now_ms;
+        self.started_ms = old.started_ms;
+        self.is_settled = old.is_settled;
+        self.messages = old.messages;
+        self.messages.send_at_once();
+        self.depth = old.depth;
+        let is_changed = self
+            .depth
+            .reconfigure(&old.config.levels, &self.config.levels, now_ms);
+        self.triggers.switch_on(self.depth());
+        if is_changed {
+            self.history().last()
+        } else {
+            None
+        }
+    }
+
+    /// Changes the depth now. The next message is due at once.
+    fn change_depth(&mut self, to: usize, reason: Reason) -> Option<&LevelChange> {
+        self.depth.change(to, reason, self.now_ms);
+        self.recovering_since_ms = None;
+        self.messages.send_at_once();
+        self.history().last()
+    }
 }
 
-fn initial_states(condition: &Condition, signals: &[Signal]) -> Vec<TriggerState> {
-    condition
-        .triggers()
-        .map(|trigger| TriggerState {
-            reading_index: signals
-                .iter()
-                .position(|signal| *signal == trigger.signal)
-                .unwrap_or(0),
-            latch: Latch::default(),
-        })
-        .collect()
+/// A depth as a message holds it: below [`DEPTH_UNKNOWN`].
+fn depth_byte(depth: usize) -> u8 {
+    depth.min(usize::from(DEPTH_UNKNOWN) - 1) as u8
 }
--- /dev/null
+++ b/crates/service-levels/src/state_machine/depth.rs
@@ -0,0 +1,150 @@
+//! The depth in force, and the record of its changes.
+
+use super::{LevelChange, Reason, LONG_AGO_MS, MIN_CHANGE_INTERVAL_MS};
+use crate::config::Level;
+
+/// Maximum number of changes kept for display.
+const MAX_HISTORY: usize = 64;
+
+/// The depth in force, with the times and counts of its changes.
+#[derive(Debug, Clone)]
+pub(super) struct DepthRecord {
+    depth: usize,
+    since_ms: f64,
+    /// Time of each level's last change.
+    level_changed_ms: Vec<f64>,
+    time_at_depth_ms: Vec<f64>,
+    change_counts: Vec<u64>,
+    version: u64,
+    history: Vec<LevelChange>,
+}
+
+impl DepthRecord {
+    /// Full service, with `levels` levels that never changed.
+    pub fn new(levels: usize) -> Self {
+        DepthRecord {
+            depth: 0,
+            since_ms: 0.0,
+            level_changed_ms: vec![LONG_AGO_MS; levels],
+            time_at_depth_ms: vec![0.0; levels + 1],
+            change_counts: vec![0; levels],
+            version: 1,
+            history: Vec::new(),
+        }
+    }
+
+    /// Number of levels in force.
+    pub fn depth(&self) -> usize {
+        self.depth
+    }
+
+    /// Time of the last change of depth (ms).
+    pub fn since_ms(&self) -> f64 {
+        self.since_ms
+    }
+
+    /// Time at each depth (ms), from depth 0.
+    pub fn time_at_depth_ms(&self) -> &[f64] {
+        &self.time_at_depth_ms
+    }
+
+    /// Number of changes of each level.
+    pub fn change_counts(&self) -> &[u64] {
+        &self.change_counts
+    }
+
+    /// A number that increases with each change.
+    pub fn version(&self) -> u64 {
+        self.version
+    }
+
+    /// The last changes, oldest first.
+    pub fn history(&self) -> &[LevelChange] {
+        &self.history
+    }
+
+    /// Times of the last change of each level (ms).
+    pub fn level_changed_ms(&self) -> &[f64] {
+        &self.level_changed_ms
+    }
+
+    /// Whether a level may change: the only place that enforces [`MIN_CHANGE_INTERVAL_MS`].
+    pub fn may_change(&self, level: usize, now_ms: f64) -> bool {
+        now_ms - self.level_changed_ms[level] >= MIN_CHANGE_INTERVAL_MS
+    }
+
+    /// Adds time to the current depth.
+    pub fn advance_time(&mut self, elapsed_ms: f64) {
+        self.time_at_depth_ms[self.depth] += elapsed_ms;
+    }
+
+    /// Lets the current depth begin now, without a change.
+    pub fn restart(&mut self, now_ms: f64) {
+        self.since_ms = now_ms;
+    }
+
+    /// Changes the depth, and records the change for each level between.
+    pub fn change(&mut self, to: usize, reason: Reason, now_ms: f64) {
+        let from = self.depth;
+        for level in from.min(to)..from.max(to) {
+            self.level_changed_ms[level] = now_ms;
+            self.change_counts[level] += 1;
+        }
+        self.depth = to;
+        self.since_ms = now_ms;
+        self.version += 1;
+        self.add_to_history(from, reason, now_ms);
+    }
+
+    /// Replaces the levels, and returns whether the depth changes. Levels in force stay in force, by their names, and with
+    /// them the levels that now come before them. New levels, and levels whose state switches, count as changed now, so
+    /// that the interval between changes holds for them too.
+    pub fn reconfigure(&mut self, old_levels: &[Level], new_levels: &[Level], now_ms: f64) -> bool {
+        let depth_before = self.depth;
+        let depth = kept_depth(&old_levels[..depth_before], new_levels);
+        let mut level_changed_ms = Vec::with_capacity(new_levels.len());
+        for (index, level) in new_levels.iter().enumerate() {
+            let is_in_force = index < depth;
+            let old_index = old_levels.iter().position(|old| old.name == level.name);
+            level_changed_ms.push(match old_index {
+                Some(old) if is_in_force == (old < depth_before) => self.level_changed_ms[old],
+                _ => now_ms,
+            });
+        }
+        *self = DepthRecord {
+            depth,
+            since_ms: self.since_ms,
+            level_changed_ms,
+            version: self.version + 1,
+            history: std::mem::take(&mut self.history),
+            ..DepthRecord::new(new_levels.len())
+        };
+        if depth == depth_before {
+            return false;
+        }
+        self.since_ms = now_ms;
+        self.add_to_history(depth_before, Reason::Reconfigured, now_ms);
+        true
+    }
+
+    fn add_to_history(&mut self, from: usize, reason: Reason, at_ms: f64) {
+        if self.history.len() >= MAX_HISTORY {
+            self.history.remove(0);
+        }
+        self.history.push(LevelChange {
+            at_ms,
+            from,
+            to: self.depth,
+            reason,
+        });
+    }
+}
+
+/// The depth of the deepest level in force within the new levels.
+fn kept_depth(in_force: &[Level], new_levels: &[Level]) -> usize {
+    let new_depth = |old: &Level| {
+        let index = new_levels.iter().position(|level| level.name == old.name)?;
+        Some(index + 1)
+    };
+    in_force.iter().filter_map(new_depth).max().unwrap_or(0)
+}
--- a/crates/service-levels/src/state_machine/peers.rs
+++ b/crates/service-levels/src/state_machine/peers.rs
@@ -1,69 +1,72 @@
-//! What dispatchers report to each other.
+//! Reports of peers, and the schedule of own messages.
 
-use super::{LevelStateMachine, LONG_AGO_MS};
-use crate::codec::{self, PeerReport, DEPTH_UNKNOWN};
+use super::LONG_AGO_MS;
+use crate::codec::PeerReport;
 
-/// How long a peer's report counts (ms).
+/// Lifetime of a peer's report (ms).
 const PEER_LIFETIME_MS: f64 = 20_000.0;
-/// Interval of reports (ms); a change is reported at once.
+/// Interval of messages (ms); a change is sent at once.
 const MESSAGE_INTERVAL_MS: f64 = 4000.0;
-/// Interval at which a new instance asks for the depths of its peers (ms), and in which one answer serves all who ask.
+/// Interval of messages of a new instance, which request the depths of its peers (ms). Within one interval, one message
+/// answers all new instances.
 const STARTUP_MESSAGE_INTERVAL_MS: f64 = 800.0;
-/// Limit on the number of peers.
+/// Maximum number of peers.
 const MAX_PEERS: usize = 1024;
-/// Half of the range of sequence numbers, which wrap around: a difference below is newer.
+/// Half of the range of sequence numbers, which wrap around: a smaller difference means newer.
 const SEQUENCE_HALF_RANGE: u16 = 0x8000;
-/// Sequence numbers up to here come from a peer that restarted.
+/// Highest sequence number that is accepted as that of a restarted peer.
 const MAX_RESTARTED_SEQUENCE: u16 = 2;
 
 /// A peer's last report.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct Peer {
-    pub(super) number: u32,
-    pub(super) report: PeerReport,
-    pub(super) received_ms: f64,
+    pub number: u32,
+    pub report: PeerReport,
+    pub received_ms: f64,
 }
 
-impl LevelStateMachine {
-    /// The message that is due to peers, if one is: after a change at once, else every few seconds. A new instance
-    /// asks for the others' depths.
-    pub fn poll_message(&mut self, now_ms: f64) -> Option<[u8; codec::MESSAGE_LEN]> {
-        let interval_ms = if self.is_settled {
-            MESSAGE_INTERVAL_MS
-        } else {
-            STARTUP_MESSAGE_INTERVAL_MS
-        };
-        if now_ms - self.message_sent_ms < interval_ms || self.config.levels.is_empty() {
-            return None;
-        }
-        self.message_sent_ms = now_ms;
-        self.sequence_number = self.sequence_number.wrapping_add(1);
-        let depth = if self.is_settled {
-            depth_byte(self.depth)
-        } else {
-            DEPTH_UNKNOWN
-        };
-        Some(codec::encode(PeerReport {
-            config_fingerprint: self.config_fingerprint,
-            depth,
-            wanted_depth: depth_byte(self.wanted_depth()),
-            sequence_number: self.sequence_number,
-        }))
-    }
-
-    /// Takes a peer's message. One with another configuration, or older than what is known, is ignored.
-    pub fn handle_peer_message(&mut self, peer: u32, content: &[u8], now_ms: f64) {
-        let Ok(report) = codec::decode(content) else {
-            return;
-        };
-        if report.config_fingerprint != self.config_fingerprint {
-            return;
-        }
-        let now_ms = now_ms.max(self.now_ms);
-        if report.depth == DEPTH_UNKNOWN {
-            self.answer_new_instance(now_ms);
-            return;
+/// The last report of each peer.
+#[derive(Debug, Clone)]
+pub(super) struct PeerReports {
+    peers: Vec<Peer>,
+    /// Number of peers at the last call of [`PeerReports::detect_loss`].
+    previous_count: usize,
+    /// Time of the last loss of a peer.
+    lost_ms: f64,
+}
+
+impl PeerReports {
+    /// Without peers.
+    pub fn new() -> Self {
+        PeerReports {
+            peers: Vec::new(),
+            previous_count: 0,
+            lost_ms: LONG_AGO_MS,
         }
+    }
+
+    /// All peers with their last reports.
+    pub fn all(&self) -> &[Peer] {
+        &self.peers
+    }
+
+    /// Number of peers.
+    pub fn count(&self) -> usize {
+        self.peers.len()
+    }
+
+    /// Number of peers at the last call of [`PeerReports::detect_loss`].
+    pub fn previous_count(&self) -> usize {
+        self.previous_count
+    }
+
+    /// Time of the last loss of a peer (ms).
+    pub fn lost_ms(&self) -> f64 {
+        self.lost_ms
+    }
+
+    /// Records a peer's report, unless a newer one is known or there are too many peers.
+    pub fn record(&mut self, peer: u32, report: PeerReport, now_ms: f64) {
         let has_room = self.peers.len() < MAX_PEERS;
         match self.peers.iter_mut().find(|known| known.number == peer) {
             Some(known) if is_newer(report.sequence_number, known.report.sequence_number) => {
@@ -80,30 +83,23 @@
         }
     }
 
-    /// A new instance is answered with the next message, and does not count before it has begun. Many of them, or one
-    /// that asks without end, are answered together.
-    fn answer_new_instance(&mut self, now_ms: f64) {
-        if now_ms - self.message_sent_ms >= STARTUP_MESSAGE_INTERVAL_MS {
-            self.message_sent_ms = LONG_AGO_MS;
-        }
-    }
-
-    pub(super) fn forget_silent_peers(&mut self) {
-        let now_ms = self.now_ms;
+    /// Removes peers whose last report is older than [`PEER_LIFETIME_MS`].
+    pub fn remove_expired(&mut self, now_ms: f64) {
         self.peers
             .retain(|peer| now_ms - peer.received_ms < PEER_LIFETIME_MS);
     }
 
-    /// A peer that is lost may have been what kept a level in force: from here on what else is known must hold anew.
-    pub(super) fn note_lost_peers(&mut self) {
-        if self.peers.len() < self.previous_peer_count {
-            self.peer_lost_ms = self.now_ms;
+    /// Records the time if there are fewer peers than at the last call. The lost peer may have been the reason for the
+    /// level in force, so a step back must be wanted anew from then on.
+    pub fn detect_loss(&mut self, now_ms: f64) {
+        if self.peers.len() < self.previous_count {
+            self.lost_ms = now_ms;
         }
-        self.previous_peer_count = self.peers.len();
+        self.previous_count = self.peers.len();
     }
 
     /// The depths in force at the peers, sorted.
-    pub(super) fn reported_depths(&self) -> Vec<usize> {
+    pub fn depths(&self) -> Vec<usize> {
         let mut depths: Vec<usize> = self
             .peers
             .iter()
@@ -113,7 +109,8 @@
         depths
     }
 
-    pub(super) fn depths_wanted_by_peers(&self) -> Vec<usize> {
+    /// The depths that the peers' own signals call for.
+    pub fn wanted_depths(&self) -> Vec<usize> {
         self.peers
             .iter()
             .map(|peer| usize::from(peer.report.wanted_depth))
@@ -121,12 +118,59 @@
     }
 }
 
-/// A depth as a message holds it: below [`DEPTH_UNKNOWN`].
-fn depth_byte(depth: usize) -> u8 {
-    depth.min(usize::from(DEPTH_UNKNOWN) - 1) as u8
-}
-
 fn is_newer(sequence_number: u16, than: u16) -> bool {
     let ahead = sequence_number.wrapping_sub(than);
     (1..SEQUENCE_HALF_RANGE).contains(&ahead) || sequence_number <= MAX_RESTARTED_SEQUENCE
 }
+
+/// When messages to peers are sent, and their sequence numbers.
+#[derive(Debug, Clone)]
+pub(super) struct MessageSchedule {
+    sent_ms: f64,
+    sequence_number: u16,
+}
+
+impl MessageSchedule {
+    /// The first message is due at once.
+    pub fn new() -> Self {
+        MessageSchedule {
+            sent_ms: LONG_AGO_MS,
+            sequence_number: 0,
+        }
+    }
+
+    /// Time of the last message (ms); long ago if one is due at once.
+    pub fn sent_ms(&self) -> f64 {
+        self.sent_ms
+    }
+
+    /// Whether a message is due. `is_settled`: this instance has chosen its initial depth.
+    pub fn is_due(&self, is_settled: bool, now_ms: f64) -> bool {
+        let interval_ms = if is_settled {
+            MESSAGE_INTERVAL_MS
+        } else {
+            STARTUP_MESSAGE_INTERVAL_MS
+        };
+        now_ms - self.sent_ms >= interval_ms
+    }
+
+    /// Records that a message is sent now, and returns its sequence number.
+    pub fn next_sequence_number(&mut self, now_ms: f64) -> u16 {
+        self.sent_ms = now_ms;
+        self.sequence_number = self.sequence_number.wrapping_add(1);
+        self.sequence_number
+    }
+
+    /// Makes the next message due at once.
+    pub fn send_at_once(&mut self) {
+        self.sent_ms = LONG_AGO_MS;
+    }
+
+    /// Answers a new instance with the next message. Several of them, or one that asks repeatedly, get one message for
+    /// each [`STARTUP_MESSAGE_INTERVAL_MS`].
+    pub fn answer_new_instance(&mut self, now_ms: f64) {
+        if now_ms - self.sent_ms >= STARTUP_MESSAGE_INTERVAL_MS {
+            self.send_at_once();
+        }
+    }
+}
--- a/crates/service-levels/src/state_machine/steps.rs
+++ b/crates/service-levels/src/state_machine/steps.rs
@@ -1,19 +1,50 @@
-//! Steps deeper and back, one at a time.
+//! The initial depth, then steps deeper and back, one at a time.
 
-use super::{LevelChange, LevelStateMachine, Reason, SignalReading, MIN_CHANGE_INTERVAL_MS};
+use super::{LevelChange, LevelStateMachine, Reason};
 
-/// A depth that is wanted, and why.
+/// The depth that the dispatchers agree on, or that an operator pinned.
 struct Wanted {
     depth: usize,
     reason: Reason,
 }
 
 impl LevelStateMachine {
+    /// Chooses the initial depth: the level that an operator pinned, else the median of the depths that peers reported,
+    /// else the depth by the last readings.
+    pub(super) fn choose_initial_depth(&mut self) -> Option<&LevelChange> {
+        self.is_settled = true;
+        self.depth.restart(self.now_ms);
+        let reported = self.peers.depths();
+        let peers = reported.len();
+        let pinned = self.pin.filter(|pin| self.now_ms < pin.until_ms);
+        let depth = match (pinned, reported.get(peers / 2)) {
+            (Some(pin), _) => pin.depth,
+            (None, Some(median)) => *median,
+            (None, None) => self.depth_by_readings(),
+        };
+        let depth = depth.min(self.config.levels.len());
+        if depth == 0 {
+            return None;
+        }
+        self.triggers.switch_on(depth);
+        self.change_depth(depth, Reason::Startup { peers })
+    }
+
+    /// The depth whose conditions the last readings meet, regardless of hold times.
+    fn depth_by_readings(&self) -> usize {
+        let is_met = |level: &usize| {
+            let condition = &self.config.levels[*level].enter;
+            self.triggers.is_met_by_readings(*level, condition)
+        };
+        (0..self.config.levels.len()).take_while(is_met).count()
+    }
+
+    /// Makes one step towards the wanted depth, if it is allowed now.
     pub(super) fn step(&mut self) -> Option<&LevelChange> {
         let now_ms = self.now_ms;
         self.pin = self.pin.filter(|pin| now_ms < pin.until_ms);
         let own_depth = self.wanted_depth();
-        self.note_lost_peers();
+        self.peers.detect_loss(now_ms);
         let wanted = match self.pin {
             Some(pin) => Wanted {
                 depth: pin.depth,
@@ -21,26 +52,27 @@
             },
             None => self.agreed_depth(own_depth),
         };
-        if wanted.depth < self.depth {
+        let depth = self.depth();
+        if wanted.depth < depth {
             return self.step_back(own_depth, wanted.reason);
         }
         self.recovering_since_ms = None;
-        if wanted.depth > self.depth && self.may_change(self.depth) {
-            return self.change_depth(self.depth + 1, wanted.reason);
+        if wanted.depth > depth && self.depth.may_change(depth, now_ms) {
+            return self.change_depth(depth + 1, wanted.reason);
         }
         None
     }
 
-    /// One step towards full service, once less has been wanted for long enough.
+    /// Makes one step towards full service, once a lower depth has been wanted for long enough.
     fn step_back(&mut self, own_depth: usize, reason: Reason) -> Option<&LevelChange> {
         let now_ms = self.now_ms;
         let since_ms = *self.recovering_since_ms.get_or_insert(now_ms);
-        let level = self.depth - 1;
-        let has_stayed = now_ms - self.depth_since_ms >= self.config.levels[level].min_stay_ms;
-        let wanted_for_ms = now_ms - since_ms.max(self.peer_lost_ms);
+        let level = self.depth() - 1;
+        let has_stayed = now_ms - self.depth.since_ms() >= self.config.levels[level].min_stay_ms;
+        let wanted_for_ms = now_ms - since_ms.max(self.peers.lost_ms());
         let has_cleared =
             self.pin.is_some() || wanted_for_ms >= self.clearing_time_ms(level, own_depth);
-        if has_stayed && has_cleared && self.may_change(level) {
+        if has_stayed && has_cleared && self.depth.may_change(level, now_ms) {
             return self.change_depth(level, reason);
         }
         None
@@ -48,16 +80,13 @@
 
     /// Whether a level's condition holds, by its latches.
     fn holds(&self, level: usize) -> bool {
-        let condition = &self.config.levels[level].enter;
-        let (all, any) = self.triggers[level].split_at(condition.all.len());
-        all.iter().all(|state| state.latch.is_on)
-            && (any.is_empty() || any.iter().any(|state| state.latch.is_on))
+        self.triggers.holds(level, &self.config.levels[level].enter)
     }
 
-    /// The depth that own signals ask for: deeper through all levels that hold. A level in force that holds keeps the
-    /// milder ones in force.
+    /// The depth that own signals call for: the deepest level in force whose condition holds, and from there on all
+    /// further levels whose conditions hold.
     pub(super) fn wanted_depth(&self) -> usize {
-        let mut wanted = (0..self.depth)
+        let mut wanted = (0..self.depth())
             .rev()
             .find(|level| self.holds(*level))
             .map_or(0, |level| level + 1);
@@ -67,25 +96,26 @@
         wanted
     }
 
-    /// How long less must be wanted before a step back. Where own signals want it, their latches have waited already;
-    /// where only peers do, or a peer that may have wanted the level was lost, the same time passes here.
+    /// How long a lower depth must be wanted before a step back (ms). If own signals want it, their latches have already
+    /// waited. If only peers want it, or a peer that may have wanted the level was lost, the same time passes here.
     fn clearing_time_ms(&self, level: usize, own_depth: usize) -> f64 {
         let longest_hold_ms = self.config.levels[level]
             .enter
             .triggers()
             .map(|trigger| trigger.leave_hold_ms)
             .fold(0.0, f64::max);
-        if own_depth >= self.depth || self.now_ms - self.peer_lost_ms < longest_hold_ms {
+        let lost_lately = self.now_ms - self.peers.lost_ms() < longest_hold_ms;
+        if own_depth >= self.depth() || lost_lately {
             longest_hold_ms
         } else {
             0.0
         }
     }
 
-    /// The median of what this dispatcher and its peers want, so that no one drags all others; of two medians the one
-    /// nearer to what is wanted here. Own signals where there is no report of a peer.
+    /// The median of the depths that this dispatcher and its peers want, so that no single one decides for all. Of two
+    /// medians the one nearer to this dispatcher's own. Without peers it is the own depth.
     fn agreed_depth(&self, own_depth: usize) -> Wanted {
-        let mut wanted = self.depths_wanted_by_peers();
+        let mut wanted = self.peers.wanted_depths();
         wanted.push(own_depth);
         wanted.sort_unstable();
         let lower_median = wanted[(wanted.len() - 1) / 2];
@@ -97,7 +127,7 @@
             self.own_reason(own_depth)
         } else {
             Reason::Peers {
-                peers: self.peers.len(),
+                peers: self.peers.count(),
                 wanted_depth: depth,
             }
         };
@@ -106,29 +136,16 @@
 
     /// The signals that switched on for the next deeper level, or off for the level in force.
     fn own_reason(&self, own_depth: usize) -> Reason {
-        let deepens = own_depth > self.depth;
+        let depth = self.depth();
+        let deepens = own_depth > depth;
         let index = if deepens {
-            self.depth
+            depth
         } else {
-            self.depth.saturating_sub(1)
+            depth.saturating_sub(1)
         };
         let Some(level) = self.config.levels.get(index) else {
             return Reason::Signals(Vec::new());
         };
-        let mut switched = Vec::new();
-        for (trigger, state) in level.enter.triggers().zip(&self.triggers[index]) {
-            if state.latch.is_on == deepens {
-                switched.push(SignalReading {
-                    signal: trigger.signal.name(),
-                    reading: self.readings[state.reading_index],
-                });
-            }
-        }
-        Reason::Signals(switched)
-    }
-
-    /// Whether a level may change: the one place where the promised interval is kept.
-    fn may_change(&self, level: usize) -> bool {
-        self.now_ms - self.level_changed_ms[level] >= MIN_CHANGE_INTERVAL_MS
+        Reason::Signals(self.triggers.readings_of(index, &level.enter, deepens))
     }
 }
