--- a/crates/dispatcher/src/check.rs
+++ b/crates/dispatcher/src/check.rs
@@ -1,4 +1,4 @@
-//! `tansymux check`: reports every fault of configurations and operators' files.
+//! `tansymux check`: reports all errors of configurations and operators' files.
 
 use crate::config::{self, locate, ConfigError, StartupConfig};
 use crate::file::read_text;
@@ -7,51 +7,51 @@
 use std::process::ExitCode;
 use tansymux_operator_config::Operator;
 
-/// Files that have no fault of their own.
+/// Files that are valid on their own.
 #[derive(Default)]
 struct ValidFiles {
     configs: Vec<StartupConfig>,
-    /// With their paths.
+    /// Operators' files with their paths.
     operators: Vec<(String, Operator)>,
 }
 
-/// Runs the command: prints all faults, a line each. The exit code is 1 if there are any.
+/// Runs the command: prints all errors, one a line. The exit code is 1 if there are any.
 pub fn run(files: &[PathBuf]) -> ExitCode {
-    let faults = find_faults(files);
-    for fault in &faults {
-        println!("{fault}");
+    let lines = find_errors(files);
+    for line in &lines {
+        println!("{line}");
     }
-    if faults.is_empty() {
+    if lines.is_empty() {
         println!("no fault in {} files", files.len());
         return ExitCode::SUCCESS;
     }
     ExitCode::FAILURE
 }
 
-/// The lines to print: faults of each file, then those of operators' files that do not go with the configurations.
-fn find_faults(files: &[PathBuf]) -> Vec<String> {
-    let mut faults = Vec::new();
+/// The lines to print: the errors of each file, then the contradictions between operators' files and configurations.
+fn find_errors(files: &[PathBuf]) -> Vec<String> {
+    let mut lines = Vec::new();
     let mut valid = ValidFiles::default();
     for path in files {
-        check_file(path, &mut valid, &mut faults);
+        check_file(path, &mut valid, &mut lines);
     }
     for config in &valid.configs {
         for (path, operator) in &valid.operators {
             if let Err(errors) = check_against_settings(operator, &config.settings) {
-                faults.extend(errors.0.iter().map(|error| format!("{path}: {error}")));
+                lines.extend(errors.0.iter().map(|error| format!("{path}: {error}")));
             }
         }
     }
-    faults
+    lines
 }
 
-/// A file that begins with a brace is a configuration, any other an operators' file.
-fn check_file(path: &Path, valid: &mut ValidFiles, faults: &mut Vec<String>) {
+/// Checks one file. A file that begins with a brace is a configuration, any other an operators' file.
+fn check_file(path: &Path, valid: &mut ValidFiles, lines: &mut Vec<String>) {
     let name = path.display().to_string();
     let text = match read_text(&name, config::MAX_CONFIG_BYTES) {
         Ok(text) => text,
         Err(error) => {
-            faults.push(error.to_string());
+            lines.push(error.to_string());
             return;
         }
     };
@@ -60,20 +60,20 @@
             Ok(config) => valid.configs.push(config),
             Err(errors) => {
                 for error in locate(errors, &text) {
-                    faults.push(config_fault(&name, error));
+                    lines.push(error_line(&name, error));
                 }
             }
         }
     } else {
         match operator_config::read(path) {
             Ok(operator) => valid.operators.push((name, operator)),
-            Err(errors) => faults.extend(errors.0.iter().map(ToString::to_string)),
+            Err(errors) => lines.extend(errors.0.iter().map(ToString::to_string)),
         }
     }
 }
 
-/// The line behind the file's name, as compilers write it.
-fn config_fault(path: &str, error: ConfigError) -> String {
+/// The error in the form of compilers: path, line, error.
+fn error_line(path: &str, error: ConfigError) -> String {
     match error.line {
         Some(line) => {
             let error = ConfigError {
--- a/crates/dispatcher/src/classify.rs
+++ b/crates/dispatcher/src/classify.rs
@@ -11,11 +11,11 @@
 
 /// Longest entry that is read, in bytes. A longer one is answered with an error and skipped up to its separator.
 const MAX_ENTRY_BYTES: usize = 256 * 1024;
-/// Key of the hash of shapes. It is fixed, so that shapes get the same names in every run: input of this command is
-/// not an attacker's.
+/// Hash key of shapes. It is fixed, so that a shape has the same id in every run: the input of this command is not an
+/// attacker's.
 const SHAPE_HASH_KEY: [u8; 16] = *b"tansymuxclassify";
 
-/// Why an entry has no statement to read.
+/// An entry without a valid statement.
 #[derive(Debug, thiserror::Error)]
 enum EntryError {
     #[error("not JSON: {0}")]
@@ -28,23 +28,23 @@
     TooLong,
 }
 
-/// An entry of the input: the id that its line of output gets, and its statement.
+/// An entry of the input: the id for its line of output, and its statement.
 struct Entry {
     id: Value,
     statement: Result<Vec<u8>, EntryError>,
 }
 
-/// What [`read_entry`] found.
+/// The result of [`read_entry`].
 enum EntryRead {
     Whole,
     TooLong,
     EndOfInput,
 }
 
-/// How entries are written in the input.
+/// The format of the input's entries.
 #[derive(Debug, Clone, Copy)]
 struct InputFormat {
-    /// Each entry is a statement, and not an object with `id` and `statement`.
+    /// Each entry is a plain statement instead of an object with `id` and `statement`.
     plain: bool,
     /// The byte that ends an entry.
     separator: u8,
@@ -72,7 +72,7 @@
     Ok(EntryRead::TooLong)
 }
 
-/// `number` (from 1) is the id of a plain statement.
+/// Parses an entry. `number` (from 1) is the id of a plain statement.
 fn parse_entry(bytes: &[u8], plain: bool, number: usize) -> Entry {
     if plain {
         return Entry {
@@ -100,7 +100,8 @@
     }
 }
 
-/// The line of output for one entry. Without a statement it says what an empty one would get, and the error.
+/// The line of output for one entry. An entry without a valid statement has the result of an empty statement, and the
+/// error.
 fn describe(analyzer: &mut StatementAnalyzer, entry: &Entry) -> Value {
     let (statement, error) = match &entry.statement {
         Ok(statement) => (statement.as_slice(), None),
@@ -126,7 +127,7 @@
 /// Runs the command.
 ///
 /// # Errors
-/// Reading the input or writing the output failed. Entries read before that have their lines.
+/// Reading the input or writing the output failed. Earlier entries have their lines.
 pub fn run(arguments: &Classify, operator: &Operator) -> io::Result<()> {
     let config = operator
         .statements
--- a/crates/dispatcher/src/fleet_client.rs
+++ b/crates/dispatcher/src/fleet_client.rs
@@ -1,7 +1,7 @@
 //! `tansymux fleet`: sends one command to a member of the fleet, from a shell or a supervisor's script, and prints the
 //! answer.
 //!
-//! Start reading at [`run`]. Answers and the fleet's status are put into words in [`display`].
+//! Start reading at [`run`]. [`display`] has the texts of answers and of the fleet's status.
 
 mod display;
 
@@ -19,34 +19,36 @@
     ClientAction, FleetClient, FleetConfig, LeaseOutcome, LeaseRequest, RestartLease,
 };
 
+/// Milliseconds in a second.
+const MS_PER_S: f64 = 1000.0;
 /// Exit code: the fleet is halted.
 const EXIT_HALTED: u8 = 3;
-/// Exit code: no answer or no restart lease in time, or the fleet has no leader.
+/// Exit code: the answer or the restart lease timed out, or the fleet has no leader.
 const EXIT_TIMED_OUT: u8 = 4;
-/// How long one wait for a datagram lasts at most. Between two, the client sends what is due.
+/// Longest wait for a datagram. After each wait the client sends the datagrams that are due.
 const RECEIVE_TIMEOUT: Duration = Duration::from_millis(20);
 /// Longest datagram that is read, in bytes; messages of the fleet are shorter.
 const MAX_DATAGRAM_BYTES: usize = 512;
 
-/// Why a command could not be sent, or could not be put together.
+/// An error before or while a command is sent.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetClientError {
-    /// No operators' file was given, or it has no `fleet`.
+    /// No operators' file was given, or the file has no `fleet`.
     #[error("the operators' file defines no fleet: name one that does with --operator FILE")]
     NoFleet,
-    /// `fleet` is there without all its required keys.
+    /// A required key of `fleet` is missing.
     #[error("fleet: a required key is missing")]
     Incomplete,
-    /// `fleet.listen`, where commands go unless `--member` is given, cannot be used.
+    /// `fleet.listen`, the address of commands without `--member`, is not an address with a port.
     #[error("fleet.listen is {value:?}, allowed is an address with a port")]
     InvalidListen {
-        /// What stands in the file.
+        /// The value in the file.
         value: String,
     },
-    /// `resume` without a halt.
+    /// `resume` while the fleet is not halted.
     #[error("nothing is halted")]
     NotHalted,
-    /// `back` without a release.
+    /// `back` while there is no release.
     #[error("there is no release")]
     NoRelease,
     /// The socket failed.
@@ -57,8 +59,8 @@
 /// Runs one subcommand and prints its result.
 ///
 /// # Errors
-/// The operators' file does not say which fleet, there is nothing that the command could act on, or the socket failed.
-/// A command that the fleet refuses is no error here: its exit code says so.
+/// The operators' file defines no fleet, there is no halt or release that the command could act on, or the socket failed.
+/// A refusal by the fleet is no error: it is printed, and has its own exit code.
 pub fn run(arguments: &Fleet, operator: &Operator) -> Result<ExitCode, FleetClientError> {
     let fleet = operator.fleet.as_ref().ok_or(FleetClientError::NoFleet)?;
     let member = MemberConnection::open(arguments.member, fleet)?;
@@ -68,7 +70,7 @@
             to,
             dispatcher,
             wait_s,
-        } => member.wait_for_turn(to.as_deref(), dispatcher.as_deref(), *wait_s),
+        } => member.wait_for_lease(to.as_deref(), dispatcher.as_deref(), *wait_s),
         FleetCommand::Drain { engine } => member.drain(engine),
         FleetCommand::Undrain { engine } => member.execute(Command::Undrain {
             engine: u64::from(name_hash(engine)),
@@ -93,33 +95,33 @@
     }
 }
 
-/// The number of a new release or halt; never 0, which stands for none.
+/// A random number for a new release or halt; never 0, which means none.
 fn random_number() -> u32 {
     rand::rng().random::<u32>() | 1
 }
 
-/// A socket to one member of the fleet, with the keys that its datagrams are signed with.
+/// The address of the member that the operators' file configures.
+fn own_member(fleet: &schema::Fleet) -> Result<SocketAddr, FleetClientError> {
+    let listen = fleet.listen();
+    listen.parse().map_err(|_| FleetClientError::InvalidListen {
+        value: listen.to_owned(),
+    })
+}
+
+/// A socket to one member of the fleet, with the fleet's configuration: its keys sign the datagrams.
 struct MemberConnection {
     socket: UdpSocket,
     member: SocketAddr,
-    settings: FleetConfig,
+    config: FleetConfig,
     opened: Instant,
 }
 
 impl MemberConnection {
-    /// To `member`, or to the member that the operators' file belongs to.
+    /// Opens a socket to `member`, or else to the member that the operators' file configures.
     fn open(member: Option<SocketAddr>, fleet: &schema::Fleet) -> Result<Self, FleetClientError> {
-        let settings =
+        let config =
             tansymux_operator_config::fleet_config(fleet, 0).ok_or(FleetClientError::Incomplete)?;
-        let member = match member {
-            Some(member) => member,
-            None => fleet
-                .listen()
-                .parse()
-                .map_err(|_| FleetClientError::InvalidListen {
-                    value: fleet.listen().to_owned(),
-                })?,
-        };
+        let member = member.map_or_else(|| own_member(fleet), Ok)?;
         let local_ip = if member.ip().is_loopback() {
             [127, 0, 0, 1]
         } else {
@@ -130,25 +132,25 @@
         Ok(MemberConnection {
             socket,
             member,
-            settings,
+            config,
             opened: Instant::now(),
         })
     }
 
-    /// Milliseconds since the connection was opened: the clock of the protocol's client side.
+    /// Milliseconds since the socket was opened: the clock of the protocol's client side.
     fn now_ms(&self) -> f64 {
-        self.opened.elapsed().as_secs_f64() * 1000.0
+        self.opened.elapsed().as_secs_f64() * MS_PER_S
     }
 
-    /// Sends what is due, and passes on the one that arrives within [`RECEIVE_TIMEOUT`], if one does. A member that is
-    /// not there counts as one that does not answer.
+    /// Sends a datagram that is due, and passes the next datagram within [`RECEIVE_TIMEOUT`] to `receive`. A refused
+    /// connection counts as a missing answer.
     fn exchange(
         &self,
         outgoing: Option<ClientAction>,
         mut receive: impl FnMut(&[u8]),
     ) -> io::Result<()> {
         if let Some(ClientAction::Send { datagram }) = outgoing {
-            // A datagram that could not be sent is one that was lost: the client sends it again.
+            // A datagram that cannot be sent counts as lost: the client sends it again.
             let _ = self.socket.send_to(&datagram, self.member);
         }
         let mut buffer = [0; MAX_DATAGRAM_BYTES];
@@ -165,9 +167,9 @@
         Ok(())
     }
 
-    /// Sends a command until it is answered or its time is over.
+    /// Sends a command repeatedly until it is answered or times out.
     fn request(&self, command: Command) -> io::Result<Answer> {
-        let keys = self.settings.keys.clone();
+        let keys = self.config.keys.clone();
         let mut client = FleetClient::new(keys, command, self.now_ms(), rand::rng().random());
         loop {
             let outgoing = client.poll(self.now_ms());
@@ -178,13 +180,13 @@
         }
     }
 
-    /// A command whose answer is done or refused.
+    /// Sends a command whose answer is either success or a refusal, and prints the answer.
     fn execute(&self, command: Command) -> Result<ExitCode, FleetClientError> {
         let answer = self.request(command)?;
         Ok(report(&answer))
     }
 
-    /// A command that names what is in force, a halt or a release, by its number.
+    /// Sends a command that refers to the current halt or release by its number, which `command` takes from the status.
     fn execute_on_status(
         &self,
         command: impl Fn(&Status) -> Result<Command, FleetClientError>,
@@ -249,26 +251,26 @@
         })
     }
 
-    /// Waits for the lease under which a dispatcher may restart, and prints its number and the seconds that it lasts.
-    fn wait_for_turn(
+    /// Waits for a restart lease, and prints its number and the seconds that it is valid.
+    fn wait_for_lease(
         &self,
         to: Option<&str>,
         dispatcher: Option<&str>,
         wait_s: f64,
     ) -> Result<ExitCode, FleetClientError> {
         let request = LeaseRequest {
-            keys: self.settings.keys.clone(),
+            keys: self.config.keys.clone(),
             dispatcher: dispatcher.map_or(0, member_id_of),
             to: to.map_or(0, name_hash),
-            max_clock_skew: self.settings.quorum.max_clock_skew,
-            max_wait_ms: wait_s * 1000.0,
+            max_clock_skew: self.config.quorum.max_clock_skew,
+            max_wait_ms: wait_s * MS_PER_S,
         };
         let mut lease = RestartLease::new(request, self.now_ms(), rand::rng().random());
         loop {
             let outgoing = lease.poll(self.now_ms());
             match lease.outcome() {
                 Some(LeaseOutcome::Granted { until_ms }) => {
-                    let remaining_s = ((until_ms - self.now_ms()) / 1000.0).max(0.0);
+                    let remaining_s = ((until_ms - self.now_ms()) / MS_PER_S).max(0.0);
                     println!("{:016x} {remaining_s:.1}", lease.grant_id());
                     return Ok(ExitCode::SUCCESS);
                 }
@@ -287,7 +289,7 @@
     }
 }
 
-/// Prints an answer and gives the exit code that stands for it.
+/// Prints an answer and returns its exit code.
 fn report(answer: &Answer) -> ExitCode {
     if matches!(answer, Answer::Done | Answer::Granted { .. }) {
         println!("done");
--- a/crates/dispatcher/src/log.rs
+++ b/crates/dispatcher/src/log.rs
@@ -1,7 +1,7 @@
 //! The log: `tracing` events on standard error, as text or JSON lines, rate limited for each call site.
 //!
-//! Level, form and rate may change while the program runs. A line that the rate limit suppresses is counted, and the
-//! next line of its call site says how many were; [`finish`] reports what is left at the end.
+//! Level, format and rate may change while the program runs. Lines that the rate limit suppresses are counted; the next
+//! line of the call site is preceded by their number, and [`finish`] reports the remaining numbers at the end.
 
 use crate::cli::{Common, LogFormat, LogLevel};
 use std::cell::RefCell;
@@ -38,7 +38,7 @@
     /// Lines that may be written now.
     tokens: f64,
     refilled_at: Instant,
-    /// Lines that were suppressed since the last one that was written.
+    /// Lines suppressed since the call site's last written line.
     suppressed: u64,
     callsite: &'static Metadata<'static>,
 }
@@ -75,7 +75,7 @@
     })
 }
 
-/// How many lines of this call site were suppressed since its last line; counts anew from here.
+/// The number of lines suppressed since the call site's last written line. Resets it.
 fn take_suppressed(callsite: &Metadata) -> u64 {
     RATE_LIMITS.with_borrow_mut(|limits| {
         limits
@@ -89,12 +89,12 @@
     SUPPRESSED.load(Relaxed)
 }
 
-/// The level that is in force.
+/// The current level.
 fn current_level() -> Level {
     LEVELS[usize::from(LEVEL.load(Relaxed))]
 }
 
-/// Lets events pass by their level and by their call site's rate.
+/// Filters events by their level and by their call site's rate limit.
 struct LevelAndRateFilter;
 
 impl<S: Subscriber> Filter<S> for LevelAndRateFilter {
@@ -111,13 +111,13 @@
     }
 }
 
-/// Writes an event in the form that is in force, after a line on what its call site suppressed.
+/// Writes an event in the current format, preceded by the number of suppressed lines of its call site.
 struct LineFormat {
     text: Format<Compact>,
     json: Format<Json>,
 }
 
-/// Writes the line that says how many lines of a call site were suppressed.
+/// Writes a line with the number of suppressed lines of a call site.
 fn write_suppressed(writer: &mut Writer<'_>, callsite: &Metadata, count: u64) -> std::fmt::Result {
     let file = callsite.file().unwrap_or("");
     let line = callsite.line().unwrap_or(0);
@@ -170,11 +170,11 @@
         .event_format(format)
         .with_writer(std::io::stderr)
         .with_filter(LevelAndRateFilter);
-    // The only error is that there is one already.
+    // The only error is that a subscriber is already set.
     let _ = tracing::subscriber::set_global_default(tracing_subscriber::registry().with(layer));
 }
 
-/// Applies what the flags say, else the operators' file, else its defaults.
+/// Applies the flags, else the operators' file, else its defaults.
 pub fn configure(common: &Common, definition: Option<&schema::Log>) {
     let definition = definition.copied().unwrap_or_default();
     let level = match common.log_level {
@@ -197,7 +197,7 @@
     }
 }
 
-/// Reports suppressed lines whose call site wrote none after them. Called at the end.
+/// Reports the suppressed lines of call sites that wrote no further line. Called at the end of the program.
 pub fn finish() {
     let mut unreported = Vec::new();
     RATE_LIMITS.with_borrow_mut(|limits| {
--- a/crates/dispatcher/src/main.rs
+++ b/crates/dispatcher/src/main.rs
@@ -3,8 +3,8 @@
 //!
 //! It owns sockets, files, the clock and everything in flight; it decides nothing about queries itself. Start reading
 //! at [`dispatcher`], the driver. [`lifecycle`] has the phases from start to end, [`config`] the startup configuration,
-//! [`query_registry`] the queries in flight, [`client`] and [`engine`] the two sides, [`subsystems`] what is fed beside
-//! the decisions.
+//! [`query_registry`] the queries in flight, [`client`] and [`engine`] the two sides, [`subsystems`] the optional parts
+//! such as service levels and zone routing.
 
 mod check;
 mod classify;
@@ -54,10 +54,10 @@
     }
 }
 
-/// Why a command failed; printed, with exit code 1.
+/// An error of a command, which is printed and ends the program with exit code 1.
 #[derive(Debug, thiserror::Error)]
 enum CommandError {
-    /// Each fault on a line of its own, with the program's name before it as before the first.
+    /// Errors of the operators' file, one a line, each with the program's name as prefix.
     #[error("{}", .0.joined_by("\ntansymux: "))]
     OperatorConfig(#[from] OperatorConfigErrors),
     #[error("signal handlers cannot be set: {0}")]
@@ -84,7 +84,7 @@
             let operator = operator_config::read_optional(cli.common.operator.as_deref())?;
             match classify::run(arguments, &operator) {
                 Ok(()) => Ok(ExitCode::SUCCESS),
-                // The reader of the output closed it: it has what it wanted.
+                // The reader closed the output, as `head` does: no error.
                 Err(error) if error.kind() == io::ErrorKind::BrokenPipe => Ok(ExitCode::SUCCESS),
                 Err(error) => Err(CommandError::Classify(error)),
             }
@@ -94,7 +94,7 @@
 
 fn serve(common: Common) -> Result<ExitCode, CommandError> {
     log::init();
-    // Before anything else: a signal without a handler ends the process, also a SIGHUP that only asks for a reload.
+    // Handlers first: without one, a SIGHUP or SIGTERM during the start ends the process at once.
     let retry = StartRetry::begin();
     let signals = retry
         .run("signals", signals::subscribe)
--- a/crates/dispatcher/src/operator_config.rs
+++ b/crates/dispatcher/src/operator_config.rs
@@ -1,6 +1,6 @@
 //! The operators' file on disk: read and checked at the start and at SIGHUP, and checked against the settings.
 //!
-//! A file with any fault is rejected whole.
+//! A file with an error is rejected, and nothing of it is applied.
 
 mod settings_check;
 
@@ -10,32 +10,32 @@
 use std::path::Path;
 use tansymux_operator_config::{ConfigError, Operator, MAX_BYTES};
 
-/// One reason to reject an operators' file.
+/// One error of an operators' file.
 #[derive(Debug, thiserror::Error)]
 pub enum OperatorConfigError {
-    /// It cannot be read.
+    /// The file cannot be read.
     #[error(transparent)]
     File(#[from] FileError),
-    /// A fault in the file itself.
+    /// The file itself is invalid.
     #[error("{path}:{error}")]
     Invalid {
-        /// The file.
+        /// The file's path.
         path: String,
-        /// Line, key, what was there and what is allowed.
+        /// The error with its line, key, value and the allowed values.
         error: ConfigError,
     },
-    /// It does not go with the settings.
+    /// The file contradicts the settings.
     #[error(transparent)]
     Mismatch(#[from] SettingsMismatch),
 }
 
-/// All reasons to reject an operators' file.
+/// All errors of an operators' file.
 #[derive(Debug, thiserror::Error)]
 #[error("{}", self.joined_by("; "))]
 pub struct OperatorConfigErrors(pub Vec<OperatorConfigError>);
 
 impl OperatorConfigErrors {
-    /// Their texts, with a separator between them.
+    /// The texts of all errors, with a separator between them.
     pub fn joined_by(&self, separator: &str) -> String {
         let texts: Vec<String> = self.0.iter().map(ToString::to_string).collect();
         texts.join(separator)
@@ -45,25 +45,21 @@
 /// Reads and checks a file.
 ///
 /// # Errors
-/// The file cannot be read, or has faults: all of them.
+/// The file cannot be read, or is invalid: then all of its errors.
 pub fn read(path: &Path) -> Result<Operator, OperatorConfigErrors> {
     let path = path.display().to_string();
     let text = read_text(&path, MAX_BYTES as u64)
         .map_err(|error| OperatorConfigErrors(vec![error.into()]))?;
     tansymux_operator_config::parse(&text).map_err(|errors| {
-        let mut invalid = Vec::new();
-        for error in &errors {
-            let path = path.clone();
-            invalid.push(OperatorConfigError::Invalid {
-                path,
-                error: error.clone(),
-            });
-        }
-        OperatorConfigErrors(invalid)
+        let invalid = errors.iter().map(|error| OperatorConfigError::Invalid {
+            path: path.clone(),
+            error: error.clone(),
+        });
+        OperatorConfigErrors(invalid.collect())
     })
 }
 
-/// Reads and checks a file if there is one; else gives what an empty file gives.
+/// Reads and checks the file, if a path is given; otherwise returns the configuration of an empty file.
 ///
 /// # Errors
 /// As [`read`].
--- a/crates/dispatcher/src/operator_config/settings_check.rs
+++ b/crates/dispatcher/src/operator_config/settings_check.rs
@@ -1,5 +1,5 @@
-//! Whether an operators' file goes with the settings: its resource groups must be there, and those for statements that
-//! may change tables must be groups of such queries.
+//! Check of an operators' file against the settings: the settings must have the resource groups that it names, and the
+//! groups for statements that may write must be non-idempotent.
 
 use super::{OperatorConfigError, OperatorConfigErrors};
 use crate::config::{read_groups, ConfiguredGroup};
@@ -8,40 +8,40 @@
 use tansymux_operator_config::schema::{Groups, Halls, Levels};
 use tansymux_operator_config::Operator;
 
-/// A key of the operators' file that does not go with the settings.
+/// A key of the operators' file that contradicts the settings.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsMismatch {
-    /// It names a group that the settings do not have, among other names.
+    /// One of the names below the key is a group that the settings do not have.
     #[error("{key} names {name:?}, allowed is a resource group of the settings")]
     UnknownName {
         /// Path of the key.
         key: String,
-        /// What it names.
+        /// The unknown name.
         name: String,
     },
-    /// Its value is a group that the settings do not have.
+    /// The key's value is a group that the settings do not have.
     #[error("{key} is {name:?}, allowed is a resource group of the settings")]
     UnknownGroup {
         /// Path of the key.
         key: String,
-        /// Its value.
+        /// The key's value.
         name: String,
     },
-    /// Statements that may change tables would run in a group whose queries are retried.
+    /// Statements that may write would run in a group whose queries are retried.
     #[error(
         "{key} is {name:?} with the effect {effect:?}, allowed is a group of mutating queries"
     )]
     NotMutating {
         /// Path of the key.
         key: String,
-        /// Its value.
+        /// The key's value.
         name: String,
         /// The group's effect in the settings.
         effect: String,
     },
 }
 
-/// Checks that the file goes with the settings.
+/// Checks the file against the settings.
 ///
 /// # Errors
 /// All mismatches, in the order of the file's parts.
@@ -68,11 +68,12 @@
     Err(OperatorConfigErrors(errors.collect()))
 }
 
-fn find<'a>(groups: &'a [ConfiguredGroup], name: &str) -> Option<&'a ConfiguredGroup> {
+/// The group with this name.
+fn find_group<'a>(groups: &'a [ConfiguredGroup], name: &str) -> Option<&'a ConfiguredGroup> {
     groups.iter().find(|group| group.is_named(name))
 }
 
-/// Groups that the terms and acts of service levels name.
+/// Checks the groups that the conditions and degradations of service levels name.
 fn check_levels(
     levels: &Levels,
     groups: &[ConfiguredGroup],
@@ -82,7 +83,7 @@
         let mut names = Vec::new();
         if let Some(enter) = &level.enter {
             for term in enter.all.iter().chain(&enter.any) {
-                // `of` is a zone there.
+                // `of` names a zone for this signal, and a group for all others.
                 if term.signal() != Pressed {
                     names.extend(term.of.as_deref());
                 }
@@ -92,7 +93,7 @@
             names.extend(act.class.iter().map(|class| class.name()));
         }
         for name in names {
-            if find(groups, name).is_none() {
+            if find_group(groups, name).is_none() {
                 mismatches.push(SettingsMismatch::UnknownName {
                     key: format!("levels.level.{index}"),
                     name: name.to_owned(),
@@ -102,12 +103,12 @@
     }
 }
 
-/// Groups that routes and spill limits name; none stands for all.
+/// Checks the groups that routes and spill limits name. An empty name means all groups.
 fn check_zones(zones: &Halls, groups: &[ConfiguredGroup], mismatches: &mut Vec<SettingsMismatch>) {
     let routed = zones.route.iter().map(|route| route.class());
     let spilled = zones.spill.iter().map(|spill| spill.class());
     for name in routed.chain(spilled) {
-        if !name.is_empty() && find(groups, name).is_none() {
+        if !name.is_empty() && find_group(groups, name).is_none() {
             mismatches.push(SettingsMismatch::UnknownName {
                 key: "halls".to_owned(),
                 name: name.to_owned(),
@@ -116,7 +117,7 @@
     }
 }
 
-/// The groups that statements without a class run in.
+/// Checks the groups of statements without a class.
 fn check_statement_groups(
     named: &Groups,
     groups: &[ConfiguredGroup],
@@ -128,7 +129,7 @@
     check_mutating_group("unknown", named.unknown.as_deref(), groups, mismatches);
 }
 
-/// The group must be there, if one is named.
+/// Checks that the settings have the group, if one is named. Returns the group if it exists.
 fn check_statement_group<'a>(
     key: &str,
     name: Option<&str>,
@@ -136,7 +137,7 @@
     mismatches: &mut Vec<SettingsMismatch>,
 ) -> Option<&'a ConfiguredGroup> {
     let name = name?;
-    let group = find(groups, name);
+    let group = find_group(groups, name);
     if group.is_none() {
         mismatches.push(SettingsMismatch::UnknownGroup {
             key: format!("statements.groups.{key}"),
@@ -146,7 +147,7 @@
     group
 }
 
-/// The group must be there, if one is named, and its queries may change tables.
+/// Checks that the settings have the group, if one is named, and that it is non-idempotent.
 fn check_mutating_group(
     key: &str,
     name: Option<&str>,
--- a/crates/dispatcher/src/statement_shape.rs
+++ b/crates/dispatcher/src/statement_shape.rs
@@ -1,28 +1,28 @@
-//! What the analysis of a statement leaves with its query until the attempts of that have ended.
+//! The result of a statement's analysis that is kept with its query until the query's attempts have ended.
 //!
-//! A module below both the query registry, which carries it, and the statement classifier, which reads it.
+//! This module is below both the query registry, which keeps the result, and the statement classifier, which uses it.
 
 use std::rc::Rc;
 use tansymux_sql_analysis::Class;
 
-/// A statement without its literals, and what the analysis made of it.
+/// The shape of a statement (its tokens without literals) with the result of its analysis.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StatementShape {
-    /// Hash of the statement's tokens with its literals left out.
+    /// Hash of the shape.
     pub shape_id: u128,
-    /// The class that its features give it.
+    /// The class by the shape's features.
     pub class: Class,
-    /// The cost that its features alone give it (thread time, ms).
+    /// The cost by the shape's features alone, without learned costs (thread time, ms).
     pub cost_ms: f64,
 }
 
 /// A classified query whose attempt has ended.
 #[derive(Debug)]
 pub struct ClassifiedAttempt {
-    /// What the analysis of its statement left.
+    /// The shape of the query's statement.
     pub shape: StatementShape,
-    /// The resource group that it ran in.
+    /// The resource group that the query ran in.
     pub group: Rc<str>,
-    /// The attempt waited for a lock.
+    /// Whether the attempt waited for a table lock.
     pub waited: bool,
 }
--- a/crates/dispatcher/src/subsystems/fleet/definition.rs
+++ b/crates/dispatcher/src/subsystems/fleet/definition.rs
@@ -1,4 +1,4 @@
-//! Values that the operators' file and the environment give the fleet service.
+//! Conversion of `fleet` of the operators' file, and of the environment, into the fleet service's settings.
 
 use super::FleetStartError;
 use std::net::SocketAddr;
--- a/crates/dispatcher/src/subsystems/service_levels/display.rs
+++ b/crates/dispatcher/src/subsystems/service_levels/display.rs
@@ -1,14 +1,15 @@
-//! Service levels for people: the JSON of `/_levels`, and the log line of a change.
+//! The JSON of `/_levels`, and the log line of a change of level. The words are those of the operators' pages.
 
 use serde_json::{json, Value};
 use tansymux_service_levels::{LevelChange, LevelStateMachine, Reason, TriggerStatus};
 
-/// What `/_levels` answers while no levels are defined.
+/// The answer of `/_levels` while no levels are defined.
 pub fn disabled() -> Value {
     json!({"level": "full", "depth": 0, "version": 0, "defined": false})
 }
 
-/// What `/_levels` answers: the level in force and why, what would change it, totals and the history, latest first.
+/// The answer of `/_levels`: the level in force and its reason, the triggers that would change it, totals, and the
+/// history, latest first.
 pub fn to_json(machine: &LevelStateMachine, now_ms: f64) -> Value {
     let status = machine.status();
     let history: Vec<Value> = machine
@@ -36,7 +37,7 @@
     })
 }
 
-/// Time (ms) in each level, and how often it was entered.
+/// Time (ms) in each level, and the number of changes of each.
 fn totals_json(machine: &LevelStateMachine) -> Vec<Value> {
     let times = machine.time_at_depth_ms();
     let changes = machine.change_counts();
@@ -67,7 +68,7 @@
     items
 }
 
-/// JSON has no NaN and no infinity.
+/// The number, or `null` for NaN and infinity, which JSON does not have.
 fn finite_or_null(value: f64) -> Value {
     if value.is_finite() {
         json!(value)
@@ -93,7 +94,7 @@
     tracing::warn!(from, to, reason, "service level changed");
 }
 
-/// A reason in the words of `/_levels`.
+/// The text of a reason.
 fn reason_text(reason: &Reason) -> String {
     match reason {
         Reason::Signals(readings) => {
--- a/crates/dispatcher/src/subsystems/zone_routing/display.rs
+++ b/crates/dispatcher/src/subsystems/zone_routing/display.rs
@@ -1,21 +1,21 @@
-//! Zone routing for people: the JSON of `/_halls`, and the log line of a change. Its words are the operators' pages',
-//! and do not change with the names in the code.
+//! The JSON of `/_halls`, and the log line of a change of a zone's state. The words are those of the operators' pages, and
+//! do not change with the names in the code.
 
 use serde_json::{json, Map, Value};
 use tansymux_zone_routing::{ZoneChange, ZonePlan, ZoneState};
 
-/// What `/_halls` answers while zone routing is off.
+/// The answer of `/_halls` while zone routing is off.
 pub fn disabled() -> Value {
     json!({"defined": false})
 }
 
-/// What `/_halls` is put together from.
+/// The contents of `/_halls`.
 pub struct ZoneReport<'a> {
-    /// The time of the answer.
+    /// The time of the answer (ms).
     pub now_ms: f64,
     /// This dispatcher's own zone.
     pub local_zone: &'a str,
-    /// All zones fail from here: this dispatcher is cut off itself.
+    /// This dispatcher reaches no zone, and concludes that it is cut off itself.
     pub isolated: bool,
     /// The result of [`zone_json`] for each zone.
     pub zones: Vec<Value>,
@@ -23,7 +23,7 @@
     pub history: &'a [ZoneChange],
 }
 
-/// What `/_halls` answers.
+/// The answer of `/_halls`.
 pub fn to_json(report: &ZoneReport) -> Value {
     let history: Vec<Value> = report.history.iter().rev().map(change_json).collect();
     json!({
