--- a/crates/zone-routing/src/codec.rs
+++ b/crates/zone-routing/src/codec.rs
@@ -14,39 +14,42 @@
 
 /// First byte of a message about zones.
 pub const MESSAGE_KIND: u8 = 3;
+/// Version of the layout.
 const VERSION: u8 = 1;
+/// Length of kind, version and isolation (bytes).
 const HEADER_LEN: usize = 3;
+/// Length of a zone's entry (bytes).
 const ENTRY_LEN: usize = 3;
-/// Zones that a message holds.
+/// Maximum number of zones in a message.
 pub const MAX_ZONES: usize = 32;
 
-/// What a dispatcher reports about a zone.
+/// A dispatcher's report about a zone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ZoneReport {
     /// [`zone_hash`] of the zone's name.
     pub zone_hash: u16,
-    /// Whether the dispatcher reaches it.
+    /// Whether the dispatcher reaches the zone.
     pub reachability: Reachability,
 }
 
-/// What a dispatcher reports about itself and all zones.
+/// A dispatcher's report about itself and all zones.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PeerReport {
-    /// The sender reaches no zone: it is probably cut off itself.
+    /// The sender reaches no zone, so it is probably cut off itself.
     pub is_isolated: bool,
-    /// The zones.
+    /// The reports about zones.
     pub zones: Vec<ZoneReport>,
 }
 
-/// Why bytes are not a message about zones.
+/// An error of decoding a message about zones.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// Too short for the header, or another kind or version.
+    /// The bytes are too short for the header, or of another kind or version.
     #[error("no message about zones of version {VERSION}")]
     NotZoneReport,
 }
 
-/// Short hash of a zone's name: 32-bit FNV-1a folded to 16 bits.
+/// The hash of a zone's name in messages: 32-bit FNV-1a folded to 16 bits.
 pub fn zone_hash(name: &str) -> u16 {
     tansymux_codec::fnv1a_16(name.as_bytes())
 }
@@ -69,7 +72,7 @@
 /// Decodes a message.
 ///
 /// # Errors
-/// Where the bytes are too short for the header, or of another kind or version.
+/// The bytes are too short for the header, or of another kind or version.
 pub fn decode(bytes: &[u8]) -> Result<PeerReport, DecodeError> {
     let [MESSAGE_KIND, VERSION, is_isolated, ..] = *bytes else {
         return Err(DecodeError::NotZoneReport);
--- a/crates/zone-routing/src/detector.rs
+++ b/crates/zone-routing/src/detector.rs
@@ -1,63 +1,63 @@
 //! The zone health detector of one dispatcher.
 //!
-//! [`ZoneHealthDetector::handle`] takes evidence, [`ZoneHealthDetector::evaluate`] changes the states of zones by it
-//! (submodule `evaluation`), and [`ZoneHealthDetector::routing_plan`] is what follows for placement (submodule
-//! `planning`).
+//! [`ZoneHealthDetector::handle`] records evidence, [`ZoneHealthDetector::evaluate`] changes the states of zones by it
+//! (submodule `evaluation`), and [`ZoneHealthDetector::routing_plan`] is the resulting plan for placement (submodule
+//! `planning`). Submodule `evidence` has what is reported to the fleet and to peers.
 
 mod evaluation;
+mod evidence;
 mod planning;
 mod records;
 
 use crate::codec::{self, ZoneReport};
 use crate::config::Config;
-use crate::model::{
-    Engine, Observation, Reachability, Reason, ZoneChange, ZoneEvidence, ZoneState,
-};
+use crate::model::{Engine, Observation, Reason, ZoneChange, ZoneState};
 use records::{EngineRecord, PeerRecord, ZoneRecord};
 use std::collections::BTreeMap;
 
-/// Evidence older than this is ignored (ms): what was not tried lately is not known.
+/// Lifetime of evidence (ms).
 const EVIDENCE_LIFETIME_MS: f64 = 8000.0;
-/// Interval of messages to peers (ms); a change is reported at once.
+/// Interval of messages to peers (ms); a change is sent at once.
 const MESSAGE_INTERVAL_MS: f64 = 1500.0;
-/// An endpoint list that drops at least this fraction of a zone's ready engines while they answer is noted as wrong.
+/// An endpoint list is recorded as suspicious if it drops at least this fraction of a zone's ready engines while they
+/// answer.
 const SUSPICIOUS_DROP_FRACTION: f64 = 0.5;
-/// An engine that answered within this time before it was dropped counts as answering (ms).
+/// A dropped engine counts as answering if it answered within this time before (ms).
 const ANSWERED_LATELY_MS: f64 = 2000.0;
-/// Interval of health checks of an unreachable zone (ms), one engine after the other.
+/// Interval of health checks of an unreachable zone (ms), each of the next engine.
 const HEALTH_CHECK_INTERVAL_MS: f64 = 500.0;
-/// Limit on the number of peers.
+/// Maximum number of peers.
 const MAX_PEERS: usize = 1024;
-/// Changes that are kept for display.
+/// Maximum number of changes kept for display.
 const MAX_HISTORY: usize = 64;
 /// A time before all others (ms).
 const LONG_AGO_MS: f64 = -1e12;
 
-/// What a detector reacts to.
+/// An event for the detector.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Event<'a> {
-    /// The endpoint list, whole. Evidence of engines that are not listed any more is forgotten.
+    /// The full endpoint list. Evidence of engines that are no longer listed is discarded.
     EnginesListed(&'a [Engine]),
-    /// What an attempt or a health check showed of an engine. One that is not listed is ignored.
+    /// The result of an attempt or a health check. Results of engines that are not listed are ignored.
     EngineObserved(Observation),
-    /// A peer's message. Bytes that are no message about zones are ignored.
+    /// A message of a peer. Bytes that are no message about zones are ignored.
     PeerMessage {
         /// The peer's number.
         peer: u32,
-        /// Its message.
+        /// The message.
         content: &'a [u8],
     },
 }
 
-/// Which zones this dispatcher reaches. All times in milliseconds of the caller's clock.
+/// Detects which zones this dispatcher reaches. All times are milliseconds on the caller's clock.
 #[derive(Debug, Clone)]
 pub struct ZoneHealthDetector {
     config: Config,
-    /// By identifier, so that no result depends on the order of a hash.
+    /// Engines by id, in a fixed order so that results are deterministic.
     engines: BTreeMap<u64, EngineRecord>,
     zones: Vec<ZoneRecord>,
     peers: Vec<PeerRecord>,
-    /// Dispatchers that share the engines, as configured.
+    /// Number of dispatchers that share the engines, as configured.
     dispatchers: f64,
     now_ms: f64,
     evaluated_ms: f64,
@@ -69,7 +69,7 @@
 }
 
 impl ZoneHealthDetector {
-    /// A detector without evidence; `dispatchers`: how many share the engines, as configured.
+    /// A detector without evidence. `dispatchers`: the configured number of dispatchers that share the engines.
     pub fn new(config: Config, dispatchers: f64) -> Self {
         ZoneHealthDetector {
             config,
@@ -87,23 +87,23 @@
         }
     }
 
-    /// The settings.
+    /// The configuration.
     pub fn config(&self) -> &Config {
         &self.config
     }
 
-    /// Replaces the settings; what is known of zones and engines stays.
+    /// Replaces the configuration. The state of zones and engines is kept.
     pub fn set_config(&mut self, config: Config) {
         self.config = config;
         self.version += 1;
     }
 
-    /// Whether this dispatcher loses all zones at once, and so concludes that it is cut off itself.
+    /// Whether all zones fail at once, so that this dispatcher is probably cut off itself.
     pub fn is_isolated(&self) -> bool {
         self.is_isolated
     }
 
-    /// Counts changes of states and settings.
+    /// A number that increases with each change of a state or of the configuration.
     pub fn version(&self) -> u64 {
         self.version
     }
@@ -113,18 +113,18 @@
         &self.history
     }
 
-    /// Changes since they were last taken.
+    /// Removes and returns the changes since the last call.
     pub fn take_changes(&mut self) -> Vec<ZoneChange> {
         std::mem::take(&mut self.new_changes)
     }
 
-    /// The state of a zone; `None` if it is not known.
+    /// The state of a zone; `None` for an unknown zone.
     pub fn state(&self, zone: &str) -> Option<ZoneState> {
         let record = self.zones.iter().find(|record| record.name == zone)?;
         Some(record.state)
     }
 
-    /// Takes evidence. States change with the next [`ZoneHealthDetector::evaluate`].
+    /// Records evidence. States change at the next call of [`ZoneHealthDetector::evaluate`].
     pub fn handle(&mut self, event: Event<'_>, now_ms: f64) {
         self.now_ms = self.now_ms.max(now_ms);
         match event {
@@ -147,8 +147,8 @@
         Some(codec::encode(self.is_isolated, reports))
     }
 
-    /// The engine of an unreachable zone whose health check is due, if one is. To be called only where health checks
-    /// are allowed.
+    /// The engine of an unreachable zone whose health check is due, if one is. Must be called only where health checks are
+    /// allowed.
     pub fn poll_health_check(&mut self, now_ms: f64) -> Option<u64> {
         let zone = self.zones.iter().position(|record| {
             record.state == ZoneState::Unreachable
@@ -167,88 +167,18 @@
         candidates.get(next).copied()
     }
 
-    /// Evidence about all zones for the fleet, where several dispatchers must report the same: one missing answer of
-    /// each engine that was tried is enough to report a zone unreachable. Where all zones seem lost, none is reported.
-    pub fn evidence(&self) -> impl Iterator<Item = ZoneEvidence<'_>> + '_ {
-        let seems_lost: Vec<bool> = (0..self.zones.len())
-            .map(|zone| self.seems_lost(zone))
-            .collect();
-        let all_lost = !seems_lost.is_empty() && seems_lost.iter().all(|lost| *lost);
-        self.zones.iter().enumerate().map(move |(zone, record)| {
-            let by_state = self.reachability(zone);
-            let reachability = match by_state {
-                Reachability::Reachable | Reachability::Unknown if seems_lost[zone] => {
-                    if all_lost {
-                        Reachability::Unknown
-                    } else {
-                        Reachability::Unreachable
-                    }
-                }
-                _ => by_state,
-            };
-            ZoneEvidence {
-                zone: &record.name,
-                reachability,
-                successes: record.total_successes,
-                failures: record.total_failures,
-            }
-        })
-    }
-
-    /// Whether no engine of a zone that was tried lately has answered since, and half of them were tried.
-    fn seems_lost(&self, zone: usize) -> bool {
-        let mut ready = 0;
-        let mut tried = 0;
-        let mut all_fail = true;
-        for engine in self.ready_engines(zone) {
-            ready += 1;
-            if engine.was_tried_since(self.now_ms, EVIDENCE_LIFETIME_MS) {
-                tried += 1;
-                all_fail &= engine.failures_in_row > 0;
-            }
-        }
-        tried > 0 && 2 * tried >= ready && all_fail
-    }
-
-    /// Whether a zone is reached, as reported to others: reachable only with evidence.
-    fn reachability(&self, zone: usize) -> Reachability {
-        let answered = self.engines.values().any(|engine| {
-            engine.zone == zone && self.now_ms - engine.answered_ms < EVIDENCE_LIFETIME_MS
-        });
-        match self.zones[zone].state {
-            ZoneState::Unreachable => Reachability::Unreachable,
-            ZoneState::Recovering(_) => Reachability::Recovering,
-            ZoneState::Healthy if answered => Reachability::Reachable,
-            ZoneState::Healthy => Reachability::Unknown,
-        }
-    }
-
     fn ready_engines(&self, zone: usize) -> impl Iterator<Item = &EngineRecord> {
         self.engines
             .values()
             .filter(move |engine| engine.zone == zone && engine.ready)
     }
 
-    // ---- Events ----
-
     fn on_engines_listed(&mut self, engines: &[Engine]) {
         let mut ready_before = vec![0_usize; self.zones.len()];
         for engine in self.engines.values().filter(|engine| engine.ready) {
             ready_before[engine.zone] += 1;
         }
-        let mut listed = BTreeMap::new();
-        for engine in engines {
-            let zone = self.zone_index(&engine.zone);
-            let known = self.engines.remove(&engine.engine_id);
-            let mut record = match known {
-                Some(known) if known.zone == zone => known,
-                _ => EngineRecord::without_evidence(zone),
-            };
-            record.cores = engine.cores;
-            record.ready = engine.ready;
-            listed.insert(engine.engine_id, record);
-        }
-        let dropped = std::mem::replace(&mut self.engines, listed);
+        let dropped = self.replace_engines(engines);
         let mut dropped_answering = vec![0_usize; ready_before.len()];
         for engine in dropped.values() {
             let answered_lately = self.now_ms - engine.answered_ms < ANSWERED_LATELY_MS;
@@ -265,6 +195,24 @@
         }
     }
 
+    /// Replaces the engines by those of a list, and returns the engines that are no longer listed. The evidence of an
+    /// engine is kept if it is still in the same zone.
+    fn replace_engines(&mut self, engines: &[Engine]) -> BTreeMap<u64, EngineRecord> {
+        let mut listed = BTreeMap::new();
+        for engine in engines {
+            let zone = self.zone_index(&engine.zone);
+            let known = self.engines.remove(&engine.engine_id);
+            let mut record = match known {
+                Some(known) if known.zone == zone => known,
+                _ => EngineRecord::without_evidence(zone),
+            };
+            record.cores = engine.cores;
+            record.ready = engine.ready;
+            listed.insert(engine.engine_id, record);
+        }
+        std::mem::replace(&mut self.engines, listed)
+    }
+
     fn on_observation(&mut self, observation: Observation) {
         let Some(engine) = self.engines.get_mut(&observation.engine_id) else {
             return;
@@ -290,9 +238,7 @@
         }
     }
 
-    // ---- Helpers of all steps ----
-
-    /// The index of a zone, which is added if it is not known.
+    /// The index of a zone. An unknown zone is added.
     fn zone_index(&mut self, name: &str) -> usize {
         if let Some(index) = self.zones.iter().position(|zone| zone.name == name) {
             return index;
@@ -301,7 +247,7 @@
         self.zones.len() - 1
     }
 
-    /// Sets a zone's state and records the change; peers learn of it with the next message.
+    /// Sets a zone's state and records the change. The next message to peers is due at once.
     fn set_state(&mut self, zone: usize, state: ZoneState, reason: Reason) {
         let record = &mut self.zones[zone];
         record.state = state;
--- a/crates/zone-routing/src/detector/evaluation.rs
+++ b/crates/zone-routing/src/detector/evaluation.rs
@@ -4,27 +4,27 @@
 use crate::codec;
 use crate::model::{Reachability, Reason, ZoneState};
 
-/// An engine that did not answer this often in a row counts as failing.
+/// Missing answers in a row from which an engine counts as failing.
 const FAILING_AFTER: u32 = 2;
-/// How long a peer's message counts (ms); peers repeat theirs every 1.5 s.
+/// Lifetime of a peer's message (ms); peers send one every 1.5 s.
 const PEER_LIFETIME_MS: f64 = 6000.0;
-/// Fraction of a zone's recent outcomes whose failure sets its recovery back.
+/// A recovery is set back if more than this fraction of the zone's recent outcomes are failures.
 const MAX_FAILURES_TO_STAY: f64 = 0.3;
-/// Fraction of a zone's recent outcomes that may fail while its recovery advances.
+/// A recovery advances if at most this fraction of the zone's recent outcomes are failures.
 const MAX_FAILURES_TO_ADVANCE: f64 = 0.1;
-/// Recent successes without which a recovery does not advance.
+/// A recovery advances only with more recent successes (with decay) than this.
 const MIN_RECENT_SUCCESSES: f64 = 0.2;
-/// A recovery is set back at most once in this time (ms).
+/// Shortest time between two setbacks of a recovery (ms).
 const SET_BACK_INTERVAL_MS: f64 = 1000.0;
-/// An unreachable zone of which nothing was observed for this long begins to recover (ms): where health checks are not
-/// allowed and all work goes elsewhere, nobody would ever learn that it is back.
+/// An unreachable zone without observations for this long begins to recover (ms). Without health checks, and while no work
+/// is sent there, there would be no other evidence that the zone is back.
 const UNTRIED_MS: f64 = 12_000.0;
-/// A longer time between two evaluations is a pause of the process (ms), in which no recovery advances.
+/// A longer time between two evaluations counts as a pause of the process (ms), during which no recovery advances.
 const MAX_EVALUATION_GAP_MS: f64 = 1000.0;
 
 impl ZoneHealthDetector {
-    /// Evaluates all evidence; to be called some times a second. Changes are in
-    /// [`ZoneHealthDetector::take_changes`].
+    /// Evaluates all evidence. Must be called several times a second. [`ZoneHealthDetector::take_changes`] returns the
+    /// resulting changes.
     pub fn evaluate(&mut self, now_ms: f64) {
         self.now_ms = self.now_ms.max(now_ms);
         let now_ms = self.now_ms;
@@ -52,7 +52,7 @@
 
     fn evaluate_zone(&mut self, zone: usize, is_failing: bool, elapsed_ms: f64) {
         let state = self.zones[zone].state;
-        // A dispatcher that is isolated cannot judge any zone.
+        // An isolated dispatcher has no evidence on any zone.
         if is_failing && !self.is_isolated && state != ZoneState::Unreachable {
             self.lose_zone(zone);
             return;
@@ -60,7 +60,7 @@
         match state {
             ZoneState::Healthy => {}
             ZoneState::Recovering(_) => self.advance_recovery(zone, elapsed_ms),
-            // Failures before the answer say nothing about how the zone answers now.
+            // Failures before the answer are no evidence on the zone's present state.
             ZoneState::Unreachable if self.answered_since_loss(zone) => {
                 self.zones[zone].reset_ramp(1.0);
                 self.begin_recovery(zone, Reason::Answered);
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Whether a zone fails by the evidence of its engines; `None` where too little is known.
+    /// Whether a zone fails by the evidence on its engines; `None` without enough evidence.
     fn is_failing(&self, zone: usize) -> Option<bool> {
         let mut ready = 0;
         let mut tried = 0;
@@ -165,8 +165,8 @@
 
     // ---- Isolation of this dispatcher ----
 
-    /// If all zones of which enough is known fail or are unreachable, it is this dispatcher that is cut off. Zones that
-    /// it declared unreachable while the others failed with them are healthy again.
+    /// Updates whether this dispatcher is isolated: all zones with enough evidence fail or are unreachable. Zones that
+    /// became unreachable shortly before the isolation are healthy again.
     fn update_isolation(&mut self, failing: &[Option<bool>]) {
         let known: Vec<usize> = (0..failing.len())
             .filter(|zone| failing[*zone].is_some() || self.is_unreachable(*zone))
@@ -192,7 +192,8 @@
         self.zones[zone].state == ZoneState::Unreachable
     }
 
-    /// The zone that failed first was judged before the others showed that the cause is not the zone.
+    /// Marks recently lost zones as healthy: the first failures were attributed to these zones before the failures of the
+    /// others showed that this dispatcher is the cause.
     fn restore_recently_lost_zones(&mut self) {
         for zone in 0..self.zones.len() {
             let lost_ms = self.now_ms - self.zones[zone].state_since_ms;
@@ -202,7 +203,7 @@
         }
     }
 
-    /// Records the change at a known zone, or at the first one, whose state it leaves as it is.
+    /// Records the change of isolation in the history of a known zone, or of the first one, without changing its state.
     fn record_isolation(&mut self, known_zone: Option<usize>) {
         let first_zone = (!self.zones.is_empty()).then_some(0);
         let Some(zone) = known_zone.or(first_zone) else {
@@ -217,7 +218,7 @@
         self.set_state(zone, state, reason);
     }
 
-    /// Forgets zones without engines at the end of the list, so that the indexes of the others stay.
+    /// Removes zones without engines from the end of the list only, so that the indices of the others stay valid.
     fn forget_empty_zones(&mut self) {
         while let Some(last) = self.zones.len().checked_sub(1) {
             let has_engines = self.engines.values().any(|engine| engine.zone == last);
--- a/crates/zone-routing/src/detector/planning.rs
+++ b/crates/zone-routing/src/detector/planning.rs
@@ -1,4 +1,4 @@
-//! What follows from the states of zones for placement.
+//! The routing plan that follows from the states of zones.
 
 use super::{EngineRecord, ZoneHealthDetector, ZoneRecord};
 use crate::model::ZoneState;
@@ -21,7 +21,8 @@
         }
     }
 
-    /// This dispatcher's even share of a zone: of as many dispatchers as configured, or more where more send messages.
+    /// This dispatcher's equal share of a zone: one part in the configured number of dispatchers, or in the number of those
+    /// that send messages if that is greater.
     fn dispatcher_share(&self) -> f64 {
         1.0 / self.dispatchers.max(self.peers.len() as f64 + 1.0)
     }
--- a/crates/zone-routing/src/detector/records.rs
+++ b/crates/zone-routing/src/detector/records.rs
@@ -1,4 +1,4 @@
-//! What the detector keeps about engines, zones and peers.
+//! The detector's records of engines, zones and peers.
 
 use super::LONG_AGO_MS;
 use crate::codec::PeerReport;
@@ -7,9 +7,10 @@
 /// Half-life of a zone's recent successes and failures (ms).
 const HALF_LIFE_MS: f64 = 1500.0;
 
+/// The evidence on an engine.
 #[derive(Debug, Clone)]
 pub(super) struct EngineRecord {
-    /// Index of its zone.
+    /// Index of the engine's zone.
     pub(super) zone: usize,
     pub(super) cores: f64,
     pub(super) ready: bool,
@@ -49,26 +50,31 @@
     }
 }
 
+/// The state of a zone, and the evidence on it.
 #[derive(Debug, Clone)]
 pub(super) struct ZoneRecord {
     pub(super) name: String,
     pub(super) state: ZoneState,
     pub(super) state_since_ms: f64,
-    /// Successes and failures with exponential decay, and until when they have decayed.
+    /// Successes with exponential decay.
     pub(super) recent_successes: f64,
+    /// Failures with exponential decay.
     pub(super) recent_failures: f64,
+    /// Time up to which successes and failures have decayed.
     decayed_ms: f64,
-    /// All outcomes since the zone was first listed, wrapping around.
+    /// Successes since the zone was first listed, wrapping around.
     pub(super) total_successes: u16,
+    /// Failures since the zone was first listed, wrapping around.
     pub(super) total_failures: u16,
-    /// Progress of the recovery ramp, from 0 to 1, and when it was last set back.
+    /// Progress of the recovery ramp, from 0 to 1.
     pub(super) ramp_progress: f64,
+    /// Time of the last setback of the recovery.
     pub(super) set_back_ms: f64,
-    /// Since when there were only failures; `None` if the last outcome was an answer.
+    /// Time of the first failure since the last answer; `None` if the last outcome was an answer.
     pub(super) failing_since_ms: Option<f64>,
     pub(super) observed_ms: f64,
     pub(super) health_checked_ms: f64,
-    /// Health checks so far: chooses the engine of the next one.
+    /// Number of health checks, which selects the engine of the next one.
     pub(super) health_checks: usize,
 }
 
@@ -125,6 +131,7 @@
     }
 }
 
+/// The last report of a peer.
 #[derive(Debug, Clone)]
 pub(super) struct PeerRecord {
     pub(super) number: u32,
--- a/crates/zone-routing/src/lib.rs
+++ b/crates/zone-routing/src/lib.rs
@@ -6,15 +6,16 @@
 //! is a ramp that advances only while answers are good, shared evenly among dispatchers.
 //!
 //! Owns: which zones are reachable, by this dispatcher's evidence ([`ZoneHealthDetector`]); which zone a class of work
-//! prefers, how much may spill into others, and how much a returning zone may be given ([`RoutingPlan`]); and which
-//! configurations cannot work ([`Config::validate`]). It never does I/O, reads no clock and draws no random numbers.
-//! It places no query: placement chooses within the plan, and rules 1 to 7 of the root package go on binding.
+//! prefers, how much may spill into others, and the limit of a returning zone ([`RoutingPlan`]); and the validation of
+//! configurations ([`Config::validate`]). It never does I/O, reads no clock and draws no random numbers. It places no
+//! query: placement chooses within the plan, and rules 1 to 7 of the root package still apply.
 //!
 //! Invariants, checked in `tests/`:
 //! - a zone becomes unreachable by this dispatcher's own failures only, never by what peers report, and never while
 //!   all zones fail at once;
-//! - what a returning zone may be given grows only while its answers are good, and starts anew when it fails again;
-//! - the fractions that all dispatchers give a returning engine add up to no more than its full use.
+//! - the limit of a returning zone grows only while few of its answers are missing, and starts again at the initial
+//!   fraction when the zone fails again;
+//! - the limits of all dispatchers for a returning engine add up to no more than its full use.
 //!
 //! Start reading at [`ZoneHealthDetector::evaluate`].
 
--- a/crates/zone-routing/src/model.rs
+++ b/crates/zone-routing/src/model.rs
@@ -1,30 +1,30 @@
-//! What the detector takes and reports: engines, observations, states of zones and their changes.
+//! Input and output of the detector: engines, observations, states of zones and their changes.
 
 use std::fmt;
 
 /// An engine of the endpoint list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Engine {
-    /// The engine.
+    /// Id of the engine.
     pub engine_id: u64,
-    /// Name of its zone.
+    /// Name of the engine's zone.
     pub zone: String,
-    /// Its cores.
+    /// Cores of the engine.
     pub cores: f64,
-    /// Whether the list names it ready.
+    /// Whether the engine is ready by the list.
     pub ready: bool,
 }
 
-/// What an attempt or a health check showed.
+/// The result of an attempt or a health check.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ObservationKind {
-    /// The engine answered: a result, an error, that it is full, a note or a health check.
+    /// The engine answered: with a result, an error, a rejection, a progress note or the answer of a health check.
     Answered,
     /// No connection, a reset, or no answer until the timeout.
     NoAnswer,
 }
 
-/// What was observed of an engine.
+/// Evidence on an engine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Observation {
     /// The engine.
@@ -33,14 +33,14 @@
     pub kind: ObservationKind,
 }
 
-/// Whether a zone can be used from here.
+/// Whether this dispatcher can use a zone.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum ZoneState {
     /// In full use.
     Healthy,
-    /// Its engines do not answer: nothing is sent there.
+    /// The zone's engines do not answer, so no work is sent there.
     Unreachable,
-    /// It answers again: this fraction of its full use is allowed.
+    /// The zone answers again; this fraction of its full use is allowed.
     Recovering(f64),
 }
 
@@ -50,22 +50,22 @@
     }
 }
 
-/// Why a zone's state changed, or what else was noticed.
+/// The reason of a change of state, or another event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reason {
-    /// Most of its engines fail, and nothing answered for a while.
+    /// Most of the zone's engines fail, and none has answered for a time.
     Lost,
-    /// The same, while peers reach it: the path from here is cut.
+    /// As [`Reason::Lost`], while peers reach the zone: the network path of this dispatcher is cut.
     LostFromHere,
     /// An engine answered again.
     Answered,
-    /// Nothing was tried for a long time: a recovery begins so that something is.
+    /// Nothing was sent to the zone for a long time: a recovery begins in order to get evidence.
     Untried,
     /// The recovery ramp is complete.
     Recovered,
-    /// It failed during its recovery.
+    /// The zone failed during its recovery.
     FailedAgain,
-    /// All zones fail: this dispatcher is isolated.
+    /// All zones fail, so this dispatcher is isolated.
     Isolated,
     /// This dispatcher is no longer isolated.
     NotIsolated,
@@ -93,35 +93,35 @@
 /// A change of a zone's state, or an event that leaves it as it is.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ZoneChange {
-    /// When it was noticed (ms).
+    /// Time of the change (ms).
     pub at_ms: f64,
     /// Name of the zone.
     pub zone: String,
-    /// Its state from then on.
+    /// The zone's state after the change.
     pub state: ZoneState,
-    /// Why.
+    /// The reason.
     pub reason: Reason,
 }
 
-/// Whether a dispatcher reaches a zone, as it reports to others.
+/// Whether a dispatcher reaches a zone, in reports to others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reachability {
-    /// An engine answered lately.
+    /// An engine of the zone answered recently.
     Reachable,
-    /// It is recovering.
+    /// The zone is recovering.
     Recovering,
-    /// Its engines do not answer.
+    /// The zone's engines do not answer.
     Unreachable,
     /// There is no recent evidence.
     Unknown,
 }
 
-/// What this dispatcher knows about a zone, as evidence for the fleet.
+/// This dispatcher's evidence on a zone, for the fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ZoneEvidence<'a> {
     /// Name of the zone.
     pub zone: &'a str,
-    /// Whether it is reached.
+    /// Whether the zone is reached.
     pub reachability: Reachability,
     /// Answers since the zone was first listed, wrapping around.
     pub successes: u16,
