--- a/crates/dispatcher/tests/fleet.rs
+++ b/crates/dispatcher/tests/fleet.rs
@@ -15,7 +15,7 @@
 use std::time::{Duration, Instant};
 use tansymux_testbed::client::{send_query, ClientQuery};
 use tansymux_testbed::engine::scripted;
-use tansymux_testbed::fleet::processes::{play, ProcessOptions};
+use tansymux_testbed::fleet::processes::{run, ProcessOptions};
 use tansymux_testbed::fleet::scenario::Scenario;
 use tansymux_testbed::program::{
     class, free_address, free_udp_address, Config, Program, TempFile, TIMEOUT,
@@ -63,7 +63,7 @@
     let scenario = Scenario::named(name, 1)
         .expect("a case by this name")
         .on_processes();
-    let result = play(Path::new(EXE), &scenario, &ProcessOptions::default());
+    let result = run(Path::new(EXE), &scenario, &ProcessOptions::default());
     assert!(
         result.violations.is_empty(),
         "{}\n  again: tansymux-testbed fleet --name {name} --first 1",
--- a/crates/testbed/src/commands.rs
+++ b/crates/testbed/src/commands.rs
@@ -131,7 +131,7 @@
             println!("{text}");
             continue;
         }
-        let report = processes::play(&locate_program()?, &scenario, &options);
+        let report = processes::run(&locate_program()?, &scenario, &options);
         println!("{}", report.line());
         if !report.violations.is_empty() {
             println!(
--- a/crates/testbed/src/corpus/patterns.rs
+++ b/crates/testbed/src/corpus/patterns.rs
@@ -23,6 +23,7 @@
     pub evaluation: &'static [&'static str],
 }
 
+/// The patterns of each class, by the class's name.
 pub(super) const CLASS_PATTERNS: [ClassPatterns; 4] = [
     ClassPatterns {
         class: "look-up",
--- a/crates/testbed/src/demo.rs
+++ b/crates/testbed/src/demo.rs
@@ -22,10 +22,13 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+/// Number of stand-in engines.
 const ENGINES: usize = 5;
+/// Cores of each engine.
 const CORES: f64 = 8.0;
-/// The engine that fails, and the one that drains.
+/// Index of the engine that fails.
 const FAILING_ENGINE: usize = 1;
+/// Id of the engine that drains.
 const DRAINING_ENGINE: &str = "s-3";
 /// Spread (log) of works about their median.
 const WORK_SPREAD: f64 = 0.5;
@@ -38,6 +41,7 @@
     peak_factor: f64,
 }
 
+/// The traffic of the demo: look-ups, reports and loads.
 const CLASSES: [DemoClass; 3] = [
     DemoClass {
         traffic: TrafficClass {
--- a/crates/testbed/src/fleet/mod.rs
+++ b/crates/testbed/src/fleet/mod.rs
@@ -170,7 +170,7 @@
                 let scenario = scenario(seed);
                 let definition = virtual_fleet::fleet_definition(&scenario);
                 let mut fleet = VirtualFleet::new(scenario, definition, VersionQuality::default());
-                fleet.uncoordinated = options.uncoordinated;
+                fleet.set_uncoordinated(options.uncoordinated);
                 let report = fleet.run();
                 reports.lock().expect("no player panics").push(report);
             });
--- a/crates/testbed/src/fleet/processes/faults.rs
+++ b/crates/testbed/src/fleet/processes/faults.rs
@@ -1,48 +1,49 @@
-//! Faults and operators' actions of a scenario, applied to real processes and their links.
+//! Faults and operators' actions of a scenario, injected into real processes and their links.
 
 use super::{FleetRun, POLL_INTERVAL};
 use crate::fleet::scenario::{Fault, LinkConditions};
 use std::thread;
 use std::time::{Duration, Instant};
 
+/// The relay delays datagrams by at least this (ms).
+const MIN_RELAY_DELAY_MS: f64 = 1.0;
+
 /// A member whose process is stopped, and until when.
-struct Stalled {
+struct Stall {
     member: usize,
     until: Instant,
 }
 
-/// The relay delays by this at least (ms).
-const MIN_RELAY_DELAY_MS: f64 = 1.0;
-
-fn engine_name(n: usize) -> String {
-    format!("s-{n}")
+/// The name by which operators drain an engine.
+fn engine_name(engine: usize) -> String {
+    format!("s-{engine}")
 }
 
 impl FleetRun {
-    /// Applies the scenario's events in their time. `begin_ms`: when the release began, from which they count.
+    /// Injects the scenario's faults at their times. `begin_ms`: when the release began, from which they count.
     pub(super) fn inject_faults(&self, begin_ms: f64) {
-        let mut stalled: Vec<Stalled> = Vec::new();
+        let mut stalls: Vec<Stall> = Vec::new();
         let mut events = self.scenario.events.clone().into_iter().peekable();
-        while !self.is_over() && (events.peek().is_some() || !stalled.is_empty()) {
+        while !self.is_over() && (events.peek().is_some() || !stalls.is_empty()) {
             thread::sleep(POLL_INTERVAL);
-            stalled.retain(|stall| {
-                let over = Instant::now() >= stall.until;
-                if over {
-                    self.continue_member(stall.member);
+            stalls.retain(|stall| {
+                let is_over = Instant::now() >= stall.until;
+                if is_over {
+                    self.processes.slot(stall.member).resume();
                 }
-                !over
+                !is_over
             });
             while let Some(event) = events.next_if(|event| self.elapsed_ms() - begin_ms >= event.at)
             {
-                self.apply_fault(event.what, &mut stalled);
+                self.inject(event.what, &mut stalls);
             }
         }
-        for stall in &stalled {
-            self.continue_member(stall.member);
+        for stall in &stalls {
+            self.processes.slot(stall.member).resume();
         }
     }
 
-    fn apply_fault(&self, fault: Fault, stalled: &mut Vec<Stalled>) {
+    fn inject(&self, fault: Fault, stalls: &mut Vec<Stall>) {
         match fault {
             Fault::Links(conditions) => self.relay.set_conditions(LinkConditions {
                 delay: conditions.delay.max(MIN_RELAY_DELAY_MS),
@@ -55,39 +56,54 @@
                 }
             }
             Fault::Heal => self.heal(),
-            Fault::Stall { who, lasts } => self.stall(who, lasts, stalled),
-            Fault::StallLeader { lasts } => {
-                if let Some(leader) = self.leader() {
-                    self.stall(leader, lasts, stalled);
-                }
-            }
-            Fault::Kill { who, back } => self.crash_member(who, back),
-            Fault::KillLeader { back } => {
-                if let Some(leader) = self.leader() {
-                    self.crash_member(leader, back);
-                }
-            }
-            Fault::KillHolder { back } => {
-                if let Some(holder) = self.first_out() {
-                    self.crash_member(holder, back);
-                }
-            }
+            Fault::Stall { who, lasts } => self.stall(Some(who), lasts, stalls),
+            Fault::StallLeader { lasts } => self.stall(self.leader(), lasts, stalls),
+            Fault::Kill { who, back } => self.crash(Some(who), back),
+            Fault::KillLeader { back } => self.crash(self.leader(), back),
+            Fault::KillHolder { back } => self.crash(self.first_out(), back),
+            Fault::Drain { .. }
+            | Fault::Undrain { .. }
+            | Fault::Halt { .. }
+            | Fault::Resume { .. }
+            | Fault::Back { .. }
+            | Fault::Limit { .. } => self.let_operators_act(fault),
+        }
+    }
+
+    fn let_operators_act(&self, action: Fault) {
+        match action {
             Fault::Drain { engines } => self.drain(&engines),
             Fault::Undrain { engine, at } => {
                 self.drained.lock().expect("no holder panics")[engine] = false;
-                self.fleet_command(at, &["undrain", &engine_name(engine)]);
+                self.processes
+                    .fleet_command(at, &["undrain", &engine_name(engine)]);
             }
-            Fault::Halt { at } => drop(self.fleet_command(at, &["halt"])),
-            Fault::Resume { at } => drop(self.fleet_command(at, &["resume"])),
-            Fault::Back { at } => drop(self.fleet_command(at, &["back"])),
+            Fault::Halt { at } => drop(self.processes.fleet_command(at, &["halt"])),
+            Fault::Resume { at } => drop(self.processes.fleet_command(at, &["resume"])),
+            Fault::Back { at } => drop(self.processes.fleet_command(at, &["back"])),
             Fault::Limit { max_out } => self.change_limit(max_out),
+            _ => {}
         }
     }
 
-    fn stall(&self, member: usize, lasts_ms: f64, stalled: &mut Vec<Stalled>) {
-        if self.stall_member(member) {
+    fn leader(&self) -> Option<usize> {
+        self.processes.leader(self.scenario.voters)
+    }
+
+    fn stall(&self, member: Option<usize>, lasts_ms: f64, stalls: &mut Vec<Stall>) {
+        let Some(member) = member else {
+            return;
+        };
+        if self.processes.slot(member).stall() {
             let until = Instant::now() + Duration::from_secs_f64(lasts_ms / 1000.0);
-            stalled.push(Stalled { member, until });
+            stalls.push(Stall { member, until });
+        }
+    }
+
+    fn crash(&self, member: Option<usize>, down_ms: f64) {
+        if let Some(member) = member {
+            let delay = Duration::from_secs_f64(down_ms / 1000.0);
+            self.processes.slot(member).crash(delay);
         }
     }
 
@@ -103,12 +119,13 @@
         out.iter().position(|is_out| *is_out)
     }
 
-    /// Operators at these members ask to drain these engines at the same time, and drain what is granted.
+    /// Operators at these members request drains of these engines at the same time, and drain those that are granted.
     fn drain(&self, requests: &[(usize, usize)]) {
         thread::scope(|scope| {
             for &(at, engine) in requests {
                 scope.spawn(move || {
-                    let answer = self.fleet_command(at, &["drain", &engine_name(engine)]);
+                    let arguments = ["drain", &engine_name(engine)];
+                    let answer = self.processes.fleet_command(at, &arguments);
                     if answer.code == Some(0) {
                         let mut drained = self.drained.lock().expect("no holder panics");
                         drained[engine] = true;
@@ -122,10 +139,11 @@
 
     /// All operators' files get another limit of dispatchers out, and all processes read them again.
     fn change_limit(&self, max_out: usize) {
-        for n in 0..self.places.len() {
-            let place = self.place(n);
-            self.operator_files[n].write(&self.operator_text_with_limit(n, place.version, max_out));
-            if let Some(program) = place.program.as_ref().filter(|_| !place.stalled) {
+        for member in 0..self.processes.len() {
+            let slot = self.processes.slot(member);
+            let text = self.operator_text_with_limit(member, slot.version(), max_out);
+            self.processes.write_operator_file(member, &text);
+            if let Some(program) = slot.responsive_program() {
                 program.signal("-HUP");
             }
         }
--- a/crates/testbed/src/fleet/scenario.rs
+++ b/crates/testbed/src/fleet/scenario.rs
@@ -348,11 +348,11 @@
         "hall-of-voters-lost" => [0, 2, 4].map(|who| (1000.0, crash(who, 14_000.0))).into(),
         "holder-crashes" => (1..9)
             .map(f64::from)
-            .map(|n| (1500.0 * n, Fault::KillHolder { back: 900.0 * n }))
+            .map(|nth| (1500.0 * nth, Fault::KillHolder { back: 900.0 * nth }))
             .collect(),
         "killed-in-its-wave" => vec![(2500.0, crash(3, 5000.0)), (8000.0, crash(4, 5000.0))],
         "seven-in-ten" => (0..7)
-            .map(|n| (1500.0, crash((n * 3) % 10, 4000.0)))
+            .map(|nth| (1500.0, crash((nth * 3) % 10, 4000.0)))
             .collect(),
         "halt-races" => halt_races(members),
         _ => return None,
@@ -362,10 +362,10 @@
 /// Halts and resumptions at different members, in turn.
 fn halt_races(members: usize) -> Vec<(f64, Fault)> {
     let mut events = Vec::new();
-    for n in 0..5 {
-        let from_ms = 5000.0 * n as f64;
-        let halted_at = n % members;
-        let resumed_at = (n + 1) % members;
+    for round in 0..5 {
+        let from_ms = 5000.0 * round as f64;
+        let halted_at = round % members;
+        let resumed_at = (round + 1) % members;
         events.push((1000.0 + from_ms, Fault::Halt { at: halted_at }));
         events.push((4000.0 + from_ms, Fault::Resume { at: resumed_at }));
     }
--- a/crates/testbed/src/fleet/virtual_fleet/diagnostics.rs
+++ b/crates/testbed/src/fleet/virtual_fleet/diagnostics.rs
@@ -1,110 +1,83 @@
-//! What members know, as text for whoever looks for the cause of a failed run.
+//! What members know, as text for the analysis of a failed run.
 
 use super::member::Member;
-use super::VirtualFleet;
-use tansymux_coordination::{Record, UnitKind};
-use tansymux_membership::member_id_of;
+use super::members::Members;
+use super::settings::{member_id, member_name};
+use std::fmt::Debug;
+use tansymux_coordination::{LeasedRecord, QuorumNode, Record, UnitKind};
+use tansymux_rollout::FleetNode;
 
 /// Members whose view is shown.
 const SHOWN_MEMBERS: usize = 7;
 
-impl VirtualFleet {
-    /// The leader's records, then how the first members see all others, then their coordination state.
-    pub fn diagnostics(&self) -> String {
-        let Some(leader) = self.leader() else {
-            return "nobody leads".into();
-        };
-        let shown = self.members.len().min(SHOWN_MEMBERS);
-        let mut text = self.leader_records(leader);
-        for n in 0..shown {
-            text += &format!("\n  n{n}: {}", self.views_of(n));
-        }
-        for member in &self.members[..shown] {
-            text += &format!("\n  {}", coordination_state(member, self.now_ms));
-        }
-        text
+/// The leader's records, then how the first members see all others, then their coordination state.
+pub(super) fn describe(members: &Members, now_ms: f64) -> String {
+    let Some(leader) = members.leader() else {
+        return "nobody leads".into();
+    };
+    let shown = members.len().min(SHOWN_MEMBERS);
+    let mut text = leader_records(members, leader);
+    for member in 0..shown {
+        text += &format!("\n  n{member}: {}", views_of(members, member));
     }
-
-    /// The records that the leader holds, each with its key's member where it is one's.
-    fn leader_records(&self, leader: usize) -> String {
-        let Some(quorum) = self.members[leader]
-            .fleet
-            .as_ref()
-            .and_then(|fleet| fleet.quorum())
-        else {
-            return String::new();
-        };
-        let records: Vec<String> = quorum
-            .all_active()
-            .map(|leased| {
-                let name = self.name_of_key(leased.record.key);
-                let remaining_ms = leased.remaining_ms;
-                format!("{name} {:?} {remaining_ms:?}", leased.record.value)
-            })
-            .collect();
-        records.join("; ")
+    for member in members.iter().take(shown) {
+        text += &format!("\n  {}", coordination_state(member, now_ms));
     }
+    text
+}
 
-    fn name_of_key(&self, key: u64) -> String {
-        let is_of_member = |n: &usize| {
-            let id = member_id_of(&format!("n{n}"));
-            Record::unit_key(UnitKind::Dispatcher, id) == key
-        };
-        (0..self.members.len())
-            .find(is_of_member)
-            .map_or_else(|| format!("{key:x}"), |n| format!("n{n}"))
-    }
+/// The records that the leader holds. The key of a member's record is shown as the member's name.
+fn leader_records(members: &Members, leader: usize) -> String {
+    let Some(quorum) = members.member(leader).fleet().and_then(FleetNode::quorum) else {
+        return String::new();
+    };
+    let records: Vec<String> = quorum
+        .all_active()
+        .map(|leased| {
+            let name = name_of_key(leased.record.key, members.len());
+            let remaining_ms = leased.remaining_ms;
+            format!("{name} {:?} {remaining_ms:?}", leased.record.value)
+        })
+        .collect();
+    records.join("; ")
+}
 
-    /// State and incarnation of member `n`, as each member sees it.
-    fn views_of(&self, n: usize) -> String {
-        let id = member_id_of(&format!("n{n}"));
-        let views: Vec<String> = self
-            .members
-            .iter()
-            .map(|member| {
-                let view = member.fleet.as_ref().and_then(|fleet| {
-                    fleet
-                        .detector()
-                        .members()
-                        .find(|other| other.id == id)
-                        .map(|other| (other.state, other.incarnation))
-                });
-                format!("{view:?}")
-            })
-            .collect();
-        views.join(" ")
-    }
+fn name_of_key(key: u64, members: usize) -> String {
+    (0..members)
+        .find(|member| Record::unit_key(UnitKind::Dispatcher, member_id(*member)) == key)
+        .map_or_else(|| format!("{key:x}"), member_name)
+}
+
+/// State and incarnation of a member, as each member sees it.
+fn views_of(members: &Members, member: usize) -> String {
+    let id = member_id(member);
+    let views: Vec<String> = members
+        .iter()
+        .map(|observer| {
+            let view = observer.fleet().and_then(|fleet| {
+                fleet
+                    .detector()
+                    .members()
+                    .find(|other| other.id == id)
+                    .map(|other| (other.state, other.incarnation))
+            });
+            format!("{view:?}")
+        })
+        .collect();
+    views.join(" ")
 }
 
 /// A member's role, its leadership, the leader it knows, and the records that its agent and its voter hold.
 fn coordination_state(member: &Member, now_ms: f64) -> String {
-    let Some(fleet) = member.fleet.as_ref() else {
+    let Some(fleet) = member.fleet() else {
         return "None".into();
     };
     let process_ms = member.process_clock_ms(now_ms);
-    let leadership = fleet.quorum().map(|quorum| {
-        (
-            quorum.is_leader(process_ms),
-            quorum
-                .leader_since_ms()
-                .map(|since_ms| process_ms - since_ms),
-            quorum.leader(),
-            quorum.highest_stamp(),
-        )
-    });
+    let leadership = fleet.quorum().map(|quorum| leadership(quorum, process_ms));
     let agent_records: Vec<_> = fleet
         .agent()
         .records(process_ms)
-        .map(|leased| {
-            let record = leased.record;
-            (
-                record.key,
-                record.value,
-                record.stamp.ballot.round,
-                record.stamp.number,
-                leased.remaining_ms,
-            )
-        })
+        .map(agent_record)
         .collect();
     let voter_records = fleet.quorum().map(|quorum| {
         quorum
@@ -121,3 +94,28 @@
     );
     format!("{:?}", Some(state))
 }
+
+/// Whether a voter leads, since when, whom it takes for the leader, and the newest record that it holds.
+fn leadership(quorum: &QuorumNode, process_ms: f64) -> impl Debug {
+    let led_for_ms = quorum
+        .leader_since_ms()
+        .map(|since_ms| process_ms - since_ms);
+    (
+        quorum.is_leader(process_ms),
+        led_for_ms,
+        quorum.leader(),
+        quorum.highest_stamp(),
+    )
+}
+
+/// A record as a member's agent holds it.
+fn agent_record(leased: LeasedRecord) -> impl Debug {
+    let record = leased.record;
+    (
+        record.key,
+        record.value,
+        record.stamp.ballot.round,
+        record.stamp.number,
+        leased.remaining_ms,
+    )
+}
--- a/crates/testbed/src/fleet/virtual_fleet/faults.rs
+++ b/crates/testbed/src/fleet/virtual_fleet/faults.rs
@@ -1,51 +1,44 @@
-//! Faults and operators' actions of a scenario, applied to the virtual fleet.
+//! Faults and operators' actions of a scenario, injected into the virtual fleet.
 
-use super::member::FIRST_ENGINE_ID;
-use super::settings::{keys, limit_of};
-use super::supervisor::Supervisor;
-use super::{LimitInForce, SecondRelease, VirtualFleet, RELEASE_NUMBER};
+use super::members::FIRST_ENGINE_ID;
+use super::{VirtualFleet, RELEASE_NUMBER};
 use crate::fleet::scenario::Fault;
 use rand::RngExt;
 use tansymux_rollout::message::Command;
 
 impl VirtualFleet {
-    pub(super) fn apply_fault(&mut self, fault: Fault) {
-        let members = self.members.len();
+    /// Injects a fault, or lets operators act.
+    pub(super) fn inject(&mut self, fault: Fault) {
         match fault {
-            Fault::Links(conditions) => self.network.conditions = conditions,
-            Fault::Cut { side, one_way } => self.network.cut(members, &side, one_way),
+            Fault::Links(conditions) => self.environment.network.set_conditions(conditions),
+            Fault::Cut { side, one_way } => self.cut(&side, one_way),
             Fault::CutLeader { one_way } => {
-                self.network.partition = None;
-                if let Some(leader) = self.leader() {
-                    self.network.cut(members, &[leader], one_way);
-                }
-            }
-            Fault::Heal => self.network.partition = None,
-            Fault::Stall { who, lasts } => self.stall_member(who, lasts),
-            Fault::StallLeader { lasts } => {
-                if let Some(leader) = self.leader() {
-                    self.stall_member(leader, lasts);
-                }
-            }
-            Fault::Kill { who, back } => self.stop_member(who, back),
-            Fault::KillLeader { back } => {
-                if let Some(leader) = self.leader() {
-                    self.stop_member(leader, back);
-                }
-            }
-            Fault::KillHolder { back } => {
-                let holder = self
-                    .supervisors
-                    .iter()
-                    .position(|supervisor| matches!(supervisor, Supervisor::HoldsLease { .. }));
-                if let Some(holder) = holder {
-                    self.stop_member(holder, back);
+                self.environment.network.heal();
+                if let Some(leader) = self.members.leader() {
+                    self.cut(&[leader], one_way);
                 }
             }
+            Fault::Heal => self.environment.network.heal(),
+            Fault::Stall { who, lasts } => self.stall(Some(who), lasts),
+            Fault::StallLeader { lasts } => self.stall(self.members.leader(), lasts),
+            Fault::Kill { who, back } => self.crash(Some(who), back),
+            Fault::KillLeader { back } => self.crash(self.members.leader(), back),
+            Fault::KillHolder { back } => self.crash(self.supervisors.first_holder(), back),
+            Fault::Drain { .. }
+            | Fault::Undrain { .. }
+            | Fault::Halt { .. }
+            | Fault::Resume { .. }
+            | Fault::Back { .. }
+            | Fault::Limit { .. } => self.let_operators_act(fault),
+        }
+    }
+
+    fn let_operators_act(&mut self, action: Fault) {
+        match action {
             Fault::Drain { engines } => self.request_drains(&engines),
             Fault::Undrain { engine, at } => self.undrain(engine, at),
             Fault::Halt { at } => {
-                let number = self.rng.random::<u32>() | 1;
+                let number = self.environment.rng.random::<u32>() | 1;
                 self.last_halt = Some(number);
                 self.issue_command(at, Command::Halt { number });
             }
@@ -54,68 +47,62 @@
                     self.issue_command(at, Command::Resume { number });
                 }
             }
-            Fault::Limit { max_out } => self.change_limit(max_out),
+            Fault::Limit { max_out } => {
+                self.limits.set_max_out(max_out, self.environment.now_ms);
+                self.members.change_limit(max_out);
+            }
             Fault::Back { at } => {
-                self.rolling_back = true;
+                self.supervisors.roll_back();
                 let number = RELEASE_NUMBER;
                 self.issue_command(at, Command::RollBack { number });
             }
+            _ => {}
+        }
+    }
+
+    fn cut(&mut self, side: &[usize], one_way: bool) {
+        let members = self.members.len();
+        self.environment.network.cut(members, side, one_way);
+    }
+
+    fn stall(&mut self, member: Option<usize>, lasts_ms: f64) {
+        if let Some(member) = member {
+            let until_ms = self.environment.now_ms + lasts_ms;
+            self.members.member_mut(member).stall(until_ms);
         }
     }
 
-    fn stall_member(&mut self, n: usize, lasts_ms: f64) {
-        self.members[n].stalled_until_ms = self.now_ms + lasts_ms;
+    fn crash(&mut self, member: Option<usize>, down_ms: f64) {
+        if let Some(member) = member {
+            let restart_at_ms = self.environment.now_ms + down_ms;
+            self.members.member_mut(member).stop(restart_at_ms);
+        }
     }
 
-    /// `requests`: at which member each engine's drain is asked for.
+    /// Operators request drains of engines and drain those that are granted. `requests`: at which member each engine's
+    /// drain is requested.
     fn request_drains(&mut self, requests: &[(usize, usize)]) {
         for &(at, engine) in requests {
             let command = Command::Drain {
                 engine: FIRST_ENGINE_ID + engine as u64,
-                grant_id: self.rng.random(),
+                grant_id: self.environment.rng.random(),
             };
-            self.issue_drain(at, command, engine);
+            self.operators.issue(
+                at,
+                command,
+                Some(engine),
+                &self.members,
+                &mut self.environment,
+            );
         }
     }
 
     /// For the operators an engine serves again from the moment on which they say so.
     fn undrain(&mut self, engine: usize, at: usize) {
-        self.drained[engine] = false;
+        self.operators.undrain(engine);
         let command = Command::Undrain {
             engine: FIRST_ENGINE_ID + engine as u64,
         };
         self.issue_command(at, command);
     }
-
-    /// All members read a definition with another limit of dispatchers out.
-    fn change_limit(&mut self, max_out: usize) {
-        self.limit = LimitInForce {
-            max_out,
-            since_ms: self.now_ms,
-        };
-        self.definition.dispatchers.fleet = limit_of(max_out);
-        for member in &mut self.members {
-            if let Some(fleet) = &mut member.fleet {
-                fleet.set_config(self.definition.clone(), keys(), None);
-            }
-        }
-    }
-
-    /// Another release is requested at this member at the same time as the scenario's own.
-    pub fn request_second_release(&mut self, at: usize, number: u32) {
-        self.second_release = Some(SecondRelease { at, number });
-    }
-
-    /// All but the first members start only so long after the release's begin (ms).
-    pub fn start_late(&mut self, first: usize, after_ms: f64) {
-        let start_ms = self.release_at_ms + after_ms;
-        for member in self.members.iter_mut().skip(first) {
-            member.restart_at_ms = Some(start_ms);
-        }
-    }
-
-    /// These members crash shortly before the release, for good.
-    pub fn crash_before_release(&mut self, members: &[usize]) {
-        self.crash_before_release = members.to_vec();
-    }
 }
--- a/crates/testbed/src/fleet/virtual_fleet/member.rs
+++ b/crates/testbed/src/fleet/virtual_fleet/member.rs
@@ -1,46 +1,61 @@
-//! One dispatcher's place in the virtual fleet: its process, if one runs, and its clocks.
+//! One dispatcher of the virtual fleet: its process, if one runs, and its clocks.
 
+use super::environment::Environment;
 use super::settings::member_address;
-use super::{VirtualFleet, NEW_VERSION, OLD_VERSION};
+use super::OLD_VERSION;
 use rand::RngExt;
 use rand_pcg::Pcg32;
 use std::net::SocketAddr;
-use tansymux_coordination::disruption_budget::Unit;
 use tansymux_coordination::Role;
 use tansymux_rollout::{FleetAction, FleetEvent, FleetNode, MemberStatus};
 
-/// Engine ids start here, so that they differ from any other number.
-pub(super) const FIRST_ENGINE_ID: u64 = 1000;
 /// A member is polled at least this often (ms).
 const MAX_POLL_INTERVAL_MS: f64 = 250.0;
+/// Datagrams that a stalled process's socket holds; later ones are lost.
+const SOCKET_BUFFER_DATAGRAMS: usize = 200;
+/// Mean time between two polls, for which a member's requests are counted (s).
+const REQUEST_INTERVAL_S: f64 = 0.25;
+/// Probability that a poll counts requests, which then come in a burst: that of several polls.
+const BURST_PROBABILITY: f64 = 0.5;
+
+/// The requests that a member answers.
+#[derive(Debug, Clone, Copy)]
+pub(super) struct RequestLoad {
+    pub requests_per_s: f64,
+    /// Fraction of them that the member answers well.
+    pub success: f64,
+}
 
 /// A dispatcher's process, as it truly is.
 pub(super) struct Member {
+    index: usize,
     /// The fleet object of the process; none while it is down.
-    pub fleet: Option<FleetNode>,
+    fleet: Option<FleetNode>,
     /// Speed of the host's clock against the true one.
     clock_rate: f64,
     /// What the process's clock read at true time 0.
     process_offset_ms: f64,
-    /// The same of the host's clock, which supervisors and operators read: a restart of the process does not change it.
+    /// What the host's clock read at true time 0. Supervisors and operators read it; a restart of the process does not
+    /// change it.
     host_offset_ms: f64,
-    pub version: u32,
-    pub stalled_until_ms: f64,
+    version: u32,
+    stalled_until_ms: f64,
     /// When the process is started again; none while it runs.
-    pub restart_at_ms: Option<f64>,
-    pub next_poll_ms: f64,
+    restart_at_ms: Option<f64>,
+    next_poll_ms: f64,
     /// Datagrams that a stalled process has not read yet.
-    pub queued_datagrams: Vec<(SocketAddr, Vec<u8>)>,
-    /// The restart lease that the next start is told.
-    pub lease_at_start: u64,
+    queued_datagrams: Vec<(SocketAddr, Vec<u8>)>,
+    /// The restart lease under which the process is started next.
+    lease_at_start: u64,
     requests_ok: u32,
     requests: u32,
 }
 
 impl Member {
     /// A member that is to be started at once, with clocks drawn from `rng`.
-    pub fn new(rng: &mut Pcg32) -> Self {
+    pub fn new(index: usize, rng: &mut Pcg32) -> Self {
         Member {
+            index,
             fleet: None,
             clock_rate: rng.random_range(0.995..1.005),
             process_offset_ms: rng.random_range(0.0..1e12),
@@ -61,7 +76,27 @@
         self.fleet.is_some()
     }
 
-    /// Whether it runs and holds the leader's role by its own account.
+    /// The fleet object of the member's process, while it is up.
+    pub fn fleet(&self) -> Option<&FleetNode> {
+        self.fleet.as_ref()
+    }
+
+    /// The same, for changes.
+    pub fn fleet_mut(&mut self) -> Option<&mut FleetNode> {
+        self.fleet.as_mut()
+    }
+
+    /// The version that the member runs, or runs once it is started.
+    pub fn version(&self) -> u32 {
+        self.version
+    }
+
+    /// The restart lease under which the process is started next.
+    pub fn lease_at_start(&self) -> u64 {
+        self.lease_at_start
+    }
+
+    /// Whether the member runs and holds the leader's role by its own account.
     pub fn is_leader(&self) -> bool {
         let Some(fleet) = &self.fleet else {
             return false;
@@ -92,114 +127,155 @@
     pub fn true_span_ms(&self, host_span_ms: f64) -> f64 {
         host_span_ms / self.clock_rate
     }
-}
 
-/// Everything that a member sends at a time of its process's clock.
-pub(super) fn due_datagrams(fleet: &mut FleetNode, process_ms: f64) -> Vec<(SocketAddr, Vec<u8>)> {
-    let mut datagrams = Vec::new();
-    while let Some(FleetAction::Send { to, datagram }) = fleet.poll(process_ms) {
-        datagrams.push((to, datagram));
+    /// Whether the process is down and its next start is due.
+    pub fn is_start_due(&self, now_ms: f64) -> bool {
+        self.restart_at_ms
+            .is_some_and(|restart_at_ms| now_ms >= restart_at_ms)
     }
-    datagrams
-}
 
-impl VirtualFleet {
-    pub(super) fn start_member(&mut self, n: usize) {
-        let settings = self.member_settings(n);
-        let seed = self.rng.random();
-        // A new process reads another clock and does not know what the one before read.
-        self.members[n].process_offset_ms += self.rng.random_range(-1e6..1e6);
-        let process_ms = self.members[n].process_clock_ms(self.now_ms);
-        let mut fleet = FleetNode::new(&settings, process_ms, seed);
-        fleet.set_engines(&self.engine_units());
-        let member = &mut self.members[n];
-        member.fleet = Some(fleet);
-        member.restart_at_ms = None;
-        member.next_poll_ms = self.now_ms;
-        member.stalled_until_ms = 0.0;
-        member.requests_ok = 0;
-        member.requests = 0;
-        member.lease_at_start = 0;
-        member.queued_datagrams.clear();
-    }
-
-    fn engine_units(&self) -> Vec<Unit> {
-        (0..self.scenario.engines)
-            .map(|engine| Unit {
-                id: FIRST_ENGINE_ID + engine as u64,
-                zone: (engine % 2) as u32,
-                version: 0,
-                available: true,
-                capacity: 8.0,
-            })
-            .collect()
-    }
-
-    /// Ends a member's process; it is started again after `down_ms`.
-    pub(super) fn stop_member(&mut self, n: usize, down_ms: f64) {
-        self.members[n].fleet = None;
-        self.members[n].restart_at_ms = Some(self.now_ms + down_ms);
-    }
-
-    /// Lets a member's process work, where it runs, is not stalled and has something due.
-    pub(super) fn poll_member(&mut self, n: usize) {
-        let now_ms = self.now_ms;
-        let member = &mut self.members[n];
-        if now_ms < member.stalled_until_ms || now_ms < member.next_poll_ms {
+    /// Sets when the process is started next.
+    pub fn start_at(&mut self, at_ms: f64) {
+        self.restart_at_ms = Some(at_ms);
+    }
+
+    /// Moves the process's clock: a new process reads another clock, and does not know what the one before read.
+    pub fn shift_process_clock(&mut self, shift_ms: f64) {
+        self.process_offset_ms += shift_ms;
+    }
+
+    /// Starts a process around `fleet`.
+    pub fn start(&mut self, fleet: FleetNode, now_ms: f64) {
+        self.fleet = Some(fleet);
+        self.restart_at_ms = None;
+        self.next_poll_ms = now_ms;
+        self.stalled_until_ms = 0.0;
+        self.requests_ok = 0;
+        self.requests = 0;
+        self.lease_at_start = 0;
+        self.queued_datagrams.clear();
+    }
+
+    /// Ends the process, which is started again at `restart_at_ms`.
+    pub fn stop(&mut self, restart_at_ms: f64) {
+        self.fleet = None;
+        self.restart_at_ms = Some(restart_at_ms);
+    }
+
+    /// Ends the process, which is started again on another version under a restart lease.
+    pub fn restart_on(&mut self, version: u32, lease: u64, restart_at_ms: f64) {
+        self.version = version;
+        self.lease_at_start = lease;
+        self.stop(restart_at_ms);
+    }
+
+    /// Stalls the process until a time.
+    pub fn stall(&mut self, until_ms: f64) {
+        self.stalled_until_ms = until_ms;
+    }
+
+    /// Delivers a datagram to the process, if it runs; a stalled process reads it later.
+    pub fn deliver(&mut self, source: SocketAddr, bytes: Vec<u8>, now_ms: f64) {
+        if self.is_running() && now_ms < self.stalled_until_ms {
+            if self.queued_datagrams.len() < SOCKET_BUFFER_DATAGRAMS {
+                self.queued_datagrams.push((source, bytes));
+            }
             return;
         }
-        let process_ms = member.process_clock_ms(now_ms);
-        let Some(fleet) = &mut member.fleet else {
+        let process_ms = self.process_clock_ms(now_ms);
+        if let Some(fleet) = &mut self.fleet {
+            let event = FleetEvent::DatagramReceived {
+                from: source,
+                datagram: &bytes,
+            };
+            fleet.handle(event, process_ms);
+            self.next_poll_ms = self.next_poll_ms.min(now_ms);
+        }
+    }
+
+    /// Lets the process work, where it runs, is not stalled and has something due. `load`: the requests that it answers
+    /// meanwhile.
+    pub fn poll(&mut self, load: RequestLoad, environment: &mut Environment) {
+        let now_ms = environment.now_ms;
+        if now_ms < self.stalled_until_ms || now_ms < self.next_poll_ms {
+            return;
+        }
+        let process_ms = self.process_clock_ms(now_ms);
+        let Some(fleet) = &mut self.fleet else {
             return;
         };
-        for (from, bytes) in std::mem::take(&mut member.queued_datagrams) {
+        for (from, bytes) in std::mem::take(&mut self.queued_datagrams) {
             let event = FleetEvent::DatagramReceived {
                 from,
                 datagram: &bytes,
             };
             fleet.handle(event, process_ms);
         }
-        self.serve_requests(n);
-        let zone = (n % self.scenario.zones) as u32 + 1;
-        let member = &mut self.members[n];
-        let Some(fleet) = &mut member.fleet else {
+        self.serve_requests(load, &mut environment.rng);
+        self.report_status(environment.scenario.zones);
+        self.send_due_datagrams(process_ms, environment);
+    }
+
+    /// Counts the requests that the member has answered since it was polled last.
+    fn serve_requests(&mut self, load: RequestLoad, rng: &mut Pcg32) {
+        let requests_per_poll = load.requests_per_s * REQUEST_INTERVAL_S;
+        if requests_per_poll > 0.0 && rng.random::<f64>() < BURST_PROBABILITY {
+            for _ in 0..(requests_per_poll / BURST_PROBABILITY) as u32 {
+                self.requests += 1;
+                self.requests_ok += u32::from(rng.random::<f64>() < load.success);
+            }
+        }
+    }
+
+    fn report_status(&mut self, zones: usize) {
+        let status = MemberStatus {
+            zone: (self.index % zones) as u32 + 1,
+            version: self.version,
+            succeeded: self.requests_ok,
+            total: self.requests,
+            ..MemberStatus::default()
+        };
+        if let Some(fleet) = &mut self.fleet {
+            fleet.set_status(status);
+        }
+    }
+
+    fn send_due_datagrams(&mut self, process_ms: f64, environment: &mut Environment) {
+        let Some(fleet) = &mut self.fleet else {
             return;
         };
-        fleet.set_status(MemberStatus {
-            zone,
-            version: member.version,
-            succeeded: member.requests_ok,
-            total: member.requests,
-            ..MemberStatus::default()
-        });
         let datagrams = due_datagrams(fleet, process_ms);
         let next_ms = fleet.next_poll_ms();
-        member.next_poll_ms = member
+        let now_ms = environment.now_ms;
+        self.next_poll_ms = self
             .true_ms(next_ms)
             .clamp(now_ms, now_ms + MAX_POLL_INTERVAL_MS);
-        for (to, bytes) in datagrams {
-            self.send_datagram(n, member_address(n), to, bytes);
-        }
+        self.send_all(datagrams, environment);
     }
 
-    /// Requests that a member has answered since it was polled last, by the quality of its version.
-    fn serve_requests(&mut self, n: usize) {
-        let quality = self.quality;
-        let since_release_ms = self.now_ms - self.release_at_ms;
-        let member = &mut self.members[n];
-        let degraded =
-            member.version == NEW_VERSION && since_release_ms >= quality.degraded_after_ms;
-        let success = if degraded {
-            quality.new_success
-        } else {
-            quality.old_success
+    /// Tells the other members that this one leaves, where its process runs.
+    pub fn leave(&mut self, environment: &mut Environment) {
+        let process_ms = self.process_clock_ms(environment.now_ms);
+        let Some(fleet) = &mut self.fleet else {
+            return;
         };
-        let requests_per_poll = quality.requests_per_s * 0.25;
-        if requests_per_poll > 0.0 && self.rng.random::<f64>() < 0.5 {
-            for _ in 0..(2.0 * requests_per_poll) as u32 {
-                member.requests += 1;
-                member.requests_ok += u32::from(self.rng.random::<f64>() < success);
-            }
+        fleet.handle(FleetEvent::LeaveRequested, process_ms);
+        let datagrams = due_datagrams(fleet, process_ms);
+        self.send_all(datagrams, environment);
+    }
+
+    fn send_all(&self, datagrams: Vec<(SocketAddr, Vec<u8>)>, environment: &mut Environment) {
+        for (to, bytes) in datagrams {
+            environment.send_datagram(self.index, member_address(self.index), to, bytes);
         }
     }
 }
+
+/// Everything that a member sends at a time of its process's clock.
+fn due_datagrams(fleet: &mut FleetNode, process_ms: f64) -> Vec<(SocketAddr, Vec<u8>)> {
+    let mut datagrams = Vec::new();
+    while let Some(FleetAction::Send { to, datagram }) = fleet.poll(process_ms) {
+        datagrams.push((to, datagram));
+    }
+    datagrams
+}
--- /dev/null
+++ b/crates/testbed/src/fleet/virtual_fleet/members.rs
@@ -0,0 +1,143 @@
+//! All members of the virtual fleet, and the definition and versions that they run with.
+
+use super::environment::Environment;
+use super::member::{Member, RequestLoad};
+use super::settings::{keys, limit_of, member_settings};
+use super::{VersionQuality, NEW_VERSION};
+use rand::RngExt;
+use tansymux_coordination::disruption_budget::Unit;
+use tansymux_coordination::QuorumNode;
+use tansymux_rollout::{FleetNode, RolloutConfig};
+
+/// Engine ids start here, so that they differ from any other number.
+pub(super) const FIRST_ENGINE_ID: u64 = 1000;
+/// Cores of each engine, as members are told.
+const ENGINE_CAPACITY: f64 = 8.0;
+/// Zones over which engines are spread in turn.
+const ENGINE_ZONES: usize = 2;
+
+/// The members, and what their processes are started with.
+pub(super) struct Members {
+    members: Vec<Member>,
+    definition: RolloutConfig,
+    quality: VersionQuality,
+    /// When the release begins (true ms).
+    release_at_ms: f64,
+}
+
+impl Members {
+    /// Members of which none runs yet.
+    pub fn new(
+        members: Vec<Member>,
+        definition: RolloutConfig,
+        quality: VersionQuality,
+        release_at_ms: f64,
+    ) -> Self {
+        Members {
+            members,
+            definition,
+            quality,
+            release_at_ms,
+        }
+    }
+
+    /// Number of members, whether they run or not.
+    pub fn len(&self) -> usize {
+        self.members.len()
+    }
+
+    /// All members, in the order of their indices.
+    pub fn iter(&self) -> impl Iterator<Item = &Member> {
+        self.members.iter()
+    }
+
+    /// The member at an index.
+    pub fn member(&self, index: usize) -> &Member {
+        &self.members[index]
+    }
+
+    /// The same, for changes.
+    pub fn member_mut(&mut self, index: usize) -> &mut Member {
+        &mut self.members[index]
+    }
+
+    /// The index of the member that leads, where one does.
+    pub fn leader(&self) -> Option<usize> {
+        self.members.iter().position(Member::is_leader)
+    }
+
+    /// The quorum state of the member that leads, where one does.
+    pub fn leader_quorum(&self) -> Option<&QuorumNode> {
+        self.members[self.leader()?].fleet()?.quorum()
+    }
+
+    /// Members that run a version.
+    pub fn running_count(&self, version: u32) -> usize {
+        self.members
+            .iter()
+            .filter(|member| member.version() == version && member.is_running())
+            .count()
+    }
+
+    /// Starts members whose time has come, and lets all of them work.
+    pub fn poll(&mut self, environment: &mut Environment) {
+        for index in 0..self.members.len() {
+            if self.members[index].is_start_due(environment.now_ms) {
+                self.start(index, environment);
+            }
+            let load = self.load_of(index, environment.now_ms);
+            self.members[index].poll(load, environment);
+        }
+    }
+
+    fn start(&mut self, index: usize, environment: &mut Environment) {
+        let scenario = &environment.scenario;
+        let member = &mut self.members[index];
+        let lease = member.lease_at_start();
+        let settings = member_settings(scenario, &self.definition, index, lease);
+        let seed = environment.rng.random();
+        member.shift_process_clock(environment.rng.random_range(-1e6..1e6));
+        let process_ms = member.process_clock_ms(environment.now_ms);
+        let mut fleet = FleetNode::new(&settings, process_ms, seed);
+        fleet.set_engines(&engine_units(scenario.engines));
+        member.start(fleet, environment.now_ms);
+    }
+
+    /// The requests that a member gets, and how well its version answers them now.
+    fn load_of(&self, index: usize, now_ms: f64) -> RequestLoad {
+        let since_release_ms = now_ms - self.release_at_ms;
+        let is_degraded = self.members[index].version() == NEW_VERSION
+            && since_release_ms >= self.quality.degraded_after_ms;
+        RequestLoad {
+            requests_per_s: self.quality.requests_per_s,
+            success: if is_degraded {
+                self.quality.new_success
+            } else {
+                self.quality.old_success
+            },
+        }
+    }
+
+    /// All members read a definition with another limit of dispatchers out.
+    pub fn change_limit(&mut self, max_out: usize) {
+        self.definition.dispatchers.fleet = limit_of(max_out);
+        for member in &mut self.members {
+            if let Some(fleet) = member.fleet_mut() {
+                fleet.set_config(self.definition.clone(), keys(), None);
+            }
+        }
+    }
+}
+
+/// The engines of a scenario, as members know them.
+fn engine_units(count: usize) -> Vec<Unit> {
+    (0..count)
+        .map(|engine| Unit {
+            id: FIRST_ENGINE_ID + engine as u64,
+            zone: (engine % ENGINE_ZONES) as u32,
+            version: 0,
+            available: true,
+            capacity: ENGINE_CAPACITY,
+        })
+        .collect()
+}
--- a/crates/testbed/src/fleet/virtual_fleet/mod.rs
+++ b/crates/testbed/src/fleet/virtual_fleet/mod.rs
@@ -1,48 +1,54 @@
 //! A fleet of dispatchers in virtual time, around the same `tansymux_rollout::FleetNode` that the program drives.
 //!
-//! Owns: the true clock, every member's own clock and process state, the network between members, the supervisors that
-//! restart dispatchers under a lease and the operators that issue commands. It checks the limits at every step against
-//! what its own supervisors did, never against what a member reports.
+//! Owns: the true clock and the network ([`environment`]), every member's own clock and process state ([`members`]), the
+//! supervisors that restart dispatchers under a lease ([`supervisors`]) and the operators that issue commands
+//! ([`operators`]). It checks the limits at every step against what its own supervisors did, never against what a member
+//! reports.
 //!
 //! Start reading at [`VirtualFleet::run_until`].
 
 mod diagnostics;
+mod environment;
 mod faults;
+mod limits;
 mod member;
+mod members;
 mod network;
 mod operators;
 mod run;
 mod settings;
-mod supervisor;
+mod supervisors;
 
 pub use settings::{coordination_settings, fleet_definition};
 
 use super::scenario::{Fault, LinkConditions, Scenario};
 use super::FleetReport;
+use environment::Environment;
+use limits::LimitsInForce;
 use member::Member;
-use network::Network;
-use operators::Operator;
+use members::Members;
+use operators::Operators;
 use rand::SeedableRng;
 use rand_pcg::Pcg32;
-use supervisor::Supervisor;
+use settings::{member_address, supervisor_address};
+use supervisors::Supervisors;
 use tansymux_coordination::disruption_budget::HaltReason;
 use tansymux_coordination::ReleaseStage;
-use tansymux_rollout::message::Answer;
+use tansymux_rollout::message::{Answer, Command};
 use tansymux_rollout::RolloutConfig;
 
 /// Virtual time of one step (ms).
 const STEP_MS: f64 = 10.0;
-/// The number of the release that every scenario plays.
+/// The number of the release that every scenario runs.
 const RELEASE_NUMBER: u32 = 77;
-/// The version that all members start with, and the one that they are released to.
+/// The version that all members start with.
 const OLD_VERSION: u32 = 1;
+/// The version that the release installs.
 const NEW_VERSION: u32 = 2;
-/// How long after its change a new limit or a halt may still be unknown to a supervisor that has just been granted a
-/// lease (ms), on good links and where the scenario makes links lossy.
-const PROPAGATION_GOOD_LINKS_MS: f64 = 1000.0;
-const PROPAGATION_LOSSY_LINKS_MS: f64 = 7000.0;
-/// Time for members to join and elect a leader before the release begins (ms), beside the voters' quarantine.
+/// Time for members to join and elect a leader before the release begins (ms), in addition to the voters' quarantine.
 const SETTLING_MS: f64 = 20_000.0;
+/// Factor on the voters' quarantine, whose length they measure by clocks that may be slow.
+const QUARANTINE_MARGIN: f64 = 1.05;
 
 /// How well each version answers requests, and under which load: what the release's comparison sees.
 #[derive(Debug, Clone, Copy, Default)]
@@ -57,13 +63,6 @@
     pub degraded_after_ms: f64,
 }
 
-/// The limit of dispatchers out at a time, and since when it holds (true ms).
-#[derive(Debug, Clone, Copy)]
-struct LimitInForce {
-    max_out: usize,
-    since_ms: f64,
-}
-
 /// A second release that is requested while the first one runs.
 #[derive(Debug, Clone, Copy)]
 struct SecondRelease {
@@ -73,38 +72,26 @@
 
 /// A fleet, its network, its supervisors and its operators in virtual time.
 pub struct VirtualFleet {
-    scenario: Scenario,
-    definition: RolloutConfig,
-    quality: VersionQuality,
-    members: Vec<Member>,
-    supervisors: Vec<Supervisor>,
-    operators: Vec<Operator>,
-    /// Engines that an operator drained with permission.
-    drained: Vec<bool>,
-    network: Network,
-    rng: Pcg32,
-    now_ms: f64,
+    environment: Environment,
+    members: Members,
+    supervisors: Supervisors,
+    operators: Operators,
+    limits: LimitsInForce,
+    /// When the release begins (true ms).
     release_at_ms: f64,
-    limit: LimitInForce,
-    /// The number of the last halt that an operator asked for.
+    /// The number of the last halt that an operator requested.
     last_halt: Option<u32>,
-    /// When an operator was told that a halt is done.
-    halted_since_ms: Option<f64>,
-    /// How long after a change a lease may still be granted without knowing of it (ms).
-    propagation_ms: f64,
-    rolling_back: bool,
     second_release: Option<SecondRelease>,
     crash_before_release: Vec<usize>,
-    /// Answers that operators got, in their order.
-    pub answers: Vec<Answer>,
-    /// Whether operators resume a halted release once the faults are over.
-    pub operators_resume: bool,
-    /// Supervisors restart without a lease: the fleet without agreement, for comparison.
-    pub uncoordinated: bool,
-    /// Waits for a lease that were given up.
-    pub abandoned_waits: usize,
-    /// What was observed so far.
-    pub report: FleetReport,
+    operators_resume: bool,
+}
+
+/// Whether a scenario makes links worse than good ones.
+fn has_lossy_links(scenario: &Scenario) -> bool {
+    scenario
+        .events
+        .iter()
+        .any(|event| matches!(event.what, Fault::Links(links) if links != LinkConditions::GOOD))
 }
 
 impl VirtualFleet {
@@ -112,114 +99,129 @@
     pub fn new(scenario: Scenario, definition: RolloutConfig, quality: VersionQuality) -> Self {
         let mut rng = Pcg32::seed_from_u64(scenario.seed);
         let members = (0..scenario.members)
-            .map(|_| Member::new(&mut rng))
+            .map(|index| Member::new(index, &mut rng))
             .collect();
-        let release_at_ms = coordination_settings(&scenario).quarantine_ms() * 1.05 + SETTLING_MS;
-        let supervisors = (0..scenario.members)
-            .map(|_| Supervisor::Idle {
-                until_ms: release_at_ms,
-            })
-            .collect();
-        let lossy = scenario.events.iter().any(
-            |event| matches!(event.what, Fault::Links(links) if links != LinkConditions::GOOD),
-        );
+        let quarantine_ms = coordination_settings(&scenario).quarantine_ms();
+        let release_at_ms = quarantine_ms * QUARANTINE_MARGIN + SETTLING_MS;
         VirtualFleet {
-            members,
-            supervisors,
-            operators: Vec::new(),
-            drained: vec![false; scenario.engines],
-            network: Network::default(),
-            rng,
-            now_ms: 0.0,
+            members: Members::new(members, definition, quality, release_at_ms),
+            supervisors: Supervisors::new(scenario.members, release_at_ms),
+            operators: Operators::new(scenario.engines),
+            limits: LimitsInForce::new(scenario.max_out, has_lossy_links(&scenario)),
             release_at_ms,
-            limit: LimitInForce {
-                max_out: scenario.max_out,
-                since_ms: 0.0,
-            },
             last_halt: None,
-            halted_since_ms: None,
-            propagation_ms: if lossy {
-                PROPAGATION_LOSSY_LINKS_MS
-            } else {
-                PROPAGATION_GOOD_LINKS_MS
-            },
-            rolling_back: false,
             second_release: None,
             crash_before_release: Vec::new(),
-            answers: Vec::new(),
             operators_resume: true,
-            uncoordinated: false,
-            abandoned_waits: 0,
-            report: FleetReport::of_scenario(&scenario),
-            quality,
-            definition,
-            scenario,
+            environment: Environment::new(scenario, rng),
         }
     }
 
-    /// One step of the true clock: datagrams arrive, then members, operators and supervisors run, and limits are checked.
-    fn step(&mut self) {
-        self.now_ms += STEP_MS;
-        self.deliver_due_datagrams();
-        for n in 0..self.members.len() {
-            if self.members[n]
-                .restart_at_ms
-                .is_some_and(|restart_at_ms| self.now_ms >= restart_at_ms)
-            {
-                self.start_member(n);
-            }
-            self.poll_member(n);
-        }
-        self.poll_operators();
-        for n in 0..self.supervisors.len() {
-            self.poll_supervisor(n);
-        }
-        let out = self.count_out();
-        self.report.record_out(out);
-        let drained = self.drained.iter().filter(|drained| **drained).count();
-        self.report.record_drained(drained);
+    /// Supervisors restart without a lease: the fleet without coordination, for comparison.
+    pub fn set_uncoordinated(&mut self, is_uncoordinated: bool) {
+        self.supervisors.set_uncoordinated(is_uncoordinated);
     }
 
-    /// Dispatchers that are out by a restart lease, whether they still run or not.
-    fn count_out(&self) -> usize {
-        self.supervisors
-            .iter()
-            .filter(|supervisor| supervisor.is_out())
-            .count()
+    /// Whether operators resume a halted release once the faults are over; they do unless this says otherwise.
+    pub fn set_operators_resume(&mut self, operators_resume: bool) {
+        self.operators_resume = operators_resume;
+    }
+
+    /// Another release is requested at this member at the same time as the scenario's own.
+    pub fn request_second_release(&mut self, at: usize, number: u32) {
+        self.second_release = Some(SecondRelease { at, number });
     }
 
-    /// The version that supervisors want to run.
-    fn wanted_version(&self) -> u32 {
-        if self.rolling_back {
-            OLD_VERSION
-        } else {
-            NEW_VERSION
+    /// All but the first members start only this long after the release's begin (ms).
+    pub fn start_late(&mut self, first: usize, after_ms: f64) {
+        let start_ms = self.release_at_ms + after_ms;
+        for index in first..self.members.len() {
+            self.members.member_mut(index).start_at(start_ms);
         }
     }
 
+    /// These members crash shortly before the release, for good.
+    pub fn crash_before_release(&mut self, members: &[usize]) {
+        self.crash_before_release = members.to_vec();
+    }
+
+    /// What was observed up to now.
+    pub fn report(&self) -> &FleetReport {
+        &self.environment.report
+    }
+
+    /// Answers that operators got, in their order.
+    pub fn answers(&self) -> &[Answer] {
+        self.operators.answers()
+    }
+
+    /// Waits for a lease that supervisors gave up.
+    pub fn abandoned_waits(&self) -> usize {
+        self.supervisors.abandoned_waits()
+    }
+
+    /// What members know, as text for the analysis of a failed run.
+    pub fn diagnostics(&self) -> String {
+        diagnostics::describe(&self.members, self.environment.now_ms)
+    }
+
     /// Members that run the wanted version.
     pub fn released_count(&self) -> usize {
-        let wanted = self.wanted_version();
         self.members
-            .iter()
-            .filter(|member| member.version == wanted && member.is_running())
-            .count()
-    }
-
-    /// The member that leads, where one does.
-    fn leader(&self) -> Option<usize> {
-        self.members.iter().position(Member::is_leader)
+            .running_count(self.supervisors.wanted_version())
     }
 
     /// The release's phase as the leader knows it.
     pub fn stage(&self) -> Option<ReleaseStage> {
-        let leader = self.members[self.leader()?].fleet.as_ref()?;
-        tansymux_rollout::active_release(leader.quorum()?).map(|release| release.stage)
+        let quorum = self.members.leader_quorum()?;
+        tansymux_rollout::active_release(quorum).map(|release| release.stage)
     }
 
     /// Why the release is halted, as the leader knows it.
     pub fn halt_reason(&self) -> Option<HaltReason> {
-        let leader = self.members[self.leader()?].fleet.as_ref()?;
-        tansymux_rollout::active_halt(leader.quorum()?).map(|halt| halt.reason)
+        let quorum = self.members.leader_quorum()?;
+        tansymux_rollout::active_halt(quorum).map(|halt| halt.reason)
+    }
+
+    /// An operator issues a command at a member.
+    fn issue_command(&mut self, at: usize, command: Command) {
+        if matches!(command, Command::Resume { .. } | Command::RollBack { .. }) {
+            self.limits.lift_halt();
+        }
+        self.operators
+            .issue(at, command, None, &self.members, &mut self.environment);
+    }
+
+    /// One step of the true clock: datagrams arrive, then members, operators and supervisors run, and limits are checked.
+    fn step(&mut self) {
+        self.environment.now_ms += STEP_MS;
+        self.deliver_due_datagrams();
+        self.members.poll(&mut self.environment);
+        self.operators
+            .poll(&self.members, &mut self.limits, &mut self.environment);
+        self.supervisors
+            .poll(&mut self.members, &self.limits, &mut self.environment);
+        let report = &mut self.environment.report;
+        report.record_out(self.supervisors.count_out());
+        report.record_drained(self.operators.count_drained());
+    }
+
+    /// Delivers all datagrams that are due. Supervisors and operators run on their host's clock, also while the process
+    /// is down.
+    fn deliver_due_datagrams(&mut self) {
+        let now_ms = self.environment.now_ms;
+        for datagram in self.environment.network.take_arrived(now_ms) {
+            let host = datagram.host;
+            let destination = datagram.destination;
+            if destination.port() == member_address(host).port() {
+                let member = self.members.member_mut(host);
+                member.deliver(datagram.source, datagram.bytes, now_ms);
+            } else if destination == supervisor_address(host) {
+                let host_ms = self.members.member(host).host_clock_ms(now_ms);
+                self.supervisors.deliver(host, &datagram.bytes, host_ms);
+            } else {
+                self.operators.deliver(destination.port(), &datagram.bytes);
+            }
+        }
     }
 }
--- a/crates/testbed/src/fleet/virtual_fleet/operators.rs
+++ b/crates/testbed/src/fleet/virtual_fleet/operators.rs
@@ -1,16 +1,16 @@
 //! Operators that issue commands at members, and what they do once they are answered.
 
-use super::settings::{keys, member_address, operator_address, operator_at, supervisor_address};
-use super::supervisor::Supervisor;
-use super::VirtualFleet;
+use super::environment::Environment;
+use super::limits::LimitsInForce;
+use super::members::Members;
+use super::settings::{keys, member_address, operator_address, operator_at};
 use rand::RngExt;
-use std::net::SocketAddr;
-use tansymux_membership::member_id_of;
 use tansymux_rollout::message::{Answer, Command};
-use tansymux_rollout::{ClientAction, FleetClient, FleetNode};
+use tansymux_rollout::{ClientAction, FleetClient};
 
 /// An operator's command, from its issue until its answer has been acted on.
-pub(super) struct Operator {
+struct Operator {
+    /// The member at which the command is issued.
     at: usize,
     client: FleetClient,
     /// The engine that is drained once the answer allows it.
@@ -19,23 +19,51 @@
     answer_recorded: bool,
 }
 
-impl VirtualFleet {
-    /// An operator issues a command at a member.
-    pub(super) fn issue_command(&mut self, at: usize, command: Command) {
-        self.issue(at, command, None);
+/// All operators, and the engines that they have drained.
+pub(super) struct Operators {
+    operators: Vec<Operator>,
+    /// For each engine, whether an operator drained it with permission.
+    drained: Vec<bool>,
+    answers: Vec<Answer>,
+}
+
+impl Operators {
+    /// No operator yet, and no engine drained.
+    pub fn new(engines: usize) -> Self {
+        Operators {
+            operators: Vec::new(),
+            drained: vec![false; engines],
+            answers: Vec::new(),
+        }
     }
 
-    /// An operator asks to drain an engine, and drains it once that is granted.
-    pub(super) fn issue_drain(&mut self, at: usize, command: Command, engine: usize) {
-        self.issue(at, command, Some(engine));
+    /// Answers that operators got, in their order.
+    pub fn answers(&self) -> &[Answer] {
+        &self.answers
     }
 
-    fn issue(&mut self, at: usize, command: Command, engine_to_drain: Option<usize>) {
-        let seed = self.rng.random();
-        let host_ms = self.members[at].host_clock_ms(self.now_ms);
-        if matches!(command, Command::Resume { .. } | Command::RollBack { .. }) {
-            self.halted_since_ms = None;
-        }
+    /// Engines that are drained now.
+    pub fn count_drained(&self) -> usize {
+        self.drained.iter().filter(|drained| **drained).count()
+    }
+
+    /// Takes an engine into service again.
+    pub fn undrain(&mut self, engine: usize) {
+        self.drained[engine] = false;
+    }
+
+    /// An operator issues a command at a member. `engine_to_drain`: the engine that is drained once the command is
+    /// granted.
+    pub fn issue(
+        &mut self,
+        at: usize,
+        command: Command,
+        engine_to_drain: Option<usize>,
+        members: &Members,
+        environment: &mut Environment,
+    ) {
+        let seed = environment.rng.random();
+        let host_ms = members.member(at).host_clock_ms(environment.now_ms);
         self.operators.push(Operator {
             at,
             client: FleetClient::new(keys(), command, host_ms, seed),
@@ -45,33 +73,33 @@
         });
     }
 
-    /// Hands a datagram to the supervisor or the operator that listens at `to`. Both run on their host's clock, whatever
-    /// the process does.
-    pub(super) fn deliver_to_caller(&mut self, at: usize, to: SocketAddr, bytes: &[u8]) {
-        let host_ms = self.members[at].host_clock_ms(self.now_ms);
-        if to == supervisor_address(at) {
-            if let Supervisor::AwaitingLease { lease, .. } = &mut self.supervisors[at] {
-                lease.handle(bytes, host_ms);
-            }
-        } else if let Some(operator) = self.operators.get_mut(operator_at(to.port())) {
+    /// Delivers a datagram to the operator that listens at a port.
+    pub fn deliver(&mut self, port: u16, bytes: &[u8]) {
+        if let Some(operator) = self.operators.get_mut(operator_at(port)) {
             operator.client.handle(bytes);
         }
     }
 
-    pub(super) fn poll_operators(&mut self) {
+    /// Lets all operators act.
+    pub fn poll(
+        &mut self,
+        members: &Members,
+        limits: &mut LimitsInForce,
+        environment: &mut Environment,
+    ) {
         for index in 0..self.operators.len() {
-            let at = self.operators[index].at;
-            let host_ms = self.members[at].host_clock_ms(self.now_ms);
-            let action = self.operators[index].client.poll(host_ms);
-            if let Some(ClientAction::Send { datagram }) = action {
+            let operator = &mut self.operators[index];
+            let at = operator.at;
+            let host_ms = members.member(at).host_clock_ms(environment.now_ms);
+            if let Some(ClientAction::Send { datagram }) = operator.client.poll(host_ms) {
                 let source = operator_address(at, index);
-                self.send_datagram(at, source, member_address(at), datagram);
+                environment.send_datagram(at, source, member_address(at), datagram);
             }
-            self.act_on_answer(index);
+            self.act_on_answer(index, limits, environment.now_ms);
         }
     }
 
-    fn act_on_answer(&mut self, index: usize) {
+    fn act_on_answer(&mut self, index: usize, limits: &mut LimitsInForce, now_ms: f64) {
         let operator = &mut self.operators[index];
         let Some(answer) = operator.client.answer() else {
             return;
@@ -79,7 +107,7 @@
         if !operator.answer_recorded {
             operator.answer_recorded = true;
             if operator.is_halt && answer == Answer::Done {
-                self.halted_since_ms.get_or_insert(self.now_ms);
+                limits.confirm_halt(now_ms);
             }
             self.answers.push(answer);
         }
@@ -90,28 +118,4 @@
             }
         }
     }
-
-    /// An operator resumes the release where the leader says that it is halted; whether it is.
-    pub(super) fn resume_if_halted(&mut self) -> bool {
-        let halt = self
-            .leader()
-            .and_then(|leader| self.members[leader].fleet.as_ref())
-            .and_then(FleetNode::quorum)
-            .and_then(tansymux_rollout::active_halt);
-        let Some(halt) = halt else {
-            return false;
-        };
-        let number = halt.number;
-        self.issue_command(0, Command::Resume { number });
-        true
-    }
-
-    /// Operators declare that these members do not come back, and resume what is halted for them.
-    pub fn forget_members(&mut self, members: &[usize]) {
-        for n in members {
-            let id = member_id_of(&format!("n{n}"));
-            self.issue_command(0, Command::Forget { id });
-        }
-        self.resume_if_halted();
-    }
 }
--- a/crates/testbed/src/fleet/virtual_fleet/run.rs
+++ b/crates/testbed/src/fleet/virtual_fleet/run.rs
@@ -1,6 +1,6 @@
-//! Playing a scenario: before the release, through its faults, and until its end.
+//! Running a scenario: before the release, through its faults, and until its end.
 
-use super::supervisor::Supervisor;
+use super::settings::member_id;
 use super::{VirtualFleet, NEW_VERSION, OLD_VERSION, RELEASE_NUMBER, STEP_MS};
 use crate::fleet::scenario::Fault;
 use crate::fleet::FleetReport;
@@ -11,62 +11,70 @@
 const CRASH_LEAD_MS: f64 = 36_000.0;
 /// How long before its begin the release is requested (ms).
 const REQUEST_LEAD_MS: f64 = 2000.0;
-/// Operators look after a halted release once this long after the last fault (ms), and then so often.
+/// Operators do not check on a halted release before this long after the last fault (ms).
 const OPERATORS_RETURN_MS: f64 = 3000.0;
+/// Interval of the operators' checks on a release (ms).
 const OPERATOR_CHECK_MS: u64 = 5000;
-/// A run goes on for this long after the last fault, also when all is released (ms).
+/// A run lasts at least this long after the last fault, also when all members are released (ms).
 const MIN_CALM_MS: f64 = 1000.0;
 /// Waiting supervisors that a failed run's message shows.
 const SHOWN_WAITING: usize = 5;
 
 impl VirtualFleet {
-    /// Plays the whole scenario.
+    /// Runs the whole scenario.
     pub fn run(mut self) -> FleetReport {
         self.run_until(|_| false);
-        self.report
+        self.environment.report
     }
 
-    /// Plays the scenario until its end, or until `done` says so.
+    /// Runs the scenario until its end, or until `done` returns true.
     pub fn run_until(&mut self, done: impl Fn(&VirtualFleet) -> bool) {
         self.prepare_release();
-        let bytes_before = self.network.bytes_sent;
-        let from_ms = self.now_ms;
-        let mut events = self.scenario.events.clone().into_iter().peekable();
-        while self.since_release_ms() < self.scenario.lasts {
+        let bytes_before = self.environment.network.bytes_sent();
+        let from_ms = self.environment.now_ms;
+        let mut events = self
+            .environment
+            .scenario
+            .events
+            .clone()
+            .into_iter()
+            .peekable();
+        while self.since_release_ms() < self.environment.scenario.lasts {
             while let Some(event) = events.next_if(|event| self.since_release_ms() >= event.at) {
-                self.apply_fault(event.what);
+                self.inject(event.what);
             }
             self.step();
             self.record_progress();
             self.attend_release();
-            let calm = self.since_release_ms() > self.report.last_fault_ms + MIN_CALM_MS
+            let report = &self.environment.report;
+            let is_calm = self.since_release_ms() > report.last_fault_ms + MIN_CALM_MS
                 && events.peek().is_none();
-            if calm && self.report.completed_after_ms.is_some() || done(self) {
+            if is_calm && report.completed_after_ms.is_some() || done(self) {
                 break;
             }
         }
-        self.report.released = self.released_count();
-        let lasted_s = (self.now_ms - from_ms) / 1000.0;
-        let bytes = self.network.bytes_sent - bytes_before;
-        self.report.bytes_per_s = bytes as f64 / lasted_s / self.members.len() as f64;
+        self.environment.report.released = self.released_count();
+        let lasted_s = (self.environment.now_ms - from_ms) / 1000.0;
+        let bytes = self.environment.network.bytes_sent() - bytes_before;
+        self.environment.report.bytes_per_s = bytes as f64 / lasted_s / self.members.len() as f64;
         self.check_completed_in_time();
     }
 
     fn since_release_ms(&self) -> f64 {
-        self.now_ms - self.release_at_ms
+        self.environment.now_ms - self.release_at_ms
     }
 
     fn step_until(&mut self, time_ms: f64) {
-        while self.now_ms < time_ms {
+        while self.environment.now_ms < time_ms {
             self.step();
         }
     }
 
-    /// Plays up to the release's begin, and requests it.
+    /// Runs up to the release's begin, and requests the release.
     fn prepare_release(&mut self) {
         self.step_until(self.release_at_ms - CRASH_LEAD_MS);
-        for n in std::mem::take(&mut self.crash_before_release) {
-            self.stop_member(n, f64::INFINITY);
+        for member in std::mem::take(&mut self.crash_before_release) {
+            self.members.member_mut(member).stop(f64::INFINITY);
         }
         self.step_until(self.release_at_ms - REQUEST_LEAD_MS);
         self.request_release();
@@ -93,65 +101,82 @@
     /// Records when the release halted first and when it was complete.
     fn record_progress(&mut self) {
         let since_ms = self.since_release_ms();
-        if self.report.halted_after_ms.is_none() && self.halt_reason().is_some() {
-            self.report.halted_after_ms = Some(since_ms);
+        let is_halted = self.halt_reason().is_some();
+        let is_complete = self.released_count() == self.members.len();
+        let report = &mut self.environment.report;
+        if is_halted {
+            report.halted_after_ms.get_or_insert(since_ms);
         }
-        if self.released_count() == self.members.len() && self.report.completed_after_ms.is_none() {
-            self.report.completed_after_ms = Some(since_ms);
+        if is_complete {
+            report.completed_after_ms.get_or_insert(since_ms);
         }
     }
 
     fn is_operator_check_due(&self) -> bool {
-        self.operators_resume && (self.now_ms as u64) % OPERATOR_CHECK_MS < STEP_MS as u64
+        self.operators_resume
+            && (self.environment.now_ms as u64) % OPERATOR_CHECK_MS < STEP_MS as u64
     }
 
-    /// Once the faults are over, operators resume what the fleet halted by itself, and request the release again where
-    /// all who knew of it have lost their memory.
+    /// Once the faults are over, operators resume what the fleet halted on its own, and request the release again where
+    /// all members that knew of it have lost their memory.
     fn attend_release(&mut self) {
-        let faults_over = self.since_release_ms() > self.report.last_fault_ms + OPERATORS_RETURN_MS;
+        let last_fault_ms = self.environment.report.last_fault_ms;
+        let faults_over = self.since_release_ms() > last_fault_ms + OPERATORS_RETURN_MS;
         if !faults_over || !self.is_operator_check_due() {
             return;
         }
         let resumed = self.resume_if_halted();
-        if !resumed && self.leader().is_some() && self.stage().is_none() {
+        if !resumed && self.members.leader().is_some() && self.stage().is_none() {
             self.request_release();
         }
     }
 
+    /// An operator resumes the release where the leader reports that it is halted. Returns whether it is.
+    fn resume_if_halted(&mut self) -> bool {
+        let halt = self
+            .members
+            .leader_quorum()
+            .and_then(tansymux_rollout::active_halt);
+        let Some(halt) = halt else {
+            return false;
+        };
+        let number = halt.number;
+        self.issue_command(0, Command::Resume { number });
+        true
+    }
+
     fn check_completed_in_time(&mut self) {
-        let limit_ms = self.report.last_fault_ms + self.scenario.done_within;
-        let in_time = self
-            .report
+        let report = &self.environment.report;
+        let done_within_ms = self.environment.scenario.done_within;
+        let limit_ms = report.last_fault_ms + done_within_ms;
+        let in_time = report
             .completed_after_ms
             .is_some_and(|completed_ms| completed_ms <= limit_ms);
-        if self.scenario.done_within <= 0.0 || in_time {
+        if done_within_ms <= 0.0 || in_time {
             return;
         }
         let waiting: Vec<Answer> = self
             .supervisors
-            .iter()
-            .filter_map(|supervisor| match supervisor {
-                Supervisor::AwaitingLease { lease, .. } => Some(lease.last_answer()),
-                _ => None,
-            })
+            .answers_to_waiting()
             .take(SHOWN_WAITING)
             .collect();
-        self.report.violations.push(format!(
+        let description = format!(
             "not all released {:.0} s after the last fault: {} of {}, stage {:?}, halt {:?}, {waiting:?}; n{:?} leads: {}",
-            self.scenario.done_within / 1000.0,
-            self.report.released,
-            self.report.members,
+            done_within_ms / 1000.0,
+            report.released,
+            report.members,
             self.stage(),
             self.halt_reason(),
-            self.leader(),
+            self.members.leader(),
             self.diagnostics()
-        ));
+        );
+        self.environment.record_violation(description);
     }
 
-    /// Plays on without further faults (ms).
+    /// Runs on without further faults (ms).
     pub fn run_for(&mut self, lasts_ms: f64) {
-        let end_ms = self.now_ms + lasts_ms;
-        while self.now_ms < end_ms {
+        let end_ms = self.environment.now_ms + lasts_ms;
+        while self.environment.now_ms < end_ms {
             self.step();
             if self.is_operator_check_due() {
                 self.resume_if_halted();
@@ -159,11 +184,11 @@
         }
     }
 
-    /// Requests the rollback; whether all run the old version again within that time (ms).
+    /// Requests the rollback. Returns whether all members run the old version again within that time (ms).
     pub fn roll_back(&mut self, within_ms: f64) -> bool {
-        self.apply_fault(Fault::Back { at: 0 });
-        let end_ms = self.now_ms + within_ms;
-        while self.now_ms < end_ms {
+        self.inject(Fault::Back { at: 0 });
+        let end_ms = self.environment.now_ms + within_ms;
+        while self.environment.now_ms < end_ms {
             self.step();
             if self.released_count() == self.members.len()
                 && self.stage() == Some(ReleaseStage::RolledBack)
@@ -173,4 +198,13 @@
         }
         false
     }
+
+    /// Operators declare that these members do not come back, and resume what is halted because of them.
+    pub fn forget_members(&mut self, members: &[usize]) {
+        for member in members {
+            let id = member_id(*member);
+            self.issue_command(0, Command::Forget { id });
+        }
+        self.resume_if_halted();
+    }
 }
--- a/crates/testbed/src/fleet/virtual_fleet/settings.rs
+++ b/crates/testbed/src/fleet/virtual_fleet/settings.rs
@@ -1,26 +1,37 @@
 //! The settings that a scenario's members run with, and the addresses by which they know each other.
 
-use super::VirtualFleet;
 use crate::fleet::scenario::Scenario;
 use std::net::{IpAddr, SocketAddr};
 use tansymux_coordination::disruption_budget::{DisruptionBudget, Limit};
 use tansymux_coordination::QuorumConfig;
-use tansymux_membership::Keys;
+use tansymux_membership::{member_id_of, Keys};
 use tansymux_rollout::{FleetConfig, RolloutConfig, RolloutPlan};
 
 /// Hosts in one subnet of the virtual fleet's addresses.
 const HOSTS_PER_SUBNET: usize = 250;
+/// The port on which a member receives datagrams of the fleet.
 const MEMBER_PORT: u16 = 7946;
+/// The port on which a member's supervisor receives answers.
 const SUPERVISOR_PORT: u16 = 9000;
 /// The first operator's port; the next one's is one higher.
 const FIRST_OPERATOR_PORT: u16 = 9100;
-/// How many members each one is told to join by.
+/// The most members that each member's settings name to join by.
 const MAX_JOIN_SEEDS: usize = 5;
 
-/// The address by which other members know member `n`.
-pub(super) fn member_address(n: usize) -> SocketAddr {
-    let subnet = (n / HOSTS_PER_SUBNET) as u8;
-    let host = (n % HOSTS_PER_SUBNET + 1) as u8;
+/// The name of a member.
+pub(super) fn member_name(member: usize) -> String {
+    format!("n{member}")
+}
+
+/// The id by which members know a member.
+pub(super) fn member_id(member: usize) -> u64 {
+    member_id_of(&member_name(member))
+}
+
+/// The address by which other members know a member.
+pub(super) fn member_address(member: usize) -> SocketAddr {
+    let subnet = (member / HOSTS_PER_SUBNET) as u8;
+    let host = (member % HOSTS_PER_SUBNET + 1) as u8;
     SocketAddr::from(([10, 0, subnet, host], MEMBER_PORT))
 }
 
@@ -35,13 +46,15 @@
     }
 }
 
-pub(super) fn supervisor_address(n: usize) -> SocketAddr {
-    SocketAddr::new(member_address(n).ip(), SUPERVISOR_PORT)
+/// The address at which a member's supervisor receives answers.
+pub(super) fn supervisor_address(member: usize) -> SocketAddr {
+    SocketAddr::new(member_address(member).ip(), SUPERVISOR_PORT)
 }
 
-pub(super) fn operator_address(n: usize, operator: usize) -> SocketAddr {
+/// The address at which an operator on a member's host receives answers.
+pub(super) fn operator_address(member: usize, operator: usize) -> SocketAddr {
     SocketAddr::new(
-        member_address(n).ip(),
+        member_address(member).ip(),
         FIRST_OPERATOR_PORT + operator as u16,
     )
 }
@@ -59,7 +72,7 @@
     }
 }
 
-/// A disruption limit of so many at a time.
+/// A disruption limit of `max` members or engines at a time.
 pub(super) fn limit_of(max: usize) -> Limit {
     Limit {
         max_count: Some(max as u32),
@@ -103,24 +116,27 @@
     }
 }
 
-impl VirtualFleet {
-    /// The settings that member `n` is started with.
-    pub(super) fn member_settings(&self, n: usize) -> FleetConfig {
-        let seed_count = self.scenario.members.min(MAX_JOIN_SEEDS);
-        FleetConfig {
-            name: format!("n{n}"),
-            address: member_address(n),
-            voters: (0..self.scenario.voters).map(|n| format!("n{n}")).collect(),
-            membership: tansymux_membership::Config {
-                seeds: (0..seed_count).map(member_address).collect(),
-                ..tansymux_membership::Config::default()
-            },
-            quorum: coordination_settings(&self.scenario),
-            keys: keys(),
-            fresh: false,
-            grant_id: self.members[n].lease_at_start,
-            rollout: self.definition.clone(),
-            zones: None,
-        }
+/// The settings that a member is started with. `lease`: the restart lease under which it is started.
+pub(super) fn member_settings(
+    scenario: &Scenario,
+    definition: &RolloutConfig,
+    member: usize,
+    lease: u64,
+) -> FleetConfig {
+    let seed_count = scenario.members.min(MAX_JOIN_SEEDS);
+    FleetConfig {
+        name: member_name(member),
+        address: member_address(member),
+        voters: (0..scenario.voters).map(member_name).collect(),
+        membership: tansymux_membership::Config {
+            seeds: (0..seed_count).map(member_address).collect(),
+            ..tansymux_membership::Config::default()
+        },
+        quorum: coordination_settings(scenario),
+        keys: keys(),
+        fresh: false,
+        grant_id: lease,
+        rollout: definition.clone(),
+        zones: None,
     }
 }
--- a/crates/testbed/src/fleet/zones/mod.rs
+++ b/crates/testbed/src/fleet/zones/mod.rs
@@ -21,18 +21,23 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+/// Zones over which dispatchers and engines are spread in turn.
 const ZONES: usize = 3;
-/// Mean work of a look-up on one core, its latency objective and its longest wait (ms).
+/// Mean work of a look-up on one core (ms).
 const WORK_MS: f64 = 40.0;
+/// Latency objective of a look-up (ms).
 const LATENCY_OBJECTIVE_MS: f64 = 300.0;
+/// How long a client waits for the answer to a look-up (ms).
 const MAX_WAIT_MS: f64 = 1500.0;
+/// Number of clients, each with one query at a time.
 const CLIENTS: usize = 64;
 /// Until leaders are elected, members known and engines warm.
 const SETTLING: Duration = Duration::from_millis(6000);
 /// How often a run is watched.
 const WATCH_INTERVAL: Duration = Duration::from_millis(30);
-/// The phase after the cut that is told apart from the rest, and the one in which the load peak is taken (ms).
+/// Length of the phase after the cut that is reported separately (ms).
 const RETURN_PHASE_MS: f64 = 10_000.0;
+/// The peak load of a returning engine is taken within this time after the cut's end (ms).
 const PEAK_PHASE_MS: f64 = 3000.0;
 /// Shares of returning zones may add up to this at most; floats do not meet 1 exactly.
 const MAX_SHARE_SUM: f64 = 1.001;
@@ -104,7 +109,9 @@
 
     /// Dispatchers outside the zone that is cut.
     fn outside(&self) -> Vec<usize> {
-        (0..self.dispatchers).filter(|n| n % ZONES != 0).collect()
+        (0..self.dispatchers)
+            .filter(|dispatcher| dispatcher % ZONES != 0)
+            .collect()
     }
 }
 
@@ -200,7 +207,7 @@
         let mean_pause_s = CLIENTS as f64 / plan.queries_per_s;
         while !self.over.load(Ordering::Relaxed) {
             let lot: f64 = rng.random();
-            let n = outside[((lot * lot) * outside.len() as f64) as usize];
+            let dispatcher = outside[((lot * lot) * outside.len() as f64) as usize];
             let id = self.next_id.fetch_add(1, Ordering::Relaxed);
             let mut query = ClientQuery::new(id, "/invoke/look", "look", "select 1", MAX_WAIT_MS);
             query.cost = Some(WORK_MS);
@@ -212,7 +219,7 @@
             };
             self.site.context.register(query.id(), truth);
             let phase = plan.phase(self.elapsed_ms());
-            let response = send_query(self.site.listen_addresses[n], &query, &record);
+            let response = send_query(self.site.listen_addresses[dispatcher], &query, &record);
             self.report().record(phase, response.as_ref());
             let pause_s = mean_pause_s * rng.random_range(0.3..1.7);
             thread::sleep(Duration::from_secs_f64(pause_s));
--- a/crates/testbed/src/fleet/zones/site.rs
+++ b/crates/testbed/src/fleet/zones/site.rs
@@ -13,13 +13,15 @@
 use std::sync::Arc;
 use std::thread;
 use std::time::Duration;
+use tansymux::settings::keys;
 
+/// Number of engines, spread over the zones in turn.
 const ENGINES: usize = 2 * ZONES;
 /// How long a restarted engine warms up (ms).
 const WARM_UP_MS: f64 = 15_000.0;
 
-/// The operators' file of dispatcher `n`.
-fn operator_text(variant: Variant, n: usize, relay: &Relay) -> String {
+/// The operators' file of a dispatcher.
+fn operator_text(variant: Variant, dispatcher: usize, relay: &Relay) -> String {
     let zones = "halls { route { tier { hall: \"h0\" hall: \"h1\" hall: \"h2\" } } cut { quiet_s: 0.6 } climb { first: 0.1 over_s: 8 whole: 2 } }";
     let seeds: String = relay
         .public
@@ -28,11 +30,11 @@
         .map(|address| format!("seed: \"{address}\" "))
         .collect();
     let fleet = format!(
-        "fleet {{ name: \"n{n}\" listen: \"{}\" address: \"{}\" {seeds} voter: \"n0\" voter: \"n1\" voter: \"n2\"
+        "fleet {{ name: \"n{dispatcher}\" listen: \"{}\" address: \"{}\" {seeds} voter: \"n0\" voter: \"n1\" voter: \"n2\"
            key: \"{FLEET_KEY}\" fresh: true version: \"v1\"
            timing {{ period_s: 0.4 timeout_s: 0.12 lead_s: 1 settle_s: 1 late_s: 0.3 }}
            zones {{ sure_s: 0.5 step_s: 1 hold_s: 1 term_s: 2 }} }}",
-        relay.private[n], relay.public[n]
+        relay.private[dispatcher], relay.public[dispatcher]
     );
     match variant {
         Variant::Agreed => format!("{zones}\n{fleet}"),
@@ -41,10 +43,10 @@
     }
 }
 
-/// The configuration of dispatcher `n`, which knows each engine by the address of its own link.
+/// The configuration of a dispatcher, which knows each engine by the address of its own link.
 fn configuration(
     plan: &ZoneCutPlan,
-    n: usize,
+    dispatcher: usize,
     listen: SocketAddr,
     engines: &[Engine],
     links: &[EngineLink],
@@ -58,14 +60,17 @@
         "look",
         LATENCY_OBJECTIVE_MS,
         MAX_WAIT_MS,
-        "read_like",
+        keys::effect::READ_ONLY,
     )];
     let mut config = Config::new(listen, &known, &classes, &[1])
-        .with("seed", format!("{:x}", plan.seed * 1000 + n as u64 + 1))
-        .with("settings.balancers", plan.dispatchers)
-        .with("settings.zone", format!("h{}", n % ZONES))
-        .with("settings.limits.probes", true)
-        .with("settings.family-info.tells-every-us", 100_000);
+        .with(
+            "seed",
+            format!("{:x}", plan.seed * 1000 + dispatcher as u64 + 1),
+        )
+        .with_setting(keys::DISPATCHERS, plan.dispatchers)
+        .with_setting(keys::LOCAL_ZONE, format!("h{}", dispatcher % ZONES))
+        .with_setting(keys::HEALTH_CHECKS, true)
+        .with_setting(keys::PROGRESS_INTERVAL_US, 100_000);
     for engine in 0..engines.len() {
         config = config.with(
             &format!("known.cmds.0.nodes.instances.{engine}.zone"),
@@ -118,17 +123,22 @@
         let listen_addresses: Vec<SocketAddr> =
             (0..plan.dispatchers).map(|_| free_address()).collect();
         let operator_texts: Vec<String> = (0..plan.dispatchers)
-            .map(|n| operator_text(variant, n, &relay))
+            .map(|dispatcher| operator_text(variant, dispatcher, &relay))
             .collect();
         let operator_files: Vec<TempFile> = operator_texts
             .iter()
             .map(|text| TempFile::new("zones.textproto", text))
             .collect();
         let programs: Vec<Program> = (0..plan.dispatchers)
-            .map(|n| {
-                let config =
-                    configuration(&plan, n, listen_addresses[n], &engines, &engine_links[n]);
-                let path = operator_files[n].0.display().to_string();
+            .map(|dispatcher| {
+                let config = configuration(
+                    &plan,
+                    dispatcher,
+                    listen_addresses[dispatcher],
+                    &engines,
+                    &engine_links[dispatcher],
+                );
+                let path = operator_files[dispatcher].0.display().to_string();
                 Program::launch(exe, &config, &["--operator", &path], Stdio::null())
             })
             .collect();
@@ -172,10 +182,9 @@
 
     /// Whether all dispatchers outside count so many zones as evacuated.
     pub fn all_outside_count(&self, evacuated: u64) -> bool {
-        self.plan
-            .outside()
-            .iter()
-            .all(|n| self.programs[*n].counter("fleet_zones_out") == Some(evacuated))
+        self.plan.outside().iter().all(|dispatcher| {
+            self.programs[*dispatcher].counter("fleet_zones_out") == Some(evacuated)
+        })
     }
 
     /// Stops the links between dispatchers and engines, then the engines.
--- a/crates/testbed/src/levels/loads.rs
+++ b/crates/testbed/src/levels/loads.rs
@@ -2,8 +2,9 @@
 
 use std::f64::consts::{PI, TAU};
 
-/// When the load of [`step`] goes up, and down again, as fractions of the run.
+/// When the load of [`step`] rises, as a fraction of the run.
 pub(super) const STEP_UP: f64 = 0.08;
+/// When the load of [`step`] falls again, as a fraction of the run.
 pub(super) const STEP_DOWN: f64 = 0.4;
 /// The load of [`step`] when calm.
 const CALM_LOAD: f64 = 0.3;
--- a/crates/testbed/src/levels/mod.rs
+++ b/crates/testbed/src/levels/mod.rs
@@ -22,16 +22,20 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::{Duration, Instant};
+use tansymux::settings::keys;
 
 /// The levels of these runs, and of the example for operators.
 pub const LEVELS: &str = include_str!("../../../../deploy/levels.textproto");
 
+/// Cores of each engine.
 const CORES: f64 = 8.0;
+/// Number of stand-in engines.
 const ENGINES: usize = 4;
 /// The engine that fails, where one does.
 const FAILING_ENGINE: usize = 1;
-/// Time between two samples, and how many there are a second.
+/// Time between two samples.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(250);
+/// Samples a second, which follows from [`SAMPLE_INTERVAL`].
 const SAMPLES_PER_S: f64 = 4.0;
 /// Spread (log) of works about their median.
 const WORK_SPREAD: f64 = 0.4;
@@ -43,6 +47,7 @@
     fraction: f64,
 }
 
+/// The traffic of these runs: look-ups, reports and loads.
 const CLASSES: [MixClass; 3] = [
     MixClass {
         traffic: TrafficClass {
@@ -177,7 +182,7 @@
 fn configuration(engines: &[Engine], names: &NameService) -> Config {
     let config = setup::traffic_config(free_address(), engines, &traffic_classes())
         .with("resolver", names.address.to_string())
-        .with("settings.limits.max-retry-after-us", 4_000_000);
+        .with_setting(keys::MAX_RETRY_AFTER_US, 4_000_000);
     setup::with_retry_budget(config)
 }
 
--- a/crates/testbed/src/measure/learning.rs
+++ b/crates/testbed/src/measure/learning.rs
@@ -1,4 +1,4 @@
-//! Learned against true costs, over simulated executions with noise, waits, bad plans and interruptions.
+//! Compares learned with true costs, over simulated executions with noise, waits, bad plans and interruptions.
 
 use super::analyzer;
 use crate::corpus::corpus;
@@ -10,14 +10,19 @@
 
 /// Engines that run the statements.
 const ENGINES: u64 = 6;
-/// The engine that is slow, and its factor on run times.
+/// The engine that is slow.
 const SLOW_ENGINE: u64 = 5;
+/// Factor on run times of the slow engine.
 const SLOW_ENGINE_FACTOR: f64 = 1.9;
 /// Standard deviation of the logarithm of run times.
 const LATENCY_LOG_DEVIATION: f64 = 0.25;
+/// Probability that an execution runs with a bad plan.
 const BAD_PLAN_PROBABILITY: f64 = 0.02;
+/// Factor of a bad plan on the run time.
 const BAD_PLAN_FACTOR: f64 = 15.0;
+/// Probability that an execution waits before it runs.
 const WAIT_PROBABILITY: f64 = 0.1;
+/// Probability that an execution is interrupted.
 const INTERRUPTION_PROBABILITY: f64 = 0.03;
 /// Time between two executions (ms).
 const INTERVAL_MS: f64 = 5.0;
--- a/crates/testbed/src/measure/speed.rs
+++ b/crates/testbed/src/measure/speed.rs
@@ -38,6 +38,7 @@
     flood: usize,
 }
 
+/// The kinds of traffic for which the hit rate is measured.
 const TRAFFIC: [Traffic; 4] = [
     Traffic {
         name: "2,000 shapes",
--- a/crates/testbed/src/name_service.rs
+++ b/crates/testbed/src/name_service.rs
@@ -87,9 +87,9 @@
     /// Changes an entry.
     pub fn change(&self, id: &str, change: impl FnOnce(&mut Endpoint)) {
         let mut list = self.list.lock().expect("no holder panics");
-        if let Some(n) = list.engines.iter().position(|engine| engine.id == id) {
-            change(&mut list.engines[n]);
-            let engine = list.engines[n].clone();
+        if let Some(index) = list.engines.iter().position(|engine| engine.id == id) {
+            change(&mut list.engines[index]);
+            let engine = list.engines[index].clone();
             list.unannounced.push(engine);
             list.serial += 1;
         }
--- a/crates/testbed/src/program.rs
+++ b/crates/testbed/src/program.rs
@@ -13,6 +13,7 @@
 use std::sync::Mutex;
 use std::thread;
 use std::time::{Duration, Instant};
+use tansymux::settings::keys;
 
 /// Nothing that is waited for here takes longer: ample for a busy machine.
 pub const TIMEOUT: Duration = Duration::from_secs(10);
@@ -51,9 +52,14 @@
     }
 }
 
-/// A class as the settings have it. `effect` is the settings' word, for example `read_like`.
+/// The settings of a resource group. `effect` is one of the values in [`keys::effect`].
 pub fn class(name: &str, objective_ms: f64, max_wait_ms: f64, effect: &str) -> Value {
-    json!({"name": name, "aim-us": objective_ms * 1e3, "hard-limit-us": max_wait_ms * 1e3, "effect": effect})
+    json!({
+        keys::group::NAME: name,
+        keys::group::OBJECTIVE_US: objective_ms * 1e3,
+        keys::group::DEADLINE_US: max_wait_ms * 1e3,
+        keys::group::EFFECT: effect,
+    })
 }
 
 /// A configuration with what all tests and runs need; the rest is set by `with`.
@@ -76,12 +82,20 @@
         Config(json!({
             "name": "n0", "listen": listen.to_string(), "seed": "1",
             "known": {"cursor": 1, "cmds": [{"cursor": 1, "nodes": {"instances": instances}}]},
-            "settings": {
-                "balancers": 1, "zone": "h", "kinds": ["std"], "projects": [{"name": "acme"}], "services": classes,
-                "family-info": {"cores-by-kind": [8], "kind-memory-mb": [4096], "dop": threads, "lanes-count": true},
-                "limits": {"cancelling": true, "max-attempts": 3, "max-retry-after-us": 500_000}
-            }
+            "settings": {}
         }))
+        .with_setting(keys::DISPATCHERS, 1)
+        .with_setting(keys::LOCAL_ZONE, "h")
+        .with_setting(keys::ENGINE_KINDS, json!(["std"]))
+        .with_setting(keys::TENANTS, json!([{keys::tenant::NAME: "acme"}]))
+        .with_setting(keys::GROUPS, classes)
+        .with_setting(keys::CORES_BY_KIND, json!([8]))
+        .with_setting(keys::MEMORY_MB_BY_KIND, json!([4096]))
+        .with_setting(keys::THREADS_BY_GROUP, threads)
+        .with_setting(keys::PRIORITY_COUNT, true)
+        .with_setting(keys::CANCELLATION, true)
+        .with_setting(keys::MAX_ATTEMPTS, 3)
+        .with_setting(keys::MAX_RETRY_AFTER_US, 500_000)
     }
 
     /// One dispatcher with engines `s-0`, `s-1` and so on, and two classes of 9 s each: `look` only reads, `load` writes.
@@ -92,8 +106,8 @@
             .map(|(index, address)| (format!("s-{index}"), *address))
             .collect();
         let classes = [
-            class("look", 300.0, 9000.0, "read_like"),
-            class("load", 300.0, 9000.0, "non_idempotent"),
+            class("look", 300.0, 9000.0, keys::effect::READ_ONLY),
+            class("load", 300.0, 9000.0, keys::effect::NON_IDEMPOTENT),
         ];
         Config::new(free_address(), &engines, &classes, &[1, 1])
     }
@@ -110,6 +124,11 @@
         *at = value.into();
         self
     }
+
+    /// Sets a setting by its key, as in [`keys::HEALTH_CHECKS`].
+    pub fn with_setting(self, key: &str, value: impl Into<Value>) -> Self {
+        self.with(&format!("settings.{key}"), value)
+    }
 }
 
 /// An address on which nobody listens now. Another program may take it before it is used.
@@ -118,7 +137,7 @@
 /// The loopback has no free port.
 pub fn free_address() -> SocketAddr {
     TcpListener::bind("127.0.0.1:0")
-        .and_then(|l| l.local_addr())
+        .and_then(|listener| listener.local_addr())
         .expect("loopback has a free port")
 }
 
@@ -128,7 +147,7 @@
 /// The loopback has no free port.
 pub fn free_udp_address() -> SocketAddr {
     UdpSocket::bind("127.0.0.1:0")
-        .and_then(|l| l.local_addr())
+        .and_then(|listener| listener.local_addr())
         .expect("loopback has a free port")
 }
 
@@ -245,7 +264,7 @@
             Command::new("kill")
                 .args([which, &pid])
                 .status()
-                .is_ok_and(|s| s.success()),
+                .is_ok_and(|status| status.success()),
             "kill {which}"
         );
     }
@@ -318,8 +337,8 @@
 /// A figure in kB from what the system says of a process.
 fn of_status(pid: u32, name: &str) -> Option<u64> {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
-    status.lines().find_map(|l| {
-        l.strip_prefix(name)?
+    status.lines().find_map(|line| {
+        line.strip_prefix(name)?
             .trim()
             .strip_suffix(" kB")?
             .trim()
--- a/crates/testbed/src/replay.rs
+++ b/crates/testbed/src/replay.rs
@@ -20,7 +20,9 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::{Duration, Instant};
+use tansymux::settings::keys;
 
+/// Number of stand-in engines.
 const ENGINES: usize = 4;
 /// Violations that the table shows of each run.
 const SHOWN_VIOLATIONS: usize = 3;
@@ -128,6 +130,7 @@
     }
 }
 
+/// The operators' file: which resource group a classified statement gets.
 const OPERATOR: &str = r#"statements {
   path: "/statement"
   groups { look_up: "look" report: "report" load: "load" }
@@ -135,17 +138,14 @@
 
 fn configuration(engines: &[Engine]) -> Config {
     let classes = [
-        class("look", 150.0, 3000.0, "read_like"),
-        class("report", 1500.0, 3000.0, "read_like"),
-        class("load", 1500.0, 3000.0, "non_idempotent"),
+        class("look", 150.0, 3000.0, keys::effect::READ_ONLY),
+        class("report", 1500.0, 3000.0, keys::effect::READ_ONLY),
+        class("load", 1500.0, 3000.0, keys::effect::NON_IDEMPOTENT),
     ];
     let known = setup::known_engines(engines);
     Config::new(free_address(), &known, &classes, &[1, 4, 2])
-        .with("settings.family-info.tells-every-us", 100_000)
-        .with(
-            "settings.family-info.class-load",
-            json!([false, false, true]),
-        )
+        .with_setting(keys::PROGRESS_INTERVAL_US, 100_000)
+        .with_setting(keys::IS_LOAD_BY_GROUP, json!([false, false, true]))
 }
 
 /// The statements of a run, drawn by class.
--- a/crates/testbed/src/setup.rs
+++ b/crates/testbed/src/setup.rs
@@ -9,6 +9,7 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::thread::JoinHandle;
+use tansymux::settings::keys;
 
 /// How much later than its limit an event on a busy machine may come (ms).
 const SLACK_MS: f64 = 50.0;
@@ -60,14 +61,20 @@
     }
 
     fn service_class(&self) -> Value {
-        let effect = match self.effect() {
-            Effect::NonIdempotent => "non_idempotent",
-            Effect::ReadOnly | Effect::IdempotencyKey => "read_like",
-        };
+        let effect = effect_value(self.effect());
         class(self.name, self.objective_ms, self.max_wait_ms, effect)
     }
 }
 
+/// The settings' value for an effect.
+pub(crate) fn effect_value(effect: Effect) -> &'static str {
+    match effect {
+        Effect::ReadOnly => keys::effect::READ_ONLY,
+        Effect::IdempotencyKey => keys::effect::IDEMPOTENCY_KEY,
+        Effect::NonIdempotent => keys::effect::NON_IDEMPOTENT,
+    }
+}
+
 /// What an answer is worth: all of its weight in time, later a third.
 pub(crate) fn value_of(weight: f64, objective_ms: f64, latency_ms: f64) -> f64 {
     if latency_ms <= objective_ms {
@@ -109,11 +116,11 @@
     context: &Arc<RunContext>,
 ) -> Vec<Engine> {
     (0..count)
-        .map(|n| {
+        .map(|index| {
             Engine::start(
-                &format!("s-{n}"),
+                &format!("s-{index}"),
                 spec,
-                first_seed + n as u64,
+                first_seed + index as u64,
                 context.clone(),
             )
         })
@@ -155,17 +162,17 @@
     let threads: Vec<u32> = classes.iter().map(|class| class.threads as u32).collect();
     let loads: Vec<bool> = classes.iter().map(|class| class.changes_tables).collect();
     Config::new(listen, &known_engines(engines), &services, &threads)
-        .with("settings.limits.probes", true)
-        .with("settings.family-info.tells-every-us", 100_000)
-        .with("settings.family-info.class-load", json!(loads))
+        .with_setting(keys::HEALTH_CHECKS, true)
+        .with_setting(keys::PROGRESS_INTERVAL_US, 100_000)
+        .with_setting(keys::IS_LOAD_BY_GROUP, json!(loads))
 }
 
 /// The configuration with the figures of [`RETRY_BUDGET`].
 pub(crate) fn with_retry_budget(config: Config) -> Config {
-    config.with(
-        "settings.rules",
-        json!({"ratio-span-us": 10_000_000, "extra-free": 10, "repeat-ratio": 0.2}),
-    )
+    config
+        .with_setting(keys::RETRY_BUDGET_SPAN_US, RETRY_BUDGET.span_ms * 1e3)
+        .with_setting(keys::RETRY_BUDGET_FREE, RETRY_BUDGET.free)
+        .with_setting(keys::RETRY_BUDGET_RATIO, RETRY_BUDGET.query_fraction)
 }
 
 /// Waits for all threads; one that panicked is passed over.
--- a/crates/testbed/src/zone_routing.rs
+++ b/crates/testbed/src/zone_routing.rs
@@ -20,14 +20,21 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::{Duration, Instant};
+use tansymux::settings::keys;
 
+/// Number of dispatchers, spread over the zones in turn.
 const DISPATCHERS: usize = 3;
+/// The zones; the first one is cut.
 const ZONES: [&str; 2] = ["east", "west"];
+/// Number of engines in each zone.
 const ENGINES_PER_ZONE: usize = 3;
+/// Cores of each engine.
 const CORES: f64 = 8.0;
+/// The operators' file that defines the tiers.
 const OPERATOR: &str = include_str!("../../../deploy/zones.textproto");
-/// The cut's begin and end, as fractions of the run.
+/// When the cut begins, as a fraction of the run.
 const CUT_BEGIN: f64 = 0.25;
+/// When the cut ends, as a fraction of the run.
 const CUT_END: f64 = 0.5;
 /// Time between two samples.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(250);
@@ -44,6 +51,7 @@
     queries_per_s: f64,
 }
 
+/// The traffic of these runs: look-ups, reports and loads.
 const CLASSES: [SiteClass; 3] = [
     SiteClass {
         traffic: TrafficClass {
@@ -133,16 +141,16 @@
     CLASSES.iter().map(|class| class.traffic).collect()
 }
 
-fn configuration(n: usize, engines: &[Engine], peers: &[SocketAddr]) -> Config {
+fn configuration(dispatcher: usize, engines: &[Engine], peers: &[SocketAddr]) -> Config {
     let peer_names: Vec<String> = peers.iter().map(ToString::to_string).collect();
     let config = setup::traffic_config(free_address(), engines, &traffic_classes())
-        .with("name", format!("n{n}"))
-        .with("seed", format!("{}", n + 1))
-        .with("settings.zone", ZONES[n % 2])
-        .with("settings.balancers", DISPATCHERS)
-        .with("settings.me", n)
-        .with("settings.limits.max-retry-after-us", 4_000_000)
-        .with("peer_listen", peers[n].to_string())
+        .with("name", format!("n{dispatcher}"))
+        .with("seed", format!("{}", dispatcher + 1))
+        .with_setting(keys::LOCAL_ZONE, ZONES[dispatcher % 2])
+        .with_setting(keys::DISPATCHERS, DISPATCHERS)
+        .with_setting(keys::DISPATCHER_INDEX, dispatcher)
+        .with_setting(keys::MAX_RETRY_AFTER_US, 4_000_000)
+        .with("peer_listen", peers[dispatcher].to_string())
         .with("peers", json!(peer_names));
     let mut config = setup::with_retry_budget(config);
     for engine in 0..engines.len() {
@@ -159,8 +167,8 @@
     let path = operator.0.display().to_string();
     let arguments = ["--operator", path.as_str(), "--log-level", "error"];
     let programs: Vec<Program> = (0..DISPATCHERS)
-        .map(|n| {
-            let config = configuration(n, engines, &peers);
+        .map(|dispatcher| {
+            let config = configuration(dispatcher, engines, &peers);
             Program::launch(exe, &config, &arguments, Stdio::piped())
         })
         .collect();
--- a/crates/testbed/tests/fleet.rs
+++ b/crates/testbed/tests/fleet.rs
@@ -67,16 +67,16 @@
     fleet.request_second_release(4, 99);
     fleet.run_until(|_| false);
     let running = fleet
-        .answers
+        .answers()
         .iter()
         .filter(|a| matches!(a, Answer::ReleaseInProgress { .. }))
         .count();
     let done = fleet
-        .answers
+        .answers()
         .iter()
         .filter(|a| matches!(a, Answer::Done))
         .count();
-    assert!(running == 1 && done >= 1, "{:?}", fleet.answers);
+    assert!(running == 1 && done >= 1, "{:?}", fleet.answers());
 }
 
 #[test]
@@ -100,12 +100,12 @@
     let mut definition = fleet_definition(&scenario);
     definition.plan.max_lost_members = 1;
     let mut fleet = VirtualFleet::new(scenario, definition, VersionQuality::default());
-    fleet.operators_resume = false;
+    fleet.set_operators_resume(false);
     fleet.run_until(|_| false);
     assert!(
-        fleet.answers.contains(&Answer::NoLeader),
+        fleet.answers().contains(&Answer::NoLeader),
         "{:?}",
-        fleet.answers
+        fleet.answers()
     );
     assert!(
         matches!(
@@ -116,9 +116,9 @@
         fleet.diagnostics()
     );
     assert!(
-        fleet.report.released < 3 && fleet.report.violations.is_empty(),
+        fleet.report().released < 3 && fleet.report().violations.is_empty(),
         "{}",
-        fleet.report.line()
+        fleet.report().line()
     );
 }
 
@@ -155,7 +155,7 @@
         degraded_after_ms,
     };
     let mut fleet = VirtualFleet::new(scenario, definition, quality);
-    fleet.operators_resume = false;
+    fleet.set_operators_resume(false);
     fleet
 }
 
@@ -168,16 +168,16 @@
             fleet.halt_reason(),
             Some(HaltReason::CanaryWorse),
             "{}",
-            fleet.report.line()
+            fleet.report().line()
         );
         assert!(
-            fleet.report.halted_after_ms.unwrap() < 40_000.0,
+            fleet.report().halted_after_ms.unwrap() < 40_000.0,
             "{}",
-            fleet.report.line()
+            fleet.report().line()
         );
         assert!(fleet.roll_back(60_000.0), "{}", fleet.diagnostics());
         assert_eq!(fleet.stage(), Some(ReleaseStage::RolledBack));
-        assert!(fleet.report.violations.is_empty());
+        assert!(fleet.report().violations.is_empty());
     }
 }
 
@@ -191,7 +191,7 @@
             fleet.halt_reason(),
             Some(HaltReason::CanaryWorse),
             "{}",
-            fleet.report.line()
+            fleet.report().line()
         );
         assert_eq!(fleet.stage(), Some(ReleaseStage::Waves));
     }
@@ -237,9 +237,9 @@
     let mut fleet = virtual_fleet(scenario);
     fleet.run_until(|_| false);
     assert!(
-        fleet.abandoned_waits > 0 && fleet.report.max_out <= 1 && fleet.report.released <= 1,
+        fleet.abandoned_waits() > 0 && fleet.report().max_out <= 1 && fleet.report().released <= 1,
         "{}",
-        fleet.report.line()
+        fleet.report().line()
     );
 }
 
@@ -253,9 +253,9 @@
         fleet.start_late(3, 4000.0);
         fleet.run_until(|_| false);
         assert!(
-            fleet.report.violations.is_empty(),
+            fleet.report().violations.is_empty(),
             "{}",
-            fleet.report.line()
+            fleet.report().line()
         );
     }
 }
@@ -273,9 +273,9 @@
     fleet.run_until(|_| false);
     // Three are lost and the limit is one: the last one has no turn.
     assert!(
-        fleet.report.released == 0 && fleet.report.max_out <= 1,
+        fleet.report().released == 0 && fleet.report().max_out <= 1,
         "{}",
-        fleet.report.line()
+        fleet.report().line()
     );
     fleet.forget_members(&[1, 2, 3]);
     fleet.run_for(60_000.0);
