--- a/src/control/completion.rs
+++ b/src/control/completion.rs
@@ -30,7 +30,7 @@
 }
 
 impl Control {
-    /// An attempt ended; one that is unknown or not in flight is ignored.
+    /// An attempt ended. The event is ignored if the attempt is unknown or not in flight.
     pub fn on_attempt_ended(&mut self, event: &AttemptEnded, out: &mut dyn DecisionSink) {
         let Some(closed) = self.close_attempt(event) else {
             return;
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -5,7 +5,7 @@
 //! rule of that number. docs/design.md gives the reasons for the mechanism.
 //!
 //! `Control` composes the components of `model`, which own their state and the constants of their rules and never name
-//! `Control`. What stands here needs several components at once, in the order of a query's life: `admission`,
+//! `Control`. The files of this module need several components at once. They follow a query's life: `admission`,
 //! `placement`, `dispatch` (rules 1 to 7), `completion`, and `periodic` for the checks in between. This file has the
 //! events that concern engines, peers and the program itself; it uses the endpoint list request, the peer load, the
 //! zone plan and the tables of engines and queries.
@@ -151,9 +151,7 @@
     /// An endpoint list begins; its entries follow until [`finish_update`](Control::finish_update).
     pub fn begin_update(&mut self, kind: EndpointListKind) {
         if matches!(kind, EndpointListKind::Snapshot | EndpointListKind::Cached) {
-            for engine in self.engines.iter_mut() {
-                engine.endpoint.listed = false;
-            }
+            self.engines.begin_snapshot();
         }
     }
 
@@ -186,9 +184,7 @@
                 self.endpoint_list.record_success();
             }
         }
-        for engine in self.engines.iter_mut() {
-            engine.endpoint.ready &= engine.endpoint.listed;
-        }
+        self.engines.finish_update();
     }
 
     fn request_endpoints(&mut self, out: &mut dyn DecisionSink) {
@@ -205,7 +201,7 @@
         }
     }
 
-    /// A message from another dispatcher arrived; one of an unknown kind or sender is ignored.
+    /// A message from another dispatcher arrived. A message of an unknown kind or sender is ignored.
     pub fn on_peer_message(&mut self, message: &PeerMessage) {
         self.peer_load
             .record_message(message, &mut self.engines, self.now_ms);
--- a/src/control/placement.rs
+++ b/src/control/placement.rs
@@ -91,7 +91,7 @@
     /// Power of two choices: the one of two random engines of the best tier that has less work a core.
     ///
     /// The first is drawn from all candidates, the second from the local zone. Both are local while an engine there has
-    /// spare capacity: crossing zones costs time, and saves none then.
+    /// spare capacity: crossing zones costs network time and saves no waiting then.
     fn choose_of_two(
         &mut self,
         query: QueryIndex,
--- a/src/events.rs
+++ b/src/events.rs
@@ -1,9 +1,9 @@
-//! What the decisions are called with and what they write to: typed events, and [`DecisionSink`].
+//! The interface of the decisions: the events that they receive, and [`DecisionSink`], which receives the decisions.
 //!
-//! A protocol turns what came in into these events, calls the handlers of [`Control`](crate::control::Control) with
-//! them, and carries out what arrives at its `DecisionSink`. Times are milliseconds on the caller's clock.
+//! A program turns its input into these events, calls the handlers of [`Control`](crate::control::Control) with them,
+//! and carries out the decisions that its `DecisionSink` receives. Times are milliseconds on the caller's clock.
 
-/// Takes the decisions as they are made.
+/// Receives the decisions as they are made.
 pub trait DecisionSink {
     /// Starts an attempt of query `query_id` on engine `engine_id`.
     fn submit(&mut self, query_id: u64, engine_id: u64, limits: AttemptLimits);
@@ -11,34 +11,34 @@
     fn reject(&mut self, query_id: u64, retry_after_ms: f64);
     /// Ends a query with a final error.
     fn fail(&mut self, query_id: u64);
-    /// Why the query is about to be rejected or failed: for logs and metrics.
+    /// Reports why the query is about to be rejected or failed, for logs and metrics.
     fn note_end_reason(&mut self, _query_id: u64, _reason: EndReason) {}
     /// Cancels one attempt of a query.
     fn cancel(&mut self, query_id: u64, attempt: usize);
-    /// Sets priority and memory grant (MB; 0 leaves it to the engine) of the query's next attempts.
+    /// Sets priority and memory grant of the query's next attempts (MB; with 0 the engine chooses).
     fn grant(&mut self, query_id: u64, priority: u8, memory_mb: f64);
     /// Starts a health check of an engine.
     fn check_health(&mut self, engine_id: u64);
     /// Sends a message to another dispatcher, or to all others.
     fn send_to_peer(&mut self, peer: Option<u32>, content: &[u8]);
-    /// Asks for another round after `delay_ms`.
+    /// Requests another round after `delay_ms`.
     fn set_timer(&mut self, delay_ms: f64, handle: u64);
-    /// Asks for pushed updates of the endpoint list.
+    /// Requests pushed updates of the endpoint list.
     fn watch_endpoints(&mut self);
 }
 
 /// Why the decisions end a query without a result.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndReason {
-    /// No engine may or should take it now: the pool is at its limits, or all are ejected, draining or warming up.
+    /// No engine may or should take the query now: all are at their limits, ejected, draining or warming up.
     NoEngine,
-    /// The engine that was chosen may not take it any more.
+    /// The engine that was chosen may not take the query any more.
     NotAllowed,
-    /// A run would not complete before its client leaves.
+    /// A run would not complete before the deadline.
     NotInTime,
-    /// Its key's order held it back for too long.
+    /// The query waited for its key's turn until a run would not complete before the deadline.
     TurnTooLate,
-    /// What is left of its run takes longer than its client gives.
+    /// The remaining run time of the query's attempt exceeds the time until the deadline.
     Hopeless,
 }
 
@@ -69,30 +69,30 @@
 pub struct AttemptLimits {
     /// The attempt is abandoned at this time (ms).
     pub deadline_ms: f64,
-    /// An attempt that has not begun to go out by then (ms) must not go out: the rules allow it up to there.
+    /// An attempt that has not started by this time (ms) must not start: the rules allow it until then only.
     pub start_by_ms: f64,
-    /// The query can be sent again even if this attempt runs and nobody learns of it.
+    /// The query can be sent again even if this attempt runs without an answer.
     pub side_effect_free: bool,
 }
 
-/// What the analysis of a statement adds to what its client declared.
+/// What the analysis of a statement shows, beyond what its client declared.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StatementTraits {
     /// Confidence in the cost estimate, from 0 to 1.
     pub confidence: f64,
-    /// The statement may change tables, whatever its resource group promises.
+    /// The statement may change tables, even if its resource group is read-only.
     pub may_write: bool,
 }
 
 impl StatementTraits {
-    /// The statement was not analysed: what its client declared holds.
+    /// The traits of a statement that was not analysed.
     pub const UNKNOWN: StatementTraits = StatementTraits {
         confidence: 1.0,
         may_write: false,
     };
 }
 
-/// A query came in.
+/// A query arrived.
 #[derive(Debug, Clone, Copy)]
 pub struct QueryArrived<'a> {
     /// Number of the query, unique among those in flight.
@@ -101,17 +101,17 @@
     pub group: &'a str,
     /// Name of its tenant; empty where there is none.
     pub tenant: &'a str,
-    /// Ordering key, where the client gave one.
+    /// Ordering key, if the query has one.
     pub key: Option<u64>,
-    /// When its client gives up (ms).
+    /// The client's deadline (ms).
     pub deadline_ms: f64,
     /// Estimated thread time (ms); 0 where there is no estimate.
     pub estimated_cost_ms: f64,
     /// Estimated memory (MB).
     pub memory_mb: f64,
-    /// The set of tables that it uses, as a number.
+    /// The set of tables that the query uses, as a number.
     pub tables: u32,
-    /// What its text showed.
+    /// Traits of the statement.
     pub statement: StatementTraits,
 }
 
@@ -122,11 +122,11 @@
     pub query_id: u64,
     /// Which of the query's attempts, counted from 0.
     pub attempt: usize,
-    /// The engine that it ran on.
+    /// The engine that the attempt was sent to.
     pub engine_id: u64,
-    /// How it ended.
+    /// How the attempt ended.
     pub outcome: Outcome,
-    /// The client already has the whole answer.
+    /// The client already has the complete answer.
     pub answer_delivered: bool,
     /// From submission to the end (ms).
     pub latency_ms: f64,
@@ -134,7 +134,7 @@
     pub used: Option<ResourceUsage>,
 }
 
-/// What an attempt used, by its engine's report. A value of 0 is not known.
+/// The resources that an attempt used, by its engine's report. A value of 0 is unknown.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ResourceUsage {
     /// Thread time (ms).
@@ -152,7 +152,7 @@
     pub attempt: usize,
     /// What the note is about.
     pub kind: NoteKind,
-    /// Progress: the fraction done. Waiting: 2 for a wait behind a load. Otherwise of no meaning here.
+    /// Progress: the fraction done. Waiting: 2 for a wait behind a load. Unused in other notes.
     pub amount: f64,
 }
 
@@ -172,7 +172,7 @@
 pub struct HealthCheckEnded {
     /// The engine that was checked.
     pub engine_id: u64,
-    /// `Completed` where it answered.
+    /// `Completed` where the engine answered.
     pub outcome: Outcome,
 }
 
@@ -181,7 +181,7 @@
 pub struct PeerMessage<'a> {
     /// Number of the sender.
     pub peer: u32,
-    /// The bytes as they came; malformed ones are ignored.
+    /// The bytes of the message; malformed ones are ignored.
     pub content: &'a [u8],
 }
 
@@ -200,17 +200,17 @@
     NoConnection,
     /// The connection was lost before the answer.
     Reset,
-    /// It was cancelled.
+    /// The attempt was cancelled.
     Cancelled,
-    /// It never went out.
+    /// The attempt was never sent.
     NotSent,
-    /// It never began, and its engine is not the reason: it was taken back in time, or this dispatcher lacked a
-    /// descriptor, a port or memory for a connection.
+    /// The attempt never started, and its engine is not the reason: it was withdrawn in time, or this dispatcher lacked
+    /// a descriptor, a port or memory for a connection.
     Withdrawn,
 }
 
 impl Outcome {
-    /// The attempt provably never ran.
+    /// Whether the attempt certainly never ran.
     pub(crate) fn never_ran(self) -> bool {
         matches!(
             self,
@@ -218,20 +218,20 @@
         )
     }
 
-    /// The engine may still be running the attempt, or may have completed it.
+    /// Whether the engine may still run the attempt, or may have completed it.
     pub(crate) fn is_unknown(self) -> bool {
         matches!(self, Outcome::Timeout | Outcome::Reset | Outcome::Cancelled)
     }
 }
 
-/// Which kind of endpoint list comes, or that none does.
+/// The kind of an endpoint list, or that none could be obtained.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointListKind {
     /// Only endpoints that changed.
     Delta,
-    /// All endpoints; one that is left out is gone.
+    /// All endpoints; a known endpoint that is missing is gone.
     Snapshot,
-    /// All endpoints as last stored by this dispatcher: a newer list is to be asked for.
+    /// All endpoints as last stored by this dispatcher: a newer list has to be requested.
     Cached,
     /// The list could not be obtained.
     Failed,
@@ -240,9 +240,9 @@
 /// An endpoint's state in the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointState {
-    /// Takes queries.
+    /// Takes new queries.
     Ready,
-    /// Ends what it has, takes nothing new.
+    /// Completes what is in flight and takes no new queries.
     Draining,
     /// No longer there.
     Gone,
@@ -259,7 +259,7 @@
     pub zone: &'a str,
     /// Its state.
     pub state: EndpointState,
-    /// When its process started (ms), if that is known.
+    /// When the engine's process started (ms), if that is known.
     pub started_ms: Option<f64>,
     /// Number of its cell.
     pub cell: u32,
@@ -269,7 +269,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("unknown resource group {name:?}")]
 pub struct UnknownResourceGroup {
-    /// The name that came with the query.
+    /// The name in the query.
     pub name: String,
 }
 
--- a/src/model/engine_table.rs
+++ b/src/model/engine_table.rs
@@ -6,7 +6,7 @@
 
 /// All engines that this dispatcher knows, each in a slot.
 ///
-/// The slot of an engine that is gone is used again, so that the table does not grow where engines are replaced often.
+/// The slot of a removed engine is used again, so that the table does not grow where engines are replaced often.
 #[derive(Debug, Default)]
 pub(crate) struct EngineTable {
     engines: Vec<Engine>,
@@ -50,7 +50,7 @@
         self.iter().any(|engine| engine.load.low_attempts() > 0)
     }
 
-    /// The first slot whose engine is gone and not `in_use`.
+    /// The first slot whose engine is neither listed nor ready nor `in_use`.
     pub(crate) fn find_unused(&self, in_use: impl Fn(EngineIndex) -> bool) -> Option<EngineIndex> {
         self.indices().find(|&engine| {
             let endpoint = &self[engine].endpoint;
@@ -66,7 +66,7 @@
         slot
     }
 
-    /// Adds an engine in the slot of one that is gone.
+    /// Adds an engine in place of another, which is removed.
     pub(crate) fn replace(&mut self, slot: EngineIndex, engine: Engine) {
         let previous_id = self[slot].engine_id;
         self.slots.remove(&previous_id);
@@ -74,6 +74,20 @@
         self[slot] = engine;
     }
 
+    /// Begins a complete endpoint list: no engine counts as listed until its entry arrives.
+    pub(crate) fn begin_snapshot(&mut self) {
+        for engine in &mut self.engines {
+            engine.endpoint.listed = false;
+        }
+    }
+
+    /// Ends an endpoint list: an engine that is not listed is not ready.
+    pub(crate) fn finish_update(&mut self) {
+        for engine in &mut self.engines {
+            engine.endpoint.ready &= engine.endpoint.listed;
+        }
+    }
+
     /// The number of slots.
     #[cfg(test)]
     pub(crate) fn len(&self) -> usize {
--- a/src/model/fading_median.rs
+++ b/src/model/fading_median.rs
@@ -28,7 +28,7 @@
     pub(crate) decay_ms: f64,
     /// The most that one sample moves the median.
     pub(crate) step: f64,
-    /// How much further a sample moves the median after a long gap.
+    /// Additional step after a long gap without samples.
     pub(crate) gap_step: f64,
 }
 
--- a/src/model/low_lane.rs
+++ b/src/model/low_lane.rs
@@ -1,11 +1,11 @@
-//! The low lane over the whole pool: a token bucket of thread time, and the mean work of its queries.
+//! The low lane across all engines: a token bucket of thread time, and the mean work of its queries.
 
 use crate::model::LEARNING;
 
 /// Burst of the token bucket (thread time, ms). The debt has the same bound.
 const BURST_MS: f64 = 12_000.0;
 
-/// What this dispatcher knows of the low lane as a whole.
+/// The low lane of this dispatcher across all engines.
 ///
 /// The bucket refills with the thread time that the concurrency limits leave unused, and drains while they are
 /// exceeded. It decides whether a query may start where the limits' sum is below one query.
--- a/src/model/peer_load.rs
+++ b/src/model/peer_load.rs
@@ -6,7 +6,7 @@
 use crate::peer_codec;
 use crate::settings::Settings;
 
-/// How many dispatchers, the first ones, add up all reports. More than one, as each may die or be cut off.
+/// How many dispatchers add up all reports: those with the lowest indices, more than one for redundancy.
 const AGGREGATORS: u32 = 2;
 /// Interval at which an aggregator sends the sum (ms).
 const SUM_INTERVAL_MS: f64 = 300.0;
@@ -52,7 +52,8 @@
         }
     }
 
-    /// This dispatcher's share of each engine: an even one, or the whole while it knows what all dispatchers run there.
+    /// This dispatcher's share of each engine, as a fraction: an even share, or 1 while the sum of what all dispatchers
+    /// run there is known.
     pub(crate) fn pool_share(&self, now_ms: f64) -> f64 {
         let is_sum_known = now_ms - self.sum_received_ms < SUM_COUNTS_MS;
         if is_sum_known {
@@ -90,7 +91,7 @@
         }
     }
 
-    /// Records a message from another dispatcher; one of an unknown kind or sender is ignored.
+    /// Records a message from another dispatcher. A message of an unknown kind or sender is ignored.
     pub(crate) fn record_message(
         &mut self,
         message: &PeerMessage,
--- a/src/model/resource_group.rs
+++ b/src/model/resource_group.rs
@@ -116,8 +116,8 @@
         }
     }
 
-    /// The effect of a statement. One that may write counts as non-idempotent where its group promises to read only; a
-    /// group's idempotency keys still count.
+    /// The effect of a statement. A statement that may write counts as non-idempotent in a read-only group; it does not
+    /// override a group's idempotency keys.
     pub(crate) fn effect_of(&self, statement: StatementTraits) -> Effect {
         if statement.may_write && self.settings.effect == Effect::ReadOnly {
             Effect::NonIdempotent
--- a/src/model/slow_start.rs
+++ b/src/model/slow_start.rs
@@ -7,7 +7,7 @@
 
 /// Fraction of the rule's budget that is used; the remainder is for dispatchers that restart within a span.
 const BUDGET_FRACTION: f64 = 0.8;
-/// Fraction of a budget below one query that the lottery gives out on average.
+/// Fraction of a budget below one query that the lottery spends on average.
 const LOTTERY_FRACTION: f64 = 0.25;
 /// Fraction of an engine's cores that counts as its capacity.
 const CAPACITY_FRACTION: f64 = 0.85;
@@ -39,7 +39,7 @@
 
     /// Whether a query of this group may be sent to an engine.
     ///
-    /// A budget below one query goes to one query a span by lottery: otherwise nobody would use the engine until it
+    /// A budget below one query admits one query a span by lottery; without it the engine would stay unused until it
     /// is warm.
     pub(crate) fn admits(&self, engine: &Engine, group: &ResourceGroup, now_ms: f64) -> bool {
         let Some(budget_ms) = self.budget_ms(engine, now_ms) else {
--- a/src/model/slowdown.rs
+++ b/src/model/slowdown.rs
@@ -18,7 +18,7 @@
     pub(super) engine_decay_ms: f64,
     /// Time constant with which a zone's slowdown decays towards the pool's, and the pool's towards none (ms).
     pub(super) zone_decay_ms: f64,
-    /// How much further one answer moves a slowdown after a long gap (log ratio).
+    /// Additional step of an answer after a long gap without answers (log ratio).
     pub(super) gap_step: f64,
 }
 
@@ -30,7 +30,7 @@
     gap_step: 0.4,
 };
 
-/// The slowdowns of zones and of the whole pool; each engine holds its own.
+/// The slowdowns of zones and of the pool; the slowdown of an engine is part of `Engine`.
 #[derive(Debug, Default)]
 pub(crate) struct Slowdowns {
     zones: Vec<LaneSlowdowns>,
--- a/src/model/tenant_quotas.rs
+++ b/src/model/tenant_quotas.rs
@@ -5,7 +5,7 @@
 
 /// Time over which tenants' rates are taken (ms).
 const RATE_SPAN_MS: f64 = 2000.0;
-/// How far a tenant's use of its quota may exceed that of the pool as a whole (factor).
+/// Factor by which a tenant's use of its quota may exceed all tenants' use of all quotas.
 const QUOTA_SLACK: f64 = 1.35;
 
 /// Each tenant's quota at this dispatcher, and its decaying count of queries.
@@ -49,8 +49,8 @@
         }
     }
 
-    /// Records a query of a tenant. Returns whether the tenant exceeds its quota by more than the pool as a whole
-    /// exceeds the sum of quotas: when all tenants send more, none is singled out.
+    /// Records a query of a tenant, and returns whether the tenant exceeds its quota by more than all tenants together
+    /// exceed the sum of quotas. When all tenants send more, none is singled out.
     pub(crate) fn record_query(&mut self, tenant: u32, now_ms: f64) -> bool {
         let quota_use = self.count(tenant, now_ms);
         quota_use.own > QUOTA_SLACK * quota_use.all.max(1.0)
--- a/src/pcg.rs
+++ b/src/pcg.rs
@@ -4,8 +4,9 @@
 #[derive(Debug, Clone, Default)]
 pub struct Pcg(u64);
 
-/// Constants of the published generator.
+/// Multiplier of the published generator.
 const MULTIPLIER: u64 = 6364136223846793005;
+/// Increment of the published generator.
 const INCREMENT: u64 = 1442695040888963407;
 
 impl Pcg {
@@ -28,7 +29,7 @@
         f64::from(self.next_u32()) / 4_294_967_296.0
     }
 
-    /// A whole number below `limit`, which must be above 0.
+    /// An integer from 0 up to, and without, `limit`, which must be above 0.
     pub fn below(&mut self, limit: usize) -> usize {
         ((u64::from(self.next_u32()) * limit as u64) >> 32) as usize
     }
--- a/src/peer_codec.rs
+++ b/src/peer_codec.rs
@@ -1,22 +1,22 @@
-//! The form of messages between dispatchers: a kind, then for each engine a tag of two bytes, drawn from its number,
-//! and its low threads in one byte. Two engines in 65,536 tags rarely share one; then the first is meant.
+//! The encoding of messages between dispatchers: a kind, then for each engine a tag of two bytes, computed from its
+//! number, and its low threads in one byte. Engines rarely share one of the 65,536 tags; then the first is meant.
 
 /// Kind of a message with the sender's own low threads.
 pub const OWN_LOAD: u8 = 0;
 /// Kind of a message with the sum of all dispatchers' low threads.
 pub const TOTAL_LOAD: u8 = 1;
-/// Bytes of an entry.
+/// Length of an entry (bytes).
 const ENTRY_BYTES: usize = 3;
-/// Entries of a message at most, which keeps it within 256 bytes.
+/// Maximum entries of a message, so that it has at most 256 bytes.
 const MAX_ENTRIES: usize = 85;
 
-/// The tag that stands for an engine.
+/// The tag of an engine.
 pub fn engine_tag(engine_id: u64) -> [u8; 2] {
     let mixed = (engine_id as u32).wrapping_mul(0x9E37_79B1).to_be_bytes();
     [mixed[0], mixed[1]]
 }
 
-/// Encodes low threads by engine, and hands over as many messages as the entries take, one at the least.
+/// Encodes low threads by engine, and calls `send` with each of as many messages as needed; at least one.
 pub fn encode(
     kind: u8,
     threads_by_engine: impl Iterator<Item = (u64, f64)>,
--- a/src/settings/read.rs
+++ b/src/settings/read.rs
@@ -59,49 +59,59 @@
 
 fn read_group(raw: &SettingsMap, index: usize) -> Result<GroupSettings, SettingsError> {
     let key = |field: &str| format!("{}.{field}", list_item(keys::GROUPS, index));
-    let names = |field: &str| -> Option<Vec<String>> {
-        let names = raw.get(&key(field))?;
-        Some(names.split(',').map(str::to_owned).collect())
-    };
     let effect = read_effect(raw, key(keys::group::EFFECT))?;
     let objective_ms = raw.required(&key(keys::group::OBJECTIVE_US))? / 1000.0;
     let name = raw.get(&key(keys::group::NAME)).cloned();
-    let flag = |list: &str| {
-        raw.list(list)
-            .get(index)
-            .is_some_and(|value| is_true(value))
+    let Some(name) = name else {
+        let key = key(keys::group::NAME);
+        return Err(SettingsError::Missing { key });
     };
-    let threads = raw
-        .list(keys::THREADS_BY_GROUP)
-        .get(index)
-        .and_then(|value| value.parse().ok());
+    let millis = |field: &str| raw.millis(&key(field)).unwrap_or(0.0);
     Ok(GroupSettings {
-        name: name.ok_or(SettingsError::Missing {
-            key: key(keys::group::NAME),
-        })?,
+        name,
         effect,
-        dedup_scope: match raw.get(&key(keys::group::DEDUP_SCOPE)).map(String::as_str) {
-            Some(keys::dedup_scope::ZONE) => DedupScope::Zone,
-            Some(keys::dedup_scope::CELL) => DedupScope::Cell,
-            _ => DedupScope::All,
-        },
-        dedup_window_ms: raw
-            .millis(&key(keys::group::DEDUP_WINDOW_US))
-            .unwrap_or(0.0),
+        dedup_scope: read_dedup_scope(raw, &key(keys::group::DEDUP_SCOPE)),
+        dedup_window_ms: millis(keys::group::DEDUP_WINDOW_US),
         is_ordered_by_key: raw.is_on(&key(keys::group::IN_KEY_ORDER)),
-        zones: names(keys::group::ZONES),
-        kinds: names(keys::group::ENGINE_KINDS),
+        zones: read_names(raw, &key(keys::group::ZONES)),
+        kinds: read_names(raw, &key(keys::group::ENGINE_KINDS)),
         objective_ms,
         objective_stretch: raw
             .number(&key(keys::group::OBJECTIVE_STRETCH))
             .unwrap_or(0.0),
-        usual_wait_ms: raw.millis(&key(keys::group::DEADLINE_US)).unwrap_or(0.0),
-        threads: threads.unwrap_or(1.0_f64).max(1.0),
-        is_load: flag(keys::IS_LOAD_BY_GROUP),
-        waits_for_loads: flag(keys::WAITS_FOR_LOADS_BY_GROUP),
+        usual_wait_ms: millis(keys::group::DEADLINE_US),
+        threads: read_threads(raw, index),
+        is_load: is_on_for_group(raw, keys::IS_LOAD_BY_GROUP, index),
+        waits_for_loads: is_on_for_group(raw, keys::WAITS_FOR_LOADS_BY_GROUP, index),
     })
 }
 
+/// The names of a comma-separated list, empty ones included; none where the setting is missing.
+fn read_names(raw: &SettingsMap, key: &str) -> Option<Vec<String>> {
+    let names = raw.get(key)?;
+    Some(names.split(',').map(str::to_owned).collect())
+}
+
+fn read_dedup_scope(raw: &SettingsMap, key: &str) -> DedupScope {
+    match raw.get(key).map(String::as_str) {
+        Some(keys::dedup_scope::ZONE) => DedupScope::Zone,
+        Some(keys::dedup_scope::CELL) => DedupScope::Cell,
+        _ => DedupScope::All,
+    }
+}
+
+fn read_threads(raw: &SettingsMap, group: usize) -> f64 {
+    let by_group = raw.list(keys::THREADS_BY_GROUP);
+    let threads = by_group.get(group).and_then(|value| value.parse().ok());
+    threads.unwrap_or(1.0_f64).max(1.0)
+}
+
+/// Whether a flag of the list `key`, which has one for each group, is set.
+fn is_on_for_group(raw: &SettingsMap, key: &str, group: usize) -> bool {
+    let by_group = raw.list(key);
+    by_group.get(group).is_some_and(|value| is_true(value))
+}
+
 fn read_effect(raw: &SettingsMap, key: String) -> Result<Effect, SettingsError> {
     match raw.get(&key).map(String::as_str) {
         Some(keys::effect::READ_ONLY) => Ok(Effect::ReadOnly),
