--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -27,6 +27,8 @@
 mod slowdown;
 mod stalls;
 mod tenant_quotas;
+#[cfg(test)]
+mod tests;
 
 pub(crate) use attempt::Attempt;
 pub(crate) use concurrency_limit::AttemptResult;
--- /dev/null
+++ b/src/model/tests/low_lane.rs
@@ -0,0 +1,25 @@
+//! The low lane's token bucket.
+
+use crate::model::LowLane;
+
+#[test]
+fn bucket_in_debt_has_tokens_again_after_as_much_headroom() {
+    let mut low_lane = LowLane::default();
+    assert!(low_lane.has_tokens());
+    low_lane.refill(-2.0, 100.0);
+    assert!(!low_lane.has_tokens());
+    low_lane.refill(0.5, 399.0);
+    assert!(!low_lane.has_tokens());
+    low_lane.refill(0.5, 1.0);
+    assert!(low_lane.has_tokens());
+}
+
+#[test]
+fn debt_is_bounded() {
+    let mut low_lane = LowLane::default();
+    for _ in 0..1000 {
+        low_lane.refill(-100.0, 1000.0);
+    }
+    low_lane.refill(1.0, 12_000.0);
+    assert!(low_lane.has_tokens(), "12 s of one thread pay every debt");
+}
