--- a/src/control/tests/admission.rs
+++ b/src/control/tests/admission.rs
@@ -6,7 +6,7 @@
 fn query_that_cannot_complete_in_time_is_rejected_on_arrival() {
     let usual = "services.0.hard-limit-us=900000 services.1.hard-limit-us=900000";
     // A client that waits for the usual time is tried whatever the load; for one that waits less, recent slowdown counts.
-    for (wait, cost, pace, goes) in [
+    for (wait, cost, slowdown, is_submitted) in [
         (890.0, 800.0, 0.0, true),
         (890.0, 800.0, 1.0, true),
         (890.0, 900.0, 0.0, false),
@@ -16,7 +16,9 @@
         (-1.0, 1.0, 0.0, false),
     ] {
         let mut control = dispatcher(usual, TWO);
-        control.groups[GroupIndex(0)].slowdown_mut().set_usual(pace);
+        control.groups[GroupIndex(0)]
+            .slowdown_mut()
+            .set_usual(slowdown);
         let decided = round(&mut control, 1.0, |control, out| {
             control
                 .on_query_arrived(&arriving(1, "look", START_MS + 1.0 + wait, cost), out)
@@ -24,12 +26,12 @@
         });
         assert_eq!(
             has_decision(&decided, "submit 1"),
-            goes,
+            is_submitted,
             "{wait} {cost}: {decided:?}"
         );
         assert_eq!(
             has_decision(&decided, "reject 1"),
-            !goes,
+            !is_submitted,
             "{wait} {cost}: {decided:?}"
         );
     }
@@ -68,11 +70,11 @@
 
 #[test]
 fn tenant_over_its_quota_has_headroom_only_on_engines_without_pressure() {
-    let told = "projects.count=2 projects.0.name=a projects.0.allowance-per-s=20 \
+    let quotas = "projects.count=2 projects.0.name=a projects.0.allowance-per-s=20 \
         projects.1.name=b projects.1.allowance-per-s=20";
-    let mut control = dispatcher(told, ONE);
-    let mut from = |id, group: &str, who: &str, mark: fn(&mut Control)| {
-        mark(&mut control);
+    let mut control = dispatcher(quotas, ONE);
+    let mut from = |id, group: &str, who: &str, set_up: fn(&mut Control)| {
+        set_up(&mut control);
         round(&mut control, 1.0, |control, out| {
             let query = QueryArrived {
                 tenant: who,
@@ -99,7 +101,7 @@
                 .set_threads_per_core(2.0)),
             "submit"
         ),
-        "at ease"
+        "below pressure"
     );
     assert!(has_decision(
         &from(302, "rep", "a", |control| put_under_pressure(control, 0)),
@@ -111,7 +113,7 @@
 #[test]
 fn queries_without_estimates_before_the_first_answer_are_expected_to_meet_their_objective() {
     // Two arrived before any of their group had completed. Their run time was unknown rather than zero: a third with
-    // a usual deadline is not hopeless, and one that has run for half of its objective is not overdue.
+    // a usual deadline can meet it, and one that has run for half of its objective is not overdue.
     let usual = "services.0.hard-limit-us=20000000 limits.probes=1";
     let mut control = dispatcher(usual, TWO);
     for id in 0..3 {
@@ -125,8 +127,7 @@
         500.0
     );
     for id in 0..2 {
-        let i = control.queries.find(id).unwrap();
-        let engine_id = control.engines[control.queries[i].attempts.all()[0].engine].engine_id;
+        let engine_id = engine_of(&control, id, 0);
         end_attempt(&mut control, 200.0, id, 0, Outcome::Completed, engine_id);
     }
     assert!(!has_decision(
--- a/src/control/tests/completion.rs
+++ b/src/control/tests/completion.rs
@@ -38,7 +38,7 @@
     end_attempt(&mut control, 101.0, 1, 0, Outcome::Completed, 1);
     assert!(
         (control.engines[EngineIndex(0)].limit.threads_per_core() - 1.2).abs() < 1e-9,
-        "1.2 threads a core of our share"
+        "1.2 threads a core of this dispatcher's share"
     );
     end_attempt(&mut control, 102.0, 2, 0, Outcome::Full, 1);
     end_attempt(&mut control, 103.0, 3, 0, Outcome::Full, 1);
--- a/src/control/tests/dispatch.rs
+++ b/src/control/tests/dispatch.rs
@@ -14,23 +14,13 @@
         &send_query_with_key(&mut control, 3.0, 3, "tok", 100.0, Some(6), 0),
         "submit 3"
     ));
-    let slot = control
-        .queries
-        .iter()
-        .find(|(_, q)| q.id == 1)
-        .unwrap()
-        .1
-        .attempts
-        .all()[0]
-        .engine
-        .0 as u64
-        + 1;
+    let slot = engine_of(&control, 1, 0);
     round(&mut control, 4.0, |control, out| {
         control.on_client_gone(1, out)
     });
     assert!(
         round(&mut control, 50.0, |_, _| ()).is_empty(),
-        "its submission is still out"
+        "its attempt is still in flight"
     );
     assert!(end_attempt(&mut control, 60.0, 1, 0, Outcome::Cancelled, slot).is_empty());
     assert!(
@@ -49,8 +39,7 @@
     for id in 0..1000 {
         let at = 1.0 + 10.0 * id as f64;
         send_query_with_key(&mut control, at, id, "tok", 100.0, Some(id), 0);
-        let i = control.queries.find(id).unwrap();
-        let engine_id = control.engines[control.queries[i].attempts.all()[0].engine].engine_id;
+        let engine_id = engine_of(&control, id, 0);
         // Every fourth has an unknown end, and its key cools down for half a second: some twelve of them at a time.
         let outcome = if id % 4 == 0 {
             Outcome::Cancelled
@@ -69,11 +58,7 @@
     );
     // A key that is used again and again is kept once, and its cooldown holds.
     send_query_with_key(&mut control, 20_000.0, 2000, "tok", 100.0, Some(7), 0);
-    let engine_id = control.engines[control.queries[control.queries.find(2000).unwrap()]
-        .attempts
-        .all()[0]
-        .engine]
-        .engine_id;
+    let engine_id = engine_of(&control, 2000, 0);
     round(&mut control, 20_001.0, |control, out| {
         control.on_client_gone(2000, out)
     });
@@ -110,18 +95,18 @@
 }
 
 #[test]
-fn grant_precedes_the_attempt_and_is_generous_only_where_spare_memory_stays_free() {
-    for (told, terms) in [
+fn grant_precedes_the_attempt_and_is_ample_only_where_unused_memory_stays_free() {
+    for (feature, grants) in [
         ("memory-short=page", "1 20"),
         ("memory-short=shrink", "1 0"),
     ] {
         let mut control = dispatcher(
-            &format!("family-info.{told} family-info.lanes-count=1"),
+            &format!("family-info.{feature} family-info.lanes-count=1"),
             ONE,
         );
         assert_eq!(
             send_query(&mut control, 1.0, 1, "rep", 100.0),
-            [format!("grant 1 {terms}"), "submit 1 1".into()]
+            [format!("grant 1 {grants}"), "submit 1 1".into()]
         );
     }
     assert_eq!(
--- a/src/control/tests/mod.rs
+++ b/src/control/tests/mod.rs
@@ -1,5 +1,5 @@
-//! The decisions, one by one: each rule, each mechanism, and each failure that was found. One file a concern; here is what
-//! they share: settings, a dispatcher with engines, and a sink that keeps what was decided.
+//! Tests of the decisions: each rule, each mechanism and each known failure, one file a concern. This file has what they
+//! share: settings, a dispatcher with engines, and a sink that records the decisions.
 
 mod admission;
 mod completion;
@@ -36,7 +36,7 @@
     services.3.name=tok services.3.effect=idempotency_key services.3.aim-us=4000000 \
     services.3.repeat-window-us=10000000 services.3.dedup-scope=all services.3.in-order=1";
 
-/// The settings above, overridden by `more`.
+/// The settings above, with those of `more` in place of theirs.
 pub(crate) fn settings(more: &str) -> SettingsMap {
     let pairs = SETTINGS.split_whitespace().chain(more.split_whitespace());
     pairs
@@ -45,7 +45,7 @@
         .collect()
 }
 
-/// Keeps each decision as a line, and the limits of each attempt.
+/// Records each decision as a line, and the limits of each attempt.
 #[derive(Default)]
 pub(crate) struct RecordedDecisions {
     pub(crate) decisions: Vec<String>,
@@ -245,6 +245,20 @@
     }
 }
 
+/// The first slot whose engine has exactly one attempt.
+pub(crate) fn busy_slot(control: &Control) -> usize {
+    let mut engines = control.engines.iter();
+    engines
+        .position(|engine| engine.load.attempts() == 1)
+        .unwrap()
+}
+
+/// The engine of a query's attempt.
+pub(crate) fn engine_of(control: &Control, id: u64, attempt: usize) -> u64 {
+    let query = &control.queries[control.queries.find(id).unwrap()];
+    control.engines[query.attempts.all()[attempt].engine].engine_id
+}
+
 /// Puts an engine under pressure, as slow answers would.
 pub(crate) fn put_under_pressure(control: &mut Control, slot: usize) {
     control.engines[EngineIndex(slot)]
--- a/src/control/tests/outlier.rs
+++ b/src/control/tests/outlier.rs
@@ -31,7 +31,7 @@
     );
     assert!(
         !has_decision(&round(&mut control, 640.0, |_, _| ()), "cancel"),
-        "i22a8d1: the trial was moved as if it hung"
+        "i22a8d1: the trial migrated as if it had stalled"
     );
 }
 
@@ -55,7 +55,7 @@
     assert_eq!(
         control.engines[EngineIndex(0)].load.attempts(),
         0,
-        "the hole took a trial"
+        "the silent engine took a trial"
     );
     assert!(has_decision(&decided, "probe 1"), "{decided:?}");
     round(&mut control, 650.0, |control, _| {
@@ -121,9 +121,7 @@
     for id in 0..2 {
         send_query(&mut control, 1.0, id, "look", 10.0);
         for attempt in 0..4 {
-            let i = control.queries.find(id).unwrap();
-            let engine_id =
-                control.engines[control.queries[i].attempts.all()[attempt].engine].engine_id;
+            let engine_id = engine_of(&control, id, attempt);
             end_attempt(&mut control, 2.0, id, attempt, Outcome::Error, engine_id);
         }
         assert!(
@@ -133,11 +131,7 @@
         );
         for id in 10..20 {
             send_query(&mut control, 3.0, id, "look", 10.0);
-            let engine_id = control.engines[control.queries[control.queries.find(id).unwrap()]
-                .attempts
-                .all()[0]
-                .engine]
-                .engine_id;
+            let engine_id = engine_of(&control, id, 0);
             end_attempt(&mut control, 4.0, id, 0, Outcome::Completed, engine_id);
         }
     }
@@ -154,17 +148,17 @@
         last.map_or(0, |s| control.engines[s.engine].engine_id)
     };
     (0..8).for_each(|id| drop(send_query(&mut control, 1.0, id, "rep", 10.0)));
-    let hung: Vec<u64> = (0..8).filter(|&id| on(&control, id) == 1).collect();
-    assert!(hung.len() > 2);
+    let stalled: Vec<u64> = (0..8).filter(|&id| on(&control, id) == 1).collect();
+    assert!(stalled.len() > 2);
     (0..8)
-        .filter(|id| !hung.contains(id))
+        .filter(|id| !stalled.contains(id))
         .for_each(|id| drop(end_attempt(&mut control, 9.0, id, 0, Outcome::Completed, 2)));
     // Those on the first engine make no progress: they migrate and complete on the second.
     assert!(has_decision(
         &round(&mut control, 1000.0, |_, _| ()),
         "cancel"
     ));
-    hung.iter().for_each(|&id| {
+    stalled.iter().for_each(|&id| {
         drop(end_attempt(
             &mut control,
             1001.0,
@@ -174,7 +168,7 @@
             1,
         ))
     });
-    hung.iter().for_each(|&id| {
+    stalled.iter().for_each(|&id| {
         drop(end_attempt(
             &mut control,
             1100.0,
--- a/src/control/tests/periodic.rs
+++ b/src/control/tests/periodic.rs
@@ -1,4 +1,4 @@
-//! Periodic checks: migrations and hopeless attempts.
+//! Periodic checks: migrations, and attempts that cannot meet their deadline.
 
 use super::*;
 
@@ -13,10 +13,10 @@
     for id in 0..20 {
         send_query(&mut control, 1.0, id, "rep", 200.0);
     }
-    let moved = round(&mut control, 1_001.0, |control, _| {
+    let migrated = round(&mut control, 1_001.0, |control, _| {
         (0..20).for_each(|id| control.on_progress_note(&note(id, 0, NoteKind::Progress, 0.05)))
     });
-    assert_eq!(moved.len(), 3, "{moved:?}: one and a tenth of twenty");
+    assert_eq!(migrated.len(), 3, "{migrated:?}: one and a tenth of twenty");
 }
 
 #[test]
@@ -37,29 +37,25 @@
 }
 
 #[test]
-fn hopeless_attempt_migrates_at_ease_and_is_rejected_under_pressure() {
+fn attempt_that_cannot_meet_its_deadline_migrates_below_pressure_and_is_rejected_under_it() {
     for (is_pressured, then) in [(false, "cancel 1 0"), (true, "reject 1")] {
         let mut control = dispatcher("", TWO);
         send_query(&mut control, 1.0, 1, "rep", 1000.0);
-        let slot = control
-            .engines
-            .iter()
-            .position(|slot| slot.load.attempts() == 1)
-            .unwrap();
+        let slot = busy_slot(&control);
         if is_pressured {
             put_under_pressure(&mut control, slot);
         }
-        let then_said = round(&mut control, 1_001.0, |control, _| {
+        let decided = round(&mut control, 1_001.0, |control, _| {
             control.on_progress_note(&note(1, 0, NoteKind::Progress, 0.02))
         });
-        assert!(has_decision(&then_said, then), "{then_said:?}");
+        assert!(has_decision(&decided, then), "{decided:?}");
     }
 }
 
 #[test]
 fn time_spent_waiting_does_not_count_as_slow_work() {
     // A load waited for another for a second: its first progress says nothing, the next ones show its speed.
-    for (share, lives) in [(0.5, true), (0.0041, false)] {
+    for (share, survives) in [(0.5, true), (0.0041, false)] {
         let mut control = dispatcher("", TWO);
         send_query(&mut control, 1.0, 1, "load", 1000.0);
         round(&mut control, 2.0, |control, _| {
@@ -72,6 +68,6 @@
         let second = round(&mut control, 1_501.0, |control, _| {
             control.on_progress_note(&note(1, 0, NoteKind::Progress, share))
         });
-        assert_eq!(!has_decision(&second, "fail 1"), lives, "{second:?}");
+        assert_eq!(!has_decision(&second, "fail 1"), survives, "{second:?}");
     }
 }
--- a/src/control/tests/placement.rs
+++ b/src/control/tests/placement.rs
@@ -20,7 +20,7 @@
     assert_eq!(
         send_query(&mut control, 1.0, 3, "rep", 100.0),
         ["reject 3 300"],
-        "at once, within the told limit"
+        "at once, within the limit of the settings"
     );
     assert!(
         has_decision(&send_query(&mut control, 1.0, 4, "look", 100.0), "submit"),
@@ -63,18 +63,23 @@
 fn query_avoids_an_engine_where_a_load_locks_its_tables() {
     let mut control = dispatcher("", TWO);
     send_query_with_key(&mut control, 1.0, 1, "load", 10.0, None, 7);
-    let held = control
-        .engines
-        .iter()
-        .position(|slot| slot.load.attempts() == 1)
-        .unwrap();
-    control.engines[EngineIndex(1 - held)].load.set_work_ms(1e9);
+    let locked = busy_slot(&control);
+    control.engines[EngineIndex(1 - locked)]
+        .load
+        .set_work_ms(1e9);
     assert_eq!(
         send_query_with_key(&mut control, 2.0, 2, "look", 10.0, None, 7),
-        [format!("submit 2 {}", 2 - held)]
+        [format!("submit 2 {}", 2 - locked)]
     );
-    end_attempt(&mut control, 3.0, 1, 0, Outcome::Completed, held as u64 + 1);
-    assert!(control.engines[EngineIndex(held)].load.has_no_locks());
+    end_attempt(
+        &mut control,
+        3.0,
+        1,
+        0,
+        Outcome::Completed,
+        locked as u64 + 1,
+    );
+    assert!(control.engines[EngineIndex(locked)].load.has_no_locks());
 }
 
 #[test]
@@ -92,14 +97,14 @@
 }
 
 #[test]
-fn placement_stays_in_the_local_zone_while_an_engine_there_is_at_ease() {
+fn placement_stays_in_the_local_zone_while_an_engine_there_has_spare_capacity() {
     let mut control = dispatcher("", &[("small", "h1"), ("small", "h2")]);
-    let home = (0..20)
+    let local = (0..20)
         .filter(|&id| {
             send_query(&mut control, 1.0, id, "look", 0.001) == [format!("submit {id} 1")]
         })
         .count();
-    assert_eq!(home, 20);
+    assert_eq!(local, 20);
     put_under_pressure(&mut control, 0);
     control.engines[EngineIndex(0)].load.set_work_ms(1e9);
     let away = (50..90)
--- a/src/control/tests/pressure.rs
+++ b/src/control/tests/pressure.rs
@@ -3,8 +3,8 @@
 use super::*;
 
 #[test]
-fn slow_answers_of_either_lane_a_full_refusal_and_a_crowd_are_pressure() {
-    let marks: [fn(&mut Control); 4] = [
+fn slow_answers_a_refusal_as_full_used_memory_and_many_low_threads_are_pressure() {
+    let causes: [fn(&mut Control); 4] = [
         |control| {
             control.engines[EngineIndex(0)]
                 .slowdown
@@ -18,14 +18,14 @@
         |control| control.engines[EngineIndex(0)].load.set_granted_mb(900.0),
         |control| control.engines[EngineIndex(0)].load.set_peer_threads(12.0),
     ];
-    for mark in marks {
+    for cause in causes {
         let mut control = dispatcher("", ONE);
         control.engines[EngineIndex(0)].load.set_low_attempts(1);
         control.engines[EngineIndex(0)].load.set_low_threads(2.0);
         control.engines[EngineIndex(0)]
             .limit
             .set_threads_per_core(0.5);
-        mark(&mut control);
+        cause(&mut control);
         assert!(has_decision(
             &send_query(&mut control, 1000.0, 1, "rep", 100.0),
             "reject"
@@ -54,7 +54,7 @@
     assert!(
         control.pool().is_under_pressure(EngineIndex(0))
             && control.pool().is_under_pressure(EngineIndex(1)),
-        "the hall stands in for engines that did not answer lately"
+        "the zone stands in for engines without recent answers"
     );
 }
 
@@ -65,11 +65,7 @@
         .slowdown_mut()
         .set_samples(100);
     send_query(&mut control, 20_000.0, 1, "look", 10.0);
-    let slot = control
-        .engines
-        .iter()
-        .position(|slot| slot.load.attempts() == 1)
-        .unwrap();
+    let slot = busy_slot(&control);
     end_attempt(
         &mut control,
         20_100.0,
@@ -101,17 +97,7 @@
         .set_samples(100);
     for id in 0..3 {
         send_query(&mut control, id as f64, id, "look", 1.0);
-        let slot = control
-            .queries
-            .iter()
-            .find(|(_, q)| q.id == id)
-            .unwrap()
-            .1
-            .attempts
-            .all()[0]
-            .engine
-            .0 as u64
-            + 1;
+        let slot = engine_of(&control, id, 0);
         end_attempt(
             &mut control,
             100.0 + id as f64,
@@ -124,7 +110,7 @@
     assert!(
         control.pool().is_under_pressure(EngineIndex(0))
             && control.pool().is_under_pressure(EngineIndex(1)),
-        "h552f21: a hall unheard of looked at ease to every gateway"
+        "h552f21: a zone without answers looked below pressure to every dispatcher"
     );
 }
 
--- a/src/control/tests/retry.rs
+++ b/src/control/tests/retry.rs
@@ -6,12 +6,7 @@
 fn rule_2_non_idempotent_query_is_retried_only_if_it_never_ran() {
     let mut control = dispatcher("", TWO);
     send_query(&mut control, 1.0, 1, "load", 100.0);
-    let first = control
-        .engines
-        .iter()
-        .position(|slot| slot.load.attempts() == 1)
-        .unwrap() as u64
-        + 1;
+    let first = busy_slot(&control) as u64 + 1;
     let again = end_attempt(&mut control, 2.0, 1, 0, Outcome::NoConnection, first);
     assert_eq!(again, [format!("submit 1 {}", 3 - first)]);
     assert_eq!(
@@ -39,11 +34,7 @@
         &[("small", "h1"), ("small", "h2")],
     );
     send_query(&mut control, 1.0, 1, "tok", 100.0);
-    let first = control
-        .engines
-        .iter()
-        .position(|slot| slot.load.attempts() == 1)
-        .unwrap();
+    let first = busy_slot(&control);
     control.engines[EngineIndex(first)].endpoint.ready = false;
     assert_eq!(
         end_attempt(&mut control, 2.0, 1, 0, Outcome::Error, first as u64 + 1),
@@ -58,17 +49,7 @@
     let mut again = 0;
     for id in 0..10 {
         send_query(&mut control, 1.0, id, "look", 10.0);
-        let slot = control
-            .queries
-            .iter()
-            .find(|(_, q)| q.id == id)
-            .unwrap()
-            .1
-            .attempts
-            .all()[0]
-            .engine
-            .0 as u64
-            + 1;
+        let slot = engine_of(&control, id, 0);
         again += usize::from(has_decision(
             &end_attempt(&mut control, 2.0, id, 0, Outcome::NoConnection, slot),
             "submit",
@@ -87,11 +68,7 @@
             control
                 .on_query_arrived(&arriving(1, "tok", START_MS + 5000.0, 100.0), out)
                 .unwrap();
-            let engine_id = control.engines[control.queries[control.queries.find(1).unwrap()]
-                .attempts
-                .all()[0]
-                .engine]
-                .engine_id;
+            let engine_id = engine_of(control, 1, 0);
             control.now_ms = START_MS + 100.0;
             control.on_attempt_ended(&ended(1, 0, false, Outcome::Reset, engine_id, 100.0), out);
         })),
--- a/src/control/tests/service_levels.rs
+++ b/src/control/tests/service_levels.rs
@@ -160,36 +160,21 @@
         ..LevelEffects::default()
     });
     send_query(&mut control, 1.0, 1, "rep", 100.0);
-    let on = control
-        .engines
-        .iter()
-        .position(|slot| slot.load.attempts() == 1)
-        .unwrap() as u64
-        + 1;
+    let on = busy_slot(&control) as u64 + 1;
     assert!(has_decision(
         &end_attempt(&mut control, 2.0, 1, 0, Outcome::Error, on),
         "reject 1"
     ));
     // A load that may have run fails and is not rejected, at this level as at any.
     send_query(&mut control, 3.0, 2, "load", 100.0);
-    let on = control
-        .engines
-        .iter()
-        .position(|slot| slot.load.attempts() == 1)
-        .unwrap() as u64
-        + 1;
+    let on = busy_slot(&control) as u64 + 1;
     assert_eq!(
         end_attempt(&mut control, 4.0, 2, 0, Outcome::Reset, on),
         ["fail 2"]
     );
     // One that never ran is rejected.
     send_query(&mut control, 5.0, 3, "load", 100.0);
-    let on = control
-        .engines
-        .iter()
-        .position(|slot| slot.load.attempts() == 1)
-        .unwrap() as u64
-        + 1;
+    let on = busy_slot(&control) as u64 + 1;
     assert!(has_decision(
         &end_attempt(&mut control, 6.0, 3, 0, Outcome::Full, on),
         "reject 3"
@@ -203,12 +188,7 @@
         &send_query(&mut control, 1.0, 1, "rep", 100.0),
         "submit 1"
     ));
-    let on = control
-        .engines
-        .iter()
-        .position(|slot| slot.load.attempts() == 1)
-        .unwrap() as u64
-        + 1;
+    let on = busy_slot(&control) as u64 + 1;
     control.level = deepest_level();
     assert!(round(&mut control, 30.0, |_, _| {}).is_empty());
     assert!(end_attempt(&mut control, 40.0, 1, 0, Outcome::Completed, on).is_empty());
@@ -256,12 +236,7 @@
                 may_write,
             },
         );
-        let on = control
-            .engines
-            .iter()
-            .position(|slot| slot.load.attempts() == 1)
-            .unwrap() as u64
-            + 1;
+        let on = busy_slot(&control) as u64 + 1;
         assert!(has_decision(
             &end_attempt(&mut control, 2.0, 1, 0, Outcome::Reset, on),
             then
--- a/src/control/tests/slow_start.rs
+++ b/src/control/tests/slow_start.rs
@@ -43,8 +43,8 @@
     let rules =
         "rules.overload-for-us=3000000 rules.fall-multiple=3 rules.cold-from=0.3 rules.warm-after-us=9000000";
     let start = |nth: usize, life: u64, at: f64| {
-        let told = settings(&format!("balancers={dispatchers} {rules}"));
-        let mut control = Control::new(seed * 1_000_003 + nth as u64 * 7 + life, &told).unwrap();
+        let raw = settings(&format!("balancers={dispatchers} {rules}"));
+        let mut control = Control::new(seed * 1_000_003 + nth as u64 * 7 + life, &raw).unwrap();
         round(&mut control, at, |control, out| {
             control.begin_update(EndpointListKind::Cached);
             control.upsert_endpoint(&ready(1, "small", "h1", Some(START_MS + 50.0)));
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn rule_4_holds_for_the_sum_of_a_fleet_of_3_30_and_300_that_forgets_what_it_sent() {
+fn rule_4_holds_for_the_sum_of_fleets_of_3_30_and_300_dispatchers_that_restart() {
     for (dispatchers, seeds) in [(3, 20), (30, 20), (300, 4)] {
         for seed in 1..=seeds {
             let (sent, bears) = work_sent_by_a_fleet(dispatchers, seed);
@@ -101,12 +101,12 @@
 
 #[test]
 fn share_of_a_warming_engine_below_one_query_is_used_by_lottery() {
-    let told =
+    let raw =
         "balancers=300 rules.overload-for-us=3000000 rules.fall-multiple=3 rules.cold-from=0.3 \
         rules.warm-after-us=9000000";
     let sent = (0..300)
         .filter(|&seed| {
-            let mut control = Control::new(seed, &settings(told)).unwrap();
+            let mut control = Control::new(seed, &settings(raw)).unwrap();
             round(&mut control, 1.0, |control, out| {
                 control.begin_update(EndpointListKind::Delta);
                 control.upsert_endpoint(&ready(1, "small", "h1", Some(START_MS)));
@@ -124,6 +124,6 @@
     // 3 x 0.3 x 8 cores x 0.85 x 3 s = 18.4 s of work for all, which is 184 of these.
     assert!(
         (3..92).contains(&sent),
-        "ic19720: {sent} gateways of 300 sent one"
+        "ic19720: {sent} dispatchers of 300 sent one"
     );
 }
--- a/src/control/tests/zone_plan.rs
+++ b/src/control/tests/zone_plan.rs
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn rule_6_query_confined_to_the_lost_zone_is_rejected_and_never_moved() {
+fn rule_6_query_confined_to_the_lost_zone_is_rejected_and_never_sent_elsewhere() {
     let mut control = dispatcher("balancers=1 services.1.confined-to=h1", ZONES);
     control.set_zone_plan(Some(&plan_with(100.0, 0.0)));
     assert!((0..10).all(|id| has_decision(
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn returning_engine_gets_its_ramp_share_and_less_than_a_query_is_saved_up() {
+fn returning_engine_gets_its_ramp_share_and_a_share_below_one_query_fills_a_token_bucket() {
     // Room for three look-ups on each local engine; the rest goes to the other zone.
     let mut control = dispatcher_with_plan(&plan_with(100.0, 3.0));
     let sent: Vec<u64> = (0..20)
--- a/src/model/attempt.rs
+++ b/src/model/attempt.rs
@@ -11,13 +11,13 @@
     pub(crate) work_ms: f64,
     pub(crate) memory_mb: f64,
     pub(crate) in_flight: bool,
-    /// The engine may have begun to run it.
+    /// The engine may have started to run the attempt.
     pub(crate) may_have_run: bool,
     pub(crate) cancelled: bool,
-    /// It is the half-open trial of an ejected engine.
+    /// The attempt is the half-open trial of an ejected engine.
     pub(crate) is_trial: bool,
     pub(crate) progress: Progress,
-    /// The zone plan's capacity that it holds.
+    /// The zone plan's capacity that the attempt holds.
     pub(crate) reservation: Reservation,
 }
 
@@ -34,7 +34,7 @@
     start_ms: f64,
     /// The fraction that was done at `start_ms`.
     start: f64,
-    /// The last note but spills was of a wait.
+    /// A wait was reported, and no progress since.
     is_waiting: bool,
 }
 
--- a/src/model/engine.rs
+++ b/src/model/engine.rs
@@ -14,8 +14,11 @@
 #[derive(Debug, Clone)]
 pub(crate) struct Engine {
     pub(crate) engine_id: u64,
+    /// Index of the engine's kind.
     pub(crate) kind: u32,
+    /// Index of the engine's zone.
     pub(crate) zone: u32,
+    /// Number of the engine's cell.
     pub(crate) cell: u32,
     pub(crate) cores: f64,
     pub(crate) memory_mb: f64,
@@ -31,8 +34,11 @@
 /// The state of an engine in the endpoint list.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct EndpointStatus {
+    /// The engine is in the list.
     pub(crate) listed: bool,
+    /// The engine takes new queries.
     pub(crate) ready: bool,
+    /// When the engine's process started (ms); [`LONG_AGO`] where that is unknown.
     pub(crate) started_ms: f64,
 }
 
--- a/src/model/fading_median.rs
+++ b/src/model/fading_median.rs
@@ -14,7 +14,7 @@
 pub(crate) struct FadingMedian {
     /// The median when it was last updated.
     level: f64,
-    /// When it was last updated (ms).
+    /// When the median was last updated (ms).
     updated_ms: f64,
 }
 
@@ -22,11 +22,11 @@
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct MedianUpdate {
     pub(crate) sample: f64,
-    /// What the median decays towards.
+    /// The level towards which the median decays.
     pub(crate) fallback: f64,
     /// Time constant of the decay (ms).
     pub(crate) decay_ms: f64,
-    /// The most that one sample moves the median.
+    /// Maximum step of one sample.
     pub(crate) step: f64,
     /// Additional step after a long gap without samples.
     pub(crate) gap_step: f64,
--- a/src/model/key_queues.rs
+++ b/src/model/key_queues.rs
@@ -14,7 +14,7 @@
     cooldown_ms: f64,
     queues: Slab<KeyQueue>,
     slots: FxHashMap<u64, u32>,
-    /// Slots of queues that ran empty, in the order in which they did.
+    /// Slots of queues that became empty, in that order.
     empty: VecDeque<u32>,
 }
 
--- a/src/model/level_effects.rs
+++ b/src/model/level_effects.rs
@@ -1,9 +1,9 @@
-//! What a service level changes on the ordinary path.
+//! The effects of a service level on the ordinary path.
 
 use crate::model::Query;
 use crate::pcg::Pcg;
 
-/// What a degraded service level changes; the default, full service, changes nothing.
+/// The effects of a degraded service level. The default, full service, has none.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LevelEffects {
     /// Factor on the concurrency limits of the low lane.
@@ -22,7 +22,7 @@
     pub reject_over_quota: bool,
     /// Low work with less confidence in its cost than this is rejected.
     pub min_confidence: f64,
-    /// Fraction of its headroom that a group's low work may use, by group index; all of it where none is given.
+    /// Fraction of its headroom that a group's low work may use, by group index; 1 for groups beyond the list.
     pub group_fractions: Vec<f64>,
 }
 
@@ -43,7 +43,7 @@
 }
 
 impl LevelEffects {
-    /// The fraction of its headroom that this low query may use.
+    /// The fraction of the headroom that a low query may use.
     pub(crate) fn headroom_fraction(&self, query: &Query) -> f64 {
         let over_quota = self.reject_over_quota && query.is_over_quota;
         if over_quota || query.cost.confidence < self.min_confidence {
@@ -55,7 +55,8 @@
             .unwrap_or(1.0)
     }
 
-    /// When a rejected client may come back (ms): up to `max_ms`, spread so that clients do not come back together.
+    /// The time after which a rejected client may come back (ms), up to `max_ms`. The jitter spreads clients that were
+    /// rejected together.
     pub(crate) fn retry_after_ms(&self, usual_ms: f64, max_ms: f64, rng: &mut Pcg) -> f64 {
         let jitter = self.retry_after_jitter;
         let wait_ms = (usual_ms * self.retry_after_factor * (1.0 + jitter)).min(max_ms);
--- a/src/model/query.rs
+++ b/src/model/query.rs
@@ -7,9 +7,9 @@
 /// The lane in which a query runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Lane {
-    /// Short queries: never rejected for load.
+    /// The lane of short queries, which are never rejected for load.
     Fast,
-    /// Loads, reports, and what was demoted: bounded by the concurrency limits.
+    /// The lane of loads, reports and demoted queries, which the concurrency limits bound.
     Low,
 }
 
@@ -19,30 +19,31 @@
     pub(crate) id: u64,
     pub(crate) group: GroupIndex,
     pub(crate) lane: Lane,
-    /// Its own effect, which may be stricter than its group's.
+    /// The effect of the query's statement, which may be stricter than its group's.
     pub(crate) effect: Effect,
     pub(crate) deadline_ms: f64,
-    /// Slot of its key's queue, where it has an ordering key.
+    /// Slot of its key's queue, if the query has an ordering key.
     pub(crate) key: Option<u32>,
-    /// The set of tables that it uses.
+    /// The set of tables that the query uses.
     pub(crate) tables: u32,
-    /// Its tenant was over its quota when it came.
+    /// The tenant was over its quota when the query arrived.
     pub(crate) is_over_quota: bool,
     pub(crate) cost: QueryCost,
-    /// It has its final answer.
+    /// The query has its final answer, or its client left.
     pub(crate) is_over: bool,
-    /// Its attempt was cancelled to run elsewhere.
+    /// The attempt in flight was cancelled in order to run the query elsewhere.
     pub(crate) is_migrating: bool,
     pub(crate) attempts: Attempts,
 }
 
-/// What a query is expected to need.
+/// The resources that a query is expected to need.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct QueryCost {
-    /// The estimate (thread time, ms), or the group's usual cost where none came.
+    /// The estimate (thread time, ms), or the group's usual cost where the query has none.
     pub(crate) estimate_ms: f64,
+    /// The query came without an estimate.
     pub(crate) is_guess: bool,
-    /// What it weighs in placement: the estimate corrected by reported usage, or its threads where none came.
+    /// Work in placement (ms): the estimate corrected by reported usage, or without an estimate the number of threads.
     pub(crate) work_ms: f64,
     pub(crate) memory_mb: f64,
     /// Confidence in the estimate, from 0 to 1.
@@ -50,7 +51,7 @@
 }
 
 impl QueryCost {
-    /// The cost of a query that came with an estimate, as weighed by its confidence.
+    /// The cost of a query with an estimate, which its confidence has already discounted.
     pub(crate) fn estimated(estimate_ms: f64, work_ms: f64, event: &QueryArrived) -> Self {
         QueryCost {
             estimate_ms,
@@ -61,7 +62,7 @@
         }
     }
 
-    /// The cost of a query that came without an estimate.
+    /// The cost of a query without an estimate.
     pub(crate) fn guessed(usual_cost_ms: f64, threads: f64, event: &QueryArrived) -> Self {
         QueryCost {
             is_guess: true,
@@ -71,7 +72,7 @@
 }
 
 impl Query {
-    /// A query that has just come in, without a key.
+    /// A query that has just arrived, without a key.
     pub(crate) fn new(
         event: &QueryArrived,
         group: GroupIndex,
@@ -95,17 +96,17 @@
         }
     }
 
-    /// It has its final answer and no attempt in flight: it can be forgotten.
+    /// Whether the query is over and has no attempt in flight, so that it can be removed.
     pub(crate) fn is_done(&self) -> bool {
         self.is_over && self.in_flight().is_none()
     }
 
-    /// It is over, or its attempt has been cancelled to run elsewhere.
+    /// Whether the query needs no check: it is over or migrating.
     pub(crate) fn is_settled(&self) -> bool {
         self.is_over || self.is_migrating
     }
 
-    /// Whether it has been tried on an engine.
+    /// Whether the query has been tried on an engine.
     pub(crate) fn has_tried(&self, engine: EngineIndex) -> bool {
         self.attempts
             .all()
@@ -134,7 +135,7 @@
             .find(|attempt| attempt.may_have_run)
     }
 
-    /// Whether it may have no effect at all, so that a copy does no harm.
+    /// Whether the query has no effect, so that running it twice does no harm.
     pub(crate) fn is_read_only(&self) -> bool {
         self.effect == Effect::ReadOnly
     }
--- a/src/model/resource_group.rs
+++ b/src/model/resource_group.rs
@@ -1,7 +1,7 @@
 //! A resource group: its settings, and what was learned from its answers.
 
 use crate::events::{QueryArrived, ResourceUsage, StatementTraits};
-use crate::interner::Interner;
+use crate::interner::{Interner, NameInterner};
 use crate::model::{Engine, GroupSlowdown, Lane, QueryCost, LEARNING};
 use crate::settings::{DedupScope, Effect, GroupSettings};
 
@@ -22,7 +22,7 @@
     slowdown: GroupSlowdown,
 }
 
-/// What a group's queries cost, as learned.
+/// The learned cost of a group's queries.
 #[derive(Debug, Clone, Copy)]
 struct CostModel {
     /// Mean estimate (thread time, ms).
@@ -63,25 +63,10 @@
 }
 
 impl ResourceGroup {
+    /// A group before its first query.
     pub(crate) fn new(settings: GroupSettings, interner: &mut Interner) -> Self {
-        let mut zones = None;
-        if let Some(names) = &settings.zones {
-            zones = Some(
-                names
-                    .iter()
-                    .map(|name| interner.zones.index(name))
-                    .collect(),
-            );
-        }
-        let mut kinds = None;
-        if let Some(names) = &settings.kinds {
-            kinds = Some(
-                names
-                    .iter()
-                    .map(|name| interner.kinds.index(name))
-                    .collect(),
-            );
-        }
+        let zones = intern_all(&settings.zones, &mut interner.zones);
+        let kinds = intern_all(&settings.kinds, &mut interner.kinds);
         interner.groups.index(&settings.name);
         ResourceGroup {
             settings,
@@ -102,7 +87,7 @@
         self.settings.threads
     }
 
-    /// Whether its queries wait while a load locks their tables.
+    /// Whether the group's queries wait while a load locks their tables.
     pub(crate) fn needs_unlocked_tables(&self) -> bool {
         self.settings.waits_for_loads || self.settings.is_load
     }
@@ -126,7 +111,7 @@
         }
     }
 
-    /// Latency objective (ms) of a query with so much work.
+    /// Latency objective (ms) of a query with `work_ms` of work.
     fn objective_ms(&self, work_ms: f64) -> f64 {
         self.settings.objective_ms
             + self.settings.objective_stretch * work_ms / self.settings.threads
@@ -159,7 +144,7 @@
 
     /// Learns from the run time of an answer, and returns how far it lies above the group's best (log ratio).
     ///
-    /// Without an estimate an answer counts against those before it, and the first against none.
+    /// Without an estimate the mean of earlier answers stands in; the first answer shows nothing.
     pub(crate) fn learn_run_time(&mut self, cost: QueryCost, latency_ms: f64) -> Option<f64> {
         let mut cost_ms = cost.estimate_ms;
         if cost.is_guess {
@@ -264,6 +249,13 @@
     }
 }
 
+/// The indices of names; none where there is no list of names.
+fn intern_all(names: &Option<Vec<String>>, interner: &mut NameInterner) -> Option<Vec<u32>> {
+    let names = names.as_ref()?;
+    Some(names.iter().map(|name| interner.index(name)).collect())
+}
+
+/// Whether a list has an index; without a list every index is allowed.
 fn is_within(allowed: &Option<Vec<u32>>, index: u32) -> bool {
     allowed
         .as_ref()
