--- a/src/model/tests/engine_table.rs
+++ b/src/model/tests/engine_table.rs
@@ -1,22 +1,11 @@
 //! Slots of the engine table.
 
-use crate::events::{EndpointState, EndpointUpdate};
-use crate::interner::Interner;
+use super::engine_in_state;
+use crate::events::EndpointState;
 use crate::model::{Engine, EngineIndex, EngineTable};
-use crate::settings::Settings;
 
 fn engine(engine_id: u64, state: EndpointState) -> Engine {
-    let update = EndpointUpdate {
-        engine_id,
-        kind: "small",
-        zone: "z1",
-        state,
-        started_ms: None,
-        cell: 0,
-    };
-    let mut engine = Engine::new(&update, &Settings::default(), &mut Interner::default());
-    engine.apply_update(&update);
-    engine
+    engine_in_state(engine_id, None, state)
 }
 
 #[test]
--- /dev/null
+++ b/src/model/tests/slow_start.rs
@@ -0,0 +1,78 @@
+//! Slow start, rule 4.
+
+use super::{group, listed_engine, START_MS};
+use crate::model::{Engine, SlowStart};
+use crate::pcg::Pcg;
+use crate::settings::{Settings, WarmUpRule};
+
+/// All dispatchers may send an engine of one core 1 s of work within 1 s; it is warm after 10 s.
+const RULE: WarmUpRule = WarmUpRule {
+    multiple: 1.0,
+    initial_capacity: 1.0,
+    span_ms: 1000.0,
+    warm_after_ms: 10_000.0,
+};
+
+/// The rule for so many dispatchers, the first round of which ran long ago.
+fn slow_start(dispatchers: f64) -> SlowStart {
+    let settings = Settings {
+        dispatchers,
+        warm_up: Some(RULE),
+        ..Settings::default()
+    };
+    let mut slow_start = SlowStart::new(&settings);
+    slow_start.begin_round(0.0);
+    slow_start
+}
+
+fn started_engine() -> Engine {
+    listed_engine(1, Some(START_MS))
+}
+
+#[test]
+fn warming_engine_gets_no_more_than_the_budget_within_a_span() {
+    let slow_start = slow_start(1.0);
+    let group = group(100.0);
+    let mut engine = started_engine();
+    let mut admitted = 0;
+    while slow_start.admits(&engine, &group, START_MS) {
+        engine.warm_up.record(START_MS, group.usual_work_ms());
+        admitted += 1;
+    }
+    assert_eq!(admitted, 6, "0.8 x 0.85 of a core for 1 s, 100 ms each");
+    let mut rng = Pcg::new(1);
+    slow_start.advance(&mut engine.warm_up, START_MS + 1001.0, &mut rng);
+    assert!(slow_start.admits(&engine, &group, START_MS + 1001.0));
+}
+
+#[test]
+fn warm_engine_is_not_limited() {
+    let slow_start = slow_start(1.0);
+    let engine = started_engine();
+    assert!(slow_start.is_warming_up(&engine, START_MS + 9999.0));
+    assert!(!slow_start.is_warming_up(&engine, START_MS + 10_000.0));
+    assert!(slow_start.limits(&engine, START_MS + 10_999.0));
+    assert!(!slow_start.limits(&engine, START_MS + 11_000.0));
+}
+
+#[test]
+fn budget_below_one_query_admits_one_by_lottery() {
+    let slow_start = slow_start(100.0);
+    let group = group(100.0);
+    let mut rng = Pcg::new(1);
+    let mut engine = started_engine();
+    let mut wins = 0;
+    for span in 0..2000 {
+        // The engine restarts again and again, so that it stays cold.
+        let now_ms = START_MS + 1001.0 * f64::from(span);
+        engine.endpoint.started_ms = now_ms;
+        slow_start.advance(&mut engine.warm_up, now_ms, &mut rng);
+        if slow_start.admits(&engine, &group, now_ms) {
+            engine.warm_up.record(now_ms, group.usual_work_ms());
+            wins += 1;
+            assert!(!slow_start.admits(&engine, &group, now_ms), "one a span");
+        }
+    }
+    // A quarter of a budget of 6.8 ms, 100 ms each: 34 of 2000 spans on average.
+    assert!((15..60).contains(&wins), "{wins}");
+}
