--- a/src/control/tests/zone_plan.rs
+++ b/src/control/tests/zone_plan.rs
@@ -33,7 +33,7 @@
 }
 
 /// The engine that a query was sent to.
-fn engine_of(decided: &[String]) -> Option<u64> {
+fn submitted_engine(decided: &[String]) -> Option<u64> {
     decided
         .iter()
         .find_map(|d| d.strip_prefix("submit ")?.split(' ').nth(1)?.parse().ok())
@@ -43,13 +43,13 @@
 fn best_tier_comes_first_and_the_other_zone_takes_what_may_spill() {
     let mut control = dispatcher_with_plan(&plan_with(4.0, f64::INFINITY));
     assert!((0..40).all(
-        |id| engine_of(&send_query(&mut control, 1.0, id, "look", 10.0))
+        |id| submitted_engine(&send_query(&mut control, 1.0, id, "look", 10.0))
             .is_some_and(|engine_id| engine_id <= 2)
     ));
     // The local zone is closed: two reports of two threads spill.
     let mut control = dispatcher_with_plan(&plan_with(4.0, 0.0));
     let sent: Vec<Option<u64>> = (0..6)
-        .map(|id| engine_of(&send_query(&mut control, 1.0, id, "rep", 100.0)))
+        .map(|id| submitted_engine(&send_query(&mut control, 1.0, id, "rep", 100.0)))
         .collect();
     assert_eq!(sent.iter().flatten().count(), 2, "{sent:?}");
     assert!(sent.iter().flatten().all(|engine_id| *engine_id >= 3));
@@ -61,7 +61,7 @@
         .find_map(|(id, engine_id)| Some((id as u64, (*engine_id)?)))
         .unwrap();
     end_attempt(&mut control, 50.0, id, 0, Outcome::Completed, engine_id);
-    assert!(engine_of(&send_query(&mut control, 51.0, 99, "rep", 100.0)).is_some());
+    assert!(submitted_engine(&send_query(&mut control, 51.0, 99, "rep", 100.0)).is_some());
 }
 
 #[test]
@@ -71,14 +71,13 @@
         &send_query(&mut control, 1.0, 1, "rep", 100.0),
         "reject 1"
     ));
-    assert!(
-        (10..60).all(|id| engine_of(&send_query(&mut control, 1.0, id, "look", 10.0)).is_some())
-    );
+    assert!((10..60)
+        .all(|id| submitted_engine(&send_query(&mut control, 1.0, id, "look", 10.0)).is_some()));
     // Also where no engine is open at all.
     let mut closed = plan_with(0.0, 0.0);
     closed.engines.iter_mut().for_each(|engine| engine.1 = 0.0);
     let mut control = dispatcher_with_plan(&closed);
-    assert!(engine_of(&send_query(&mut control, 1.0, 1, "look", 10.0)).is_some());
+    assert!(submitted_engine(&send_query(&mut control, 1.0, 1, "look", 10.0)).is_some());
     assert!(has_decision(
         &send_query(&mut control, 1.0, 2, "rep", 100.0),
         "reject 2"
@@ -98,7 +97,7 @@
 #[test]
 fn rule_2_load_that_may_have_run_in_the_lost_zone_is_not_retried_in_the_other() {
     let mut control = dispatcher_with_plan(&plan_with(100.0, f64::INFINITY));
-    let engine_id = engine_of(&send_query(&mut control, 1.0, 1, "load", 100.0)).unwrap();
+    let engine_id = submitted_engine(&send_query(&mut control, 1.0, 1, "load", 100.0)).unwrap();
     assert!(engine_id <= 2);
     control.set_zone_plan(Some(&plan_with(100.0, 0.0)));
     assert_eq!(
@@ -108,9 +107,9 @@
     // Nor is a query with an idempotency key whose dedup scope is the zone.
     let mut control = dispatcher("balancers=1 services.3.dedup-scope=zone", ZONES);
     control.set_zone_plan(Some(&plan_with(100.0, f64::INFINITY)));
-    let engine_id = engine_of(&send_query(&mut control, 1.0, 1, "tok", 100.0)).unwrap();
+    let engine_id = submitted_engine(&send_query(&mut control, 1.0, 1, "tok", 100.0)).unwrap();
     control.set_zone_plan(Some(&plan_with(100.0, 0.0)));
-    assert!(engine_of(&end_attempt(
+    assert!(submitted_engine(&end_attempt(
         &mut control,
         2.0,
         1,
@@ -126,7 +125,7 @@
     // Room for three look-ups on each local engine; the rest goes to the other zone.
     let mut control = dispatcher_with_plan(&plan_with(100.0, 3.0));
     let sent: Vec<u64> = (0..20)
-        .filter_map(|id| engine_of(&send_query(&mut control, 1.0, id, "look", 100.0)))
+        .filter_map(|id| submitted_engine(&send_query(&mut control, 1.0, id, "look", 100.0)))
         .collect();
     assert_eq!(
         sent.iter().filter(|engine_id| **engine_id <= 2).count(),
@@ -138,7 +137,7 @@
     let mut sent = 0;
     for n in 0..2000_u64 {
         let at = n as f64 * 10.0;
-        if let Some(engine_id) = engine_of(&send_query(&mut control, at, n, "look", 100.0)) {
+        if let Some(engine_id) = submitted_engine(&send_query(&mut control, at, n, "look", 100.0)) {
             sent += u64::from(engine_id <= 2);
             end_attempt(&mut control, at + 5.0, n, 0, Outcome::Completed, engine_id);
         }
@@ -153,14 +152,15 @@
     control.set_zone_plan(Some(&plan_with(100.0, f64::INFINITY)));
     let mut crossed = 0;
     for id in 0..60 {
-        let Some(engine_id) = engine_of(&send_query(&mut control, 1.0, id, "look", 10.0)) else {
+        let Some(engine_id) = submitted_engine(&send_query(&mut control, 1.0, id, "look", 10.0))
+        else {
             continue;
         };
         // All of the local zone fails at once.
         control.engines[EngineIndex(0)].endpoint.ready = false;
         control.engines[EngineIndex(1)].endpoint.ready = false;
         crossed += u32::from(
-            engine_of(&end_attempt(
+            submitted_engine(&end_attempt(
                 &mut control,
                 1.0,
                 id,
@@ -187,15 +187,15 @@
         &send_query(&mut control, 1.0, 1, "rep", 100.0),
         "reject 1"
     ));
-    assert!(engine_of(&send_query(&mut control, 1.0, 2, "look", 10.0)).is_some());
+    assert!(submitted_engine(&send_query(&mut control, 1.0, 2, "look", 10.0)).is_some());
 }
 
 #[test]
 fn removing_the_plan_opens_all_engines_and_reservations_are_returned() {
     let mut control = dispatcher_with_plan(&plan_with(4.0, 0.0));
-    let engine_id = engine_of(&send_query(&mut control, 1.0, 1, "rep", 100.0)).unwrap();
+    let engine_id = submitted_engine(&send_query(&mut control, 1.0, 1, "rep", 100.0)).unwrap();
     control.set_zone_plan(None);
-    assert!(engine_of(&send_query(&mut control, 2.0, 2, "rep", 100.0)).is_some());
+    assert!(submitted_engine(&send_query(&mut control, 2.0, 2, "rep", 100.0)).is_some());
     end_attempt(&mut control, 3.0, 1, 0, Outcome::Completed, engine_id);
     assert_eq!(control.spilled_threads("h2"), 0.0);
 }
--- a/src/model/tests/mod.rs
+++ b/src/model/tests/mod.rs
@@ -7,6 +7,7 @@
 mod engine_table;
 mod key_queues;
 mod low_lane;
+mod peer_load;
 mod query_table;
 mod resource_group;
 mod retry_budget;
--- a/src/zone_plan.rs
+++ b/src/zone_plan.rs
@@ -4,6 +4,9 @@
 //! Zone routing makes the plan; this file enforces it on what is in flight. Which of the admitted engines is chosen is
 //! decided in `control`. Without a plan all engines are admitted and of one tier.
 
+#[cfg(test)]
+mod tests;
+
 use crate::interner::NameInterner;
 use crate::model::{EngineIndex, EngineTable, GroupIndex, Lane};
 
