--- a/crates/dispatcher/src/client/admission_limits.rs
+++ b/crates/dispatcher/src/client/admission_limits.rs
@@ -1,22 +1,22 @@
-//! The limits of what clients may ask, by the configuration.
+//! Limits of clients' connections and requests, from the configuration.
 
-/// What is admitted of clients' connections and queries.
+/// Limits of clients' connections and requests.
 #[derive(Debug, Default)]
 pub struct AdmissionLimits {
-    /// Clients' connections at most.
+    /// Maximum number of clients' connections.
     pub max_connections: usize,
-    /// Bytes that all connections together may have sent ahead of what is parsed.
+    /// Maximum size (bytes) of all read buffers together.
     pub max_buffered_bytes: usize,
     /// Names of the resource groups.
     pub resource_groups: Vec<String>,
-    /// Names of the tenants; where it is empty, no tenant is asked for.
+    /// Names of the tenants. If empty, requests need not name one.
     pub tenants: Vec<String>,
-    /// The longest wait (ms) that a client may ask for.
+    /// Maximum wait (ms) in a request.
     pub max_wait_ms: f64,
-    /// The largest estimate of thread time (ms) that a client may give.
+    /// Maximum estimate of thread time (ms) in a request.
     pub max_cost_ms: f64,
-    /// The largest estimate of memory (MB) that a client may give.
+    /// Maximum estimate of memory (MB) in a request.
     pub max_memory_mb: f64,
-    /// The retry time (ms) of a 503, if the settings allow one to be sent.
+    /// The retry time (ms) that a 503 contains, if the settings define one.
     pub retry_after_ms: Option<f64>,
 }
--- a/crates/dispatcher/src/client/answer_writer.rs
+++ b/crates/dispatcher/src/client/answer_writer.rs
@@ -13,7 +13,7 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// An answer is written within this time, or its connection ends: a bound on clients that do not read.
+/// A connection closes if an answer is not written within this time: a bound on clients that do not read.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Writes the answers of one connection.
@@ -110,7 +110,7 @@
         self.write(permit, &[&head, body.as_bytes()]).await
     }
 
-    /// Every answer passes here, with a permit that it uses up.
+    /// Writes an answer. Every answer passes here and consumes its permit.
     async fn write(&self, _permit: AnswerPermit, parts: &[&[u8]]) -> io::Result<()> {
         let timeout = async {
             Timer::after(WRITE_TIMEOUT).await;
--- a/crates/dispatcher/src/client/connection_table.rs
+++ b/crates/dispatcher/src/client/connection_table.rs
@@ -5,27 +5,27 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-/// An answered connection that is idle for longer (ms) has a client that asks no more: usual clients close after 4 s.
+/// An idle connection older than this (ms) counts as abandoned: usual clients close theirs after 4 s.
 const ABANDONED_AFTER_MS: f64 = 4500.0;
-/// A connection without a complete request yet is evicted before idle ones when it is older (ms): who connects has
-/// something to ask.
+/// A connection without a complete request is evicted before idle ones once it is older than this (ms): clients usually
+/// send a request as soon as they connect.
 const SLOW_FIRST_REQUEST_MS: f64 = 500.0;
-/// The same where no other can be evicted: the least time (ms) that a client has for its first request.
+/// A connection without a complete request is never evicted within this time (ms) after it was accepted.
 const MIN_FIRST_REQUEST_MS: f64 = 100.0;
-/// How long (ms) a half-closed connection is kept for its client to take in the answer: by the protocol, a request may
-/// cross a close within this time.
+/// A half-closed connection is not evicted within this time (ms), so that its client can receive the answer. By the
+/// protocol, a request may cross a close within this time.
 const CLOSE_CROSSING_MS: f64 = 50.0;
 
 /// The state of a client's connection.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum ConnectionState {
-    /// Connected, and no request was complete yet.
+    /// Connected; no request has been complete yet.
     New,
     /// A request is being answered.
     Active,
-    /// Answered, and nothing of a next request has come.
+    /// Answered; no byte of a next request has arrived.
     Idle,
-    /// Half-closed after its last answer; what its client still sends is discarded.
+    /// Half-closed after the last answer; further bytes are discarded.
     Closing,
 }
 
@@ -33,37 +33,37 @@
 pub struct Entry {
     number: usize,
     state: Cell<ConnectionState>,
-    /// Since when (ms) it is in its state.
+    /// When the connection entered its state (ms).
     since_ms: Cell<f64>,
     evicted: Cell<bool>,
-    /// Asks the connection to end.
+    /// Notified when the connection is to close.
     pub close: Notify,
 }
 
 impl Entry {
-    /// Its number in the table: its id in the log, until it is closed.
+    /// The connection's number in the table, which identifies it in the log.
     pub fn number(&self) -> usize {
         self.number
     }
 
-    /// Whether it is to end because another connection needs its entry.
+    /// Whether the connection is to close because another one needs its entry.
     pub fn is_evicted(&self) -> bool {
         self.evicted.get()
     }
 
-    /// Whether it is answered and nothing of a next request has come.
+    /// Whether the connection is [`Idle`](ConnectionState::Idle).
     pub fn is_idle(&self) -> bool {
         self.state.get() == ConnectionState::Idle
     }
 
-    /// Enters a state; an eviction of the state before is void.
+    /// Enters a state. An eviction in the previous state is revoked.
     pub fn set_state(&self, state: ConnectionState, now_ms: f64) {
         self.state.set(state);
         self.since_ms.set(now_ms);
         self.evicted.set(false);
     }
 
-    /// How soon it would be evicted, the lowest first; `None` while it may not be.
+    /// Rank in the order of eviction, the lowest first; `None` while the connection may not be evicted.
     fn eviction_rank(&self, now_ms: f64) -> Option<u8> {
         let age_ms = now_ms - self.since_ms.get();
         match self.state.get() {
@@ -95,7 +95,7 @@
         }
     }
 
-    /// How many connections are open.
+    /// Number of open connections.
     pub fn count(&self) -> usize {
         self.entries.borrow().len()
     }
@@ -105,7 +105,7 @@
         self.count() >= self.max_connections
     }
 
-    /// Enters a new connection. The caller checks that the table is not full, and releases the entry in the end.
+    /// Adds a new connection. The caller checks that the table is not full, and releases the entry at the end.
     pub fn insert(&self, now_ms: f64) -> Rc<Entry> {
         let mut entries = self.entries.borrow_mut();
         let vacant = entries.vacant_entry();
@@ -120,21 +120,21 @@
         entry
     }
 
-    /// Frees the entry of a connection that is closed.
+    /// Frees the entry of a closed connection.
     pub fn release(&self, entry: &Entry) {
         self.entries.borrow_mut().try_remove(entry.number);
         self.released.notify();
     }
 
-    /// Asks all connections to end once no answer is owed on them.
+    /// Requests all connections to close as soon as no answer is owed on them.
     pub fn close_idle(&self) {
         for (_, entry) in self.entries.borrow().iter() {
             entry.close.notify();
         }
     }
 
-    /// Asks one connection to end, so that its entry becomes free: the one of the lowest rank, and of those the one that
-    /// is longest in its state. Returns false where none may be evicted; one that is being answered never is.
+    /// Evicts the connection of the lowest rank; among equals, the one that has been in its state longest. Returns false if
+    /// no connection may be evicted. A connection that is being answered never is.
     pub fn evict_one(&self, now_ms: f64) -> bool {
         let entries = self.entries.borrow();
         let mut first: Option<(u8, &Entry)> = None;
--- a/crates/dispatcher/src/client/http.rs
+++ b/crates/dispatcher/src/client/http.rs
@@ -3,25 +3,25 @@
 use super::protocol::{RequestField, Status, RETRY_AFTER_FIELD};
 use super::request_error::RequestError;
 
-/// Bytes of a request's head at most: a bound on memory.
+/// Maximum size (bytes) of a request's head: a bound on memory.
 pub const MAX_HEAD_BYTES: usize = 8 * 1024;
-/// Bytes of a request's body at most: a bound on memory.
+/// Maximum size (bytes) of a request's body: a bound on memory.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
-/// Header fields of a request at most: a bound on the work for one.
+/// Maximum number of header fields of a request: a bound on the work for one request.
 const MAX_FIELDS: usize = 64;
-/// Bytes of line ends that are skipped ahead of a request line (RFC 9112, section 2.2).
+/// Maximum number of bytes of line ends that are skipped before a request line (RFC 9112, section 2.2).
 const MAX_LEADING_LINE_ENDS: usize = 4;
 /// The empty line at the end of a head.
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// A request's head, borrowed from the bytes that it came in. Fields that the protocol does not name are ignored.
+/// A request's head, borrowed from the received bytes. Fields that the protocol does not name are ignored.
 #[derive(Debug, PartialEq)]
 pub struct Head<'a> {
-    /// The method, in letters as they came.
+    /// The method, as received.
     pub method: &'a str,
     /// The path with its query string.
     pub path: &'a str,
-    /// The connection may go on after the answer.
+    /// Whether the connection stays open after the answer.
     pub keep_alive: bool,
     /// `Req-Id`: the query's id.
     pub id: Option<&'a str>,
@@ -37,9 +37,9 @@
     pub idempotency_key: Option<&'a str>,
     /// `Req-Key`: the ordering key.
     pub ordering_key: Option<&'a str>,
-    /// Bytes of the head, with its last line end.
+    /// Size of the head (bytes), with its last line end.
     pub head_len: usize,
-    /// Bytes of the body behind it.
+    /// Size of the body (bytes).
     pub body_len: usize,
 }
 
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Bytes of the request, head and body.
+    /// Size of the request (bytes), head and body.
     pub fn request_len(&self) -> usize {
         self.head_len + self.body_len
     }
@@ -148,7 +148,7 @@
     }
 }
 
-/// Name and value of a header field that has `count` others before it.
+/// Parses a header field, which is preceded by `count` others, into its name and value.
 fn parse_field(line: &str, count: usize) -> Result<(&str, &str), RequestError> {
     let (name, value) = line.split_once(':').ok_or(RequestError::MissingColon)?;
     if count >= MAX_FIELDS {
@@ -165,7 +165,7 @@
     Ok((name, value))
 }
 
-/// Puts a header field to its place in the head.
+/// Stores a header field in the head.
 fn apply_field<'a>(
     head: &mut Head<'a>,
     content_length: &mut Option<usize>,
@@ -189,7 +189,7 @@
     Ok(())
 }
 
-/// The value of a `Content-Length`: digits only, where `parse` alone would take a sign.
+/// Parses the value of a `Content-Length`: digits only, where `parse` alone would accept a sign.
 fn parse_length(value: &str) -> Result<usize, RequestError> {
     let malformed = RequestError::MalformedContentLength;
     if value.is_empty() || !value.bytes().all(|byte| byte.is_ascii_digit()) {
@@ -198,7 +198,7 @@
     value.parse().map_err(|_| malformed)
 }
 
-/// Whether a list of words with commas between them holds `token`, in any case of letters.
+/// Whether a comma-separated list contains `token`, in any case of letters.
 fn has_token(list: &str, token: &str) -> bool {
     list.split(',')
         .any(|word| word.trim().eq_ignore_ascii_case(token))
--- a/crates/dispatcher/src/client/inbound.rs
+++ b/crates/dispatcher/src/client/inbound.rs
@@ -20,14 +20,14 @@
 /// A request is refused unless it is complete within this time (ms) of its first byte, or of connecting for the first
 /// one: a bound on slow clients. A query's time counts from its last byte, so that no deadline is affected.
 const REQUEST_TIMEOUT_MS: f64 = 2400.0;
-/// During shutdown, a connection without any bytes is kept for its first request for this time (ms).
+/// During shutdown, a connection that has sent no byte stays open for its first request for this time (ms).
 const FIRST_REQUEST_TIMEOUT_MS: f64 = 500.0;
 /// How long (ms) a half-closed connection is read, so that the last answer is not lost to a reset.
 const LINGER_MS: f64 = 500.0;
 /// Maximum number of bytes that are read and discarded after a half-close.
 const MAX_DISCARDED_BYTES: usize = 1 << 20;
-/// Maximum number of bytes that are read ahead while a query is in flight. Further bytes wait in the system's buffers: a
-/// request that was read is answered.
+/// Maximum number of bytes that are read ahead while a query is in flight. Further bytes stay in the system's buffers:
+/// every request that was read must be answered.
 const MAX_READ_AHEAD_BYTES: usize = 1 << 20;
 /// How often it is checked whether a client whose bytes are not read has left.
 const HANGUP_POLL: Duration = Duration::from_millis(50);
--- a/crates/dispatcher/src/client/listener.rs
+++ b/crates/dispatcher/src/client/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts clients' connections, and gives each a session of its own.
+//! Accepts clients' connections, and starts a session for each.
 
 use super::phase::FrontendPhase;
 use super::session::Session;
@@ -11,14 +11,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Pause after an accept that failed, and between two tries to evict a connection.
+/// Pause after an accept that failed, and between two attempts to evict a connection.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 type Accepted = io::Result<(Async<TcpStream>, SocketAddr)>;
 
 impl ClientFrontend {
     /// Accepts connections until [`ClientFrontend::last_call`], and then those that wait in the backlog. When the table
-    /// is full, a connection that is of no use is evicted for the next.
+    /// is full, another connection is evicted for the next one.
     pub async fn accept(
         self: Rc<Self>,
         listener: Async<TcpListener>,
@@ -28,7 +28,7 @@
             match accepted {
                 Ok((stream, _)) => {
                     self.clone().spawn_session(stream, &executor);
-                    // Those that were accepted read what they have before the next one is.
+                    // Lets the accepted connections read before the next one is accepted.
                     future::yield_now().await;
                 }
                 Err(error) => {
@@ -75,13 +75,13 @@
         }
     }
 
-    /// Starts the session of a connection. It is in the table from here on, up to its close.
+    /// Starts the session of a connection. The connection is in the table from now until it closes.
     fn spawn_session(self: Rc<Self>, stream: Async<TcpStream>, executor: &LocalExecutor<'static>) {
         self.registry.counters.client_connections.increment();
         let entry = self.table.insert(self.clock.now());
         let session = async move {
             Session::new(&self, &stream, &entry).run().await;
-            // Closed before its entry is free: the table never counts fewer than are open.
+            // Closed before its entry is freed: the table never counts fewer connections than are open.
             drop(stream);
             self.table.release(&entry);
         };
--- a/crates/dispatcher/src/client/mod.rs
+++ b/crates/dispatcher/src/client/mod.rs
@@ -1,9 +1,9 @@
 //! Client side: accepts connections, parses queries from them, and writes their answers.
 //!
-//! It owns clients' connections and what was read from them. It decides nothing about a query but whether its request
-//! can be used: the query goes to the [`QueryRegistry`], and its answer comes from there. Start reading at
-//! [`ClientFrontend::accept`] (listener.rs), then `Session::run` (session.rs); docs/design/life-cycle.md has the states
-//! of a connection and what is done in each.
+//! This module owns clients' connections and their read buffers. It decides only whether a request is usable: the query
+//! is admitted to the [`QueryRegistry`], which returns its answer. Start reading at [`ClientFrontend::accept`]
+//! (listener.rs), then `Session::run` (session.rs). docs/design/life-cycle.md has the states of a connection, and the
+//! events in each. [`protocol`] has the words of the client protocol.
 
 mod admission_limits;
 mod answer_writer;
@@ -78,29 +78,29 @@
         }
     }
 
-    /// The health page tells from now on that this dispatcher takes queries.
+    /// Reports this dispatcher as healthy on the health page from now on.
     pub fn start_serving(&self) {
         self.phase.set(FrontendPhase::Serving);
     }
 
-    /// The health page tells from now on that this dispatcher ends; what comes is still served.
+    /// Reports this dispatcher as draining on the health page from now on. Requests are still served.
     pub fn start_draining(&self) {
         self.phase.set(FrontendPhase::Draining);
     }
 
-    /// Accepts what has connected by now and then no more; idle connections are half-closed.
+    /// Accepts the connections in the backlog and then no more; idle connections are half-closed.
     pub fn last_call(&self) {
         self.phase.set(FrontendPhase::LastCall);
         self.last_call.notify();
         self.table.close_idle();
     }
 
-    /// Whether no connection is left and none will come.
+    /// Whether no connection is open, and none will be accepted.
     pub fn is_closed(&self) -> bool {
         self.phase.get() == FrontendPhase::ListenerClosed && self.table.count() == 0
     }
 
-    /// How many connections are open.
+    /// Number of open connections.
     pub fn connection_count(&self) -> usize {
         self.table.count()
     }
--- a/crates/dispatcher/src/client/phase.rs
+++ b/crates/dispatcher/src/client/phase.rs
@@ -1,17 +1,16 @@
-//! How far the client side is on its way from the program's start to its end.
+//! The phases of the client side, from the program's start to its end.
 
-/// The phases, in the order that they are entered.
+/// The phases, in the order in which they are entered.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub enum FrontendPhase {
-    /// Sockets are bound, and the health page does not invite queries yet.
+    /// Sockets are bound; the health page answers 503.
     #[default]
     Starting,
     /// Queries are served.
     Serving,
-    /// The program ends: the health page answers 503, and what still comes is served.
+    /// The program is shutting down: the health page answers 503, and requests are still served.
     Draining,
-    /// Connections are no longer waited for. Those that wait in the backlog are the last, and each ends once no answer
-    /// is owed on it.
+    /// The connections in the backlog are accepted, and no more. Each connection closes once no answer is owed on it.
     LastCall,
     /// The listener is closed.
     ListenerClosed,
@@ -23,7 +22,7 @@
         self == FrontendPhase::Serving
     }
 
-    /// Whether connections end once no answer is owed on them.
+    /// Whether connections close once no answer is owed on them.
     pub fn is_last_call(self) -> bool {
         matches!(
             self,
--- a/crates/dispatcher/src/client/reader.rs
+++ b/crates/dispatcher/src/client/reader.rs
@@ -1,4 +1,4 @@
-//! What clients have sent and nobody has parsed yet: one buffer a connection, and their bound in sum.
+//! Read buffers of clients' connections, and the limit of their total size.
 
 use super::admission_limits::AdmissionLimits;
 use crate::clock::Clock;
@@ -9,12 +9,12 @@
 use std::io::{self, Read};
 use std::net::TcpStream;
 
-/// Bytes of one read at most: a turn for others between two.
+/// Maximum size (bytes) of one read, so that other connections are served between two reads.
 const MAX_READ_BYTES: usize = 16 * 1024;
-/// Arrival times that a connection keeps: a bound on memory.
+/// Maximum number of arrival times per connection: a bound on memory.
 const MAX_ARRIVALS: usize = 64;
 
-/// Reads from all connections through one scratch buffer, and counts what waits in their buffers.
+/// Reads from all connections through one scratch buffer, and tracks the total size of their buffers.
 pub struct Reader {
     scratch: RefCell<Vec<u8>>,
     buffered_bytes: Cell<usize>,
@@ -45,42 +45,42 @@
     }
 }
 
-/// When bytes came: all up to `end`, counted from the connection's first byte, had come by `at_ms`.
+/// An arrival time: all bytes before `end`, counted from the connection's first byte, had arrived by `at_ms`.
 #[derive(Debug, Clone, Copy)]
 struct Arrival {
     end: u64,
     at_ms: f64,
 }
 
-/// What one connection has sent and nobody has parsed yet, and when it came.
+/// The bytes of one connection that are not consumed yet, with their arrival times.
 pub struct ReadBuffer<'a> {
     reader: &'a Reader,
-    /// The bytes from `start` on wait; those before are consumed and not yet dropped.
+    /// The bytes from `start` on are not consumed yet; those before are not dropped yet.
     bytes: Vec<u8>,
     start: usize,
-    /// Bytes consumed since the connection's first.
+    /// Number of bytes consumed since the connection's first byte.
     consumed: u64,
-    /// Of the bytes that wait, the earliest first.
+    /// Arrival times of the bytes that are not consumed yet, the earliest first.
     arrivals: VecDeque<Arrival>,
 }
 
 impl ReadBuffer<'_> {
-    /// The bytes that wait.
+    /// The bytes that are not consumed yet.
     pub fn bytes(&self) -> &[u8] {
         &self.bytes[self.start..]
     }
 
-    /// How many bytes wait.
+    /// Number of bytes that are not consumed yet.
     pub fn len(&self) -> usize {
         self.bytes.len() - self.start
     }
 
-    /// Whether nothing waits.
+    /// Whether all bytes are consumed.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Waits for bytes and appends them. Returns how many came: 0 at the end of the stream.
+    /// Waits for bytes and appends them. Returns their number: 0 at the end of the stream.
     pub async fn read(&mut self, stream: &Async<TcpStream>, clock: Clock) -> io::Result<usize> {
         let count = read_available(stream, |stream| self.take_available(stream)).await?;
         if count > 0 {
@@ -98,8 +98,8 @@
         Ok(count)
     }
 
-    /// All that waits has come by now. Where there are too many marks the last one is stretched: bytes then count as come
-    /// earlier, never later.
+    /// Records that all bytes in the buffer have arrived by now. At the limit of arrival times the last one is extended:
+    /// bytes may then count as having arrived earlier, never later.
     fn record_arrival(&mut self, at_ms: f64) {
         let end = self.consumed + self.len() as u64;
         let is_full = self.arrivals.len() >= MAX_ARRIVALS;
@@ -109,14 +109,14 @@
         }
     }
 
-    /// When the last of the first `count` bytes that wait came (ms).
+    /// Arrival time (ms) of the last of the first `count` bytes.
     pub fn arrived_ms(&self, count: usize) -> Option<f64> {
         let end = self.consumed + count as u64;
         let arrival = self.arrivals.iter().find(|arrival| arrival.end >= end)?;
         Some(arrival.at_ms)
     }
 
-    /// Drops the first `count` bytes; an empty buffer gives its memory back.
+    /// Consumes the first `count` bytes. An empty buffer frees its memory.
     pub fn consume(&mut self, count: usize) {
         let count = count.min(self.len());
         self.start += count;
@@ -145,7 +145,8 @@
         self.consume(self.len());
     }
 
-    /// Whether the buffers are full in sum and this one holds more than its even share: small requests always pass.
+    /// Whether the limit of all buffers is exceeded and this one holds more than an even share of it. Small requests are
+    /// always below their share.
     pub fn is_over_quota(&self) -> bool {
         let reader = self.reader;
         let even_share = reader.max_buffered_bytes / reader.max_connections.max(1);
--- a/crates/dispatcher/src/client/request.rs
+++ b/crates/dispatcher/src/client/request.rs
@@ -1,5 +1,5 @@
-//! From a request's head and body to a query that the registry can admit: checks each field, finds tenant and resource
-//! group, and sets the deadline.
+//! Parses a request's head and body into a query that the registry can admit: checks each field, finds the tenant and the
+//! resource group, and sets the deadline.
 
 use super::admission_limits::AdmissionLimits;
 use super::http::Head;
@@ -13,14 +13,14 @@
 
 /// Digits of a query's id, by the protocol.
 const ID_DIGITS: usize = 16;
-/// Digits of an idempotency key at most, by the protocol: 128 bits.
+/// Maximum number of digits of an idempotency key, by the protocol: 128 bits.
 const MAX_IDEMPOTENCY_KEY_DIGITS: usize = 32;
-/// Digits of an ordering key at most, by the protocol: 64 bits.
+/// Maximum number of digits of an ordering key, by the protocol: 64 bits.
 const MAX_ORDERING_KEY_DIGITS: usize = 16;
 /// Shortest wait (ms) that a client may request.
 const MIN_WAIT_MS: f64 = 1.0;
-/// An answer is written by this long (ms) before the client stops waiting, so that it arrives in time; by half the
-/// wait where that is shorter.
+/// The deadline is this long (ms) before the client stops waiting, so that the answer arrives in time; at most half of the
+/// wait.
 const ANSWER_MARGIN_MS: f64 = 10.0;
 /// The set of tables of a statement whose tables are not known.
 const UNKNOWN_TABLES: u32 = u32::MAX;
@@ -44,11 +44,11 @@
 }
 
 impl<'a> ParsedRequest<'a> {
-    /// Checks a request whose last byte came at `received_ms`. What no engine could use is refused here, so that it
-    /// reaches none and leaves nothing in what the decisions learn.
+    /// Checks a request whose last byte arrived at `received_ms`. Requests that no engine could run are refused here, so that
+    /// they do not affect what the decisions learn.
     ///
     /// # Errors
-    /// The first field that is missing, malformed or beyond the limits.
+    /// A field is missing, malformed or outside the limits; the first such field is reported.
     pub fn parse(
         limits: &'a AdmissionLimits,
         head: &Head<'a>,
@@ -81,7 +81,7 @@
         })
     }
 
-    /// Analyses the statement, where the operators' file says so.
+    /// Analyses the statement, if the operators' file enables that.
     pub fn classify(&self, classifier: &StatementClassifier) -> Option<ClassifiedStatement> {
         match self.named_group {
             Some(group) => classifier.check(group, self.id, self.statement),
@@ -92,7 +92,7 @@
     /// The query, with what the analysis of its statement adds.
     ///
     /// # Errors
-    /// Neither its client nor the analysis names a resource group.
+    /// Neither the path nor the analysis names a resource group.
     pub fn into_query<'q>(
         self,
         limits: &AdmissionLimits,
@@ -110,7 +110,7 @@
         if self.cost_ms > 0.0 {
             traits.confidence = 1.0;
         }
-        // The analysis estimates only what the client of a statement without a resource group left open.
+        // Estimates of the analysis are used only for a request without a resource group, where the client sent none.
         let estimates = analysis.filter(|_| self.named_group.is_none());
         let estimated_cost_ms = estimates.map_or(0.0, |analysis| analysis.cost_ms);
         let estimated_memory_mb = estimates.map_or(0.0, |analysis| analysis.memory_mb);
@@ -134,7 +134,7 @@
     }
 }
 
-/// The number that the client declared, where it did, else `otherwise`.
+/// The number that the client declared, or `otherwise` if it declared none.
 fn declared_or(declared: f64, otherwise: f64) -> f64 {
     if declared > 0.0 {
         declared
@@ -148,7 +148,7 @@
         .ok_or(RequestError::InvalidField(RequestField::QueryId))
 }
 
-/// A number from 0 to `max`; 0 where there is none.
+/// Parses a number from 0 to `max`; 0 if the field is missing, `None` if it is invalid.
 fn parse_estimate(value: Option<&str>, max: f64) -> Option<f64> {
     let Some(value) = value else {
         return Some(0.0);
@@ -157,7 +157,8 @@
     (number.is_finite() && number >= 0.0 && number <= max).then_some(number)
 }
 
-/// Both keys go on to the engine as they came, in a list of fields that a comma or an equals sign would break.
+/// Parses both keys. They are forwarded to the engine unchanged, in a list of fields that a comma or an equals sign would
+/// corrupt.
 fn parse_keys<'a>(head: &Head<'a>) -> Result<RequestKeys<'a>, RequestError> {
     let is_key =
         |key: &str, max_digits: usize| !key.is_empty() && key.len() <= max_digits && is_hex(key);
@@ -193,7 +194,7 @@
     Ok(Some(group))
 }
 
-/// The tenant by the settings' name; empty where the settings name none.
+/// The tenant by the settings' name; empty if the settings name no tenants.
 fn parse_tenant<'a>(limits: &'a AdmissionLimits, owner: &str) -> Result<&'a str, RequestError> {
     if limits.tenants.is_empty() {
         return Ok("");
--- a/crates/dispatcher/src/client/status_pages.rs
+++ b/crates/dispatcher/src/client/status_pages.rs
@@ -1,4 +1,4 @@
-//! The pages about the program itself: counters, service levels and zones.
+//! The status pages: counters, service levels and zones.
 
 use super::phase::FrontendPhase;
 use crate::clock::Clock;
@@ -15,7 +15,7 @@
 /// How often a request that waits for a change of the service level polls for it.
 const LEVEL_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What the pages are made of.
+/// The sources of the status pages.
 pub struct StatusPages {
     /// The queries in flight and the counters.
     pub registry: Rc<QueryRegistry>,
@@ -27,7 +27,7 @@
     pub levels: Rc<ServiceLevels>,
     /// Zones.
     pub zones: Rc<ZoneRouting>,
-    /// Threads that spilled into each zone, as the decisions last counted them.
+    /// Number of threads that spilled into each zone, by the last count of the decisions.
     pub spilled_threads: RefCell<Vec<(String, f64)>>,
 }
 
@@ -37,7 +37,7 @@
         subsystems::counters(&self.registry, &self.classifier, &self.levels, &self.zones)
     }
 
-    /// The service levels as JSON, once they have changed since version `after` where the client names one.
+    /// The service levels as JSON. If the client names the version `after`, waits for a change since then.
     pub async fn levels(&self, after: Option<&str>, phase: &Cell<FrontendPhase>) -> String {
         if let Some(after) = after.and_then(|after| after.parse().ok()) {
             self.wait_for_level_change(after, phase).await;
@@ -46,7 +46,7 @@
     }
 
     /// Waits until the service level has changed since version `after`, for a bounded time and while the program
-    /// serves. Where too many wait already, it returns at once.
+    /// serves. Returns immediately if the limit of waiting requests is reached.
     async fn wait_for_level_change(&self, after: u64, phase: &Cell<FrontendPhase>) {
         let until_ms = self.clock.now() + service_levels::MAX_WATCH_MS;
         let waiting = &self.levels.watchers;
--- a/crates/dispatcher/src/clock.rs
+++ b/crates/dispatcher/src/clock.rs
@@ -1,17 +1,17 @@
 //! The program's clock, and the wall clock beside it.
 //!
-//! All times in the program are those of [`Clock`]: milliseconds that run with the monotonic clock, whatever happens to
-//! the wall clock. A time that comes from outside in Unix time is translated once, by [`WallClock`].
+//! All times in the program are those of [`Clock`]: milliseconds that advance with the monotonic clock, unaffected by the
+//! wall clock. A Unix time from outside is translated once, by [`WallClock`].
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 /// Upper bound of [`Clock::instant`] (s after the start): keeps infinite deadlines within range.
 const MAX_INSTANT_S: f64 = 1e9;
-/// A change of the wall clock against the program's clock by more than this (ms) is a step; less is its drift.
+/// Minimum change (ms) of the wall clock against the program's clock that counts as a step; a smaller one is drift.
 const MIN_STEP_MS: f64 = 20.0;
-/// Steps that are remembered.
+/// Maximum number of steps that are remembered.
 const MAX_STEPS: usize = 16;
-/// How far (ms) another machine's clock may be ahead of this one's.
+/// Maximum time (ms) by which another machine's clock may be ahead of this one's.
 const MAX_AHEAD_MS: f64 = 1000.0;
 
 /// Reads the wall clock once, at its start, and then follows the monotonic clock, so that steps of the wall clock
@@ -31,12 +31,12 @@
         }
     }
 
-    /// The reading: Unix milliseconds, as long as the wall clock is not stepped.
+    /// The time now: Unix milliseconds, as long as the wall clock is not stepped.
     pub fn now(&self) -> f64 {
         self.started_unix_ms + self.started.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// The instant at which this clock reads `at_ms`; the start for times before it.
+    /// The instant at which this clock shows `at_ms`; the start of the clock for earlier times.
     pub fn instant(&self, at_ms: f64) -> Instant {
         let after_start_s = (at_ms - self.started_unix_ms) / 1000.0;
         self.started + Duration::from_secs_f64(after_start_s.clamp(0.0, MAX_INSTANT_S))
@@ -72,8 +72,8 @@
         self.clock.now()
     }
 
-    /// Looks whether the wall clock was stepped. To be called a few times a second: what was stamped between a step and
-    /// the next call is translated as if it came after the step.
+    /// Checks whether the wall clock was stepped. To be called several times a second: a timestamp taken between a step and
+    /// the next call is translated as if it was taken after the step.
     pub fn observe(&mut self) {
         let offset_ms = unix_ms() - self.clock.now();
         if let Some(step_ms) = self.offsets.record(offset_ms) {
@@ -81,21 +81,21 @@
         }
     }
 
-    /// When something happened on the program's clock, by its Unix time: at the latest now.
+    /// Translates the Unix time of a past event to the program's clock; the result is not later than now.
     pub fn translate_past(&mut self, unix_ms: f64) -> f64 {
         self.observe();
         self.offsets.translate_past(unix_ms, self.clock.now())
     }
 }
 
-/// How far the wall clock was ahead of the program's clock (ms), the latest last.
+/// Offsets of the wall clock from the program's clock (ms): one for the time between two steps, the latest last.
 #[derive(Debug, Clone, Default)]
 struct WallOffsets {
     offsets_ms: Vec<f64>,
 }
 
 impl WallOffsets {
-    /// Takes in the present offset; by how much the wall clock was stepped, if it was.
+    /// Records the current offset. Returns the size of the step (ms) if the wall clock was stepped.
     fn record(&mut self, offset_ms: f64) -> Option<f64> {
         let Some(last_ms) = self.offsets_ms.last_mut() else {
             self.offsets_ms.push(offset_ms);
@@ -113,11 +113,11 @@
         Some(step_ms)
     }
 
-    /// The time of a past event, by its Unix time.
+    /// Translates the Unix time of a past event.
     ///
-    /// Nobody says which side of a step a stamp is from. Of the times that it may stand for, the latest that is not in
-    /// the future is taken: an engine is rather taken for started too late than too early. A stamp from the future by
-    /// all of them is from a clock that was stepped before this program started, and counts as now.
+    /// It is unknown whether a timestamp was taken before or after a step. Of the possible times, the latest one that is
+    /// not in the future is returned: a start time that is too late is safer than one that is too early. A timestamp that
+    /// is in the future by all offsets is from a clock that was stepped before this program started, and counts as now.
     fn translate_past(&self, unix_ms: f64, now_ms: f64) -> f64 {
         let times = self.offsets_ms.iter().map(|offset_ms| unix_ms - offset_ms);
         let past = times.filter(|at_ms| *at_ms <= now_ms + MAX_AHEAD_MS);
--- a/crates/dispatcher/src/close_reason.rs
+++ b/crates/dispatcher/src/close_reason.rs
@@ -1,23 +1,23 @@
-//! Why connections end, with their names in logs and counters.
+//! Reasons for which connections end, with their names in logs and counters.
 
 use thiserror::Error;
 
 /// Why a client's connection ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum ClientClose {
-    /// Its client closed or reset it.
+    /// The client closed or reset it.
     #[error("by_client")]
     ByClient,
-    /// Nothing came on it for too long.
+    /// No byte arrived for too long.
     #[error("idle")]
     Idle,
-    /// Its entry was needed for another one.
+    /// Its entry was needed for another connection.
     #[error("evicted")]
     Evicted,
-    /// What came could not be used, and was answered with an error.
+    /// An unusable request was answered with an error.
     #[error("refused")]
     Refused,
-    /// Its last answer was given: its client or the end of the program asked for it.
+    /// It was closed after an answer, at the client's request or during shutdown.
     #[error("after_answer")]
     AfterAnswer,
     /// It could not be read or written.
@@ -43,25 +43,25 @@
     /// The engine closed it.
     #[error("by_engine")]
     ByEngine,
-    /// It idled, or its engine drains, left or was replaced.
+    /// It was idle for too long, or its engine is draining, gone or replaced.
     #[error("retired")]
     Retired,
-    /// What came on it could not be used.
+    /// The engine violated the protocol.
     #[error("protocol")]
     Protocol,
-    /// A request was taken back after some of its bytes were written.
+    /// A request was withdrawn after some of its bytes were written.
     #[error("half_written")]
     HalfWritten,
-    /// It was silent, and its engine accepts no other.
+    /// It was silent, and the engine accepts no other connection.
     #[error("unreachable")]
     Unreachable,
-    /// It was silent after it had idled, and its engine accepts others.
+    /// It was silent after it had idled, and the engine accepts other connections.
     #[error("forgotten")]
     Forgotten,
     /// It did not come up in time.
     #[error("connect_timeout")]
     ConnectTimeout,
-    /// This machine lacked what a connection needs.
+    /// This machine lacked a resource for the connection.
     #[error("local_fault")]
     LocalFault,
     /// It was refused, reset or could not be read or written.
--- a/crates/dispatcher/src/counters.rs
+++ b/crates/dispatcher/src/counters.rs
@@ -1,5 +1,5 @@
-//! Counters of what came in, went out and was answered, from the program's start. A counter's printed name is what
-//! operators' tools read: it stays, whatever its field is called.
+//! Counters of queries, connections and messages since the program's start. Operators' tools read a counter's printed
+//! name, which therefore differs from the name of its field in places.
 
 use crate::close_reason::{ClientClose, EngineClose};
 use crate::guard::{BeginRefusal, Rule, RULES};
@@ -12,7 +12,7 @@
 pub struct Counter(Cell<u64>);
 
 impl Counter {
-    /// Counts one more.
+    /// Adds one.
     pub fn increment(&self) {
         self.0.set(self.0.get() + 1);
     }
@@ -23,7 +23,7 @@
     }
 }
 
-/// Appends the lines of a part of the program that has counts of its own.
+/// Appends the lines of a subsystem's own counters.
 pub type Report = Box<dyn Fn(&mut String)>;
 
 /// How attempts end, with the printed names.
@@ -46,11 +46,11 @@
         #[derive(Default)]
         pub struct Counters {
             $($(#[$doc])* pub $name: Counter,)*
-            /// Reports of parts of the program that have counts of their own, printed behind all others.
+            /// Reports of subsystems that have counters of their own, printed after all others.
             pub extra_reports: RefCell<Vec<Report>>,
             /// Attempts that ended, in the order of `OUTCOMES`.
             attempts_by_outcome: [Counter; OUTCOMES.len()],
-            /// Attempts that the guard did not let begin, in the order of `BeginRefusal::ALL`.
+            /// Attempts that the guard refused, in the order of `BeginRefusal::ALL`.
             begin_refusals: [Counter; BeginRefusal::ALL.len()],
             /// Queries that ended without a result, in the order of `EndReason::ALL`.
             end_reasons: [Counter; EndReason::ALL.len()],
@@ -77,7 +77,7 @@
     admitted: "taken",
     /// Queries answered with a result.
     completed: "finished",
-    /// Queries answered with a time to come back.
+    /// Queries rejected with a retry time.
     rejected: "deferred",
     /// Queries answered with a final error.
     failed: "killed",
@@ -89,35 +89,35 @@
     answer_write_failures: "answers_not_written",
     /// Connections accepted from clients.
     client_connections: "connections_from_clients",
-    /// Clients' connections that were asked to end so that others have room.
+    /// Clients' connections that were evicted for others.
     client_connections_evicted: "connections_evicted",
-    /// Connections begun to engines.
+    /// Connections opened to engines.
     engine_connections_opened: "connections_to_engines",
-    /// Connections to engines that did not come up within the connect timeout.
+    /// Connections to engines that were not up within the connect timeout.
     connect_timeouts: "connections_late",
-    /// Those of them that came up later.
+    /// Connections to engines that came up after the connect timeout.
     connects_after_timeout: "connections_late_up",
-    /// Connections to engines that ended because what came could not be parsed or used, or stopped short.
+    /// Connections to engines that ended because the engine violated the protocol.
     protocol_errors: "connections_spoilt",
-    /// Connections to engines that had been idle and ended as soon as something was written to them.
+    /// Idle connections to engines that were lost when they were reused.
     idle_connections_lost: "connections_lost_idle",
-    /// Connects to engines that failed for a lack of this machine, and were tried again.
+    /// Connects to engines that failed for a fault of this machine, and were retried.
     local_connect_faults: "connects_failed_here",
-    /// Connections to engines that had to wait for a descriptor, as many as the limits allow being open.
+    /// Connections to engines that had to wait for a descriptor, at the limit of open connections.
     waits_for_descriptor: "connections_waited",
     /// Attempts begun: the sum of those that ended, by outcome, and of those in flight.
     attempts: "submissions",
-    /// Health checks that the decisions asked for.
+    /// Health checks that the decisions requested.
     health_checks: "probes",
     /// Endpoint lists applied.
     endpoint_updates: "lists",
-    /// Answers of the name service that could not be used or were not believed.
+    /// Answers of the name service that were unusable or not accepted.
     endpoint_updates_rejected: "lists_passed_over",
-    /// Questions sent to the name service.
+    /// Queries sent to the name service.
     dns_queries: "lookups",
-    /// Configurations read while running and found usable.
+    /// Valid configurations read while running.
     config_reloads: "configurations_read",
-    /// Operators' files read while running and found usable.
+    /// Valid operators' files read while running.
     operator_config_reloads: "operator_files_read",
     /// Messages sent to other dispatchers.
     peer_messages_sent: "messages_sent",
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Counts an attempt that was not let begin.
+    /// Counts an attempt that the guard refused.
     pub fn count_begin_refusal(&self, refusal: BeginRefusal) {
         count_in(&BeginRefusal::ALL, &self.begin_refusals, refusal);
     }
@@ -220,7 +220,7 @@
     }
 }
 
-/// Counts one of the known values.
+/// Increments the counter of `value`.
 fn count_in<T: PartialEq + Copy>(known: &[T], counters: &[Counter], value: T) {
     let counter = known
         .iter()
--- a/crates/dispatcher/src/discovery/engine_ids.rs
+++ b/crates/dispatcher/src/discovery/engine_ids.rs
@@ -1,4 +1,4 @@
-//! The numbers of engines, derived from their ids alone: every dispatcher gives an engine the same number.
+//! Assigns numbers to engines, derived from their ids alone: all dispatchers assign the same number to an engine.
 
 use rustc_hash::{FxHashMap, FxHashSet};
 
--- a/crates/dispatcher/src/discovery/engine_starts.rs
+++ b/crates/dispatcher/src/discovery/engine_starts.rs
@@ -1,51 +1,52 @@
-//! When the engines started, on the program's clock. The list tells it in Unix time.
+//! Start times of engines on the program's clock. The endpoint list has them in Unix time.
 
 use crate::clock::WallClock;
 use rustc_hash::FxHashMap;
 
-/// A change is in the name service's answers this long (ms) after it happened (protocol: 1.5 s, and half a second to ask).
+/// Maximum time (ms) between a change and its first answer here: 1.5 s by the protocol, and half a second to poll.
 const ANNOUNCED_WITHIN_MS: f64 = 2000.0;
 
-/// A start as it was told, and when that was.
+/// A start time, as announced and on the program's clock.
 #[derive(Debug, Clone, Copy)]
 struct Start {
     unix_ms: f64,
     at_ms: f64,
 }
 
-/// The starts of engines. Each is translated when it is first told, and stays as it is: a later step of the wall clock
-/// would give the same stamp another meaning.
+/// The start times of engines. Each is translated when it is first announced, and does not change afterwards: a later
+/// step of the wall clock would change the translation of the same timestamp.
 #[derive(Debug, Default)]
 pub struct EngineStarts {
-    /// None: Unix times count as times of the program's clock.
+    /// The wall clock; without one, Unix times are used as times of the program's clock.
     wall_clock: Option<WallClock>,
     starts: FxHashMap<u64, Start>,
-    /// When a list last came (ms).
+    /// When a list was last accepted or confirmed (ms).
     last_list_ms: f64,
 }
 
 impl EngineStarts {
-    /// Starts are translated from now on.
+    /// Sets the wall clock by which start times are translated from now on.
     pub fn set_wall_clock(&mut self, wall_clock: WallClock) {
         self.wall_clock = Some(wall_clock);
     }
 
-    /// A list was accepted, or confirmed. An engine that a later one has and this one has not, or with another start, has
-    /// started since, but for the time that it takes to announce it: whatever this machine's wall clock says.
+    /// Records that a list was accepted or confirmed. An engine that appears in a later list, or with another start time,
+    /// has started after this list, less the time that the announcement takes; this holds whatever this machine's wall
+    /// clock shows.
     pub fn on_list(&mut self) {
         if let Some(wall_clock) = &self.wall_clock {
             self.last_list_ms = wall_clock.now_ms();
         }
     }
 
-    /// Looks whether the wall clock was stepped.
+    /// Checks whether the wall clock was stepped.
     pub fn observe_wall_clock(&mut self) {
         if let Some(wall_clock) = &mut self.wall_clock {
             wall_clock.observe();
         }
     }
 
-    /// When an engine started (ms), by the Unix time that the list tells.
+    /// Translates an engine's start time in Unix time (ms) to the program's clock.
     pub fn translate(&mut self, engine_id: u64, unix_ms: f64) -> f64 {
         let Some(wall_clock) = &mut self.wall_clock else {
             return unix_ms;
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Forgets all engines but these.
+    /// Forgets the engines for which `is_kept` is false.
     pub fn retain(&mut self, is_kept: impl Fn(u64) -> bool) {
         self.starts.retain(|engine_id, _| is_kept(*engine_id));
     }
--- a/crates/dispatcher/src/discovery/mod.rs
+++ b/crates/dispatcher/src/discovery/mod.rs
@@ -1,7 +1,7 @@
 //! Discovery: polls the name service for the endpoint list and reports changes.
 //!
-//! It owns the socket and the [`EndpointDirectory`], the accepted endpoint list, which also decides whether an answer
-//! is accepted. An accepted update leaves as one event; nothing else is decided here.
+//! This module owns the socket and the [`EndpointDirectory`], the accepted endpoint list, which decides whether an answer
+//! is accepted. Each accepted update is reported as one event.
 
 mod departed_engines;
 mod directory;
@@ -27,15 +27,15 @@
 use tansymux::events::EndpointListKind;
 use thiserror::Error;
 
-/// Polling interval. The platform counts a change as announced 7 s after it at the latest, and a drain's grace period
-/// may be as short as 0.25 s, so one interval and a round trip is early enough.
+/// Polling interval. The platform counts a change as announced at most 7 s after it, and a drain's grace period may be as
+/// short as 0.25 s: one interval and one round trip fit into both.
 const QUERY_INTERVAL: Duration = Duration::from_millis(250);
-/// Bytes of an answer at most: all that a datagram holds.
+/// Maximum size (bytes) of an answer: that of a datagram.
 const MAX_ANSWER_BYTES: usize = 64 * 1024;
-/// Answers to this many of the latest queries are accepted.
+/// Number of the latest queries to which answers are accepted.
 const OPEN_QUERIES: u64 = 20;
-/// Consecutive queries without a usable answer after which another socket is opened: a middlebox may have dropped the
-/// mapping of the old one without a sign.
+/// Number of consecutive queries without a usable answer after which another socket is opened: a middlebox may have
+/// dropped the mapping of the old one.
 const MAX_UNANSWERED_QUERIES: u32 = 8;
 
 /// Why a datagram is not an answer to an open query.
@@ -49,8 +49,8 @@
     UnknownQuery,
 }
 
-/// Keeps the endpoint list up to date until dropped. `resolver` may change at any time: the list is kept, the next
-/// query goes to the new address, and answers from the old one are ignored.
+/// Keeps the endpoint list up to date until dropped. `resolver` may change at any time: the list stays, the next query is
+/// sent to the new address, and answers from the old one are ignored.
 pub async fn follow(
     registry: Rc<QueryRegistry>,
     resolver: Rc<Cell<Option<SocketAddr>>>,
@@ -93,8 +93,8 @@
 }
 
 impl Watcher {
-    /// Opens a socket. If that fails (no descriptor left), returns the old one, or tries again until it succeeds:
-    /// without an endpoint list the program is of no use.
+    /// Opens a socket. If that fails, for example at the descriptor limit, returns the old one, or retries until it
+    /// succeeds: the program cannot work without an endpoint list.
     async fn bind(&self, old: Option<Async<UdpSocket>>) -> Async<UdpSocket> {
         self.unanswered.set(0);
         loop {
@@ -169,7 +169,7 @@
         Ok(answer)
     }
 
-    /// Number of queries sent after the one that this answers.
+    /// Number of queries sent after the one that `answer` is for.
     fn age_of(&self, answer: &Answer) -> u64 {
         u64::from(self.last_id().wrapping_sub(answer.id))
     }
--- a/crates/dispatcher/src/discovery/records.rs
+++ b/crates/dispatcher/src/discovery/records.rs
@@ -1,4 +1,4 @@
-//! Turns the records of an answer into entries of the endpoint list. Pure functions.
+//! Converts the records of an answer into entries of the endpoint list. Pure functions.
 
 use super::protocol::{endpoint_state, EngineAttribute};
 use crate::dns::{Answer, Srv};
@@ -17,7 +17,7 @@
 }
 
 impl<'a> HostName<'a> {
-    /// `None` where the name has fewer than two labels.
+    /// Parses a host's name; `None` if it has fewer than two labels.
     pub fn parse(name: &'a str) -> Option<Self> {
         let mut labels = name.split('.');
         let id = labels.next()?;
@@ -66,7 +66,7 @@
     }
 }
 
-/// Merges several entries of one engine into the first, which drains if any of them does.
+/// Merges several entries of one engine into the first, which becomes draining if any of them is.
 pub fn merge_duplicates(entries: Vec<EndpointEntry>) -> Vec<EndpointEntry> {
     let mut merged: Vec<EndpointEntry> = Vec::new();
     let mut seen_ids = FxHashSet::default();
--- a/crates/dispatcher/src/discovery/reject_reason.rs
+++ b/crates/dispatcher/src/discovery/reject_reason.rs
@@ -11,7 +11,7 @@
     /// The answer has more SRV records than there can be engines.
     #[error("too many endpoints")]
     TooManyEndpoints,
-    /// The serial is further ahead than the engines can have moved it since the accepted list.
+    /// The serial is ahead of the accepted list by more changes than the engines can have caused.
     #[error("serial leaps ahead")]
     SerialLeapsAhead,
     /// The serial is older than that of the accepted list.
--- a/crates/dispatcher/src/engine/channel_handler.rs
+++ b/crates/dispatcher/src/engine/channel_handler.rs
@@ -25,14 +25,14 @@
     /// A connect failed for a reason on this machine; it is retried.
     fn on_local_connect_fault(&self, channel: &Channel, error: &io::Error);
 
-    /// A connect timed out; it goes on.
+    /// A connect timed out. It continues, and may succeed late.
     fn on_connect_timeout(self: &Rc<Self>, channel: &Rc<Channel>);
 
     /// A connection is up.
     fn on_connected(&self, channel: &Channel);
 
-    /// The connection's writer is about to write: releases the next request that may begin, and gives up those that may
-    /// not. Returns the attempt whose request was released.
+    /// The connection's writer is about to write: releases the next request that may begin, and abandons those that may not.
+    /// Returns the attempt whose request was released.
     fn on_writable(&self, channel: &Channel) -> Option<AttemptKey>;
 
     /// The first byte of an attempt's request was written.
--- a/crates/dispatcher/src/engine/connection/attempt.rs
+++ b/crates/dispatcher/src/engine/connection/attempt.rs
@@ -86,7 +86,7 @@
         self.add_page(0, rows)
     }
 
-    /// Adds a further page. A duplicate replaces the page that arrived before.
+    /// Adds a page other than the first. A duplicate replaces the page that arrived before.
     ///
     /// # Errors
     /// The page's number is missing or too large, or the page is malformed.
--- a/crates/dispatcher/src/engine/engine_entry.rs
+++ b/crates/dispatcher/src/engine/engine_entry.rs
@@ -9,12 +9,12 @@
 use std::rc::Rc;
 use tansymux::events::EndpointState;
 
-/// A reuse after idling that was given up without any frame on its connection. It counts as lost if the engine is heard
-/// on another connection soon.
+/// A reuse after idling that was abandoned before any frame arrived on its connection. The connection counts as lost if
+/// the engine soon sends a frame on another one.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct SuspectedReuse {
     pub reuse: IdleReuse,
-    /// When it was given up (ms).
+    /// When it was abandoned (ms).
     pub since_ms: f64,
 }
 
--- a/crates/dispatcher/src/engine/idle_reuse.rs
+++ b/crates/dispatcher/src/engine/idle_reuse.rs
@@ -29,7 +29,8 @@
         self.keep_alive.borrow_mut().max_idle_ms(now_ms)
     }
 
-    /// The same for now, while a longer idle time may be on trial: see [`KeepAlive::trusted_idle_ms`].
+    /// Longest idle time (ms) after which a connection is reused now, with regard to a trial of a longer one: see
+    /// [`KeepAlive::trusted_idle_ms`].
     pub fn trusted_idle_ms(&self, now_ms: f64) -> f64 {
         self.keep_alive.borrow_mut().trusted_idle_ms(now_ms)
     }
@@ -61,7 +62,7 @@
         true
     }
 
-    /// A reused connection stayed silent while its engine was heard on another one.
+    /// A reused connection stayed silent while its engine sent frames on another one.
     pub fn record_silent_loss(&self, engine_id: u64, reuse: IdleReuse) {
         let engine_id = format_args!("{engine_id:08x}");
         tracing::warn!(%engine_id, idle_ms = reuse.idle_ms, "idle connection lost in silence");
--- a/crates/dispatcher/src/engine/pool/reachability.rs
+++ b/crates/dispatcher/src/engine/pool/reachability.rs
@@ -70,7 +70,8 @@
         self.count_late_connect(engine_id);
     }
 
-    /// Counts a connect timeout of an engine, and checks further or gives the engine up.
+    /// Counts a connect timeout of an engine. The engine counts as unreachable after
+    /// [`UNREACHABLE_AFTER_LATE_CONNECTS`] of them; before that, it is checked again if a reused connection is silent.
     fn count_late_connect(self: &Rc<Self>, engine_id: u64) {
         let late_connects = self.engines.with_mut(engine_id, |engine| {
             engine.record_late_connect();
--- a/crates/dispatcher/src/engine/protocol.rs
+++ b/crates/dispatcher/src/engine/protocol.rs
@@ -11,7 +11,7 @@
 
 /// Command that starts an attempt.
 const START_ATTEMPT: &[u8] = b"fetch";
-/// Command that requests a further page of a result.
+/// Command that requests a page other than the first.
 const REQUEST_PAGE: &[u8] = b"more";
 /// Command that confirms a result of several pages: the engine may free it.
 const CONFIRM_RESULT: &[u8] = b"done";
@@ -26,7 +26,7 @@
 const PROGRESS: &[u8] = b"TELL";
 /// Reply word: the first page of the result.
 const FIRST_PAGE: &[u8] = b"DONE";
-/// Reply word: a further page of the result.
+/// Reply word: a page other than the first.
 const NUMBERED_PAGE: &[u8] = b"MORE";
 /// Reply word: the engine has no capacity for the attempt.
 const FULL: &[u8] = b"WAIT";
@@ -51,7 +51,7 @@
 const PRIORITY_FIELD: &str = "nice";
 /// Field of a first page: the number of pages.
 const PAGE_COUNT_FIELD: &str = "batches";
-/// Field of a further page: its number, from 0.
+/// Field of a page other than the first: its number, from 0.
 const PAGE_NUMBER_FIELD: &str = "batch";
 /// Field of a progress note: its kind.
 const NOTE_KIND_FIELD: &str = "tell";
@@ -64,7 +64,7 @@
 /// A message about an attempt in flight, or a health check.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Command<'a> {
-    /// Requests a further page of an attempt's result.
+    /// Requests a page of an attempt's result other than the first.
     RequestPage {
         /// Id of the attempt's query.
         id: &'a str,
@@ -120,8 +120,7 @@
     bytes
 }
 
-/// The fields of a request, in two parts: the time limit stands between them and is known only when the request is
-/// sent.
+/// The fields of a request, without its time limit, which is known only when the request is written.
 #[derive(Debug, Clone, Default)]
 pub struct RequestFields {
     /// The fields before the time limit, without a trailing comma.
@@ -185,7 +184,7 @@
         /// The page's rows.
         rows: &'a [u8],
     },
-    /// A further page of the result.
+    /// A page of the result other than the first.
     NumberedPage {
         /// The page's number, from 0; `None` if the field is missing or not a number.
         page_number: Option<usize>,
--- a/crates/dispatcher/src/engine/silence.rs
+++ b/crates/dispatcher/src/engine/silence.rs
@@ -8,8 +8,8 @@
 use crate::clock::Clock;
 use std::rc::Rc;
 
-/// A reuse that was given up without any frame counts as lost if its engine is heard on another connection within this
-/// time (ms).
+/// A connection whose reuse was abandoned before any frame arrived counts as lost if its engine sends a frame on another
+/// connection within this time (ms).
 const SUSPICION_MS: f64 = 2000.0;
 
 /// Which idle connections are suspected along with a silent one.
@@ -38,8 +38,8 @@
         }
     }
 
-    /// Handles a connection that was reused after idling and given up without any frame. It counts as lost if its engine
-    /// is heard on another connection, before this call or within [`SUSPICION_MS`] after it: the engine or a middlebox
+    /// Handles a connection whose reuse after idling was abandoned before any frame arrived. It counts as lost if its engine
+    /// sent a frame on another connection since the reuse, or sends one within [`SUSPICION_MS`]: the engine or a middlebox
     /// had dropped the connection.
     pub fn on_silent_reuse(&self, engine_id: u64, reuse: IdleReuse) {
         let since_ms = self.clock.now();
--- a/crates/dispatcher/src/engine/timeouts.rs
+++ b/crates/dispatcher/src/engine/timeouts.rs
@@ -12,8 +12,8 @@
 use std::rc::Rc;
 use tansymux::events::Outcome;
 
-/// A retired connection unused for this long (ms) is closed without writing the rest of its outbox: its engine does
-/// not read. Twice the operators' connect timeout.
+/// A retired connection unused for this long (ms) is closed without writing its outbox: its engine does not read. Twice
+/// the operators' connect timeout.
 const LAST_WRITE_MS: f64 = 500.0;
 
 /// How long connections may currently idle.
@@ -25,8 +25,8 @@
 }
 
 impl IdleLimits {
-    /// How long (ms) a connection may idle before it is closed. Where idle connections are not trusted, an unused one is
-    /// the spare for the next attempt and stays open.
+    /// How long (ms) a connection may idle before it is closed. Where idle connections are not trusted, an unused one
+    /// stays open as the spare for the next attempt.
     fn limit(&self, connection: &Connection, was_used_last: bool) -> f64 {
         let keeps_spare = self.trusted_ms <= MIN_IDLE_MS;
         if connection.unused && keeps_spare {
--- a/crates/dispatcher/src/file.rs
+++ b/crates/dispatcher/src/file.rs
@@ -2,18 +2,18 @@
 
 use std::io;
 
-/// Why a file was not read.
+/// Why a file could not be read.
 #[derive(Debug, thiserror::Error)]
 pub enum FileError {
-    /// It is not there, may not be read, or is not UTF-8.
+    /// The file is missing, not readable, or not UTF-8.
     #[error("{path}: {source}")]
     Unreadable {
         /// The file.
         path: String,
-        /// What the system says.
+        /// The system's error.
         source: io::Error,
     },
-    /// It is longer than its limit.
+    /// The file is longer than the limit.
     #[error("{path} is longer than {max_bytes} bytes")]
     TooLong {
         /// The file.
@@ -23,7 +23,7 @@
     },
 }
 
-/// Reads a whole file.
+/// The content of a file.
 ///
 /// # Errors
 /// The file cannot be read as UTF-8, or is longer than `max_bytes`.
--- a/crates/dispatcher/src/guard/ledger.rs
+++ b/crates/dispatcher/src/guard/ledger.rs
@@ -1,14 +1,14 @@
-//! What is owed on one client's connection: each request that was read is answered once before the connection closes.
+//! The answers owed on one client's connection: each request that was read is answered once before the connection closes.
 
 use super::violation::{Rule, Violation};
 
-/// An answer may be written. Only a ledger makes one, and writing the answer consumes it.
+/// Permission to write an answer. Only a ledger creates it, and writing the answer consumes it.
 #[derive(Debug)]
 pub struct AnswerPermit {
     _made_by_ledger: (),
 }
 
-/// The connection may be closed from this side. Only a ledger makes one, and the close consumes it.
+/// Permission to close the connection from this side. Only a ledger creates it, and the close consumes it.
 #[derive(Debug)]
 pub struct ClosePermit {
     _made_by_ledger: (),
@@ -17,15 +17,15 @@
 /// The account of one connection.
 #[derive(Debug, Default)]
 pub struct ConnectionLedger {
-    /// A request was read whole and is not answered.
+    /// Whether a complete request was read and is not answered.
     is_owed: bool,
 }
 
 impl ConnectionLedger {
-    /// A request was read whole, and is handled now.
+    /// Records that a complete request was read.
     ///
     /// # Errors
-    /// The one before it is not answered.
+    /// The previous request is not answered.
     pub fn on_request(&mut self) -> Result<(), Violation> {
         if std::mem::replace(&mut self.is_owed, true) {
             return Err(Violation {
@@ -36,15 +36,15 @@
         Ok(())
     }
 
-    /// The client has left: nothing is owed.
+    /// Records that the client has left: no answer is owed.
     pub fn on_client_left(&mut self) {
         self.is_owed = false;
     }
 
-    /// The answer to the request that is owed one may be written.
+    /// The permit to write the answer that is owed.
     ///
     /// # Errors
-    /// None is owed.
+    /// No answer is owed.
     pub fn may_answer(&mut self) -> Result<AnswerPermit, Violation> {
         if std::mem::replace(&mut self.is_owed, false) {
             return Ok(AnswerPermit {
@@ -57,7 +57,7 @@
         })
     }
 
-    /// What can't be read as a request may be answered with an error, after which the connection ends.
+    /// The permit to answer an unusable request with an error, after which the connection closes.
     pub fn may_refuse(&mut self) -> AnswerPermit {
         self.is_owed = false;
         AnswerPermit {
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Whether the connection may be closed.
+    /// The permit to close the connection.
     ///
     /// # Errors
     /// A request is owed an answer.
--- a/crates/dispatcher/src/guard/mod.rs
+++ b/crates/dispatcher/src/guard/mod.rs
@@ -1,10 +1,11 @@
-//! The guard: decides whether an attempt's first byte may go out now, whether an answer may be written, whether a client's
-//! connection may close and whether the process may end. No I/O, no clock.
+//! The guard: decides whether an attempt's first byte may be written now, whether an answer may be written, whether a
+//! client's connection may close and whether the process may end. No I/O, no clock.
 //!
-//! The decisions place queries by the rules; the guard stands where bytes leave and looks once more, with what is known
-//! then. Its answers are permits that only it can make and that each of these steps consumes: code that has none does
-//! not compile. The end of the process alone is looked at and not held up: the platform ends it anyway. What the rest of the program should never have asked for is a [`Violation`]: refused, counted by rule,
-//! logged with the ids, and a panic in debug builds. docs/design/invariants.md maps each rule to its deciding place.
+//! The decisions place queries by the rules; the guard checks the rules again when the bytes are written, against the state
+//! at that time. It grants permits that only it can create and that each of these steps consumes: code without a permit
+//! does not compile. The end of the process is only checked, not prevented, as the platform ends it anyway. A step that
+//! the rest of the program should never request is a [`Violation`]: it is refused, counted by rule, logged with the ids,
+//! and panics in debug builds. docs/design/invariants.md maps each rule to its deciding place.
 //!
 //! Start reading at [`Guard::may_begin`].
 
@@ -23,61 +24,61 @@
 use std::cell::RefCell;
 use tansymux::events::EndpointState;
 
-/// Retries beyond the budget's own figures that the protocol's tolerance allows: a fraction and one retry.
+/// Factor by which the protocol allows retries to exceed the budget, in addition to one retry.
 const BUDGET_TOLERANCE: f64 = 1.15;
 
-/// What is known of an attempt as its first byte is about to go out. Times are milliseconds of the program's clock.
+/// The state of an attempt whose first byte is about to be written. Times are milliseconds of the program's clock.
 #[derive(Debug, Clone, Copy)]
 pub struct AttemptFacts<'a> {
-    /// The query in the registry; none where it is over and forgotten.
+    /// The query in the registry; `None` once it is over and removed.
     pub query: Option<QueryFacts<'a>>,
     /// Which of the query's attempts this is, from 0.
     pub attempt: usize,
-    /// When the attempt is given up.
+    /// When the attempt is abandoned.
     pub deadline_ms: f64,
-    /// By when it has to begin.
+    /// By when the attempt must begin.
     pub start_by_ms: f64,
-    /// The engine as the list has it; none where it left the list.
+    /// The engine's entry in the endpoint list; `None` once it has left the list.
     pub endpoint: Option<EndpointFacts<'a>>,
 }
 
-/// What the registry knows of a query.
+/// The state of a query in the registry.
 #[derive(Debug, Clone, Copy)]
 pub struct QueryFacts<'a> {
-    /// Its answer was given, or its client left.
+    /// Whether the query was answered, or its client left.
     pub is_over: bool,
-    /// The attempt that is in flight, if one is.
+    /// The attempt in flight, if there is one.
     pub attempt_in_flight: Option<usize>,
-    /// Its resource group.
+    /// The query's resource group.
     pub resource_group: &'a str,
 }
 
-/// What the list says of an engine.
+/// An engine's entry in the endpoint list, as far as the guard uses it.
 #[derive(Debug, Clone, Copy)]
 pub struct EndpointFacts<'a> {
-    /// Whether it takes queries.
+    /// Whether the engine takes queries.
     pub state: EndpointState,
-    /// Its zone, by name.
+    /// The name of the engine's zone.
     pub zone: &'a str,
-    /// Its machine type, by name.
+    /// The name of the engine's machine type.
     pub kind: &'a str,
-    /// The connection leads to the process that is listed now.
+    /// Whether the connection leads to the process that is listed now.
     pub is_same_process: bool,
 }
 
-/// An attempt's request may begin to go out, with this time limit. Only the guard makes one.
+/// Permission to write an attempt's request, with its time limit. Only the guard creates it.
 #[derive(Debug)]
 pub struct BeginPermit {
     limit_ms: u64,
 }
 
 impl BeginPermit {
-    /// How long (ms) the dispatcher will wait, as the engine is told: what is left now.
+    /// The time limit of the request (ms): the time that remains until the attempt's deadline.
     pub fn limit_ms(&self) -> u64 {
         self.limit_ms
     }
 
-    /// A permit for tests of what consumes it.
+    /// A permit for tests.
     #[cfg(test)]
     pub fn for_test(limit_ms: u64) -> Self {
         BeginPermit { limit_ms }
@@ -103,16 +104,16 @@
         }
     }
 
-    /// A query was admitted: it adds to the retry budget.
+    /// Records that a query was admitted, which adds to the retry budget.
     pub fn on_query_admitted(&self, now_ms: f64) {
         self.arrivals.borrow_mut().count(now_ms);
     }
 
-    /// Whether the first byte of an attempt's request may go out now.
+    /// The permit to write the first byte of an attempt's request now.
     ///
     /// # Errors
-    /// Why not; the attempt is to be taken back then. [`BeginRefusal::violated_rule`] tells whether it should never have
-    /// come so far.
+    /// The attempt may not begin, and is to be withdrawn. [`BeginRefusal::violated_rule`] returns the rule that the rest of
+    /// the program violated by requesting it, if any.
     pub fn may_begin(
         &self,
         facts: &AttemptFacts,
@@ -148,7 +149,7 @@
         Ok(BeginPermit { limit_ms })
     }
 
-    /// The first byte of an attempt's request went out.
+    /// Records that the first byte of an attempt's request was written.
     pub fn on_attempt_begun(&self, attempt: usize, now_ms: f64) {
         if attempt > 0 {
             self.retries.borrow_mut().count(now_ms);
@@ -165,7 +166,7 @@
         (retries + 1) as f64 <= BUDGET_TOLERANCE * allowed + 1.0
     }
 
-    /// Whether the process may end, with so many queries unanswered.
+    /// Whether the process may end with this number of unanswered queries.
     ///
     /// # Errors
     /// Queries are owed an answer.
--- a/crates/dispatcher/src/guard/rate_window.rs
+++ b/crates/dispatcher/src/guard/rate_window.rs
@@ -1,13 +1,13 @@
-//! Counts events in a sliding span, in buckets.
+//! Counts events in a sliding time window, in buckets.
 
-/// Buckets of a span.
+/// Number of buckets in a window.
 const BUCKETS: usize = 64;
 
-/// How often something happened in the span that ends now. A bucket that is partly in the span counts whole.
+/// The number of events in the window that ends now. A bucket that is partly in the window counts completely.
 #[derive(Debug)]
 pub struct RateWindow {
     bucket_ms: f64,
-    /// Number of the bucket that `now` was in at the last call.
+    /// Number of the bucket of the last call's time.
     current: u64,
     counts: [u64; BUCKETS],
 }
@@ -19,7 +19,7 @@
 }
 
 impl RateWindow {
-    /// A window of this span.
+    /// A window of this length.
     pub fn new(span_ms: f64) -> Self {
         RateWindow {
             bucket_ms: span_ms / (BUCKETS - 1) as f64,
@@ -28,13 +28,13 @@
         }
     }
 
-    /// It happened once, now.
+    /// Counts an event.
     pub fn count(&mut self, now_ms: f64) {
         self.advance(now_ms);
         self.counts[self.current as usize % BUCKETS] += 1;
     }
 
-    /// How often it happened.
+    /// The number of events in the window.
     pub fn sum(&mut self, now_ms: f64) -> u64 {
         self.advance(now_ms);
         self.counts.iter().sum()
--- a/crates/dispatcher/src/guard/refusal.rs
+++ b/crates/dispatcher/src/guard/refusal.rs
@@ -1,32 +1,32 @@
-//! Why an attempt may not begin.
+//! Reasons for which an attempt may not begin.
 
 use super::violation::Rule;
 
 /// The reasons, and their names in counters.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum BeginRefusal {
-    /// Its answer was given or its client left while it waited.
+    /// The query was answered or its client left while the attempt was queued.
     #[error("query_over")]
     QueryOver,
-    /// Another attempt of its query is in flight, or none.
+    /// Another attempt of the query is in flight, or none.
     #[error("not_current_attempt")]
     NotCurrentAttempt,
-    /// The client's time is over.
+    /// The attempt's deadline has passed.
     #[error("deadline_passed")]
     DeadlinePassed,
-    /// The rules allowed it up to a time that is over, for example the end of its dedup window.
+    /// The time until which the rules allowed the attempt has passed, for example the end of its dedup window.
     #[error("too_late_to_begin")]
     TooLateToBegin,
-    /// Its engine drains or is gone.
+    /// The engine is draining or gone.
     #[error("engine_closed")]
     EngineClosed,
-    /// Another process than the one that it was placed on is listed now.
+    /// The process that the attempt was placed on has been replaced by another one.
     #[error("engine_replaced")]
     EngineReplaced,
-    /// Its group may not use this zone or kind of engine.
+    /// The resource group may not use this zone or kind of engine.
     #[error("placement_forbidden")]
     PlacementForbidden,
-    /// The retries of the span are used up.
+    /// The retry budget is used up.
     #[error("retry_budget_used")]
     RetryBudgetUsed,
 }
@@ -44,8 +44,8 @@
         BeginRefusal::RetryBudgetUsed,
     ];
 
-    /// The rule that would have been broken by an attempt that should never have come so far; none where time, a client
-    /// or a list may cross with an attempt that waits.
+    /// The rule that the rest of the program violated by queueing the attempt; `None` if time, a client or the endpoint list
+    /// may have changed while the attempt was queued.
     pub fn violated_rule(self) -> Option<Rule> {
         match self {
             BeginRefusal::QueryOver
--- a/crates/dispatcher/src/guard/rules.rs
+++ b/crates/dispatcher/src/guard/rules.rs
@@ -1,26 +1,26 @@
-//! The figures that the guard checks by, from the settings.
+//! The parameters of the guard's rules, from the settings.
 
 use super::EndpointFacts;
 use rustc_hash::FxHashMap;
 use tansymux::settings::{RetryBudgetRule, Settings};
 
-/// Where a group's attempts may go; none: anywhere.
+/// The zones and kinds of engine that a resource group may use; `None` allows all.
 #[derive(Debug, Default)]
 struct Placement {
     zones: Option<Vec<String>>,
     kinds: Option<Vec<String>>,
 }
 
-/// The figures.
+/// The parameters of the guard's rules.
 #[derive(Debug, Default)]
 pub struct GuardRules {
-    /// Rule 7, where the settings have it.
+    /// Rule 7, if the settings have it.
     pub retry_budget: Option<RetryBudgetRule>,
     placements: FxHashMap<String, Placement>,
 }
 
 impl GuardRules {
-    /// Those of the settings.
+    /// The parameters in the settings.
     pub fn of(settings: &Settings) -> Self {
         let mut placements = FxHashMap::default();
         for group in &settings.groups {
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Rule 6: whether a group may use an engine.
+    /// Whether a resource group may use an engine (rule 6).
     pub fn allows_placement(&self, group: &str, endpoint: &EndpointFacts) -> bool {
         let Some(placement) = self.placements.get(group) else {
             return true;
--- a/crates/dispatcher/src/guard/violation.rs
+++ b/crates/dispatcher/src/guard/violation.rs
@@ -1,23 +1,23 @@
-//! Violations: what the rest of the program should never ask for.
+//! Violations: steps that the rest of the program should never request.
 
 use std::fmt;
 
-/// The rules that the guard holds up, by their number in the operators' protocol.
+/// The rules that the guard enforces, by their number in the operators' protocol.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Rule {
     /// One final answer, in time, and nothing after it.
     FinalAnswer = 1,
     /// No effect twice.
     EffectOnce = 2,
-    /// Nothing new to an engine that drains or is gone.
+    /// No new attempt on an engine that is draining or gone.
     Drain = 3,
-    /// Only zones and kinds that the group may use.
+    /// Only zones and kinds of engine that the resource group may use.
     Placement = 6,
     /// Retries within their budget.
     RetryBudget = 7,
 }
 
-/// All of them.
+/// All rules.
 pub const RULES: [Rule; 5] = [
     Rule::FinalAnswer,
     Rule::EffectOnce,
@@ -27,13 +27,13 @@
 ];
 
 impl Rule {
-    /// Its number.
+    /// The rule's number.
     pub fn number(self) -> u8 {
         self as u8
     }
 }
 
-/// A step that was refused as it would have broken a rule.
+/// A step that was refused because it would have violated a rule.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Violation {
     /// The rule.
--- a/crates/dispatcher/src/net.rs
+++ b/crates/dispatcher/src/net.rs
@@ -1,8 +1,8 @@
-//! Reads and writes on sockets that survive what passes: interrupted calls are repeated, and those that lack buffers are
-//! tried again a little later. Every read and write of a connection, a datagram or a pipe passes here.
+//! Socket I/O that retries after transient errors: interrupted calls are repeated immediately, and calls that lack buffers
+//! after a pause. Every read and write of a connection, a datagram or a pipe passes here.
 //!
-//! The standard library repeats no interrupted read or write of a socket, and async-io hands such errors up: without this
-//! module they would be taken for the connection's end.
+//! The standard library does not repeat an interrupted read or write of a socket, and async-io returns such errors: without
+//! this module they would end the connection.
 
 use async_io::{Async, Timer};
 use futures_lite::{future, AsyncWrite};
@@ -13,22 +13,22 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-/// Buffers of one write at most: well below the system's own bound, and enough for an answer's pages.
+/// Maximum number of buffers in one write: below the system's limit, and enough for an answer's pages.
 pub const MAX_SLICES: usize = 64;
-/// Bytes that a socket to an engine may hold unsent and still take more (TCP_NOTSENT_LOWAT, tcp(7)).
+/// A socket to an engine accepts more bytes while it has fewer than this number unsent (TCP_NOTSENT_LOWAT, tcp(7)).
 const MAX_UNSENT_BYTES: libc::c_int = 1;
-/// Pause before a call is tried again that lacked a resource of the system.
+/// Pause before the retry of a call that lacked a resource of the system.
 pub const RESOURCE_RETRY_DELAY: Duration = Duration::from_millis(5);
 
-/// Whether a read or write failed as this machine lacks memory or buffers, which passes (recv(2), send(2)).
+/// Whether a read or write failed for a transient lack of memory or buffers on this machine (recv(2), send(2)).
 pub fn is_lack_of_buffers(error: &io::Error) -> bool {
     matches!(error.raw_os_error(), Some(libc::ENOMEM | libc::ENOBUFS))
 }
 
-/// Whether opening, binding or connecting a socket failed for a reason on this machine that may pass: no descriptor, no
-/// memory, no free port, no route (socket(2), bind(2), connect(2)). It says nothing of the other end.
+/// Whether opening, binding or connecting a socket failed for a transient reason on this machine: no descriptor, no memory,
+/// no free port, no route (socket(2), bind(2), connect(2)). Such an error is no evidence about the other end.
 pub fn is_local_fault(error: &io::Error) -> bool {
-    let is_passing = matches!(
+    let is_transient = matches!(
         error.raw_os_error(),
         Some(
             libc::EAGAIN
@@ -43,13 +43,13 @@
                 | libc::ENOBUFS
         )
     );
-    is_passing || error.kind() == ErrorKind::Interrupted
+    is_transient || error.kind() == ErrorKind::Interrupted
 }
 
 /// Repeats a call while signals interrupt it.
 ///
 /// # Errors
-/// Those of the call, but for interruptions.
+/// The errors of the call, except interruptions.
 pub fn uninterrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
         match call() {
@@ -59,8 +59,7 @@
     }
 }
 
-/// Reads once there is something to read: `read` takes what has come and returns how much that was, 0 at the end of the
-/// stream.
+/// Reads as soon as data is available: `read` returns the number of bytes that it has read, 0 at the end of the stream.
 ///
 /// # Errors
 /// The connection or pipe is broken.
@@ -93,10 +92,10 @@
     read_available(socket, |socket| socket.recv_from(buffer)).await
 }
 
-/// Sends a datagram at once, or not at all.
+/// Sends a datagram immediately, or not at all.
 ///
 /// # Errors
-/// It can't be sent now, or not to this address.
+/// The datagram cannot be sent now, or not to this address.
 pub fn send_datagram(
     socket: &Async<UdpSocket>,
     content: &[u8],
@@ -105,9 +104,9 @@
     uninterrupted(|| socket.get_ref().send_to(content, address))
 }
 
-/// Keeps bytes that the other end does not take out of the socket's own buffer: it takes more only once it has sent what it
-/// holds, so that what waits here can still be taken back, and its time limit is not written before its time. Where the
-/// system does not know the option, the socket buffers as ever.
+/// Limits the unsent bytes in the socket's buffer: the socket accepts more only once it has sent what it holds. Requests
+/// that are queued in this program can still be withdrawn, and get their time limits only when they are sent. On a system
+/// without the option, the socket buffers as usual.
 pub fn limit_unsent_bytes(stream: &TcpStream) {
     let limit: libc::c_int = MAX_UNSENT_BYTES;
     let length = size_of::<libc::c_int>() as libc::socklen_t;
@@ -127,8 +126,8 @@
     }
 }
 
-/// Whether the other end has closed or reset a connection whose bytes are not being read, as far as the system knows it:
-/// an end behind bytes that it has no room for is not seen.
+/// Whether the other end has closed or reset a connection whose bytes are not being read. A close is not detected while
+/// bytes sent before it do not fit into the system's receive buffer.
 pub fn has_hung_up(stream: &TcpStream) -> bool {
     let mut poll = libc::pollfd {
         fd: stream.as_raw_fd(),
@@ -144,10 +143,10 @@
     ready.is_ok_and(|ready| ready > 0) && poll.revents & ended != 0
 }
 
-/// Writes as much of `slices` as the socket takes; the result is how many bytes that was.
+/// Writes as much of `slices` as the socket accepts, and returns the number of bytes.
 ///
 /// # Errors
-/// The connection can't be written to, or not for now: [`is_lack_of_buffers`] tells which.
+/// The connection cannot be written to; temporarily, if [`is_lack_of_buffers`] is true for the error.
 pub fn poll_gathered(
     stream: &Async<TcpStream>,
     context: &mut Context,
@@ -164,11 +163,11 @@
 /// Writes all of `parts`.
 ///
 /// # Errors
-/// The connection can't be written to.
+/// The connection cannot be written to.
 pub async fn write_gathered(stream: &Async<TcpStream>, parts: &[&[u8]]) -> io::Result<()> {
     let mut slices: Vec<IoSlice> = parts.iter().map(|part| IoSlice::new(part)).collect();
     let mut unwritten = slices.as_mut_slice();
-    // Drops empty parts at the front: a write of nothing but those would look like the end of the stream.
+    // Drops empty parts at the front: a write of only those would return 0, like the end of the stream.
     IoSlice::advance_slices(&mut unwritten, 0);
     while !unwritten.is_empty() {
         let batch = &unwritten[..unwritten.len().min(MAX_SLICES)];
--- a/crates/dispatcher/src/notify.rs
+++ b/crates/dispatcher/src/notify.rs
@@ -1,4 +1,4 @@
-//! Wakes a task of the same thread that waits.
+//! Notifications between tasks of one thread.
 
 use futures_lite::{future, Stream};
 use std::cell::{Cell, RefCell};
@@ -6,8 +6,8 @@
 use std::rc::Rc;
 use std::task::{Context, Poll, Waker};
 
-/// A notification for one task. One that comes before the task waits is kept; several become one. Of two tasks that wait
-/// at once only the last is woken: the program has one for each.
+/// A notification for one task. It is stored until the task waits for it; several notifications become one. If two tasks
+/// wait at the same time, only the last is woken: the program has one task for each `Notify`.
 #[derive(Default)]
 pub struct Notify {
     is_notified: Cell<bool>,
@@ -15,7 +15,7 @@
 }
 
 impl Notify {
-    /// Wakes the task that waits, or the next that will.
+    /// Wakes the waiting task, or the next one that waits.
     pub fn notify(&self) {
         self.is_notified.set(true);
         if let Some(waiter) = self.waiter.borrow_mut().take() {
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Ready, once, after a notification; else the task of `context` is woken by the next one.
+    /// Ready once after a notification; otherwise the task of `context` is woken by the next one.
     pub fn poll_notified(&self, context: &mut Context) -> Poll<()> {
         if self.is_notified.replace(false) {
             return Poll::Ready(());
@@ -38,7 +38,7 @@
     }
 }
 
-/// The notifications as a stream: an item for each, or for several at once.
+/// Notifications as a stream. Several notifications may become one item.
 pub struct Notifications(pub Rc<Notify>);
 
 impl Stream for Notifications {
--- a/crates/dispatcher/src/peers.rs
+++ b/crates/dispatcher/src/peers.rs
@@ -1,4 +1,4 @@
-//! Datagrams between dispatchers. They may come late or get lost; nothing is sent again.
+//! Datagrams between dispatchers. Delivery is unreliable: a datagram may be late or lost, and is not retransmitted.
 
 use crate::net::{receive_datagram, send_datagram};
 use crate::query_registry::{Event, QueryRegistry};
@@ -8,23 +8,23 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Bytes of a message at most (protocol).
+/// Maximum size (bytes) of a message, by the protocol.
 pub const MAX_MESSAGE_BYTES: usize = 256;
-/// Time before the next attempt to receive, after one that failed.
+/// Pause after a receive that failed.
 const RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// The socket to the other dispatchers.
 pub struct Peers {
     registry: Rc<QueryRegistry>,
     socket: Async<UdpSocket>,
-    /// Where each dispatcher listens, by its number; this one included.
+    /// Addresses of all dispatchers, this one included, by their numbers.
     addresses: Vec<SocketAddr>,
-    /// Where a message goes that is for all.
+    /// The broadcast address.
     broadcast: Option<SocketAddr>,
 }
 
 impl Peers {
-    /// The exchange on a bound socket.
+    /// Communication with peers over a bound socket.
     pub fn new(
         registry: Rc<QueryRegistry>,
         socket: Async<UdpSocket>,
@@ -39,8 +39,8 @@
         })
     }
 
-    /// Sends a message to one dispatcher, or to all. It is dropped if it cannot be sent at once, is too long or names
-    /// an unknown dispatcher.
+    /// Sends a message to one dispatcher, or to all. The message is dropped if it cannot be sent immediately, is too long or
+    /// is for an unknown dispatcher.
     pub fn send(&self, peer: Option<u32>, content: &[u8]) {
         let address = match peer {
             Some(peer) => self.addresses.get(peer as usize).copied(),
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Receives messages until dropped. What is too long or from an unknown sender is ignored.
+    /// Receives messages until dropped. Messages that are too long or from an unknown sender are ignored.
     pub async fn listen(self: Rc<Self>) {
         // One byte more than the limit, so that longer messages are recognised.
         let mut buffer = [0; MAX_MESSAGE_BYTES + 1];
@@ -76,7 +76,7 @@
                     Timer::after(RETRY_DELAY).await;
                 }
             }
-            // Messages are handled in the next round: a sender without pause must not keep it from running.
+            // Messages are handled in the next round, which a sender without pause must not delay.
             future::yield_now().await;
         }
     }
--- a/crates/dispatcher/src/query_registry/completed_ids.rs
+++ b/crates/dispatcher/src/query_registry/completed_ids.rs
@@ -4,10 +4,10 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-/// Ids that are remembered at most: a bound on memory, about as many as four registries full of queries.
+/// Maximum number of remembered ids: a bound on memory, four times the maximum number of queries in flight.
 pub(super) const MAX_COMPLETED_IDS: usize = 16 * 1024;
 
-/// The last ids of queries that may have had an effect, so that a copy of one is not run again.
+/// The ids of the last queries that may have had an effect, so that a duplicate does not run again.
 #[derive(Default)]
 pub(super) struct CompletedIds {
     known: FxHashSet<Rc<str>>,
@@ -15,7 +15,7 @@
 }
 
 impl CompletedIds {
-    /// Remembers `id`, and forgets the oldest where there are too many.
+    /// Remembers `id`, and forgets the oldest one at the limit.
     pub(super) fn remember(&mut self, id: Rc<str>) {
         self.known.insert(id.clone());
         self.oldest_first.push_back(id);
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Whether `id` is among them.
+    /// Whether `id` is remembered.
     pub(super) fn contains(&self, id: &str) -> bool {
         self.known.contains(id)
     }
--- a/crates/dispatcher/src/query_registry/guarding.rs
+++ b/crates/dispatcher/src/query_registry/guarding.rs
@@ -1,15 +1,15 @@
-//! The registry's part of the guard: what it knows of a query whose attempt is about to begin, and what becomes of
-//! refusals and violations.
+//! The registry's side of the guard: the facts about a query whose attempt is about to begin, and the records of refusals
+//! and violations.
 
 use super::{Query, QueryRegistry};
 use crate::guard::{AttemptFacts, BeginPermit, BeginRefusal, EndpointFacts, QueryFacts, Violation};
 use crate::trace::TraceEvent;
 use tansymux::events::EndReason;
 
-/// Events that are written when an invariant breaks.
+/// Maximum number of events that are written when an invariant is violated.
 const MAX_TRACE_LINES: usize = 64;
 
-/// Which attempt of which query, and where.
+/// Identifies an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AttemptKey {
     /// The query.
@@ -21,10 +21,10 @@
 }
 
 impl QueryRegistry {
-    /// Whether the first byte of an attempt's request may go out now.
+    /// The permit to write the first byte of an attempt's request now.
     ///
     /// # Errors
-    /// Why not: see [`Guard::may_begin`](crate::guard::Guard::may_begin).
+    /// The attempt may not begin: see [`Guard::may_begin`](crate::guard::Guard::may_begin).
     pub fn may_begin(
         &self,
         key: &AttemptKey,
@@ -54,13 +54,14 @@
         permit.unwrap_or_else(|| may_begin(None))
     }
 
-    /// The first byte of an attempt's request went out.
+    /// Records that the first byte of an attempt's request was written.
     pub fn on_attempt_begun(&self, key: &AttemptKey, now_ms: f64) {
         self.guard.on_attempt_begun(key.attempt, now_ms);
         self.trace_attempt(key, TraceEvent::Begun);
     }
 
-    /// An attempt was not let out: counted by reason, and a violation where it should never have come so far.
+    /// Records that an attempt was refused: counts it by reason, and reports a violation if the rest of the program should
+    /// not have requested it.
     pub fn on_begin_refused(&self, key: &AttemptKey, refusal: BeginRefusal) {
         self.counters.count_begin_refusal(refusal);
         self.trace_attempt(key, TraceEvent::NotBegun(refusal));
@@ -80,13 +81,13 @@
         }
     }
 
-    /// An event of an attempt.
+    /// Records an event of an attempt.
     pub fn trace_attempt(&self, key: &AttemptKey, event: TraceEvent) {
         self.trace
             .record_attempt(key.query_id, key.attempt, key.engine_id, event);
     }
 
-    /// The decisions end a query without a result, for this reason.
+    /// Records that the decisions end a query without a result.
     pub fn on_end_reason(&self, query_id: u64, reason: EndReason) {
         if self.is_over(query_id) {
             return;
--- a/crates/dispatcher/src/query_registry/messages.rs
+++ b/crates/dispatcher/src/query_registry/messages.rs
@@ -1,4 +1,4 @@
-//! What the client side, the engine side and the driver pass to each other through the registry.
+//! Messages between the client side, the engine side and the driver.
 
 use super::Pages;
 use std::net::SocketAddr;
@@ -10,42 +10,42 @@
 /// An entry of the endpoint list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EndpointEntry {
-    /// Number of the engine, by its name's hash.
+    /// Number of the engine, a hash of its name.
     pub engine_id: u64,
-    /// Where it listens, if the list has it.
+    /// Where the engine listens, if the list has it.
     pub address: Option<SocketAddr>,
-    /// Its machine type, by name.
+    /// The name of its machine type.
     pub kind: String,
-    /// Its zone, by name.
+    /// The name of its zone.
     pub zone: String,
     /// Number of its cell.
     pub cell: u32,
-    /// Whether it takes queries.
+    /// Whether the engine takes queries.
     pub state: EndpointState,
     /// When its process started (ms), if the list has it.
     pub started_ms: Option<f64>,
 }
 
-/// A query that was admitted, as the next round of the decisions takes it.
+/// An admitted query, for the next round of the decisions.
 #[derive(Debug, Clone)]
 pub struct ArrivedQuery {
-    /// Its query id: a number that the registry gives once, unlike the id that the client chose.
+    /// The query's number in the registry, which is unique, unlike the id that the client chose.
     pub query_id: u64,
-    /// Its tenant by the settings' name; empty where the settings name none.
+    /// The tenant by the settings' name; empty if the settings name no tenants.
     pub tenant: Rc<str>,
-    /// Its ordering key, where its client gave one.
+    /// The ordering key, if the client sent one.
     pub key: Option<u64>,
-    /// Estimated thread time (ms); 0 where there is no estimate.
+    /// Estimated thread time (ms); 0 without an estimate.
     pub estimated_cost_ms: f64,
-    /// Estimated memory (MB); 0 where there is no estimate.
+    /// Estimated memory (MB); 0 without an estimate.
     pub memory_mb: f64,
-    /// The set of tables that it uses, as a number.
+    /// A number that identifies the set of tables that the query uses.
     pub tables: u32,
-    /// What its text showed.
+    /// Traits of the statement, from its analysis.
     pub statement: StatementTraits,
 }
 
-/// What came in since the last round of the decisions.
+/// An event for the next round of the decisions.
 #[derive(Debug, Clone)]
 pub enum Event {
     /// A query was admitted.
@@ -63,11 +63,11 @@
         attempt: usize,
         /// How it ended.
         outcome: Outcome,
-        /// The engine that it went to.
+        /// The engine of the attempt.
         engine_id: u64,
-        /// From submission to the end (ms).
+        /// Time from submission to the end (ms).
         latency_ms: f64,
-        /// Its result, where it completed.
+        /// The result of a completed attempt.
         pages: Pages,
     },
     /// An engine sent a progress note on a running attempt.
@@ -85,10 +85,10 @@
     HealthCheckEnded {
         /// The engine that was checked.
         engine_id: u64,
-        /// `Completed` where it answered.
+        /// `Completed` if the engine is healthy.
         outcome: Outcome,
     },
-    /// The endpoint list, or what changed of it.
+    /// The endpoint list, or a change of it.
     EndpointList {
         /// Whether it is a full list or a change.
         kind: EndpointListKind,
@@ -99,12 +99,12 @@
     PeerMessage {
         /// Number of the sender.
         peer: u32,
-        /// Its bytes as they came.
+        /// The message as received.
         content: Vec<u8>,
     },
 }
 
-/// What was decided, for the engine side to carry out.
+/// A command of the decisions to the engine side.
 #[derive(Debug, PartialEq)]
 pub enum EngineCommand {
     /// Start an attempt.
@@ -113,12 +113,12 @@
         query_id: u64,
         /// Which of the query's attempts, counted from 0.
         attempt: usize,
-        /// The engine that it goes to.
+        /// The engine to which the attempt is sent.
         engine_id: u64,
         /// Its time limits.
         limits: AttemptLimits,
     },
-    /// The query is over: what of it was not yet written to an engine must not be.
+    /// Withdraw the attempt of a query that is over, unless its request was written completely.
     Withdraw {
         /// The query.
         query_id: u64,
@@ -130,11 +130,11 @@
         /// Which of the query's attempts, counted from 0.
         attempt: usize,
     },
-    /// Tell the engine the new priority of the attempt in flight.
+    /// Send the engine a new priority for the attempt in flight.
     SetPriority {
         /// The query.
         query_id: u64,
-        /// Its priority on the engine's scale.
+        /// The priority, on the engine's scale.
         priority: u8,
     },
     /// Check whether an engine answers.
--- a/crates/dispatcher/src/query_registry/mod.rs
+++ b/crates/dispatcher/src/query_registry/mod.rs
@@ -123,7 +123,7 @@
         self.commands.borrow_mut().pop_front()
     }
 
-    /// Gives a query its final answer. Returns false if no answer is owed: nothing is changed then.
+    /// Gives a query its final answer. Returns false, and changes nothing, if no answer is owed.
     pub fn answer(&self, query_id: u64, answer: Answer) -> bool {
         let Some(slot) = self.complete(query_id) else {
             return false;
@@ -161,7 +161,7 @@
         self.commands.borrow_mut().push_back(command);
     }
 
-    /// Whether the query's final answer was given, or none is owed.
+    /// Whether no answer is owed for the query: it was given, or the client left.
     pub fn is_over(&self, query_id: u64) -> bool {
         let is_over = self.queries.with(query_id, Query::is_over);
         is_over.unwrap_or(true)
--- a/crates/dispatcher/src/query_registry/query.rs
+++ b/crates/dispatcher/src/query_registry/query.rs
@@ -1,4 +1,4 @@
-//! A query in the registry: what its client asked, how far it has come, and where its answer goes.
+//! A query in the registry: its request, the state of its attempts, and the slot for its answer.
 
 use crate::notify::Notify;
 use crate::statement_shape::StatementShape;
@@ -12,18 +12,18 @@
 /// The one final answer of a query.
 #[derive(Debug)]
 pub enum Answer {
-    /// It ran to its end.
+    /// The query completed.
     Completed(Pages),
-    /// It was not run, or can be run again: the client may come back.
+    /// The query was rejected: it did not run, or can run again. The client may retry.
     Rejected {
-        /// How long (ms) the client is to stay away.
+        /// How long (ms) the client is to wait before it retries.
         retry_after_ms: f64,
     },
-    /// It ended without a result, and must not be sent again as it is.
+    /// The query failed, and must not be retried as it is.
     Failed,
 }
 
-/// Where the task of a client's connection waits for the answer.
+/// A slot in which the task of a client's connection waits for the answer.
 #[derive(Default)]
 pub struct AnswerSlot {
     filled: Notify,
@@ -31,12 +31,12 @@
 }
 
 impl AnswerSlot {
-    /// Takes the answer out, if it is there.
+    /// Takes the answer, if there is one.
     pub fn take(&self) -> Option<Answer> {
         self.answer.borrow_mut().take()
     }
 
-    /// Waits for the answer and takes it out.
+    /// Waits for the answer and takes it.
     pub async fn answered(&self) -> Answer {
         loop {
             if let Some(answer) = self.take() {
@@ -46,19 +46,19 @@
         }
     }
 
-    /// Puts the answer in and wakes the connection's task.
+    /// Stores the answer and wakes the connection's task.
     pub(super) fn fill(&self, answer: Answer) {
         *self.answer.borrow_mut() = Some(answer);
         self.filled.notify();
     }
 }
 
-/// The keys that a client gave its query beyond its id, as hex digits.
+/// The optional keys of a request, as hex digits.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct RequestKeys<'a> {
-    /// Idempotency key: an engine recognises a repeat by it.
+    /// Idempotency key: engines detect duplicates by it.
     pub idempotency_key: Option<&'a str>,
-    /// Ordering key: queries that share one run one after the other.
+    /// Ordering key: queries with the same key run one after the other.
     pub ordering_key: Option<&'a str>,
 }
 
@@ -72,44 +72,44 @@
 
 /// A query as the client side has parsed it. Times are milliseconds on the program's clock.
 pub struct QueryRequest<'a> {
-    /// Its id, as its client sent it: 16 hex digits.
+    /// The id that the client chose: 16 hex digits.
     pub id: &'a str,
     /// Name of its resource group.
     pub resource_group: &'a str,
-    /// Its tenant by the settings' name; empty where the settings name none.
+    /// The tenant by the settings' name; empty if the settings name no tenants.
     pub tenant: &'a str,
     /// Its SQL text.
     pub statement: &'a [u8],
-    /// When its last byte came.
+    /// When the last byte of the request arrived.
     pub received_ms: f64,
-    /// By when it must be answered.
+    /// By when the query must be answered.
     pub deadline_ms: f64,
-    /// Estimated thread time (ms); 0 where there is no estimate.
+    /// Estimated thread time (ms); 0 without an estimate.
     pub estimated_cost_ms: f64,
-    /// Estimated memory (MB); 0 where there is no estimate.
+    /// Estimated memory (MB); 0 without an estimate.
     pub memory_mb: f64,
-    /// The set of tables that it uses, as a number.
+    /// A number that identifies the set of tables that the query uses.
     pub tables: u32,
-    /// What its text showed.
+    /// Traits of the statement, from its analysis.
     pub traits: StatementTraits,
-    /// What the analysis of its text leaves with it, where it was analysed.
+    /// The statement's shape, if it was analysed.
     pub shape: Option<StatementShape>,
-    /// The keys that its client gave it.
+    /// The optional keys of the request.
     pub keys: RequestKeys<'a>,
 }
 
-/// What the attempts of a query are granted on their engine.
+/// The resources that an engine may use for the attempts of a query.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Grant {
     /// Priority on the engine's scale.
     pub priority: u8,
-    /// Memory (MB); 0 leaves it to the engine.
+    /// Memory (MB); 0 leaves the choice to the engine.
     pub memory_mb: f64,
 }
 
 /// A query in flight. Times are milliseconds on the program's clock.
 pub struct Query {
-    /// Its id, as its client sent it.
+    /// The id that the client chose.
     pub id: Rc<str>,
     /// Name of its resource group.
     pub resource_group: Rc<str>,
@@ -119,25 +119,25 @@
     pub idempotency_key: Option<Rc<str>>,
     /// Its ordering key, if the client sent one.
     pub ordering_key: Option<Rc<str>>,
-    /// When its last byte came.
+    /// When the last byte of the request arrived.
     pub received_ms: f64,
-    /// Estimated thread time (ms); 0 where there is no estimate.
+    /// Estimated thread time (ms); 0 without an estimate.
     pub estimated_cost_ms: f64,
-    /// By when it must be answered.
+    /// By when the query must be answered.
     pub deadline_ms: f64,
-    /// What the next attempts are granted, once that was decided.
+    /// The grant of the next attempts, once it was decided.
     pub grant: Option<Grant>,
-    /// What the analysis of its text left, where it was analysed.
+    /// The statement's shape, if it was analysed.
     pub shape: Option<StatementShape>,
-    /// The attempt in flight, or the last one, waited for a lock.
+    /// Whether the attempt in flight, or the last one, waited for a lock.
     pub waited: bool,
     /// The engine of the last attempt.
     pub engine_id: u64,
-    /// Attempts so far.
+    /// Number of attempts so far.
     pub(super) attempts: usize,
-    /// An attempt is in flight, or its end was not yet delivered to the decisions.
+    /// Whether an attempt is in flight, or its end was not yet delivered to the decisions.
     pub(super) attempt_in_flight: bool,
-    /// Where the answer goes; none once it was given or the client left.
+    /// The slot for the answer; `None` once it was given or the client left.
     pub(super) slot: Option<Rc<AnswerSlot>>,
 }
 
@@ -175,13 +175,13 @@
         Some(attempt)
     }
 
-    /// The number of the attempt in flight, if one is.
+    /// The number of the attempt in flight, if there is one.
     pub(super) fn attempt_number_in_flight(&self) -> Option<usize> {
         let last = self.attempts.checked_sub(1)?;
         self.attempt_in_flight.then_some(last)
     }
 
-    /// Whether its answer was given, or none is owed.
+    /// Whether no answer is owed: it was given, or the client left.
     pub(super) fn is_over(&self) -> bool {
         self.slot.is_none()
     }
--- a/crates/dispatcher/src/signals.rs
+++ b/crates/dispatcher/src/signals.rs
@@ -1,8 +1,8 @@
 //! Signals as a stream.
 //!
-//! The handler of each signal raises a flag and writes into a pipe, which is read like any other input. It is a pipe because
-//! the platform knows no sockets but TCP and UDP; and a signal that comes before anyone reads is kept in it. One pipe serves
-//! all signals: the driver looks at it at each wake-up.
+//! The handler of each signal sets a flag and writes to a pipe, which is read like any other input. A pipe is used because the
+//! platform allows only TCP and UDP sockets, and because it stores a signal that arrives before the first read. One pipe
+//! serves all signals.
 
 use crate::net::read_available;
 use async_io::{Async, Timer};
@@ -17,11 +17,11 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Bytes read from the pipe at once; each is one signal.
+/// Maximum number of bytes in one read of the pipe; each byte is one signal.
 const READ_BYTES: usize = 64;
-/// Pause after an error of the pipe, so that a lasting one does not take all processor time.
+/// Pause after an error of the pipe, so that a permanent one does not use all processor time.
 const ERROR_PAUSE: Duration = Duration::from_millis(20);
-/// What each signal asks for, the most urgent first.
+/// The request of each signal, the most urgent first.
 const SIGNALS: [(c_int, Signal); 4] = [
     (SIGTERM, Signal::Terminate),
     (SIGINT, Signal::Terminate),
@@ -29,10 +29,10 @@
     (SIGUSR1, Signal::DumpTrace),
 ];
 
-/// What a signal asks for.
+/// The request of a signal.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Signal {
-    /// SIGTERM or SIGINT: drain and end.
+    /// SIGTERM or SIGINT: drain and exit.
     Terminate,
     /// SIGHUP: read the configuration again.
     Reload,
@@ -40,29 +40,29 @@
     DumpTrace,
 }
 
-/// A signal's flag: raised by its handler, lowered when it is taken.
+/// A signal's flag: set by its handler, cleared when the signal is returned.
 struct Raised {
     flag: Arc<AtomicBool>,
     signal: Signal,
 }
 
-/// The pipe, and what was raised and not yet given out.
+/// The pipe, the flags, and the signals that are not returned yet.
 struct Receiver {
     pipe: Async<PipeReader>,
     raised: Vec<Raised>,
     pending: VecDeque<Signal>,
 }
 
-/// Installs the handlers. The stream has an item for each signal, or one for several of a kind that came at once.
+/// Installs the handlers. The stream has one item for each signal; several signals of one kind may become one item.
 ///
 /// # Errors
-/// A pipe could not be made, or a handler not installed.
+/// A pipe could not be created, or a handler not installed.
 pub fn subscribe() -> io::Result<impl Stream<Item = Signal>> {
     let (reader, writer) = io::pipe()?;
     let mut raised = Vec::new();
     for (number, signal) in SIGNALS {
         let flag = Arc::new(AtomicBool::new(false));
-        // In this order: the flag is up when the pipe is read.
+        // In this order: the flag is set before the pipe can be read.
         flag::register(number, flag.clone())?;
         pipe::register(number, writer.try_clone()?)?;
         raised.push(Raised { flag, signal });
@@ -76,7 +76,8 @@
 }
 
 impl Receiver {
-    /// The next signal. The stream never ends: an ended one must not be polled again, and the driver polls it for good.
+    /// The next signal. The stream never ends: the driver polls it for as long as it runs, and a stream must not be polled
+    /// after its end.
     async fn next(mut self) -> Option<(Signal, Self)> {
         loop {
             if let Some(signal) = self.pending.pop_front() {
--- a/crates/dispatcher/src/trace.rs
+++ b/crates/dispatcher/src/trace.rs
@@ -1,4 +1,4 @@
-//! The last events of queries, in a ring: what happened to each, for the log when an invariant breaks or SIGUSR1 asks.
+//! A ring buffer of the last events of queries, which is logged when an invariant is violated or on SIGUSR1.
 
 use crate::clock::Clock;
 use crate::guard::BeginRefusal;
@@ -6,31 +6,31 @@
 use std::fmt;
 use tansymux::events::{EndReason, Outcome};
 
-/// Events that are kept. One takes 32 bytes.
+/// Size of the ring buffer. An event takes 32 bytes.
 const MAX_EVENTS: usize = 2048;
 
-/// What happened to a query.
+/// An event of a query.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum TraceEvent {
-    /// Its request was read whole and admitted.
+    /// The query was admitted.
     Admitted,
     /// An attempt was handed to the engine side.
     Submitted,
-    /// The first byte of an attempt went out.
+    /// The first byte of an attempt was written.
     Begun,
-    /// The guard did not let an attempt begin.
+    /// The guard refused an attempt.
     NotBegun(BeginRefusal),
     /// An attempt ended.
     AttemptEnded(Outcome),
-    /// The decisions end it without a result.
+    /// The decisions ended the query without a result.
     Ends(EndReason),
-    /// Its answer was given, by this status.
+    /// The query was answered with this status.
     Answered(u16),
-    /// Its client left before that.
+    /// The client left before the answer.
     ClientLeft,
 }
 
-/// An event with its query, and its attempt and engine where it has them.
+/// An event with its query, and its attempt and engine if it has them.
 #[derive(Debug, Clone, Copy)]
 struct Entry {
     at_ms: f64,
@@ -56,7 +56,7 @@
     }
 }
 
-/// The ring.
+/// The events of queries.
 pub struct EventTrace {
     clock: Clock,
     entries: RefCell<Ring>,
@@ -65,12 +65,12 @@
 #[derive(Default)]
 struct Ring {
     entries: Vec<Entry>,
-    /// Where the next one goes, once it is full.
+    /// Position of the next entry, once the ring buffer is full.
     next: usize,
 }
 
 impl EventTrace {
-    /// An empty ring.
+    /// An empty ring buffer.
     pub fn new(clock: Clock) -> Self {
         EventTrace {
             clock,
@@ -78,12 +78,12 @@
         }
     }
 
-    /// Something happened to a query.
+    /// Records an event of a query.
     pub fn record(&self, query_id: u64, event: TraceEvent) {
         self.record_attempt(query_id, 0, 0, event);
     }
 
-    /// Something happened to an attempt of a query.
+    /// Records an event of an attempt.
     pub fn record_attempt(&self, query_id: u64, attempt: usize, engine_id: u64, event: TraceEvent) {
         let entry = Entry {
             at_ms: self.clock.now(),
@@ -102,7 +102,7 @@
         }
     }
 
-    /// The last `count` events, of this query or of all, a line each, the earliest first.
+    /// The last `count` events of one query or of all, as one line each, the earliest first.
     pub fn lines(&self, query_id: Option<u64>, count: usize) -> Vec<String> {
         let ring = self.entries.borrow();
         let (later, earlier) = ring.entries.split_at(ring.next);
