--- a/crates/dispatcher/src/engine/abandon.rs
+++ b/crates/dispatcher/src/engine/abandon.rs
@@ -1,7 +1,7 @@
 //! Abandons attempts: takes them off their connections and reports their ends.
 
 use super::channel::Channel;
-use super::connection::{Abandoned, ConnectionState};
+use super::connection::Abandoned;
 use super::reports::{AttemptReport, Reporter};
 use super::silence::{SilenceDetector, SilenceScope};
 use crate::clock::Clock;
@@ -52,11 +52,14 @@
             return;
         };
         // Silent for longer than the progress interval: the connection may be lost. The next attempt uses another one.
-        let is_up = connection.state == ConnectionState::Up;
-        let silent_ms = now_ms - connection.last_frame_ms.max(attempt.sent_ms);
+        let is_up = connection.is_up();
+        let silent_ms = connection.silence_ms(now_ms, attempt.sent_ms);
         let may_be_lost = was_sent && silent_ms > self.max_silence_ms;
-        connection.retired |= may_be_lost;
-        let silent_reuse = connection.idle_reuse.take_if(|_| may_be_lost);
+        let mut silent_reuse = None;
+        if may_be_lost {
+            connection.retire();
+            silent_reuse = connection.take_idle_reuse();
+        }
         drop(connection);
         channel.notify.notify();
         if let Some(reuse) = silent_reuse {
--- a/crates/dispatcher/src/engine/channel.rs
+++ b/crates/dispatcher/src/engine/channel.rs
@@ -98,7 +98,7 @@
 
     /// Retires the connection: it accepts no new attempts, and closes when nothing is in flight.
     pub fn retire(&self) {
-        self.connection.borrow_mut().retired = true;
+        self.connection.borrow_mut().retire();
         self.notify.notify();
     }
 }
--- a/crates/dispatcher/src/engine/channel_task.rs
+++ b/crates/dispatcher/src/engine/channel_task.rs
@@ -88,11 +88,11 @@
         while self.channel.notify.poll_notified(context).is_ready() {}
         let begun = self.handler.on_writable(self.channel);
         let connection = self.channel.connection.borrow();
-        if let Some(reason) = connection.close_reason {
+        if let Some(reason) = connection.close_reason() {
             return Poll::Ready(Err(reason.into()));
         }
         if !connection.has_unwritten() {
-            let is_done = connection.retired && connection.in_flight() == 0;
+            let is_done = connection.is_retired() && connection.in_flight() == 0;
             return if is_done {
                 Poll::Ready(Ok(WriteStep::Done))
             } else {
@@ -123,8 +123,8 @@
             self.handle_frames(&mut inbox)?;
             let now_ms = self.handler.clock().now();
             let mut connection = self.channel.connection.borrow_mut();
-            connection.partial_frame_since_ms = (!inbox.is_empty()).then_some(now_ms);
-            if connection.has_unwritten() || connection.retired {
+            connection.set_partial_frame(!inbox.is_empty(), now_ms);
+            if connection.has_unwritten() || connection.is_retired() {
                 self.channel.notify.notify();
             }
         }
--- a/crates/dispatcher/src/engine/close.rs
+++ b/crates/dispatcher/src/engine/close.rs
@@ -2,7 +2,7 @@
 
 use super::channel::Channel;
 use super::channel_error::ChannelError;
-use super::connection::{Attempt, Connection, ConnectionState};
+use super::connection::{Attempt, ClosedConnection, Connection};
 use super::idle_reuse::ReuseTracker;
 use super::reports::{AttemptReport, Reporter};
 use crate::clock::Clock;
@@ -88,11 +88,11 @@
     pub fn close(&self, channel: &Channel, error: Option<&ChannelError>) {
         let now_ms = self.clock.now();
         let mut connection = channel.connection.borrow_mut();
-        let was_up = connection.state == ConnectionState::Up;
-        connection.state = ConnectionState::Closed;
-        let mut attempts: Vec<(Rc<str>, Attempt)> = connection.attempts.drain().collect();
-        attempts.sort_by_key(|(_, attempt)| attempt.query_id);
-        let health_checks = std::mem::take(&mut connection.health_checks).len();
+        let ClosedConnection {
+            was_up,
+            attempts,
+            health_checks,
+        } = connection.on_closed();
         self.note_close(channel, &connection, error, attempts.len());
         let mut loss = Loss::new(was_up, error);
         let may_be_lost_reuse = was_up && !loss.is_abandoned && !attempts.is_empty();
@@ -137,7 +137,7 @@
 
     /// Whether the connection ended as soon as it was reused after idling.
     fn is_lost_reuse(&self, connection: &Connection, now_ms: f64) -> bool {
-        let reuse = connection.idle_reuse;
+        let reuse = connection.idle_reuse();
         reuse.is_some_and(|reuse| self.reuses.record_if_lost(now_ms, reuse))
     }
 
@@ -151,7 +151,7 @@
     ) {
         let reason = match error {
             Some(error) => error.close_reason(),
-            None if connection.retired => EngineClose::Retired,
+            None if connection.is_retired() => EngineClose::Retired,
             None => EngineClose::ByEngine,
         };
         let engine_id = format_args!("{:08x}", channel.engine_id);
--- a/crates/dispatcher/src/engine/connection.rs
+++ b/crates/dispatcher/src/engine/connection.rs
@@ -6,10 +6,12 @@
 mod outbox;
 mod receive;
 mod state;
+mod transitions;
 
 pub use attempt::Attempt;
 pub use receive::FrameEvent;
 pub use state::{Abandoned, CloseReason, ConnectionState, HealthCheck, IdleReuse, Suitability};
+pub use transitions::ClosedConnection;
 
 use super::protocol::{Command, RequestFields};
 use crate::guard::BeginPermit;
@@ -19,7 +21,7 @@
 use std::rc::Rc;
 
 /// A connection with an outbox of this size (bytes) or more accepts no attempt: a bound on memory.
-pub const MAX_OUTBOX_BYTES: usize = 4 << 20;
+const MAX_OUTBOX_BYTES: usize = 4 << 20;
 /// Number of abandoned attempts after which a connection is retired: the id of each stays in memory.
 const MAX_ABANDONED: usize = 256;
 
@@ -27,31 +29,31 @@
 #[derive(Debug)]
 pub struct Connection {
     /// Life-cycle state.
-    pub state: ConnectionState,
+    state: ConnectionState,
     /// When the last frame arrived; minus infinity if none has.
-    pub last_frame_ms: f64,
+    last_frame_ms: f64,
     /// When it was last used, or came up.
-    pub last_used_ms: f64,
+    last_used_ms: f64,
     /// Whether it was never used.
-    pub unused: bool,
+    unused: bool,
     /// The last reuse after idling; cleared by the first frame that arrives.
-    pub idle_reuse: Option<IdleReuse>,
+    idle_reuse: Option<IdleReuse>,
     /// Since when (ms) a frame has been incomplete.
-    pub partial_frame_since_ms: Option<f64>,
+    partial_frame_since_ms: Option<f64>,
     /// When to check the engine over another connection if this one, reused after idling, is still silent; otherwise
     /// infinity.
-    pub check_at_ms: f64,
+    check_at_ms: f64,
     /// Set when the connection is to close immediately, even with attempts in flight.
-    pub close_reason: Option<CloseReason>,
+    close_reason: Option<CloseReason>,
     /// Whether it accepts nothing new and closes when nothing is in flight.
-    pub retired: bool,
+    retired: bool,
     /// Attempts in flight, by the ids of their queries.
-    pub attempts: FxHashMap<Rc<str>, Attempt>,
+    attempts: FxHashMap<Rc<str>, Attempt>,
     /// Ids of attempts that were abandoned after they had been sent. They are not reused here: a late reply would be
     /// mistaken for one to the new attempt.
     abandoned_ids: FxHashSet<Rc<str>>,
     /// Health checks in flight.
-    pub health_checks: Vec<HealthCheck>,
+    health_checks: Vec<HealthCheck>,
     outbox: Outbox,
 }
 
@@ -75,25 +77,46 @@
         }
     }
 
-    // ---- Transitions ----
+    // ---- State ----
 
-    /// Records that the connect timed out. Drops the health checks queued here and returns their number.
-    pub fn on_connect_timeout(&mut self) -> usize {
-        self.state = ConnectionState::Late;
-        let dropped = std::mem::take(&mut self.health_checks).len();
-        self.outbox.discard_commands();
-        dropped
+    /// Life-cycle state.
+    pub fn state(&self) -> ConnectionState {
+        self.state
     }
 
-    /// Records that the connect succeeded. If nothing is queued here any more, the connection idles from now on and
-    /// counts as unused.
-    pub fn on_connected(&mut self, now_ms: f64) {
-        self.state = ConnectionState::Up;
-        self.last_used_ms = now_ms;
-        if self.in_flight() == 0 {
-            self.unused = true;
-            self.idle_reuse = None;
-        }
+    /// Whether the connection is up.
+    pub fn is_up(&self) -> bool {
+        self.state == ConnectionState::Up
+    }
+
+    /// Whether it accepts nothing new and closes when nothing is in flight.
+    pub fn is_retired(&self) -> bool {
+        self.retired
+    }
+
+    /// The reason for which the connection is to close immediately, if there is one.
+    pub fn close_reason(&self) -> Option<CloseReason> {
+        self.close_reason
+    }
+
+    /// Whether it was never used.
+    pub fn is_unused(&self) -> bool {
+        self.unused
+    }
+
+    /// When it was last used, or came up (ms).
+    pub fn last_used_ms(&self) -> f64 {
+        self.last_used_ms
+    }
+
+    /// The attempt in flight for the query with this id.
+    pub fn attempt(&self, id: &str) -> Option<&Attempt> {
+        self.attempts.get(id)
+    }
+
+    /// Ids of the queries whose attempts are in flight.
+    pub fn attempt_ids(&self) -> impl Iterator<Item = Rc<str>> + '_ {
+        self.attempts.keys().cloned()
     }
 
     // ---- Suitability ----
@@ -105,7 +128,7 @@
 
     /// Start of the current idle time (ms); minus infinity if it is not up, is retired or has something in flight.
     pub fn idle_since_ms(&self) -> f64 {
-        if self.in_flight() == 0 && !self.retired && self.state == ConnectionState::Up {
+        if self.in_flight() == 0 && !self.retired && self.is_up() {
             self.last_used_ms
         } else {
             f64::NEG_INFINITY
@@ -229,11 +252,6 @@
         !self.outbox.is_empty()
     }
 
-    /// Empties the outbox.
-    pub fn discard_unwritten(&mut self) {
-        self.outbox.clear();
-    }
-
     /// Appends the bytes to write next, as `max` slices at most.
     pub fn slices<'a>(&'a self, out: &mut Vec<IoSlice<'a>>, max: usize) {
         self.outbox.slices(out, max);
--- a/crates/dispatcher/src/engine/connection/deadlines.rs
+++ b/crates/dispatcher/src/engine/connection/deadlines.rs
@@ -5,7 +5,11 @@
 
 /// An incomplete frame that receives no byte for this long (ms) counts as truncated. Twice the operators' connect
 /// timeout.
-pub const FRAME_STALL_MS: f64 = 500.0;
+const FRAME_STALL_MS: f64 = 500.0;
+
+/// A retired connection unused for this long (ms) is closed without writing its outbox: its engine does not read. Twice
+/// the operators' connect timeout.
+const LAST_WRITE_MS: f64 = 500.0;
 
 /// Health checks that timed out.
 #[derive(Debug, Clone, Copy)]
@@ -76,9 +80,22 @@
         self.is_reused_in_silence()
     }
 
-    /// Whether it was reused after idling, has something in flight and has been silent since.
-    pub fn is_reused_in_silence(&self) -> bool {
-        self.idle_reuse.is_some() && self.in_flight() > 0
+    /// Retires a connection that has idled for longer than `max_idle_ms`. Returns whether it is retired, by this call or
+    /// before.
+    pub fn retire_if_idle(&mut self, now_ms: f64, max_idle_ms: f64) -> bool {
+        let is_idle = self.is_up() && self.in_flight() == 0;
+        let unused_ms = now_ms - self.last_used_ms;
+        self.retired |= is_idle && unused_ms > max_idle_ms;
+        // The abort of its last attempt is still written, if the engine reads it.
+        if self.retired && self.in_flight() == 0 && unused_ms >= LAST_WRITE_MS {
+            self.outbox.clear();
+        }
+        self.retired
+    }
+
+    /// Records whether the received bytes end within a frame.
+    pub fn set_partial_frame(&mut self, is_partial: bool, now_ms: f64) {
+        self.partial_frame_since_ms = is_partial.then_some(now_ms);
     }
 
     /// When something expires next (ms); infinity if nothing does.
--- a/crates/dispatcher/src/engine/engine_entry.rs
+++ b/crates/dispatcher/src/engine/engine_entry.rs
@@ -145,7 +145,7 @@
     /// Whether a connect is under way, within its timeout.
     pub fn is_connecting(&self) -> bool {
         let mut channels = self.channels.iter();
-        channels.any(|channel| channel.connection.borrow().state == ConnectionState::Connecting)
+        channels.any(|channel| channel.connection.borrow().state() == ConnectionState::Connecting)
     }
 
     /// Whether any connection was reused after idling and has been silent since.
@@ -171,8 +171,8 @@
                 channel: channel.clone(),
                 suitability: connection.suitability(now_ms, trusted_idle_ms),
                 in_flight: connection.in_flight(),
-                is_connecting: connection.state != ConnectionState::Up,
-                last_used_ms: connection.last_used_ms,
+                is_connecting: !connection.is_up(),
+                last_used_ms: connection.last_used_ms(),
             })
         };
         let candidates = self.channels.iter().filter_map(candidate_of);
@@ -184,8 +184,8 @@
         self.channels.iter().any(|other| {
             let connection = other.connection.borrow();
             !Rc::ptr_eq(other, channel)
-                && connection.unused
-                && connection.state != ConnectionState::Late
+                && connection.is_unused()
+                && connection.state() != ConnectionState::Late
         })
     }
 
--- a/crates/dispatcher/src/engine/engine_table.rs
+++ b/crates/dispatcher/src/engine/engine_table.rs
@@ -78,7 +78,7 @@
         let engines = self.engines.borrow();
         let carries = |channel: &&Rc<Channel>| {
             let connection = channel.connection.borrow();
-            let attempt = connection.attempts.get(id);
+            let attempt = connection.attempt(id);
             attempt.is_some_and(|attempt| attempt.query_id == query_id)
         };
         let engine = engines.get(&engine_id)?;
--- a/crates/dispatcher/src/engine/pool.rs
+++ b/crates/dispatcher/src/engine/pool.rs
@@ -96,27 +96,25 @@
             reporter,
             abandoner,
         } = Shared::new(&registry, clock, &settings);
+        let gate = RequestGate::new(registry.clone(), clock, engines.clone(), abandoner.clone());
+        let timeouts = Timeouts::new(
+            clock,
+            settings.max_idle_ms(),
+            engines.clone(),
+            abandoner.clone(),
+            reporter.clone(),
+            reuses.clone(),
+        );
+        let closer = Closer::new(registry.clone(), clock, reporter.clone(), reuses.clone());
+        let allocator = ChannelAllocator::new(
+            registry.clone(),
+            clock,
+            executor,
+            settings,
+            engines.clone(),
+            reuses.clone(),
+        );
         Rc::new(EnginePool {
-            gate: RequestGate::new(registry.clone(), clock, engines.clone(), abandoner.clone()),
-            timeouts: Timeouts::new(
-                clock,
-                settings.max_idle_ms(),
-                engines.clone(),
-                abandoner.clone(),
-                reporter.clone(),
-                reuses.clone(),
-            ),
-            closer: Closer::new(registry.clone(), clock, reporter.clone(), reuses.clone()),
-            allocator: ChannelAllocator::new(
-                registry.clone(),
-                clock,
-                executor,
-                settings,
-                engines.clone(),
-                reuses.clone(),
-            ),
-            health_checks: Cell::default(),
-            read_buffer: RefCell::new(vec![0; READ_BUFFER_BYTES]),
             registry,
             clock,
             settings,
@@ -125,6 +123,12 @@
             silence,
             reporter,
             abandoner,
+            gate,
+            timeouts,
+            closer,
+            allocator,
+            health_checks: Cell::default(),
+            read_buffer: RefCell::new(vec![0; READ_BUFFER_BYTES]),
         })
     }
 
--- a/crates/dispatcher/src/engine/pool/channel_events.rs
+++ b/crates/dispatcher/src/engine/pool/channel_events.rs
@@ -40,7 +40,7 @@
 
     fn on_connected(&self, channel: &Channel) {
         let mut connection = channel.connection.borrow_mut();
-        if connection.state == ConnectionState::Late {
+        if connection.state() == ConnectionState::Late {
             self.registry.counters.connects_after_timeout.increment();
         }
         let engine_id = format_args!("{:08x}", channel.engine_id);
@@ -65,7 +65,7 @@
     fn on_frame(&self, channel: &Channel, frame: &Frame) -> Result<(), ProtocolError> {
         let now_ms = self.clock.now();
         let mut connection = channel.connection.borrow_mut();
-        if let Some(reuse) = connection.idle_reuse.take() {
+        if let Some(reuse) = connection.take_idle_reuse() {
             self.reuses.record_answered(now_ms, reuse);
         }
         let event = connection.receive(frame, now_ms)?;
--- a/crates/dispatcher/src/engine/pool/commands.rs
+++ b/crates/dispatcher/src/engine/pool/commands.rs
@@ -88,9 +88,9 @@
         let mut connection = channel.connection.borrow_mut();
         connection.submit(&request.id, request.fields, request.statement, attempt);
         let is_reused_now = |reuse: &IdleReuse| reuse.sent_ms == now_ms;
-        if let Some(reuse) = connection.idle_reuse.filter(is_reused_now) {
+        if let Some(reuse) = connection.idle_reuse().filter(is_reused_now) {
             self.reuses.begin(now_ms, reuse);
-            connection.check_at_ms = now_ms + self.check_after_ms(request.cost_ms);
+            connection.check_engine_at(now_ms + self.check_after_ms(request.cost_ms));
         }
         drop(connection);
         channel.notify.notify();
@@ -159,8 +159,7 @@
         let current = channel
             .connection
             .borrow()
-            .attempts
-            .get(&id)
+            .attempt(&id)
             .map(|attempt| attempt.number);
         if current == Some(number) {
             self.abandoner.abandon(&channel, &id, Outcome::Cancelled);
--- a/crates/dispatcher/src/engine/pool/reachability.rs
+++ b/crates/dispatcher/src/engine/pool/reachability.rs
@@ -54,7 +54,7 @@
         self.registry.counters.connect_timeouts.increment();
         let engine_id = channel.engine_id;
         let mut connection = channel.connection.borrow_mut();
-        let pending: Vec<Rc<str>> = connection.attempts.keys().cloned().collect();
+        let pending: Vec<Rc<str>> = connection.attempt_ids().collect();
         let health_checks = connection.on_connect_timeout();
         drop(connection);
         if !pending.is_empty() {
--- a/crates/dispatcher/src/engine/silence.rs
+++ b/crates/dispatcher/src/engine/silence.rs
@@ -80,11 +80,8 @@
             .with(engine_id, |engine| engine.channels().to_vec());
         for channel in channels.iter().flatten() {
             let mut connection = channel.connection.borrow_mut();
-            let is_busy = connection.in_flight() > 0;
-            let is_lost =
-                |reuse: &mut IdleReuse| is_busy && now_ms - reuse.sent_ms > MIN_SILENCE_MS;
-            if let Some(reuse) = connection.idle_reuse.take_if(is_lost) {
-                connection.close_reason = Some(CloseReason::ForgottenByEngine);
+            if let Some(reuse) = connection.take_silent_reuse(now_ms, MIN_SILENCE_MS) {
+                connection.close(CloseReason::ForgottenByEngine);
                 channel.notify.notify();
                 self.reuses.record_silent_loss(engine_id, reuse);
             }
@@ -99,7 +96,7 @@
             for channel in engine.channels() {
                 let mut connection = channel.connection.borrow_mut();
                 if connection.is_reused_in_silence() {
-                    connection.close_reason = Some(CloseReason::EngineUnreachable);
+                    connection.close(CloseReason::EngineUnreachable);
                     channel.notify.notify();
                 }
             }
--- a/crates/dispatcher/src/engine/timeouts.rs
+++ b/crates/dispatcher/src/engine/timeouts.rs
@@ -2,7 +2,7 @@
 
 use super::abandon::Abandoner;
 use super::channel::Channel;
-use super::connection::{CloseReason, Connection, ConnectionState};
+use super::connection::{CloseReason, Connection};
 use super::engine_table::EngineTable;
 use super::idle_reuse::ReuseTracker;
 use super::keep_alive::MIN_IDLE_MS;
@@ -12,10 +12,6 @@
 use std::rc::Rc;
 use tansymux::events::Outcome;
 
-/// A retired connection unused for this long (ms) is closed without writing its outbox: its engine does not read. Twice
-/// the operators' connect timeout.
-const LAST_WRITE_MS: f64 = 500.0;
-
 /// How long connections may currently idle.
 struct IdleLimits {
     /// Idle time (ms) that the keep-alive estimate trusts.
@@ -29,7 +25,7 @@
     /// stays open as the spare for the next attempt.
     fn limit(&self, connection: &Connection, was_used_last: bool) -> f64 {
         let keeps_spare = self.trusted_ms <= MIN_IDLE_MS;
-        if connection.unused && keeps_spare {
+        if connection.is_unused() && keeps_spare {
             self.allowed_ms
         } else if was_used_last {
             self.trusted_ms.min(self.allowed_ms)
@@ -134,14 +130,14 @@
         self.expire_health_checks(channel, now_ms);
         let mut connection = channel.connection.borrow_mut();
         if connection.take_stalled_frame(now_ms) {
-            connection.close_reason = Some(CloseReason::Protocol(ProtocolError::StalledFrame));
+            connection.close(CloseReason::Protocol(ProtocolError::StalledFrame));
             channel.notify.notify();
         }
         if connection.take_due_reachability_check(now_ms) {
             expired.unsure_engines.push(channel.engine_id);
         }
         let max_idle_ms = idle_limits.limit(&connection, entry.was_used_last);
-        if retire_if_idle(&mut connection, now_ms, max_idle_ms) {
+        if connection.retire_if_idle(now_ms, max_idle_ms) {
             channel.notify.notify();
         }
         expired.next_ms = expired.next_ms.min(connection.next_deadline_ms(now_ms));
@@ -150,20 +146,10 @@
     fn expire_health_checks(&self, channel: &Channel, now_ms: f64) {
         let mut connection = channel.connection.borrow_mut();
         let expired = connection.expire_health_checks(now_ms);
-        connection.retired |= expired.connection_silent;
+        if expired.connection_silent {
+            connection.retire();
+        }
         self.reporter
             .report_health(channel.engine_id, Outcome::Timeout, expired.count);
     }
 }
-
-/// Retires a connection that has idled for too long. Returns whether it is retired, by this call or before.
-fn retire_if_idle(connection: &mut Connection, now_ms: f64, max_idle_ms: f64) -> bool {
-    let is_idle = connection.state == ConnectionState::Up && connection.in_flight() == 0;
-    let unused_ms = now_ms - connection.last_used_ms;
-    connection.retired |= is_idle && unused_ms > max_idle_ms;
-    // The abort of its last attempt is still written, if the engine reads it.
-    if connection.retired && connection.in_flight() == 0 && unused_ms >= LAST_WRITE_MS {
-        connection.discard_unwritten();
-    }
-    connection.retired
-}
