--- a/crates/dispatcher/src/client/protocol.rs
+++ b/crates/dispatcher/src/client/protocol.rs
@@ -134,3 +134,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/dispatcher/src/discovery/departed_engines.rs
+++ b/crates/dispatcher/src/discovery/departed_engines.rs
@@ -47,3 +47,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/dispatcher/src/discovery/list_version.rs
+++ b/crates/dispatcher/src/discovery/list_version.rs
@@ -104,3 +104,6 @@
         self.unconfirmed = None;
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/dispatcher/src/engine/abandon.rs
+++ b/crates/dispatcher/src/engine/abandon.rs
@@ -1,7 +1,7 @@
 //! Abandons attempts: takes them off their connections and reports their ends.
 
 use super::channel::Channel;
-use super::connection::Abandoned;
+use super::connection::{Abandoned, Attempt};
 use super::reports::{AttemptReport, Reporter};
 use super::silence::{SilenceDetector, SilenceScope};
 use crate::clock::Clock;
@@ -69,19 +69,24 @@
             self.silence
                 .retire_idle(channel.engine_id, SilenceScope::Engine);
         }
+        let outcome = if was_sent {
+            outcome
+        } else {
+            unsent_outcome(outcome, is_up)
+        };
+        self.report(channel.engine_id, &attempt, outcome, now_ms);
+    }
+
+    fn report(&self, engine_id: u64, attempt: &Attempt, outcome: Outcome, now_ms: f64) {
         let report = AttemptReport {
             query_id: attempt.query_id,
             attempt: attempt.number,
-            outcome: if was_sent {
-                outcome
-            } else {
-                unsent_outcome(outcome, is_up)
-            },
-            engine_id: channel.engine_id,
+            outcome,
+            engine_id,
             latency_ms: now_ms - attempt.sent_ms,
             pages: Pages::new(),
         };
-        if report.outcome == Outcome::Cancelled {
+        if outcome == Outcome::Cancelled {
             self.reporter.report_abandoned(report);
         } else {
             self.reporter.report_ended(report);
--- a/crates/dispatcher/src/engine/descriptor_limit.rs
+++ b/crates/dispatcher/src/engine/descriptor_limit.rs
@@ -67,3 +67,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/dispatcher/src/engine/pool.rs
+++ b/crates/dispatcher/src/engine/pool.rs
@@ -49,8 +49,11 @@
     read_buffer: RefCell<Vec<u8>>,
 }
 
-/// The owners of state that others refer to.
+/// The dependencies of the pool's owners.
 struct Shared {
+    registry: Rc<QueryRegistry>,
+    clock: Clock,
+    settings: ConnectionSettings,
     engines: Rc<EngineTable>,
     reuses: Rc<ReuseTracker>,
     silence: Rc<SilenceDetector>,
@@ -59,7 +62,7 @@
 }
 
 impl Shared {
-    fn new(registry: &Rc<QueryRegistry>, clock: Clock, settings: &ConnectionSettings) -> Self {
+    fn new(registry: Rc<QueryRegistry>, clock: Clock, settings: ConnectionSettings) -> Self {
         let engines = Rc::new(EngineTable::default());
         let reuses = Rc::new(ReuseTracker::new(registry.clone(), clock));
         let silence = SilenceDetector::new(engines.clone(), reuses.clone(), clock);
@@ -72,6 +75,9 @@
             silence.clone(),
         );
         Shared {
+            registry,
+            clock,
+            settings,
             engines,
             reuses,
             silence,
@@ -79,6 +85,46 @@
             abandoner: Rc::new(abandoner),
         }
     }
+
+    fn gate(&self) -> RequestGate {
+        RequestGate::new(
+            self.registry.clone(),
+            self.clock,
+            self.engines.clone(),
+            self.abandoner.clone(),
+        )
+    }
+
+    fn timeouts(&self) -> Timeouts {
+        Timeouts::new(
+            self.clock,
+            self.settings.max_idle_ms(),
+            self.engines.clone(),
+            self.abandoner.clone(),
+            self.reporter.clone(),
+            self.reuses.clone(),
+        )
+    }
+
+    fn closer(&self) -> Closer {
+        Closer::new(
+            self.registry.clone(),
+            self.clock,
+            self.reporter.clone(),
+            self.reuses.clone(),
+        )
+    }
+
+    fn allocator(&self, executor: Rc<LocalExecutor<'static>>) -> ChannelAllocator {
+        ChannelAllocator::new(
+            self.registry.clone(),
+            self.clock,
+            executor,
+            self.settings,
+            self.engines.clone(),
+            self.reuses.clone(),
+        )
+    }
 }
 
 impl EnginePool {
@@ -89,46 +135,22 @@
         executor: Rc<LocalExecutor<'static>>,
         settings: ConnectionSettings,
     ) -> Rc<Self> {
-        let Shared {
-            engines,
-            reuses,
-            silence,
-            reporter,
-            abandoner,
-        } = Shared::new(&registry, clock, &settings);
-        let gate = RequestGate::new(registry.clone(), clock, engines.clone(), abandoner.clone());
-        let timeouts = Timeouts::new(
-            clock,
-            settings.max_idle_ms(),
-            engines.clone(),
-            abandoner.clone(),
-            reporter.clone(),
-            reuses.clone(),
-        );
-        let closer = Closer::new(registry.clone(), clock, reporter.clone(), reuses.clone());
-        let allocator = ChannelAllocator::new(
-            registry.clone(),
-            clock,
-            executor,
-            settings,
-            engines.clone(),
-            reuses.clone(),
-        );
+        let shared = Shared::new(registry, clock, settings);
         Rc::new(EnginePool {
-            registry,
-            clock,
-            settings,
-            engines,
-            reuses,
-            silence,
-            reporter,
-            abandoner,
-            gate,
-            timeouts,
-            closer,
-            allocator,
+            gate: shared.gate(),
+            timeouts: shared.timeouts(),
+            closer: shared.closer(),
+            allocator: shared.allocator(executor),
             health_checks: Cell::default(),
             read_buffer: RefCell::new(vec![0; READ_BUFFER_BYTES]),
+            registry: shared.registry,
+            clock: shared.clock,
+            settings: shared.settings,
+            engines: shared.engines,
+            reuses: shared.reuses,
+            silence: shared.silence,
+            reporter: shared.reporter,
+            abandoner: shared.abandoner,
         })
     }
 
--- a/crates/dispatcher/src/engine/protocol.rs
+++ b/crates/dispatcher/src/engine/protocol.rs
@@ -277,3 +277,6 @@
 fn number_field(fields: &[u8], name: &str) -> Option<usize> {
     resp::field(fields, name)?.parse().ok()
 }
+
+#[cfg(test)]
+mod tests;
