--- a/crates/dispatcher/src/client/http.rs
+++ b/crates/dispatcher/src/client/http.rs
@@ -28,7 +28,7 @@
     /// `Req-Wait-Ms`: how long (ms) the client waits for its answer.
     pub wait_ms: Option<&'a str>,
     /// `Req-Owner`: the tenant.
-    pub owner: Option<&'a str>,
+    pub tenant: Option<&'a str>,
     /// `Req-Cost`: estimated thread time (ms).
     pub cost_ms: Option<&'a str>,
     /// `X-Need-Mb`: estimated memory (MB).
@@ -51,7 +51,7 @@
             keep_alive: line.keep_alive,
             id: None,
             wait_ms: None,
-            owner: None,
+            tenant: None,
             cost_ms: None,
             memory_mb: None,
             idempotency_key: None,
@@ -71,7 +71,7 @@
         match field {
             RequestField::QueryId => &mut self.id,
             RequestField::WaitMs => &mut self.wait_ms,
-            RequestField::Tenant => &mut self.owner,
+            RequestField::Tenant => &mut self.tenant,
             RequestField::CostMs => &mut self.cost_ms,
             RequestField::MemoryMb => &mut self.memory_mb,
             RequestField::IdempotencyKey => &mut self.idempotency_key,
--- a/crates/dispatcher/src/client/http/tests.rs
+++ b/crates/dispatcher/src/client/http/tests.rs
@@ -15,7 +15,7 @@
         ("POST", "/invoke/report", size, 8)
     );
     assert_eq!(
-        (head.id, head.wait_ms, head.owner),
+        (head.id, head.wait_ms, head.tenant),
         (Some("9b1f03aa5c7e2d41"), Some("1500"), Some("acme"))
     );
     assert_eq!(
--- a/crates/dispatcher/src/client/reader/tests.rs
+++ b/crates/dispatcher/src/client/reader/tests.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn a_request_counts_from_its_own_last_byte_whatever_came_behind_it() {
+fn request_time_counts_from_its_own_last_byte_even_if_more_bytes_follow() {
     let reader = reader();
     let mut buffer = reader.buffer();
     receive(&mut buffer, b"first", 10.0);
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn with_too_many_marks_bytes_count_as_come_earlier_never_later() {
+fn at_the_limit_of_arrival_times_bytes_count_as_earlier_never_later() {
     let reader = reader();
     let mut buffer = reader.buffer();
     for nth in 0..500 {
--- a/crates/dispatcher/src/client/request.rs
+++ b/crates/dispatcher/src/client/request.rs
@@ -65,7 +65,7 @@
             .ok_or(RequestError::InvalidField(RequestField::MemoryMb))?;
         let keys = parse_keys(head)?;
         let named_group = parse_group(limits, head.path)?;
-        let tenant = parse_tenant(limits, head.owner.unwrap_or(""))?;
+        let tenant = parse_tenant(limits, head.tenant.unwrap_or(""))?;
         check_statement(body)?;
         Ok(ParsedRequest {
             id,
--- a/crates/dispatcher/src/client/session.rs
+++ b/crates/dispatcher/src/client/session.rs
@@ -131,7 +131,7 @@
         let permit = self.ledger.borrow_mut().may_answer();
         permit.map_err(|violation| {
             self.report(violation);
-            io::Error::other(violation.what)
+            io::Error::other(violation.description)
         })
     }
 
--- a/crates/dispatcher/src/clock/tests.rs
+++ b/crates/dispatcher/src/clock/tests.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn stamps_from_both_sides_of_a_step_are_translated() {
+fn timestamps_from_before_and_after_a_step_are_translated() {
     let now_ms = 50_000_000.0;
     for step_ms in [-HOUR_MS, -40_000.0, 40_000.0, HOUR_MS] {
         let offsets = stepped_by(&[step_ms]);
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_stamp_from_the_future_counts_as_now() {
+fn a_timestamp_in_the_future_counts_as_now() {
     let offsets = stepped_by(&[]);
     assert_eq!(offsets.translate_past(HOUR_MS + 5.0, 5.0), 5.0);
     // A little ahead is another machine's clock.
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn drift_is_no_step_and_the_number_of_steps_is_bounded() {
+fn drift_is_not_a_step_and_the_number_of_steps_is_bounded() {
     let mut offsets = stepped_by(&[]);
     for millis in 1..200 {
         assert_eq!(offsets.record(f64::from(millis)), None);
--- a/crates/dispatcher/src/discovery/directory/tests.rs
+++ b/crates/dispatcher/src/discovery/directory/tests.rs
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn an_older_update_is_believed_where_no_engine_would_stay_ready() {
+fn an_older_update_is_accepted_if_otherwise_no_engine_would_be_ready() {
     let mut directory = directory_of_two(5);
     assert!(matches!(
         directory.apply_answer(&answer(7, &[("s-9", false, 0.0)]), 11),
--- a/crates/dispatcher/src/engine/allocation.rs
+++ b/crates/dispatcher/src/engine/allocation.rs
@@ -40,6 +40,15 @@
     }
 }
 
+/// How a new connection gets its descriptor.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum Descriptor {
+    /// Immediately.
+    Granted,
+    /// Once [`ChannelAllocator::release`] grants it one that another connection held.
+    Queued,
+}
+
 /// Opens connections and allocates them to attempts.
 pub(super) struct ChannelAllocator {
     registry: Rc<QueryRegistry>,
@@ -121,10 +130,10 @@
             Some(best) if best.suitability <= Suitability::Fresh || !may_open => best.channel,
             _ if may_open => {
                 headroom.evictable.iter().for_each(|idle| idle.retire());
-                self.open(handler, engine, address)
+                self.open(handler, engine, address, Descriptor::Granted)
             }
             // It connects once another connection has closed.
-            _ if is_below_engine_limit => self.open_queued(handler, engine, address),
+            _ if is_below_engine_limit => self.open(handler, engine, address, Descriptor::Queued),
             _ => {
                 let engine_id = format_args!("{:08x}", request.engine_id);
                 tracing::warn!(%engine_id, "connection limit reached");
@@ -134,7 +143,7 @@
         // Where idle connections are not trusted, a spare is opened for the next attempt.
         let needs_spare = may_open && !headroom.is_limit_reached && max_idle_ms <= MIN_IDLE_MS;
         if needs_spare && !engine.has_spare_beside(&channel) {
-            self.open(handler, engine, address);
+            self.open(handler, engine, address, Descriptor::Granted);
         }
         Some(channel)
     }
@@ -154,56 +163,36 @@
     ) {
         for _ in 0..count {
             if self.is_below_engine_limit(engine) && !self.descriptors.is_reached() {
-                self.open(handler, engine, address);
+                self.open(handler, engine, address, Descriptor::Granted);
             }
         }
     }
 
+    /// Opens a connection and starts its task.
     fn open<H: ChannelHandler + 'static>(
         &self,
         handler: &Rc<H>,
         engine: &mut Engine,
         address: SocketAddr,
+        descriptor: Descriptor,
     ) -> Rc<Channel> {
-        let channel = self.new_channel(engine);
-        self.descriptors.grant(&channel);
-        self.spawn(handler, engine, &channel, address);
-        channel
-    }
-
-    /// A connection that connects once [`ChannelAllocator::release`] grants it a descriptor.
-    fn open_queued<H: ChannelHandler + 'static>(
-        &self,
-        handler: &Rc<H>,
-        engine: &mut Engine,
-        address: SocketAddr,
-    ) -> Rc<Channel> {
-        let channel = self.new_channel(engine);
-        self.registry.counters.waits_for_descriptor.increment();
-        self.descriptors.enqueue(channel.clone());
-        self.spawn(handler, engine, &channel, address);
-        channel
-    }
-
-    fn new_channel(&self, engine: &Engine) -> Rc<Channel> {
-        let number = self.registry.counters.engine_connections_opened.get() + 1;
+        let opened = &self.registry.counters.engine_connections_opened;
+        let number = opened.get() + 1;
         let now_ms = self.clock.now();
         let channel = Channel::new(number, engine.engine_id(), engine.process(), now_ms);
-        Rc::new(channel)
-    }
-
-    /// Starts the task of a connection.
-    fn spawn<H: ChannelHandler + 'static>(
-        &self,
-        handler: &Rc<H>,
-        engine: &mut Engine,
-        channel: &Rc<Channel>,
-        address: SocketAddr,
-    ) {
+        let channel = Rc::new(channel);
+        match descriptor {
+            Descriptor::Granted => self.descriptors.grant(&channel),
+            Descriptor::Queued => {
+                self.registry.counters.waits_for_descriptor.increment();
+                self.descriptors.enqueue(channel.clone());
+            }
+        }
         engine.add_channel(channel.clone());
-        self.registry.counters.engine_connections_opened.increment();
+        opened.increment();
         let task = channel_task::run(handler.clone(), channel.clone(), address);
         self.executor.spawn(task).detach();
+        channel
     }
 
     /// Closes idle connections in favour of those that wait for a descriptor.
--- a/crates/dispatcher/src/engine/connection/tests.rs
+++ b/crates/dispatcher/src/engine/connection/tests.rs
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn progress_notes_and_health_checks_are_told_apart() {
+fn progress_notes_and_health_checks_are_distinguished() {
     let mut connection = connection();
     submit(&mut connection, "i1", 4);
     connection.check_health("t1".into(), 6.0, 250.0);
--- a/crates/dispatcher/src/engine/keep_alive/tests.rs
+++ b/crates/dispatcher/src/engine/keep_alive/tests.rs
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn one_connection_at_a_time_tries_a_longer_idle_time_than_was_proven() {
+fn one_connection_at_a_time_tries_an_idle_time_above_the_proven_one() {
     let mut keep_alive = KeepAlive::default();
     assert_eq!(keep_alive.trusted_idle_ms(0.0), f64::INFINITY);
     keep_alive.begin_reuse(0.0, 900.0);
--- a/crates/dispatcher/src/engine/resp/tests.rs
+++ b/crates/dispatcher/src/engine/resp/tests.rs
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn an_array_can_be_begun_without_its_last_element() {
+fn an_array_can_be_written_without_its_last_element() {
     let mut bytes = Vec::new();
     write(&mut bytes, &[b"fetch", b"id", b"-"], Some(3));
     bytes.extend_from_slice(b"abc\r\n");
--- a/crates/dispatcher/src/guard/ledger.rs
+++ b/crates/dispatcher/src/guard/ledger.rs
@@ -30,7 +30,7 @@
         if std::mem::replace(&mut self.is_owed, true) {
             return Err(Violation {
                 rule: Rule::FinalAnswer,
-                what: "a request is handled before the one ahead of it is answered",
+                description: "a request is handled before the one ahead of it is answered",
             });
         }
         Ok(())
@@ -53,7 +53,7 @@
         }
         Err(Violation {
             rule: Rule::FinalAnswer,
-            what: "a second answer to a request",
+            description: "a second answer to a request",
         })
     }
 
@@ -73,7 +73,7 @@
         if self.is_owed {
             return Err(Violation {
                 rule: Rule::FinalAnswer,
-                what: "a connection closes while a request on it is owed an answer",
+                description: "a connection closes while a request on it is owed an answer",
             });
         }
         Ok(ClosePermit {
--- a/crates/dispatcher/src/guard/mod.rs
+++ b/crates/dispatcher/src/guard/mod.rs
@@ -176,7 +176,7 @@
         }
         Err(Violation {
             rule: Rule::FinalAnswer,
-            what: "the process ends while queries are owed an answer",
+            description: "the process ends while queries are owed an answer",
         })
     }
 }
--- a/crates/dispatcher/src/guard/tests.rs
+++ b/crates/dispatcher/src/guard/tests.rs
@@ -29,14 +29,13 @@
 }
 
 #[test]
-fn an_attempt_begins_with_the_time_that_is_left() {
+fn permit_has_the_remaining_time_as_its_limit() {
     let permit = Guard::default().may_begin(&facts(), 399.5).unwrap();
     assert_eq!(permit.limit_ms(), 600);
 }
 
 #[test]
 fn each_rule_refuses_an_attempt() {
-    use BeginRefusal as Why;
     let over = QueryFacts {
         is_over: true,
         ..query()
@@ -59,18 +58,30 @@
         ..facts()
     };
     let cases = [
-        (with_query(None), 0.0, Why::QueryOver),
-        (with_query(Some(over)), 0.0, Why::QueryOver),
-        (with_query(Some(other)), 0.0, Why::NotCurrentAttempt),
-        (facts(), 1000.0, Why::DeadlinePassed),
-        (facts(), 900.0, Why::TooLateToBegin),
-        (with_endpoint(None), 0.0, Why::EngineClosed),
-        (with_endpoint(Some(draining)), 0.0, Why::EngineClosed),
-        (with_endpoint(Some(replaced)), 0.0, Why::EngineReplaced),
+        (with_query(None), 0.0, BeginRefusal::QueryOver),
+        (with_query(Some(over)), 0.0, BeginRefusal::QueryOver),
+        (
+            with_query(Some(other)),
+            0.0,
+            BeginRefusal::NotCurrentAttempt,
+        ),
+        (facts(), 1000.0, BeginRefusal::DeadlinePassed),
+        (facts(), 900.0, BeginRefusal::TooLateToBegin),
+        (with_endpoint(None), 0.0, BeginRefusal::EngineClosed),
+        (
+            with_endpoint(Some(draining)),
+            0.0,
+            BeginRefusal::EngineClosed,
+        ),
+        (
+            with_endpoint(Some(replaced)),
+            0.0,
+            BeginRefusal::EngineReplaced,
+        ),
     ];
-    for (facts, now_ms, why) in cases {
+    for (facts, now_ms, refusal) in cases {
         let refused = Guard::default().may_begin(&facts, now_ms);
-        assert_eq!(refused.err(), Some(why));
+        assert_eq!(refused.err(), Some(refusal));
     }
 }
 
@@ -120,7 +131,7 @@
 }
 
 #[test]
-fn the_process_ends_only_with_nothing_owed() {
+fn the_process_may_end_only_when_no_answer_is_owed() {
     assert!(Guard::default().may_end(0).is_ok());
     assert!(Guard::default().may_end(1).is_err());
 }
--- a/crates/dispatcher/src/guard/violation.rs
+++ b/crates/dispatcher/src/guard/violation.rs
@@ -38,12 +38,17 @@
 pub struct Violation {
     /// The rule.
     pub rule: Rule,
-    /// What was refused.
-    pub what: &'static str,
+    /// The refused step.
+    pub description: &'static str,
 }
 
 impl fmt::Display for Violation {
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
-        write!(formatter, "rule {}: {}", self.rule.number(), self.what)
+        write!(
+            formatter,
+            "rule {}: {}",
+            self.rule.number(),
+            self.description
+        )
     }
 }
--- a/crates/dispatcher/src/query_registry/guarding.rs
+++ b/crates/dispatcher/src/query_registry/guarding.rs
@@ -75,7 +75,7 @@
         if let Some(rule) = refusal.violated_rule() {
             let violation = Violation {
                 rule,
-                what: "an attempt that may not begin came to its connection",
+                description: "an attempt that may not begin came to its connection",
             };
             self.report_violation(violation, Some(key.query_id));
         }
@@ -115,7 +115,7 @@
         tracing::error!(
             rule = violation.rule.number(),
             query_id,
-            reason = violation.what,
+            reason = violation.description,
             "invariant violated"
         );
         for line in self.trace.lines(query_id, MAX_TRACE_LINES) {
