--- a/crates/dispatcher/src/engine/silence.rs
+++ b/crates/dispatcher/src/engine/silence.rs
@@ -8,8 +8,8 @@
 use crate::clock::Clock;
 use std::rc::Rc;
 
-/// A reuse that was given up without any frame counts as lost if its engine is heard on another connection within this
-/// time (ms).
+/// A connection whose reuse was abandoned before any frame arrived counts as lost if its engine sends a frame on another
+/// connection within this time (ms).
 const SUSPICION_MS: f64 = 2000.0;
 
 /// Which idle connections are suspected along with a silent one.
@@ -38,8 +38,8 @@
         }
     }
 
-    /// Handles a connection that was reused after idling and given up without any frame. It counts as lost if its engine
-    /// is heard on another connection, before this call or within [`SUSPICION_MS`] after it: the engine or a middlebox
+    /// Handles a connection whose reuse after idling was abandoned before any frame arrived. It counts as lost if its engine
+    /// sent a frame on another connection since the reuse, or sends one within [`SUSPICION_MS`]: the engine or a middlebox
     /// had dropped the connection.
     pub fn on_silent_reuse(&self, engine_id: u64, reuse: IdleReuse) {
         let since_ms = self.clock.now();
@@ -80,11 +80,8 @@
             .with(engine_id, |engine| engine.channels().to_vec());
         for channel in channels.iter().flatten() {
             let mut connection = channel.connection.borrow_mut();
-            let is_busy = connection.in_flight() > 0;
-            let is_lost =
-                |reuse: &mut IdleReuse| is_busy && now_ms - reuse.sent_ms > MIN_SILENCE_MS;
-            if let Some(reuse) = connection.idle_reuse.take_if(is_lost) {
-                connection.close_reason = Some(CloseReason::ForgottenByEngine);
+            if let Some(reuse) = connection.take_silent_reuse(now_ms, MIN_SILENCE_MS) {
+                connection.close(CloseReason::ForgottenByEngine);
                 channel.notify.notify();
                 self.reuses.record_silent_loss(engine_id, reuse);
             }
@@ -99,7 +96,7 @@
             for channel in engine.channels() {
                 let mut connection = channel.connection.borrow_mut();
                 if connection.is_reused_in_silence() {
-                    connection.close_reason = Some(CloseReason::EngineUnreachable);
+                    connection.close(CloseReason::EngineUnreachable);
                     channel.notify.notify();
                 }
             }
