--- a/crates/rollout/src/zone_coordinator.rs
+++ b/crates/rollout/src/zone_coordinator.rs
@@ -1,139 +1,59 @@
-//! Zones of a fleet: connects the leader's evacuation controller and the member's follower (crates/zone-evacuation) with
-//! the quorum records and messages.
+//! Evacuation of zones in a fleet: connects the leader's evacuation controller and the member's follower
+//! (crates/zone-evacuation) with the quorum records and messages.
+
+mod commands;
+mod reporter;
+mod zone_records;
 
-use crate::message::{Answer, Command, ZoneList};
-use crate::quorum_records::propose;
 use crate::rollout_controller::RolloutController;
-use rand::{RngExt, SeedableRng};
-use rand_pcg::Pcg32;
-use std::collections::{BTreeMap, VecDeque};
+use reporter::ZoneReporter;
+use std::collections::BTreeMap;
 use tansymux_coordination::disruption_budget::Unit;
-use tansymux_coordination::{Id, LeasedRecord, Proposal, QuorumNode, Record, RecordValue};
+use tansymux_coordination::{Id, QuorumNode, Record};
 use tansymux_zone_evacuation::codec::{LeaderReply, ZoneEntry};
 use tansymux_zone_evacuation::{
-    Config, EvacuationController, EvacuationFollower, EvacuationRefused, Evidence, FollowerEvent,
-    Initiator, MemberPresence, MemberReport, QuotaGrant, Reason, Stage, ZoneId, ZoneStatus,
-    MAX_ZONES,
+    Config, EvacuationController, EvacuationFollower, Evidence, FollowerEvent, MemberPresence,
+    MemberReport, QuotaGrant, ZoneId, ZoneStatus, MAX_ZONES,
 };
+use zone_records::{agreed_statuses, write_status};
 
-/// Interval between two reports to the leader (ms), spread by a fifth.
-const REPORT_INTERVAL_MS: f64 = 700.0;
 /// Interval between two evaluations by the leader (ms).
 const EVALUATION_INTERVAL_MS: f64 = 200.0;
-/// Reports whose answers are awaited.
-const MAX_AWAITED_REPORTS: usize = 32;
-/// Numbers of an operator's evacuation begin at the time in this unit (ms), so that they go up over restarts.
-const NUMBER_UNIT_MS: f64 = 100.0;
-
-/// A report whose answer is awaited.
-#[derive(Debug, Clone, Copy)]
-struct AwaitedReport {
-    number: u32,
-    sent_ms: f64,
-}
-
-/// A member's part in the evacuation of zones, and the leader's.
+/// The evacuation of zones at one member, and the leader's decisions about it.
 #[derive(Debug, Clone)]
 pub struct ZoneCoordinator {
     controller: EvacuationController,
-    /// What this member does about zones.
+    /// How this member uses zones.
     pub follower: EvacuationFollower,
-    /// The leadership of which the controller's state is.
+    /// When the leadership began to which the controller's state belongs.
     leader_since_ms: Option<f64>,
     last_evaluation_ms: f64,
-    evidence: Vec<Evidence>,
-    is_isolated: bool,
-    session: u32,
-    next_report_ms: f64,
-    last_report_number: u32,
-    awaited_reports: VecDeque<AwaitedReport>,
-    rng: Pcg32,
-}
-
-/// The states of all zones that a majority accepted, or may have.
-fn agreed_states(node: &QuorumNode) -> BTreeMap<ZoneId, ZoneStatus> {
-    node.all_active().filter_map(zone_state).collect()
-}
-
-/// A record as the state of a zone; none: it is another record, or of a later version.
-fn zone_state(leased: LeasedRecord) -> Option<(ZoneId, ZoneStatus)> {
-    let RecordValue::Zone {
-        zone,
-        stage,
-        step,
-        reason,
-        number,
-    } = leased.record.value
-    else {
-        return None;
-    };
-    let state = ZoneStatus {
-        stage: Stage::from_code(stage)?,
-        step,
-        decision_number: number,
-        reason: Reason::from_code(reason)?,
-    };
-    Some((zone, state))
-}
-
-fn write_state(node: &mut QuorumNode, zone: ZoneId, state: Option<ZoneStatus>, now_ms: f64) {
-    let key = Record::zone_key(zone);
-    let proposal = match state {
-        Some(state) => Proposal::lasting(
-            key,
-            RecordValue::Zone {
-                zone,
-                stage: state.stage.code(),
-                step: state.step,
-                reason: state.reason.code(),
-                number: state.decision_number,
-            },
-        ),
-        None => Proposal::tombstone(key),
-    };
-    propose(node, &[proposal], now_ms);
-}
-
-/// Done once a majority accepted the state of a zone.
-fn when_chosen(node: &QuorumNode, zone: ZoneId) -> Answer {
-    if node.is_chosen(Record::zone_key(zone)) {
-        Answer::Done
-    } else {
-        Answer::Pending
-    }
+    reporter: ZoneReporter,
 }
 
 impl ZoneCoordinator {
-    /// A member of a zone at its start.
+    /// A member in `own_zone` at its start. `seed` has to be drawn at each start.
     pub fn new(own_zone: ZoneId, config: Config, session: u32, now_ms: f64, seed: u64) -> Self {
         ZoneCoordinator {
             follower: EvacuationFollower::new(own_zone, config.autonomy_after_ms, now_ms),
             controller: EvacuationController::new(config),
             leader_since_ms: None,
             last_evaluation_ms: f64::NEG_INFINITY,
-            evidence: Vec::new(),
-            is_isolated: false,
-            session,
-            next_report_ms: f64::NEG_INFINITY,
-            last_report_number: 0,
-            awaited_reports: VecDeque::new(),
-            rng: Pcg32::seed_from_u64(seed),
+            reporter: ZoneReporter::new(session, seed),
         }
     }
 
-    /// Takes over a new configuration.
+    /// Replaces the configuration.
     pub fn set_config(&mut self, config: Config) {
         self.controller.set_config(config);
     }
 
-    /// Takes over what this dispatcher observes of zones. `is_isolated`: it takes itself for cut off.
+    /// Replaces this dispatcher's observations of zones. `is_isolated`: the dispatcher reaches no zone.
     pub fn observe(&mut self, evidence: Vec<Evidence>, is_isolated: bool) {
-        self.evidence = evidence;
-        self.is_isolated = is_isolated;
-        self.evidence.truncate(MAX_ZONES);
+        self.reporter.set_evidence(evidence, is_isolated);
     }
 
-    /// Takes over the engines of the endpoint list: their cores are the capacity of their zone.
+    /// Replaces the engines by those of the endpoint list. Their cores are the capacity of their zone.
     pub fn set_engines(&mut self, engines: &[Unit]) {
         let mut cores: BTreeMap<ZoneId, f64> = BTreeMap::new();
         for engine in engines {
@@ -143,58 +63,35 @@
         self.controller.set_capacity(&cores);
     }
 
-    /// The report to the leader that is due; none: nothing before [`ZoneCoordinator::next_poll_ms`].
+    /// The report to the leader that is due; `None`: nothing is due before [`ZoneCoordinator::next_poll_ms`].
     pub fn poll(&mut self, now_ms: f64) -> Option<MemberReport> {
-        if now_ms < self.next_report_ms {
-            return None;
-        }
-        let spread = 0.9 + 0.2 * self.rng.random::<f64>();
-        self.next_report_ms = now_ms + REPORT_INTERVAL_MS * spread;
-        self.last_report_number = self.last_report_number.wrapping_add(1);
-        self.awaited_reports.push_back(AwaitedReport {
-            number: self.last_report_number,
-            sent_ms: now_ms,
-        });
-        if self.awaited_reports.len() > MAX_AWAITED_REPORTS {
-            self.awaited_reports.pop_front();
-        }
-        Some(MemberReport {
-            session: self.session,
-            sequence_number: self.last_report_number,
-            is_isolated: self.is_isolated,
-            zones: self.evidence.clone(),
-        })
+        self.reporter.poll(now_ms)
     }
 
     /// When to poll again (ms).
     pub fn next_poll_ms(&self) -> f64 {
-        self.next_report_ms
+        self.reporter.next_report_ms()
     }
 
-    /// The leader's answer to a report. Each is taken once; quotas count from when the report was sent.
+    /// Handles the leader's answer to a report, once for each report. The term of a quota begins when the report was sent.
     pub fn on_plan(&mut self, reply: &LeaderReply, now_ms: f64) {
-        let position = self
-            .awaited_reports
-            .iter()
-            .position(|report| report.number == reply.sequence_number);
-        let Some(report) = position.and_then(|position| self.awaited_reports.remove(position))
-        else {
+        let Some(sent_ms) = self.reporter.take_sent_ms(reply.sequence_number) else {
             return;
         };
-        let states: Vec<(ZoneId, ZoneStatus)> = reply
+        let statuses: Vec<(ZoneId, ZoneStatus)> = reply
             .zones
             .iter()
             .map(|entry| (entry.zone, entry.status))
             .collect();
         self.follower
-            .handle(FollowerEvent::DecisionsReceived(&states), now_ms);
+            .handle(FollowerEvent::DecisionsReceived(&statuses), now_ms);
         let config = self.controller.config();
         for entry in &reply.zones {
             let grant = QuotaGrant {
                 zone: entry.zone,
                 decision_number: entry.status.decision_number,
                 quota: f64::from(entry.quota),
-                requested_ms: report.sent_ms,
+                requested_ms: sent_ms,
                 term_ms: config.quota_term_ms,
                 clock_skew: config.clock_skew,
             };
@@ -203,7 +100,7 @@
         }
     }
 
-    /// A member's report, and the answer of a leader that is settled.
+    /// Handles a member's report; returns the answer if this node is a settled leader.
     pub fn on_report(
         &mut self,
         rollout: &RolloutController,
@@ -223,17 +120,17 @@
         }
         let grants_quotas = self.grants_quotas(node, now_ms);
         let mut zones = Vec::new();
-        for (zone, state) in agreed_states(node).into_iter().take(MAX_ZONES) {
+        for (zone, status) in agreed_statuses(node).into_iter().take(MAX_ZONES) {
             let demand = demands.get(&zone).copied().unwrap_or(0.0);
             let quota = if grants_quotas {
                 self.controller
-                    .request_quota(from, zone, demand, state, now_ms)
+                    .request_quota(from, zone, demand, status, now_ms)
             } else {
                 0.0
             };
             zones.push(ZoneEntry {
                 zone,
-                status: state,
+                status,
                 quota: quota as f32,
             });
         }
@@ -243,7 +140,7 @@
         })
     }
 
-    /// Whether all quotas of an earlier leader have ended.
+    /// Whether all quotas that an earlier leader granted have ended.
     fn grants_quotas(&self, node: &QuorumNode, now_ms: f64) -> bool {
         let config = self.controller.config();
         let wait_ms = config.quota_term_ms * (1.0 + 2.0 * config.clock_skew);
@@ -251,7 +148,7 @@
             .is_some_and(|since_ms| now_ms - since_ms >= wait_ms)
     }
 
-    /// The leader's periodic evaluation of what members observe. `members`: whether each is there.
+    /// Runs the leader's periodic evaluation of members' observations. `members`: whether each is present.
     pub fn evaluate(
         &mut self,
         rollout: &RolloutController,
@@ -278,126 +175,13 @@
         if !rollout.is_settled_leader(node, now_ms) {
             return;
         }
-        let states = agreed_states(node);
-        for decision in self.controller.evaluate(&states, now_ms) {
-            // One change of a zone at a time: while a record is not chosen, the next evaluation decides again.
+        let statuses = agreed_statuses(node);
+        for decision in self.controller.evaluate(&statuses, now_ms) {
+            // A zone has one change in flight: while its record is not chosen, the next evaluation decides again.
             let key = Record::zone_key(decision.zone);
             if node.active(key).is_none() || node.is_chosen(key) {
-                write_state(node, decision.zone, decision.status, now_ms);
-            }
-        }
-    }
-
-    /// An operator's command about zones.
-    pub fn on_command(
-        &mut self,
-        rollout: &RolloutController,
-        node: &mut QuorumNode,
-        command: Command,
-        now_ms: f64,
-    ) -> Answer {
-        if !rollout.is_settled_leader(node, now_ms) {
-            return Answer::NoLeader;
-        }
-        let states = agreed_states(node);
-        match command {
-            Command::EvacuateZone { zone, dry_run } => {
-                self.evacuate(node, &states, zone, dry_run, now_ms)
-            }
-            Command::ReturnToZone { zone } => return_to_zone(node, &states, zone, now_ms),
-            _ => {
-                let mut list = ZoneList::default();
-                for (entry, (zone, state)) in list.iter_mut().zip(states) {
-                    *entry = Some(ZoneEntry {
-                        zone,
-                        status: state,
-                        quota: self.controller.granted_total(zone) as f32,
-                    });
-                }
-                Answer::Zones(list)
-            }
-        }
-    }
-
-    fn evacuate(
-        &mut self,
-        node: &mut QuorumNode,
-        states: &BTreeMap<ZoneId, ZoneStatus>,
-        zone: ZoneId,
-        dry_run: bool,
-        now_ms: f64,
-    ) -> Answer {
-        let current = states.get(&zone);
-        let is_evacuated = current.is_some_and(|state| {
-            state.stage == Stage::Evacuated && state.reason == Reason::Operator
-        });
-        if is_evacuated {
-            return when_chosen(node, zone);
-        }
-        if let Some(refusal) = self.evacuation_refusal(zone, states, now_ms) {
-            return refusal;
-        }
-        if dry_run {
-            return Answer::Done;
-        }
-        let current_number = current.map_or(0, |state| state.decision_number);
-        let time_number = (now_ms / NUMBER_UNIT_MS) as u64 as u32;
-        let state = ZoneStatus {
-            stage: Stage::Evacuated,
-            step: 0,
-            decision_number: current_number.max(time_number) + 1,
-            reason: Reason::Operator,
-        };
-        write_state(node, zone, Some(state), now_ms);
-        when_chosen(node, zone)
-    }
-
-    /// Why a zone may not be evacuated by an operator.
-    fn evacuation_refusal(
-        &mut self,
-        zone: ZoneId,
-        states: &BTreeMap<ZoneId, ZoneStatus>,
-        now_ms: f64,
-    ) -> Option<Answer> {
-        let checked = self
-            .controller
-            .check_evacuation(zone, states, Initiator::Operator, now_ms);
-        match checked {
-            Ok(()) => None,
-            Err(EvacuationRefused::InsufficientCapacity {
-                load_threads,
-                capacity_threads,
-            }) => Some(Answer::InsufficientCapacity {
-                load: load_threads as f32,
-                remaining: capacity_threads as f32,
-            }),
-            Err(EvacuationRefused::TooManyCores { fraction }) => {
-                Some(Answer::TooManyCoresEvacuated {
-                    fraction: fraction as f32,
-                })
+                write_status(node, decision.zone, decision.status, now_ms);
             }
         }
     }
 }
-
-fn return_to_zone(
-    node: &mut QuorumNode,
-    states: &BTreeMap<ZoneId, ZoneStatus>,
-    zone: ZoneId,
-    now_ms: f64,
-) -> Answer {
-    match states.get(&zone) {
-        None => Answer::Already,
-        Some(state) if state.stage == Stage::Recovering => Answer::Done,
-        Some(state) => {
-            let returning = ZoneStatus {
-                stage: Stage::Recovering,
-                step: 0,
-                decision_number: state.decision_number.wrapping_add(1),
-                reason: Reason::Operator,
-            };
-            write_state(node, zone, Some(returning), now_ms);
-            Answer::Pending
-        }
-    }
-}
