--- a/crates/rollout/src/call_table.rs
+++ b/crates/rollout/src/call_table.rs
@@ -1,20 +1,20 @@
-//! The calls of clients that a member has under way.
+//! The clients' calls in progress at a member.
 
 use crate::message::{Answer, Command};
 use rand::RngExt;
 use rand_pcg::Pcg32;
 use std::net::SocketAddr;
 
-/// Calls under way, nonces without a call included.
+/// Limit on the calls in progress, nonces without a call included.
 const MAX_CALLS: usize = 64;
-/// A call is kept for this long (ms), so that its answer can be sent again.
+/// Retention of a call (ms), so that its answer can be sent again.
 const RETENTION_MS: f64 = 20_000.0;
-/// The leader is asked again after this long (ms).
+/// Interval between two attempts to send a command to the leader (ms).
 const RETRY_INTERVAL_MS: f64 = 250.0;
-/// A call that the leader did not answer for this long has timed out (ms).
+/// Time after which a call without an answer has timed out (ms).
 const CALL_TIMEOUT_MS: f64 = 4000.0;
 
-/// A command that the leader is asked.
+/// A command to the leader that has no answer yet.
 #[derive(Debug, Clone, Copy)]
 struct PendingCommand {
     command: Command,
@@ -27,9 +27,9 @@
     call: u64,
     nonce: u64,
     pub(crate) from: SocketAddr,
-    /// When the nonce was drawn, then when the command came.
+    /// When the nonce was drawn; once the command arrived, the time of that.
     since_ms: f64,
-    /// None before the command came.
+    /// `None` before the command arrived.
     command: Option<PendingCommand>,
     pub(crate) answer: Option<Answer>,
 }
@@ -40,13 +40,13 @@
     }
 }
 
-/// What is due for the calls.
+/// Commands to send and calls that timed out.
 #[derive(Debug, Default)]
 pub(crate) struct DueCalls {
-    /// Calls and commands to ask the leader.
+    /// Calls, with the commands to send to the leader.
     pub(crate) commands: Vec<(u64, Command)>,
     pub(crate) timed_out: Vec<u64>,
-    /// When something is due next (ms).
+    /// When the next command is due (ms).
     pub(crate) next_ms: f64,
 }
 
@@ -57,7 +57,7 @@
 }
 
 impl CallTable {
-    /// The nonce of a call, drawn at its first message; none: the table is full.
+    /// The nonce of a call, drawn at its first message; `None`: the table is full.
     pub(crate) fn nonce_for(
         &mut self,
         call: u64,
@@ -85,7 +85,7 @@
         Some(nonce)
     }
 
-    /// Takes in the command of a call, if the nonce is right. Gives the answer where there is one already.
+    /// Stores the command of a call, if the nonce is right. Returns the answer, if it arrived before.
     pub(crate) fn start(
         &mut self,
         call: u64,
@@ -116,7 +116,7 @@
             .find(|known| known.call == call && known.answer.is_none())
     }
 
-    /// What is due now. Commands that are due count as asked.
+    /// The commands that are due, which count as sent, and the calls that timed out.
     pub(crate) fn take_due(&mut self, now_ms: f64) -> DueCalls {
         let mut due = DueCalls {
             next_ms: f64::INFINITY,
--- a/crates/rollout/src/canary_analysis.rs
+++ b/crates/rollout/src/canary_analysis.rs
@@ -1,16 +1,16 @@
-//! Canary analysis: whether released dispatchers serve worse than the others, by paired differences of the same time and
-//! zone, and a one-sided t test.
+//! Canary analysis: whether released dispatchers perform worse than the others. It compares success rates in pairs of the
+//! same time window and zone, by a one-sided t test.
 
 use statrs::distribution::{ContinuousCDF, StudentsT};
 use std::collections::BTreeMap;
 
-/// Pairs that are kept of each release.
+/// Limit on the pairs of one release.
 const MAX_PAIRS: usize = 240;
-/// Windows of zones that may be open at a time.
+/// Limit on the open windows, over all zones.
 const MAX_OPEN_WINDOWS: usize = 256;
-/// A t test needs at least this many pairs, whatever is configured.
+/// Minimum number of pairs for a t test, whatever is configured.
 const MIN_TEST_PAIRS: usize = 3;
-/// Least standard error: windows without any failure on both sides have no variance, and a success rate has no finer
+/// Minimum standard error: windows without any failure on both sides have no variance, and a success rate has no finer
 /// resolution than this.
 const MIN_STANDARD_ERROR: f64 = 1e-3;
 
@@ -19,13 +19,13 @@
 pub struct AnalysisConfig {
     /// Length of a window (ms): reports of one window are compared with each other.
     pub window_ms: f64,
-    /// Probability that a release is called worse by chance alone, over all its evaluations together.
+    /// Significance level: probability of a false alarm over all evaluations of a release.
     pub significance: f64,
-    /// A difference of the success rate that is smaller than this counts as none.
+    /// Minimum difference of the success rate that counts.
     pub min_difference: f64,
-    /// With fewer pairs the analysis is inconclusive.
+    /// Minimum number of pairs; with fewer the analysis is inconclusive.
     pub min_pairs: usize,
-    /// Requests that each side of a pair needs.
+    /// Minimum number of requests on each side of a pair.
     pub min_requests: u32,
 }
 
@@ -44,9 +44,9 @@
 /// Requests of one side in a window.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct RequestCount {
-    /// Those that succeeded.
+    /// Requests that succeeded.
     pub succeeded: u32,
-    /// All.
+    /// All requests.
     pub total: u32,
 }
 
@@ -76,21 +76,21 @@
 /// Result of an evaluation.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum AnalysisResult {
-    /// Too few pairs yet.
+    /// There are too few pairs.
     Inconclusive {
-        /// Pairs so far.
+        /// Number of pairs.
         pairs: usize,
     },
     /// Not significantly worse.
     NotWorse {
-        /// Pairs so far.
+        /// Number of pairs.
         pairs: usize,
-        /// Mean difference of the success rate, below 0 where the released dispatchers do worse.
+        /// Mean difference of the success rate, below 0 where the released dispatchers perform worse.
         mean_difference: f64,
     },
     /// Significantly worse.
     Worse {
-        /// Pairs so far.
+        /// Number of pairs.
         pairs: usize,
         /// Mean difference of the success rate, below 0.
         mean_difference: f64,
@@ -109,9 +109,9 @@
     /// Windows that are not closed, by their number and zone.
     open: BTreeMap<(u64, u32), Window>,
     differences: Vec<f64>,
-    /// Evaluations with enough pairs, each with new ones.
+    /// Number of evaluations that had enough pairs, and new ones among them.
     evaluations: u32,
-    /// Pairs at the last such evaluation.
+    /// Number of pairs at the last of these evaluations.
     evaluated_pairs: usize,
 }
 
@@ -132,7 +132,7 @@
     /// Closes the windows before this one, and evaluates the pairs.
     ///
     /// The n-th evaluation with new pairs spends 1/(n(n+1)) of the significance. These fractions add up to one, so that
-    /// frequent evaluation does not find what is not there.
+    /// frequent evaluation does not raise the probability of a false alarm.
     pub fn evaluate(&mut self, config: &AnalysisConfig, window: u64) -> AnalysisResult {
         self.close_windows_before(window, config.min_requests);
         let pairs = self.differences.len();
@@ -179,8 +179,8 @@
     p_value: f64,
 }
 
-/// Mean of the differences, and the probability of one as low where there is no difference: a one-sided paired t test
-/// (Student, "The probable error of a mean", 1908).
+/// One-sided paired t test (Student, "The probable error of a mean", 1908): the mean of the differences, and the
+/// probability of a mean as low if the true difference is zero.
 fn paired_t_test(differences: &[f64]) -> TestResult {
     let count = differences.len() as f64;
     let mean = differences.iter().sum::<f64>() / count;
--- a/crates/rollout/src/engine_outcomes.rs
+++ b/crates/rollout/src/engine_outcomes.rs
@@ -1,20 +1,20 @@
-//! Whether an engine fails, as one dispatcher observes it. It only reports that; the leader ejects the engine when enough
-//! dispatchers agree and the disruption budget allows it.
+//! Whether an engine fails, as one dispatcher observes it. The dispatcher reports the engine; the leader ejects it when
+//! enough dispatchers agree and the disruption budget allows it.
 
 use std::collections::BTreeMap;
 use tansymux_coordination::Id;
 
-/// Outcomes are counted in two intervals of this length (ms), so that one counts for one to two of them.
+/// Length of a counting interval (ms). The present and the previous interval count.
 const INTERVAL_MS: f64 = 5000.0;
-/// Engines whose outcomes are counted.
+/// Limit on the engines whose outcomes are counted.
 const MAX_ENGINES: usize = 1024;
 
 /// When an engine counts as failing.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FailureThreshold {
-    /// Attempts that it needs at least.
+    /// Minimum number of attempts.
     pub min_attempts: u32,
-    /// Fraction of them that failed, at least.
+    /// Minimum fraction of attempts that failed.
     pub failure_fraction: f64,
 }
 
@@ -52,7 +52,7 @@
     previous: AttemptCount,
 }
 
-/// How recent attempts to each engine ended.
+/// Outcomes of recent attempts, by engine.
 #[derive(Debug, Clone, Default)]
 pub struct EngineOutcomes {
     engines: BTreeMap<Id, EngineCounts>,
@@ -92,8 +92,8 @@
             .retain(|_, counts| counts.current.total > 0 || counts.previous.total > 0);
     }
 
-    /// The engine with the highest failure fraction, if it reaches the threshold and the others together do not reach
-    /// half of it: where all engines fail, the fault is elsewhere.
+    /// The engine with the highest failure fraction, if that reaches the threshold and the fraction of all other engines
+    /// together is below half of it. If all engines fail, the cause is elsewhere.
     pub fn failing_engine(&mut self, threshold: &FailureThreshold, now_ms: f64) -> Option<Id> {
         self.rotate_intervals(now_ms);
         let totals = self
--- a/crates/rollout/src/fleet_client.rs
+++ b/crates/rollout/src/fleet_client.rs
@@ -1,4 +1,4 @@
-//! A client of the fleet: one command to one member. Without I/O.
+//! A client of the fleet: sends one command to one member. It does no I/O.
 
 use crate::codec;
 use crate::message::{Answer, Command, Message};
@@ -8,22 +8,22 @@
 use tansymux_membership::codec as membership_codec;
 use tansymux_membership::{DatagramAuthenticator, Keys};
 
-/// An unanswered message is sent again after this long (ms).
+/// Retransmission interval of an unanswered message (ms).
 const RETRY_INTERVAL_MS: f64 = 200.0;
-/// A call without an answer has timed out after this long (ms).
+/// Time after which a call without an answer has timed out (ms).
 const CALL_TIMEOUT_MS: f64 = 6000.0;
 
-/// What a client wants done.
+/// An output of a client, to be executed by the caller.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ClientAction {
     /// Send a datagram to the member that is called. It may be lost.
     Send {
-        /// Its bytes.
+        /// The bytes.
         datagram: Vec<u8>,
     },
 }
 
-/// One call. The member first gives a nonce, then takes the command.
+/// One call: the client requests a nonce from the member, then sends the command with it.
 #[derive(Debug, Clone)]
 pub struct FleetClient {
     id: Id,
@@ -37,7 +37,7 @@
 }
 
 impl FleetClient {
-    /// A call. `seed` has to be drawn for each of them.
+    /// A call that begins now. `seed` has to be drawn for each call.
     pub fn new(keys: Keys, command: Command, now_ms: f64, seed: u64) -> Self {
         let mut rng = Pcg32::seed_from_u64(seed);
         let id = rng.random();
@@ -54,12 +54,12 @@
         }
     }
 
-    /// The answer; [`Answer::NoLeader`] where none came in time.
+    /// The answer; [`Answer::NoLeader`] once the call timed out.
     pub fn answer(&self) -> Option<Answer> {
         self.answer
     }
 
-    /// Takes in a datagram. One that is no answer to this call is passed over.
+    /// Handles a datagram. Datagrams that do not answer this call are ignored.
     pub fn handle(&mut self, datagram: &[u8]) {
         let Some(sender) = membership_codec::peek_sender(datagram) else {
             return;
@@ -80,7 +80,7 @@
         }
     }
 
-    /// The next action that is due; none: nothing before [`FleetClient::next_poll_ms`], or all is done.
+    /// The next action; `None`: nothing is due before [`FleetClient::next_poll_ms`], or the call is over.
     pub fn poll(&mut self, now_ms: f64) -> Option<ClientAction> {
         if now_ms - self.since_ms >= CALL_TIMEOUT_MS {
             self.answer.get_or_insert(Answer::NoLeader);
--- a/crates/rollout/src/fleet_node.rs
+++ b/crates/rollout/src/fleet_node.rs
@@ -1,5 +1,6 @@
-//! One whole member of a fleet: membership, voter, rollout controller, its own reports and the calls of clients.
+//! A member of a fleet: connects membership, the voter, the rollout controller, the agent and the zone coordinator.
 
+mod interface;
 mod messages;
 
 use crate::codec;
@@ -8,82 +9,31 @@
 use crate::rollout_config::RolloutConfig;
 use crate::rollout_controller::RolloutController;
 use crate::zone_coordinator::ZoneCoordinator;
+pub use interface::{FleetAction, FleetConfig, FleetEvent};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
-use std::net::SocketAddr;
 use tansymux_coordination::disruption_budget::Unit;
 use tansymux_coordination::{
-    Action, DisruptionReason, Id, Outbox, QuorumConfig, QuorumNode, Record, Role, UnitKind,
-    VoterMemory, VoterStart,
+    Action, DisruptionReason, Id, Outbox, QuorumNode, Record, Role, UnitKind, VoterMemory,
+    VoterStart,
 };
 use tansymux_membership::{
     member_id_of, Event as MembershipEvent, Keys, MemberState, SwimDetector,
 };
 
-/// Messages to itself may cause more of them, this many rounds in one poll.
+/// Limit on the rounds in one poll in which a member handles messages to itself; each round may send further ones.
 const MAX_LOCAL_ROUNDS: usize = 4;
 
-/// What a member is given at its start.
-#[derive(Debug, Clone)]
-pub struct FleetConfig {
-    /// Its name, unique in the fleet.
-    pub name: String,
-    /// The address that other members reach it at.
-    pub address: SocketAddr,
-    /// Names of the voters.
-    pub voters: Vec<String>,
-    /// Failure detection.
-    pub membership: tansymux_membership::Config,
-    /// Timing of the voters.
-    pub quorum: QuorumConfig,
-    /// Keys of the datagrams.
-    pub keys: Keys,
-    /// No voter ever voted before: the first start of an installation.
-    pub fresh: bool,
-    /// The restart lease under which it is started, so that it is known to be back; 0: none.
-    pub grant_id: u64,
-    /// Rollouts and disruption budgets.
-    pub rollout: RolloutConfig,
-    /// The zone of this member, and how the fleet evacuates zones; none: each member decides for itself.
-    pub zones: Option<(u32, tansymux_zone_evacuation::Config)>,
-}
-
-/// What happened to a member.
-#[derive(Debug, Clone, Copy, PartialEq)]
-pub enum FleetEvent<'a> {
-    /// A datagram came.
-    DatagramReceived {
-        /// Its sender.
-        from: SocketAddr,
-        /// Its bytes.
-        datagram: &'a [u8],
-    },
-    /// The dispatcher is about to stop: the other members are notified at once.
-    LeaveRequested,
-}
-
-/// What a member wants done.
-#[derive(Debug, Clone, PartialEq)]
-pub enum FleetAction {
-    /// Send a datagram. It may be lost.
-    Send {
-        /// The receiver.
-        to: SocketAddr,
-        /// Its bytes.
-        datagram: Vec<u8>,
-    },
-}
-
-/// One member. Drive it with [`FleetNode::handle`] and [`FleetNode::poll`].
+/// A member. Drive it with [`FleetNode::handle`] and [`FleetNode::poll`].
 #[derive(Debug, Clone)]
 pub struct FleetNode {
     detector: SwimDetector,
-    /// Only voters have one.
+    /// `Some` at voters only.
     quorum: Option<QuorumNode>,
     controller: RolloutController,
     agent: MemberAgent,
     zones: Option<ZoneCoordinator>,
-    /// Messages to itself.
+    /// Messages of the member to itself.
     local_messages: Vec<Message>,
     now_ms: f64,
     outbox: Outbox<FleetAction>,
@@ -108,18 +58,9 @@
             config.keys.clone(),
             rng.random(),
         );
-        let quorum = voters.contains(&id).then(|| {
-            let start = VoterStart {
-                memory: if config.fresh {
-                    VoterMemory::NeverVoted
-                } else {
-                    VoterMemory::MayBeLost
-                },
-                round: (now_ms / 1000.0) as u32,
-                seed: rng.random(),
-            };
-            QuorumNode::new(id, &voters, config.quorum, start, now_ms)
-        });
+        let quorum = voters
+            .contains(&id)
+            .then(|| new_voter(config, &voters, now_ms, rng.random()));
         let agent = MemberAgent::new(id, &voters, config.grant_id, rng.random());
         let zones = config.zones.clone().map(|(own_zone, zone_config)| {
             let seed = rng.random();
@@ -138,12 +79,12 @@
         }
     }
 
-    /// Its number.
+    /// The member's identifier.
     pub fn id(&self) -> Id {
         self.detector.id()
     }
 
-    /// Its session: drawn at each start.
+    /// The member's session: drawn at each start.
     pub fn session(&self) -> u32 {
         self.agent.session()
     }
@@ -153,22 +94,22 @@
         &self.detector
     }
 
-    /// Its voter, if it is one.
+    /// The voter, if the member is one.
     pub fn quorum(&self) -> Option<&QuorumNode> {
         self.quorum.as_ref()
     }
 
-    /// Its copy of the records, and its reports.
+    /// The copies of the quorum records, and the reports.
     pub fn agent(&self) -> &MemberAgent {
         &self.agent
     }
 
-    /// What its voter does at present, if it is one.
+    /// The present role of the voter, if the member is one.
     pub fn role(&self) -> Option<Role> {
         self.quorum.as_ref().map(QuorumNode::role)
     }
 
-    /// Takes over what may change while it runs.
+    /// Replaces the part of the configuration that may change at run time.
     pub fn set_config(
         &mut self,
         rollout: RolloutConfig,
@@ -182,12 +123,12 @@
         self.detector.set_keys(keys);
     }
 
-    /// Takes over the state of this dispatcher, for its next reports.
+    /// Replaces the status of this dispatcher, for the next reports.
     pub fn set_status(&mut self, status: MemberStatus) {
         self.agent.set_status(status);
     }
 
-    /// Takes over the engines of its endpoint list.
+    /// Replaces the engines by those of this dispatcher's endpoint list.
     pub fn set_engines(&mut self, engines: &[Unit]) {
         self.controller.set_engines(engines);
         if let Some(zones) = &mut self.zones {
@@ -195,7 +136,7 @@
         }
     }
 
-    /// Takes over what this dispatcher observes of zones. `is_isolated`: it takes itself for cut off.
+    /// Replaces this dispatcher's observations of zones. `is_isolated`: the dispatcher reaches no zone.
     pub fn observe_zones(
         &mut self,
         evidence: Vec<tansymux_zone_evacuation::Evidence>,
@@ -206,7 +147,7 @@
         }
     }
 
-    /// How a zone may be used from here: by own judgement where the fleet agreed on nothing.
+    /// How this member may use a zone; the local decision applies where the fleet has agreed on none.
     pub fn use_of(&self, zone: u32) -> tansymux_zone_evacuation::ZoneUse {
         match &self.zones {
             Some(zones) => zones.follower.zone_use(zone, self.now_ms),
@@ -214,12 +155,12 @@
         }
     }
 
-    /// The zones of the fleet, where they are configured.
+    /// The zone coordinator, where zones are configured.
     pub fn zones(&self) -> Option<&ZoneCoordinator> {
         self.zones.as_ref()
     }
 
-    /// Why an engine is unavailable by agreement of the fleet, if it is.
+    /// Why an engine is unavailable by a quorum record, if it is.
     pub fn engine_disruption(&self, engine: Id) -> Option<DisruptionReason> {
         let engine_key = Record::unit_key(UnitKind::Engine, engine);
         self.agent
@@ -228,12 +169,12 @@
             .map(|(_, reason)| reason)
     }
 
-    /// How many engines are unavailable by agreement of the fleet.
+    /// Number of engines that are unavailable by a quorum record.
     pub fn unavailable_engine_count(&self) -> usize {
         self.agent.unavailable_engines(self.now_ms).count()
     }
 
-    /// Takes in an event. What follows from it is given by [`FleetNode::poll`].
+    /// Handles an event. [`FleetNode::poll`] returns the actions that follow from it.
     pub fn handle(&mut self, event: FleetEvent, now_ms: f64) {
         match event {
             FleetEvent::DatagramReceived { from, datagram } => {
@@ -269,7 +210,8 @@
         }
     }
 
-    /// The next action that is due; none: nothing before [`FleetNode::next_poll_ms`]. Call it until it gives none.
+    /// The next action. Call this function until it returns `None`: nothing is due before [`FleetNode::next_poll_ms`]
+    /// then.
     pub fn poll(&mut self, now_ms: f64) -> Option<FleetAction> {
         if self.outbox.begin_poll() {
             self.run_timers(now_ms);
@@ -329,7 +271,7 @@
             let members = members.chain([(own_id, true)]);
             zones.evaluate(&self.controller, quorum, members, now_ms);
         }
-        // A voter's own agent knows what the voter holds.
+        // The agent of a voter has all records of the voter.
         self.agent.merge(quorum.records(), now_ms);
         let next_ms = quorum.next_poll_ms();
         self.wake_at(next_ms);
@@ -356,3 +298,17 @@
         }
     }
 }
+
+fn new_voter(config: &FleetConfig, voters: &[Id], now_ms: f64, seed: u64) -> QuorumNode {
+    let start = VoterStart {
+        memory: if config.fresh {
+            VoterMemory::NeverVoted
+        } else {
+            VoterMemory::MayBeLost
+        },
+        round: (now_ms / 1000.0) as u32,
+        seed,
+    };
+    let id = member_id_of(&config.name);
+    QuorumNode::new(id, voters, config.quorum, start, now_ms)
+}
--- /dev/null
+++ b/crates/rollout/src/fleet_node/interface.rs
@@ -0,0 +1,57 @@
+//! Configuration, input and output of a member.
+
+use crate::rollout_config::RolloutConfig;
+use std::net::SocketAddr;
+use tansymux_coordination::QuorumConfig;
+use tansymux_membership::Keys;
+
+/// The configuration of a member at its start.
+#[derive(Debug, Clone)]
+pub struct FleetConfig {
+    /// The member's name, unique in the fleet.
+    pub name: String,
+    /// The address at which other members reach it.
+    pub address: SocketAddr,
+    /// Names of the voters.
+    pub voters: Vec<String>,
+    /// Failure detection.
+    pub membership: tansymux_membership::Config,
+    /// Timing of the voters.
+    pub quorum: QuorumConfig,
+    /// Keys of the datagrams.
+    pub keys: Keys,
+    /// Whether no voter has ever voted, as at the first start of an installation.
+    pub fresh: bool,
+    /// The restart lease under which the member is started, so that others recognize its return; 0: none.
+    pub grant_id: u64,
+    /// Rollouts and disruption budgets.
+    pub rollout: RolloutConfig,
+    /// The zone of this member, and how the fleet evacuates zones; `None`: each member decides for itself.
+    pub zones: Option<(u32, tansymux_zone_evacuation::Config)>,
+}
+
+/// An input of a member.
+#[derive(Debug, Clone, Copy, PartialEq)]
+pub enum FleetEvent<'a> {
+    /// A datagram arrived.
+    DatagramReceived {
+        /// The sender.
+        from: SocketAddr,
+        /// The bytes.
+        datagram: &'a [u8],
+    },
+    /// The dispatcher is about to stop: the other members are notified at once.
+    LeaveRequested,
+}
+
+/// An output of a member, to be executed by the caller.
+#[derive(Debug, Clone, PartialEq)]
+pub enum FleetAction {
+    /// Send a datagram. It may be lost.
+    Send {
+        /// The receiver.
+        to: SocketAddr,
+        /// The bytes.
+        datagram: Vec<u8>,
+    },
+}
--- a/crates/rollout/src/fleet_node/messages.rs
+++ b/crates/rollout/src/fleet_node/messages.rs
@@ -1,4 +1,4 @@
-//! What a member does with the messages of other members and of clients.
+//! Handling of messages from other members and from clients.
 
 use super::FleetNode;
 use crate::codec;
@@ -11,13 +11,13 @@
 };
 use tansymux_membership::{MemberState, UserMessage};
 
-/// Datagrams of records that answer one report.
+/// Limit on the datagrams with records in an answer.
 const MAX_GOSSIP_MESSAGES: usize = 4;
-/// Gossip begins at another record every so many milliseconds: what one datagram leaves out, a later one brings.
+/// Time after which gossip begins at the next record (ms), so that later answers contain the records that one leaves out.
 const GOSSIP_ROTATION_MS: usize = 7;
 
 impl FleetNode {
-    /// A message that came in a datagram of membership.
+    /// Handles a message from a datagram of membership.
     pub(super) fn on_user_message(&mut self, message: UserMessage) {
         let UserMessage {
             from,
@@ -44,7 +44,7 @@
             } => self
                 .agent
                 .on_call(call, nonce, command, address, self.now_ms),
-            // A client that is no member may call, and nothing else.
+            // A client that is not a member may only call.
             message if is_member => self.on_message(from, message),
             _ => {}
         }
@@ -59,7 +59,7 @@
         }
     }
 
-    /// A message of a member, this one included.
+    /// Handles a message of a member, this one included.
     pub(super) fn on_message(&mut self, from: Id, message: Message) {
         let now_ms = self.now_ms;
         match message {
@@ -129,7 +129,7 @@
         self.send(Destination::Member(from), &Message::Answer { call, answer });
     }
 
-    /// A member's report to a voter: the answer names the leader, and brings records that the member lacks.
+    /// Handles a member's report to a voter: the answer names the leader, and contains records that the member lacks.
     fn on_report(&mut self, from: Id, report: &Report) {
         let Some(quorum) = &mut self.quorum else {
             return;
@@ -158,7 +158,7 @@
         }
     }
 
-    /// Sends records to a member, or no record in one message.
+    /// Sends gossip with records to a member; without records it is one message.
     fn send_gossip(&mut self, to: Id, leader: Id, records: &[LeasedRecord]) {
         let tick = RolloutController::tick(self.now_ms);
         let mut chunks: Vec<&[LeasedRecord]> = records
@@ -178,8 +178,8 @@
         }
     }
 
-    /// Records that a member still knows and the voters have lost: those without an end are written anew. Leases end by
-    /// themselves, and are ended.
+    /// Restores records that a member has and the voters have lost: the leader writes those that do not expire again, and
+    /// ends leases.
     fn restore_records(&mut self, records: &[LeasedRecord]) {
         let Some(quorum) = &mut self.quorum else {
             return;
@@ -189,7 +189,7 @@
             if !quorum.is_leader(self.now_ms) || !is_lost {
                 continue;
             }
-            let proposal = if has_no_end(&record.value) {
+            let proposal = if does_not_expire(&record.value) {
                 Proposal::lasting(record.key, record.value)
             } else {
                 Proposal::tombstone(record.key)
@@ -199,8 +199,8 @@
     }
 }
 
-/// Whether a record lasts until it is ended.
-fn has_no_end(value: &RecordValue) -> bool {
+/// Whether a record is in force until a tombstone ends it.
+fn does_not_expire(value: &RecordValue) -> bool {
     match value {
         RecordValue::Halt { .. } | RecordValue::Release { .. } | RecordValue::Zone { .. } => true,
         RecordValue::Disruption { reason, .. } => {
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -1,13 +1,14 @@
 //! Drains, restart leases and rolling releases of a fleet of dispatchers.
 //!
 //! # What it owns
-//! - [`FleetNode`]: one whole member, with membership, voter, controller and agent. The program, the tests and the
-//!   testbed drive this one object.
-//! - [`RolloutController`]: the leader's decisions: who may be unavailable, the stage of a release, and when it halts.
-//! - [`rollout_plan`]: canaries and waves; [`canary_analysis`]: whether the released dispatchers do worse.
-//! - [`MemberAgent`]: a member's copy of the records, its reports, and the calls of clients.
-//! - [`FleetClient`] and [`RestartLease`]: the side of a command line or a supervisor.
-//! - [`message`] and [`codec`]: what members exchange.
+//! - [`FleetNode`]: a member, with membership, voter, controller and agent. The program, the tests and the testbed drive
+//!   this one object.
+//! - [`RolloutController`]: the leader's decisions: which units may be unavailable, the stage of a release, and its halts.
+//! - [`rollout_plan`]: canaries and waves; [`canary_analysis`]: whether the released dispatchers perform
+//!   worse.
+//! - [`MemberAgent`]: a member's copies of the records, its reports, and the calls of clients.
+//! - [`FleetClient`] and [`RestartLease`]: the client's side, for a command line or a supervisor.
+//! - [`message`] and [`codec`]: the messages of members.
 //!
 //! It does no I/O and reads no clock: datagrams and times come in, datagrams go out. It never starts or ends a process and
 //! never decides on a query.
@@ -20,9 +21,9 @@
 //!   over repeated evaluations, as in the alpha spending of Lan and DeMets (1983), here by 1/(n(n+1)).
 //!
 //! # Invariants, checked in `tests/`
-//! - A lease is given out only once a majority accepted it, and ends for its holder before it is counted free.
-//! - A lost member counts as unavailable until it is back or the operators forget it.
-//! - A halt is final until that one halt is resumed; no release goes on by itself after it.
+//! - A lease is granted only once a majority accepted it, and ends for its holder before the leader counts it as free.
+//! - A lost member counts as unavailable until it rejoins or the operators forget it.
+//! - A halt is in force until that halt is resumed; no release continues before.
 //! - All tables, calls and queues are bounded.
 //!
 //! Start reading at [`FleetNode::poll`], then [`RolloutController::on_command`].
--- a/crates/rollout/src/message.rs
+++ b/crates/rollout/src/message.rs
@@ -1,4 +1,4 @@
-//! The messages that members exchange beside those of the voters. [`crate::codec`] has their bytes.
+//! The messages of members and clients, other than the voters'. [`crate::codec`] encodes them.
 
 use crate::rollout_plan::Release;
 use tansymux_coordination::disruption_budget::{HaltReason, Scope};
@@ -6,50 +6,50 @@
 use tansymux_zone_evacuation::codec::{LeaderReply, ZoneEntry};
 use tansymux_zone_evacuation::MemberReport;
 
-/// What a member reports of itself, about once a second.
+/// A member's periodic report.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Report {
-    /// Digest of the records that it knows.
+    /// Digest of the member's copies of the records.
     pub digest: u32,
     /// The highest round among those records.
     pub round: u32,
-    /// Its zone.
+    /// The member's zone.
     pub zone: u32,
-    /// Its version.
+    /// The member's version.
     pub version: u32,
-    /// Drawn at each start.
+    /// The member's session: drawn at each start.
     pub session: u32,
-    /// Fraction of its capacity that is in use.
+    /// Fraction of the capacity that is in use.
     pub utilization: f32,
-    /// Threads that its queries run on.
+    /// Number of threads that the queries use.
     pub threads: f32,
-    /// Requests that succeeded since its start.
+    /// Number of requests that succeeded since the start.
     pub succeeded: u32,
-    /// All requests since its start.
+    /// Number of all requests since the start.
     pub total: u32,
-    /// An engine that it finds failing; 0: none.
+    /// An engine that the member finds failing; 0: none.
     pub failing_engine: u64,
-    /// The last tick that it received from the voter that it reports to.
+    /// The last tick that arrived from the receiver of the report.
     pub echoed_tick: u32,
-    /// The restart lease under which it was started; 0: none.
+    /// The restart lease under which the member was started; 0: none.
     pub grant_id: u64,
 }
 
-/// What a member or a client asks of the leader.
+/// A command of a member or client to the leader.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Command {
-    /// The state of the fleet.
+    /// Returns the status of the fleet.
     Status,
-    /// A restart lease for a dispatcher.
+    /// Requests a restart lease for a dispatcher.
     RequestLease {
         /// The dispatcher; 0: the member that is called.
         id: Id,
-        /// The version that it comes back with; 0: the present one.
+        /// The version after the restart; 0: the present one.
         to: u32,
-        /// Drawn for each lease.
+        /// Identifier of the lease, drawn by the requester.
         grant_id: u64,
     },
-    /// The dispatcher needs its lease no longer.
+    /// Returns a dispatcher's restart lease.
     ReturnLease {
         /// The dispatcher; 0: the member that is called.
         id: Id,
@@ -60,7 +60,7 @@
     Drain {
         /// The engine.
         engine: u64,
-        /// Drawn for each drain.
+        /// Identifier of the drain, drawn by the requester.
         grant_id: u64,
     },
     /// Ends the drain or ejection of an engine.
@@ -70,11 +70,11 @@
     },
     /// Starts a release.
     Release {
-        /// Drawn for each release.
+        /// Number of the release, drawn by the requester.
         number: u32,
         /// The new version.
         to: u32,
-        /// Only members at this version take part; 0: all.
+        /// Only members with this version take part; 0: all.
         from: u32,
     },
     /// Rolls a release back.
@@ -84,15 +84,15 @@
     },
     /// Halts all disruptions.
     Halt {
-        /// Drawn for each halt.
+        /// Number of the halt, drawn by the requester.
         number: u32,
     },
-    /// Ends this halt, and no other.
+    /// Ends the halt with this number.
     Resume {
         /// The halt.
         number: u32,
     },
-    /// A lost dispatcher will not come back.
+    /// Records that a lost dispatcher will not come back.
     Forget {
         /// The dispatcher.
         id: Id,
@@ -101,7 +101,7 @@
     EvacuateZone {
         /// The zone.
         zone: u32,
-        /// Only checks whether the other zones would carry the load.
+        /// Whether to check only if the other zones would carry the load.
         dry_run: bool,
     },
     /// Returns to a zone, step by step.
@@ -116,20 +116,20 @@
 /// The leader's answer to a [`Command`].
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Answer {
-    /// There is no leader, or it was not reached: nothing new is granted.
+    /// There is no leader, or it was not reached; nothing is granted.
     NoLeader,
-    /// No majority has accepted it yet.
+    /// No majority has accepted the change yet.
     Pending,
     /// A lease is granted.
     Granted {
         /// Its term (ms), from when it was first requested.
         remaining_ms: u32,
     },
-    /// It is done.
+    /// The command is completed.
     Done,
     /// All disruptions are halted.
     Halted {
-        /// Why.
+        /// Why all disruptions are halted.
         reason: HaltReason,
         /// The leader that wrote the halt.
         by: Id,
@@ -142,12 +142,12 @@
         scope: Scope,
         /// Units that are unavailable.
         unavailable: u32,
-        /// Units that may be.
+        /// Units that may be unavailable.
         max_unavailable: u32,
     },
     /// The last disruption is too recent.
     TooSoon {
-        /// When to ask again, from now (ms).
+        /// Time until a retry may succeed (ms).
         wait_ms: u32,
     },
     /// The unit is unavailable for another reason.
@@ -164,63 +164,63 @@
     },
     /// No such member or engine is known.
     UnknownUnit,
-    /// Canaries or another zone are first.
+    /// Canaries or another zone have to restart first.
     OthersFirst,
     /// The release pauses after a zone.
     PausedAfterZone,
-    /// No release goes to that version.
+    /// No release has that target version.
     NoSuchRelease,
-    /// It is so already.
+    /// The requested state is in force already.
     Already,
     /// Another release is in progress.
     ReleaseInProgress {
         /// That release.
         number: u32,
     },
-    /// The release named no previous version, so it can't be rolled back.
+    /// The release names no previous version, so it cannot be rolled back.
     NoPreviousVersion,
     /// The state of the fleet.
     Status(Status),
-    /// Too large a part of all cores would be evacuated.
+    /// The evacuation would exceed the limit on the fraction of all cores.
     TooManyCoresEvacuated {
         /// The fraction of all cores.
         fraction: f32,
     },
-    /// The zones that are not in normal use, each with the sum of the quotas that are granted in it.
+    /// The zones that are not in normal use, each with the sum of its granted quotas.
     Zones(ZoneList),
 }
 
-/// Zones that fit in an answer.
+/// Limit on the zones in an answer.
 pub const MAX_LISTED_ZONES: usize = 8;
-/// Zones with their state and the sum of their granted quotas.
+/// Zones, each with its status and the sum of its granted quotas.
 pub type ZoneList = [Option<ZoneEntry>; MAX_LISTED_ZONES];
 
-/// The fleet as its leader knows it.
+/// The status of the fleet as its leader knows it.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Status {
     /// The leader.
     pub leader: Id,
-    /// Dispatchers.
+    /// Number of dispatchers.
     pub members: u32,
-    /// Dispatchers that are unavailable.
+    /// Number of dispatchers that are unavailable.
     pub unavailable: u32,
-    /// Those of them that are lost.
+    /// Number of dispatchers that are lost.
     pub lost: u32,
-    /// Engines.
+    /// Number of engines.
     pub engines: u32,
-    /// Engines that are unavailable.
+    /// Number of engines that are unavailable.
     pub engines_unavailable: u32,
     /// Reason and number of the halt, if there is one.
     pub halt: Option<(HaltReason, u32)>,
     /// The last release.
     pub release: Option<Release>,
-    /// Dispatchers at the version that the release goes to.
+    /// Number of dispatchers with the target version of the release.
     pub released: u32,
-    /// Dispatchers that still have to restart for it.
+    /// Number of dispatchers that still have to restart for the release.
     pub remaining: u32,
-    /// Pairs that the canary analysis compared.
+    /// Number of pairs in the canary analysis.
     pub pairs: u32,
-    /// Mean difference of the success rate, below 0 where the released dispatchers do worse.
+    /// Mean difference of the success rate, below 0 where the released dispatchers perform worse.
     pub mean_difference: f32,
 }
 
@@ -229,23 +229,23 @@
 pub enum Message {
     /// A member's report to a voter.
     Report(Report),
-    /// A voter's answer to a report: who leads, and records that the member lacks.
+    /// A voter's answer to a report: the leader, and records that the member lacks.
     Gossip {
         /// The leader; 0: none is known.
         leader: Id,
         /// The voter's time (ms), its low 32 bits.
         tick: u32,
-        /// Records.
+        /// Some of the records that the member lacks.
         records: Vec<LeasedRecord>,
     },
-    /// The leader asks a member for its records: it may know some that the voters have lost.
+    /// The leader requests a member's records: they may include some that the voters have lost.
     RecordsRequest,
     /// A member's records.
     Records {
         /// The records.
         records: Vec<LeasedRecord>,
     },
-    /// A member asks the leader, for itself or for a client.
+    /// A member's command to the leader, on behalf of itself or a client.
     Command {
         /// The client's call.
         call: u64,
@@ -259,12 +259,12 @@
         /// The answer.
         answer: Answer,
     },
-    /// A client asks for a nonce to call with, so that recorded calls can't be replayed.
+    /// A client requests a nonce for its call, so that recorded calls cannot be replayed.
     Hello {
-        /// Drawn for each call.
+        /// Identifier of the call, drawn by the client.
         call: u64,
     },
-    /// The nonce.
+    /// The nonce of a call.
     Nonce {
         /// The client's call.
         call: u64,
@@ -280,8 +280,8 @@
         /// The command.
         command: Command,
     },
-    /// What a member observes of zones.
+    /// A member's observations of zones.
     ZoneReport(MemberReport),
-    /// The leader's answer to that.
+    /// The leader's answer to a zone report.
     ZonePlan(LeaderReply),
 }
--- a/crates/rollout/src/restart_lease.rs
+++ b/crates/rollout/src/restart_lease.rs
@@ -1,4 +1,4 @@
-//! The client's side of a restart lease: it asks until it holds one, all is halted, or it has waited for long enough.
+//! The holder's side of a restart lease: requests the lease until it is granted, refused or the wait times out.
 
 use crate::fleet_client::{ClientAction, FleetClient};
 use crate::message::{Answer, Command};
@@ -7,45 +7,45 @@
 use tansymux_coordination::Id;
 use tansymux_membership::Keys;
 
-/// Interval between two requests (ms), spread by half.
+/// Mean interval between two requests (ms); the jitter is half of it on either side.
 const REQUEST_INTERVAL_MS: f64 = 700.0;
 
-/// Which lease is asked for.
+/// A request for a restart lease.
 #[derive(Debug, Clone)]
 pub struct LeaseRequest {
     /// Keys of the fleet.
     pub keys: Keys,
     /// The dispatcher; 0: the member that is called.
     pub dispatcher: Id,
-    /// The version that it comes back with; 0: the present one.
+    /// The version after the restart; 0: the present one.
     pub to: u32,
-    /// How far clocks may run apart, as a fraction.
+    /// Limit on the difference in rate between two clocks, as a fraction.
     pub max_clock_skew: f64,
-    /// How long to wait for the lease at most (ms).
+    /// Limit on the wait for the lease (ms).
     pub max_wait_ms: f64,
 }
 
 /// How the wait for a lease ended.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum LeaseOutcome {
-    /// The dispatcher may restart, and has to be back in time.
+    /// The dispatcher may restart, and has to rejoin before the lease ends.
     Granted {
         /// When the lease ends for its holder (ms).
         until_ms: f64,
     },
-    /// There is a halt, or no such release: waiting longer is of no use.
+    /// The request cannot succeed by waiting: a halt is in force, or there is no such release.
     Refused(Answer),
-    /// There was none in time; the last answer.
+    /// The wait timed out; the last answer.
     TimedOut(Answer),
 }
 
-/// The wait for a lease. A lease that it may have been granted without receiving the answer is returned at its end.
+/// The wait for a lease. At its end it returns a lease that may have been granted without the answer arriving.
 #[derive(Debug, Clone)]
 pub struct RestartLease {
     request: LeaseRequest,
     grant_id: u64,
     give_up_ms: f64,
-    /// When the present request was made.
+    /// When the present request was first sent (ms).
     requested_ms: f64,
     next_request_ms: f64,
     client: Option<FleetClient>,
@@ -56,7 +56,7 @@
 }
 
 impl RestartLease {
-    /// Begins to wait. `seed` has to be drawn for each lease.
+    /// Begins the wait. `seed` has to be drawn for each lease.
     pub fn new(request: LeaseRequest, now_ms: f64, seed: u64) -> Self {
         let mut rng = Pcg32::seed_from_u64(seed);
         RestartLease {
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Number of the lease: the restarted dispatcher has to be given it.
+    /// Identifier of the lease, to be passed to the restarted dispatcher.
     pub fn grant_id(&self) -> u64 {
         self.grant_id
     }
@@ -83,7 +83,7 @@
         self.last_answer
     }
 
-    /// How the wait ended, once everything that belongs to its end was sent.
+    /// How the wait ended; `None` during the wait, and while the lease is being returned.
     pub fn outcome(&self) -> Option<LeaseOutcome> {
         let is_returned = self
             .returning
@@ -92,7 +92,7 @@
         self.outcome.filter(|_| is_returned)
     }
 
-    /// Takes in a datagram of the member that is called.
+    /// Handles a datagram of the member that is called.
     pub fn handle(&mut self, datagram: &[u8], now_ms: f64) {
         if let Some(returning) = &mut self.returning {
             returning.handle(datagram);
@@ -116,7 +116,7 @@
             self.requested_ms.max(now_ms - REQUEST_INTERVAL_MS) + REQUEST_INTERVAL_MS * spread;
         match answer {
             Answer::Granted { remaining_ms } => {
-                // It counts from the request, less the skew: the leader's count ends later by any clock.
+                // The term begins at the request, and is reduced by the clock skew: it ends before the leader's.
                 let term_ms = f64::from(remaining_ms) * (1.0 - self.request.max_clock_skew);
                 let until_ms = self.requested_ms + term_ms;
                 if now_ms < until_ms {
@@ -126,7 +126,7 @@
             Answer::Halted { .. } | Answer::NoSuchRelease | Answer::Already => {
                 self.end(LeaseOutcome::Refused(answer), now_ms);
             }
-            // A dispatcher that has just started may not be known yet.
+            // The fleet may not know a dispatcher yet that has just started.
             Answer::UnknownUnit if now_ms >= self.give_up_ms => {
                 self.end(LeaseOutcome::Refused(answer), now_ms);
             }
@@ -148,7 +148,7 @@
         FleetClient::new(keys, command, now_ms, self.rng.random())
     }
 
-    /// The next action that is due; none: nothing before [`RestartLease::next_poll_ms`].
+    /// The next action; `None`: nothing is due before [`RestartLease::next_poll_ms`].
     pub fn poll(&mut self, now_ms: f64) -> Option<ClientAction> {
         if let Some(returning) = &mut self.returning {
             return returning.poll(now_ms);
--- a/crates/rollout/src/rollout_config.rs
+++ b/crates/rollout/src/rollout_config.rs
@@ -1,4 +1,4 @@
-//! What is configured for rollouts.
+//! Configuration of rollouts.
 
 use crate::rollout_plan::RolloutPlan;
 use tansymux_coordination::disruption_budget::DisruptionBudget;
@@ -12,15 +12,15 @@
     pub engines: DisruptionBudget,
     /// How releases proceed.
     pub plan: RolloutPlan,
-    /// Term of a restart lease (ms): ended, started again and back within it.
+    /// Term of a restart lease (ms): the time for a dispatcher to stop, start again and rejoin.
     pub lease_term_ms: f64,
-    /// How long a new leader collects reports before it decides (ms).
+    /// Time for which a new leader collects reports before it decides (ms).
     pub settle_ms: f64,
-    /// A dispatcher that left by itself and without a lease counts as unavailable for this long (ms).
+    /// Time for which a dispatcher that left without a lease counts as unavailable (ms).
     pub left_retention_ms: f64,
-    /// This many dispatchers have to find an engine failing before it is ejected; none: never.
+    /// Number of dispatchers that have to find an engine failing before it is ejected; `None`: engines are not ejected.
     pub ejection_witnesses: Option<usize>,
-    /// How long an engine stays ejected (ms).
+    /// Time for which an engine is ejected (ms).
     pub ejection_term_ms: f64,
 }
 
--- a/crates/rollout/src/rollout_controller/release_progress.rs
+++ b/crates/rollout/src/rollout_controller/release_progress.rs
@@ -188,7 +188,7 @@
             analysed.number == release.number && analysed.direction == direction
         });
         if !is_same {
-            // The pause after a zone goes on: it concerns dispatchers, not the analysis.
+            // The pause after a zone continues: it belongs to the wave, not to the analysis.
             *self = ReleaseProgress {
                 analysed: Some(AnalysedRelease {
                     number: release.number,
--- a/crates/rollout/src/rollout_plan.rs
+++ b/crates/rollout/src/rollout_plan.rs
@@ -3,53 +3,53 @@
 use crate::canary_analysis::AnalysisConfig;
 use tansymux_coordination::{Id, ReleaseStage};
 
-/// How releases proceed, as configured.
+/// Configuration of the order of releases.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct RolloutPlan {
-    /// How many dispatchers are canaries.
+    /// Number of canaries.
     pub canary_count: usize,
-    /// How long the canaries are observed (ms).
+    /// Time for which the canaries are observed (ms).
     pub canary_observation_ms: f64,
-    /// Whether a release goes on where the canaries had too little traffic for a comparison.
+    /// Whether a release continues if the canaries had too little traffic for a comparison.
     pub continue_if_inconclusive: bool,
     /// Zones in the order of their waves; the others follow by number.
     pub zone_order: Vec<u32>,
     /// Pause after a zone (ms).
     pub zone_pause_ms: f64,
-    /// A release halts when more members than this were lost since its start.
+    /// Limit on the members lost since the start of a release; it halts beyond it.
     pub max_lost_members: usize,
     /// Comparison of the released dispatchers with the others.
     pub analysis: AnalysisConfig,
 }
 
-/// A dispatcher as a release regards it.
+/// A dispatcher that takes part in a release.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Participant {
     /// The dispatcher.
     pub id: Id,
-    /// Its zone.
+    /// The dispatcher's zone.
     pub zone: u32,
-    /// Its version.
+    /// The dispatcher's version.
     pub version: u32,
-    /// It is observed to serve.
+    /// Whether the dispatcher is observed to serve.
     pub available: bool,
 }
 
 /// A release.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Release {
-    /// Its number.
+    /// The release's number.
     pub number: u32,
     /// The new version.
     pub to: u32,
     /// The previous version; 0: any, and the release can't be rolled back.
     pub from: u32,
-    /// How far it is.
+    /// The present stage.
     pub stage: ReleaseStage,
 }
 
 impl Release {
-    /// The version that dispatchers restart to at present.
+    /// The version that dispatchers have after their restart: in a rollback the previous one.
     pub fn target_version(&self) -> u32 {
         if self.stage == ReleaseStage::RollingBack {
             self.from
@@ -79,10 +79,10 @@
 /// Why a dispatcher may not restart for a release now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum NotYet {
-    /// No release goes to that version.
+    /// No release has that target version.
     #[error("no release goes to that version")]
     NoSuchRelease,
-    /// It has that version.
+    /// The dispatcher has that version.
     #[error("the dispatcher has that version")]
     Already,
     /// Canaries or another zone are first.
@@ -93,16 +93,16 @@
     PausedAfterZone,
 }
 
-/// A dispatcher's wish to restart to a version.
+/// A request to restart a dispatcher with another version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RestartRequest {
     /// The dispatcher.
     pub id: Id,
-    /// The version that it comes back with.
+    /// The version after the restart.
     pub to: u32,
 }
 
-/// Draws the canaries: pseudo-random by the release's number, and the same for every leader.
+/// Rank of a dispatcher in the draw of canaries: pseudo-random by the release's number, and the same at every leader.
 fn canary_rank(id: Id, release_number: u32) -> u64 {
     (id ^ u64::from(release_number))
         .wrapping_mul(0x9E37_79B9_7F4A_7C15)
@@ -111,7 +111,7 @@
 }
 
 impl RolloutPlan {
-    /// The stage that a release begins with.
+    /// The first stage of a release.
     pub fn first_stage(&self) -> ReleaseStage {
         if self.canary_count > 0 {
             ReleaseStage::Canaries
@@ -120,7 +120,7 @@
         }
     }
 
-    /// The canaries: drawn from all participants at any version, so that those that restarted still count.
+    /// The canaries, drawn from participants with any version, so that canaries that restarted still count.
     pub fn canaries(&self, release: &Release, participants: &[Participant]) -> Vec<Id> {
         let mut ranked: Vec<(u64, Id)> = participants
             .iter()
@@ -142,7 +142,7 @@
         (position, zone)
     }
 
-    /// The zone of the present wave: the first with a dispatcher that has to restart, the last on the way back.
+    /// The zone of the present wave: the first with a dispatcher that has to restart, in a rollback the last.
     pub fn current_zone(&self, release: &Release, participants: &[Participant]) -> Option<u32> {
         let zones = participants
             .iter()
@@ -193,19 +193,21 @@
         Ok(())
     }
 
-    /// The stage that follows. `canaries_observed`: the canaries were observed for long enough.
+    /// The next stage, or the present one. `canaries_observed`: the canaries were observed for long enough.
     pub fn next_stage(
         &self,
         release: &Release,
         participants: &[Participant],
         canaries_observed: bool,
     ) -> ReleaseStage {
-        let any_left = participants
+        let any_remaining = participants
             .iter()
             .any(|participant| release.has_to_restart(participant));
         match release.stage {
-            ReleaseStage::RollingBack if !any_left => ReleaseStage::RolledBack,
-            ReleaseStage::Canaries | ReleaseStage::Waves if !any_left => ReleaseStage::Completed,
+            ReleaseStage::RollingBack if !any_remaining => ReleaseStage::RolledBack,
+            ReleaseStage::Canaries | ReleaseStage::Waves if !any_remaining => {
+                ReleaseStage::Completed
+            }
             ReleaseStage::Canaries if canaries_observed || self.canary_count == 0 => {
                 ReleaseStage::Waves
             }
