--- a/crates/zone-evacuation/src/codec.rs
+++ b/crates/zone-evacuation/src/codec.rs
@@ -22,17 +22,21 @@
 use crate::{Evidence, MemberReport, Reachability, Reason, Stage, ZoneId, ZoneStatus, MAX_ZONES};
 use tansymux_codec::{ByteReader, ByteWriter};
 
+/// Length of a report's fields before the entries (bytes).
 const REPORT_HEADER_LEN: usize = 4 + 4 + 1;
+/// Length of one entry of a report (bytes).
 const EVIDENCE_LEN: usize = 4 + 1 + 4 + 2 + 2;
+/// Length of a reply's fields before the entries (bytes).
 const REPLY_HEADER_LEN: usize = 4;
+/// Length of one entry of a reply (bytes).
 const REPLY_ENTRY_LEN: usize = 4 + 1 + 1 + 4 + 1 + 4;
 
-/// A zone that is not in full use, and the quota of the member that asked.
+/// A zone that is not in full use, and the quota of the member that reported.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ZoneEntry {
     /// The zone.
     pub zone: ZoneId,
-    /// Its agreed status.
+    /// The agreed status of the zone.
     pub status: ZoneStatus,
     /// Fraction of the zone's full use that the member may take.
     pub quota: f32,
@@ -43,19 +47,19 @@
 pub struct LeaderReply {
     /// The report's sequence number.
     pub sequence_number: u32,
-    /// All zones that are not in full use.
+    /// The zones that are not in full use.
     pub zones: Vec<ZoneEntry>,
 }
 
-/// Why bytes are not a report or reply.
+/// Why bytes could not be decoded as a report or reply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
     /// The bytes end inside the fields before the entries.
     #[error("{len} bytes: expected {min_len} or more")]
     Truncated {
-        /// Bytes that there are.
+        /// Number of bytes.
         len: usize,
-        /// Bytes needed for the fields before the entries.
+        /// Number of bytes of the fields before the entries.
         min_len: usize,
     },
 }
--- a/crates/zone-evacuation/src/config.rs
+++ b/crates/zone-evacuation/src/config.rs
@@ -1,37 +1,39 @@
-//! Settings of evacuations and returns.
+//! Settings of evacuations and recoveries.
 
-/// Settings of evacuations and returns; times in milliseconds. Ranges are checked where the operators' file is read.
+/// Settings of evacuations and recoveries; times in milliseconds. Ranges are checked where the operators' file is read.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Config {
-    /// Fraction of the witnesses outside a zone that must have lost it.
+    /// Minimum fraction of the witnesses outside a zone that do not reach it, for the zone to count as lost.
     pub lost_fraction: f64,
-    /// How long the evidence must have said the same.
+    /// Time for which the evidence must be unchanged before a decision.
     pub confirm_ms: f64,
-    /// Fraction of the members outside a zone that must know about it.
+    /// Minimum fraction of the members outside a zone that have evidence about it.
     pub min_witness_fraction: f64,
-    /// Fraction of all cores that the controller evacuates by itself; more, and a second zone, need an operator.
+    /// Limit on the fraction of all cores that the controller evacuates automatically. Beyond it, and for a second zone,
+    /// an operator has to decide.
     pub max_evacuated_fraction: f64,
-    /// Fraction of the remaining zones' full use that the work of an evacuated zone may take.
+    /// Limit on the utilization of the remaining zones, as a fraction of their full use.
     pub spill_capacity_fraction: f64,
-    /// Fraction of full use that a return begins with.
+    /// First step of the recovery ramp, as a fraction of full use.
     pub initial_ramp_fraction: f64,
     /// Threads per core at full use.
     pub full_threads_per_core: f64,
-    /// Steps of a return.
+    /// Number of steps of the recovery ramp.
     pub ramp_steps: u8,
-    /// Length of a step.
+    /// Length of a ramp step.
     pub ramp_step_ms: f64,
-    /// How long a zone stays evacuated at least; doubled each time it is evacuated again within `flap_window_ms`.
+    /// Minimum time for which a zone is evacuated; doubled for each evacuation within `flap_window_ms` of the last one.
     pub min_evacuation_ms: f64,
     /// Upper limit of the doubled `min_evacuation_ms`.
     pub max_evacuation_ms: f64,
-    /// Two evacuations within this time count as flapping.
+    /// Time after an evacuation within which another one counts as flapping.
     pub flap_window_ms: f64,
-    /// How long a quota may be used.
+    /// Term of a quota.
     pub quota_term_ms: f64,
-    /// A member that does not hear the leader follows its last decisions for this long, then its own judgement.
+    /// Time without a message of the leader after which a member decides locally; until then the leader's last decisions
+    /// apply.
     pub autonomy_after_ms: f64,
-    /// Largest relative difference between the rates of two clocks.
+    /// Limit on the relative difference between the rates of two clocks.
     pub clock_skew: f64,
 }
 
@@ -58,7 +60,7 @@
 }
 
 impl Config {
-    /// The fraction of full use that a step of a return allows, from step 0.
+    /// The fraction of full use at a step of the recovery ramp, from step 0.
     pub fn ramp_fraction(&self, step: u8) -> f64 {
         let progress = f64::from(step.min(self.ramp_steps)) / f64::from(self.ramp_steps.max(1));
         self.initial_ramp_fraction + (1.0 - self.initial_ramp_fraction) * progress
--- a/crates/zone-evacuation/src/controller.rs
+++ b/crates/zone-evacuation/src/controller.rs
@@ -1,6 +1,6 @@
-//! The leader's side: decides from the reports of all members which zones are evacuated and how they recover.
+//! The leader's decisions: which zones are evacuated and how they recover, by the reports of all members.
 //!
-//! What members report is kept and weighed in the submodule `witnesses`; `limits` says whether a zone may be evacuated.
+//! The submodule `witnesses` stores and assesses members' reports; `limits` decides whether a zone may be evacuated.
 
 mod limits;
 mod witnesses;
@@ -14,40 +14,44 @@
 pub use witnesses::MemberPresence;
 use witnesses::Witnesses;
 
-/// Fraction of a ramp step's attempts that may fail for the next step.
+/// Limit on the fraction of a ramp step's attempts that fail, for the next step.
 const MAX_FAILURES_TO_ADVANCE: f64 = 0.1;
-/// Fraction of a ramp step's attempts whose failure sets the return back.
+/// Limit on the fraction of a ramp step's attempts that fail; beyond it the recovery is set back.
 const MAX_FAILURES_TO_STAY: f64 = 0.3;
-/// Attempts without which a step has shown nothing about failures.
+/// Minimum number of attempts in a ramp step for its failures to count.
 const MIN_ATTEMPTS: u32 = 3;
-/// A step is set back no earlier than after this fraction of its length.
+/// Minimum fraction of a ramp step's length before it is set back.
 const MIN_STEP_FRACTION: f64 = 0.25;
-/// Largest exponent of the doubled minimum evacuation.
+/// Limit on the number of times that the minimum evacuation time is doubled.
 const MAX_FLAP_DOUBLINGS: u32 = 20;
-/// Decision numbers follow the clock in units of this (ms), so that a new leader continues above the one before.
+/// Unit of time of decision numbers (ms): they follow the clock, so that a new leader's are above its predecessor's.
 const DECISION_NUMBER_MS: f64 = 100.0;
 
-/// What the controller knows about a zone.
+/// The controller's state of one zone.
 #[derive(Debug, Clone, Default)]
 struct ZoneWatch {
     cores: f64,
-    /// Since when the reports have said without a break that it is lost or cut off, or that it is reached.
+    /// Since when all assessments found the zone lost or cut off.
     lost_since_ms: Option<f64>,
+    /// Since when all assessments found the zone reachable.
     reached_since_ms: Option<f64>,
-    /// The agreed status as last seen, and since when.
+    /// The agreed status at the last evaluation.
     status: Option<ZoneStatus>,
+    /// When the agreed status last changed.
     status_since_ms: f64,
-    /// Attempts of all members under this status.
+    /// Successful attempts of all members under this status.
     successes: u32,
+    /// Failed attempts of all members under this status.
     failures: u32,
     quotas: RampQuotas,
+    /// When the zone was last evacuated.
     evacuated_ms: f64,
-    /// Evacuations in a row, each within the flap window of the one before.
+    /// Number of evacuations in a row, each within the flap window of the one before.
     evacuations: u32,
 }
 
 impl ZoneWatch {
-    fn note_health(&mut self, health: ZoneHealth, now_ms: f64) {
+    fn record_health(&mut self, health: ZoneHealth, now_ms: f64) {
         self.lost_since_ms = if matches!(health, ZoneHealth::Lost | ZoneHealth::CutOff) {
             self.lost_since_ms.or(Some(now_ms))
         } else {
@@ -60,7 +64,7 @@
         };
     }
 
-    fn note_status(&mut self, status: Option<ZoneStatus>, flap_window_ms: f64, now_ms: f64) {
+    fn record_status(&mut self, status: Option<ZoneStatus>, flap_window_ms: f64, now_ms: f64) {
         if self.status == status {
             return;
         }
@@ -82,7 +86,7 @@
 
 /// A change of status that is due.
 struct Transition {
-    /// Stage and step; `None`: in full use again.
+    /// Stage and step; `None`: the zone returns to full use.
     target: Option<(Stage, u8)>,
     reason: Reason,
 }
@@ -103,7 +107,7 @@
     }
 }
 
-/// The leader's view of all zones. Its state is soft: a later leader gathers it anew.
+/// The leader's view of all zones. Its state is soft: a new leader rebuilds it from reports.
 #[derive(Debug, Clone)]
 pub struct EvacuationController {
     config: Config,
@@ -113,7 +117,7 @@
 }
 
 impl EvacuationController {
-    /// A controller that knows no members and no zones.
+    /// A controller without members and zones.
     pub fn new(config: Config) -> Self {
         EvacuationController {
             config,
@@ -123,7 +127,7 @@
         }
     }
 
-    /// Replaces the settings; what is known stays.
+    /// Replaces the settings; members, reports and quotas stay.
     pub fn set_config(&mut self, config: Config) {
         self.config = config;
     }
@@ -133,8 +137,8 @@
         &self.config
     }
 
-    /// Forgets reports and quotas, as a new leader must: the quotas of the one before have expired when it decides.
-    /// The cores of the zones stay, since they come from the endpoint list.
+    /// Drops reports and quotas at the start of a leadership: the quotas of the previous leader have expired when the new
+    /// one decides. The cores of the zones stay, since they come from the endpoint list.
     pub fn clear(&mut self) {
         self.witnesses.clear();
         for watch in self.zones.values_mut() {
@@ -160,12 +164,12 @@
         self.witnesses.set_members(members);
     }
 
-    /// Takes a member's report. One of an unknown member is ignored.
+    /// Handles a member's report. A report of an unknown member is ignored.
     pub fn handle_report(&mut self, from: MemberId, report: &MemberReport, now_ms: f64) {
         let Some(previous) = self.witnesses.replace_report(from, report, now_ms) else {
             return;
         };
-        // Counts of a member that restarted begin anew: its first report adds nothing.
+        // The counts of a member that restarted begin at zero: its first report adds nothing.
         if previous.session != report.session {
             return;
         }
@@ -184,12 +188,12 @@
         }
     }
 
-    /// What the reports say about a zone.
+    /// The health of a zone by the members' reports.
     pub fn assess(&self, zone: ZoneId, now_ms: f64) -> ZoneHealth {
         self.witnesses.assess(zone, &self.config, now_ms)
     }
 
-    /// Evaluates all zones against what a majority has `agreed` on; returns the decisions that are to be agreed on.
+    /// Evaluates all zones, given the statuses that a majority `agreed` on; returns decisions for a majority to agree on.
     pub fn evaluate(
         &mut self,
         agreed: &BTreeMap<ZoneId, ZoneStatus>,
@@ -213,8 +217,8 @@
         let health = self.assess(zone, now_ms);
         let status = agreed.get(&zone).copied();
         let watch = self.zones.entry(zone).or_default();
-        watch.note_health(health, now_ms);
-        watch.note_status(status, self.config.flap_window_ms, now_ms);
+        watch.record_health(health, now_ms);
+        watch.record_status(status, self.config.flap_window_ms, now_ms);
         let transition = match status {
             None => self.begin_evacuation(zone, health, agreed, now_ms),
             Some(status) => self.continue_evacuation(zone, status, now_ms),
@@ -233,7 +237,7 @@
         })
     }
 
-    /// Whether the reports have said so for long enough.
+    /// Whether an assessment is unchanged for long enough.
     fn is_confirmed(&self, since_ms: Option<f64>, now_ms: f64) -> bool {
         since_ms.is_some_and(|since_ms| now_ms - since_ms >= self.config.confirm_ms)
     }
@@ -281,14 +285,14 @@
         }
     }
 
-    /// How long this evacuation lasts at least: doubled for each one before it in a row.
+    /// Minimum time of this evacuation (ms): doubled for each previous one in a row.
     fn min_evacuation_ms(&self, watch: &ZoneWatch) -> f64 {
         let doublings = watch.evacuations.saturating_sub(1).min(MAX_FLAP_DOUBLINGS);
         let doubled_ms = self.config.min_evacuation_ms * f64::from(1_u32 << doublings);
         doubled_ms.min(self.config.max_evacuation_ms)
     }
 
-    /// The next step of a return, a step back, or the end of the return.
+    /// The next step of a recovery, a step back, or its end.
     fn next_ramp_step(
         &self,
         step: u8,
@@ -302,7 +306,7 @@
             && failed_fraction > MAX_FAILURES_TO_STAY
             && status_age_ms >= self.config.ramp_step_ms * MIN_STEP_FRACTION
         {
-            // Half of the way back at once; from the first step, evacuated again.
+            // The step is halved; from the first step the zone is evacuated again.
             return Some(match step {
                 0 => Transition::evacuate(Reason::FailuresIncreased),
                 step => Transition::to_step(step / 2, Reason::FailuresIncreased),
@@ -327,8 +331,8 @@
         self.last_decision_number
     }
 
-    /// Grants a member its quota of a returning zone, as a fraction of full use: see [`RampQuotas::request`]. 0 for a
-    /// zone that is not returning.
+    /// Grants a member its quota of a recovering zone, as a fraction of full use: see [`RampQuotas::request`]. The quota
+    /// of a zone that is not recovering is 0.
     pub fn request_quota(
         &mut self,
         member: MemberId,
@@ -351,7 +355,7 @@
         watch.quotas.request(&request, now_ms)
     }
 
-    /// The sum of the quotas of a zone that members may hold.
+    /// The sum of the unexpired quotas of a zone.
     pub fn granted_total(&self, zone: ZoneId) -> f64 {
         match self.zones.get(&zone) {
             Some(watch) => watch.quotas.granted_total(),
--- a/crates/zone-evacuation/src/controller/limits.rs
+++ b/crates/zone-evacuation/src/controller/limits.rs
@@ -1,10 +1,10 @@
-//! Whether a zone may be evacuated: how much of the fleet may be out, and what the remaining zones can carry.
+//! Whether a zone may be evacuated: limits on the evacuated cores and on the load of the remaining zones.
 
 use super::{is_evacuated, EvacuationController};
 use crate::{ZoneId, ZoneStatus};
 use std::collections::BTreeMap;
 
-/// Who wants a zone evacuated.
+/// The initiator of an evacuation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Initiator {
     /// The controller, by the members' reports.
@@ -13,20 +13,20 @@
     Operator,
 }
 
-/// Why a zone is not evacuated, with the figures.
+/// Why a zone is not evacuated.
 #[derive(Debug, Clone, Copy, PartialEq, thiserror::Error)]
 pub enum EvacuationRefused {
-    /// The remaining zones could not carry the work.
+    /// The remaining zones could not carry the load.
     #[error(
         "{load_threads} threads of work, and {capacity_threads} that the remaining zones can carry"
     )]
     InsufficientCapacity {
-        /// Work of all zones (threads).
+        /// Load of all zones (threads).
         load_threads: f64,
-        /// What the remaining zones can carry (threads).
+        /// Capacity of the remaining zones (threads).
         capacity_threads: f64,
     },
-    /// Too large a fraction of all cores would be evacuated, or a second zone.
+    /// The evacuated fraction of all cores would exceed its limit, or a second zone would be evacuated.
     #[error("{fraction} of all cores would be evacuated")]
     TooManyCores {
         /// Fraction of all cores that would be evacuated.
@@ -35,11 +35,11 @@
 }
 
 impl EvacuationController {
-    /// Whether a zone may be evacuated beside those that are already. An operator is not bound by the fraction of
-    /// cores, but by what the remaining zones can carry.
+    /// Whether a zone may be evacuated in addition to those that are. The controller is bound by the fraction of cores,
+    /// an operator by the capacity of the remaining zones.
     ///
     /// # Errors
-    /// The limit that it would exceed, with the figures.
+    /// The limit that the evacuation would exceed, with the figures.
     pub fn check_evacuation(
         &self,
         zone: ZoneId,
@@ -49,7 +49,7 @@
     ) -> Result<(), EvacuationRefused> {
         match initiator {
             Initiator::Controller => self.check_evacuated_cores(zone, agreed),
-            // The controller does not ask this: what does not fit into the remaining zones is rejected either way.
+            // The controller does not check the capacity: the load is shed with or without the evacuation.
             Initiator::Operator => self.check_remaining_capacity(zone, agreed, now_ms),
         }
     }
--- a/crates/zone-evacuation/src/controller/witnesses.rs
+++ b/crates/zone-evacuation/src/controller/witnesses.rs
@@ -1,21 +1,21 @@
-//! What members report to the leader, and which of it counts as evidence.
+//! Members' reports at the leader, and which of them count as evidence.
 
 use crate::{Config, Evidence, MemberId, MemberReport, Reachability, ZoneHealth, ZoneId};
 use std::collections::BTreeMap;
 
-/// How long a report counts (ms); members repeat theirs every 0.7 s.
+/// Lifetime of a report as evidence (ms): several report intervals.
 const REPORT_LIFETIME_MS: f64 = 4000.0;
 /// Limit on the number of members, the same as in crates/membership.
 const MAX_MEMBERS: usize = 1024;
 
-/// A member of the fleet, by the membership and by its own words.
+/// A member of the fleet: its state by membership, and the zone that it reported.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MemberPresence {
     /// The member.
     pub id: MemberId,
     /// The zone that it runs in.
     pub zone: ZoneId,
-    /// Whether it counts as running.
+    /// Whether membership counts it as running.
     pub is_present: bool,
 }
 
@@ -60,7 +60,7 @@
             .retain(|_, witness| witness.is_present || witness.last.is_some());
     }
 
-    /// Keeps a member's report; the one before it, where there was one.
+    /// Replaces a member's report; returns the previous one.
     pub(super) fn replace_report(
         &mut self,
         from: MemberId,
@@ -76,8 +76,7 @@
         previous.map(|previous| previous.report)
     }
 
-    /// Recent evidence about a zone, with the zone of the member that reported it. A member that is isolated itself
-    /// is no witness.
+    /// Recent evidence about a zone, with the zone of the member that reported it. An isolated member is no witness.
     fn evidence(
         &self,
         zone: ZoneId,
@@ -96,6 +95,7 @@
         })
     }
 
+    /// The health of a zone by the evidence.
     pub(super) fn assess(&self, zone: ZoneId, config: &Config, now_ms: f64) -> ZoneHealth {
         let mut unreached = 0;
         let mut reached = 0;
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Threads that the members' work takes in a zone.
+    /// The load of all members in a zone (threads).
     pub(super) fn load_threads(&self, zone: ZoneId, now_ms: f64) -> f64 {
         self.evidence(zone, now_ms)
             .map(|(_, evidence)| f64::from(evidence.threads).max(0.0))
--- a/crates/zone-evacuation/src/follower.rs
+++ b/crates/zone-evacuation/src/follower.rs
@@ -1,46 +1,46 @@
-//! A member's side: what it makes of the leader's decisions and quotas, and of not hearing them.
+//! The member's side: how a zone may be used, by the leader's decisions and quotas or without them.
 
 use crate::{Stage, ZoneId, ZoneStatus, MAX_ZONES};
 use std::collections::BTreeMap;
 
-/// After a start, other zones are closed until a message of the leader arrives, for this long at the most (ms): a member that
-/// knows no decisions does not know which zones to avoid.
+/// Time after the start for which other zones are closed while no message of the leader has arrived (ms): the member does
+/// not know yet which zones to avoid.
 const STARTUP_CLOSED_MS: f64 = 2500.0;
 
-/// How a zone may be used from here.
+/// How a member may use a zone.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum ZoneUse {
-    /// The dispatcher's own judgement decides.
+    /// The dispatcher decides locally.
     LocalDecision,
     /// Nothing new is sent there.
     Closed,
-    /// This fraction of the zone's full use.
+    /// The member may take this fraction of the zone's full use.
     Fraction(f64),
 }
 
-/// A quota as the leader granted it.
+/// A quota that the leader granted.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct QuotaGrant {
-    /// The returning zone.
+    /// The recovering zone.
     pub zone: ZoneId,
     /// The decision that the quota belongs to.
     pub decision_number: u32,
     /// Fraction of the zone's full use.
     pub quota: f64,
-    /// When this member asked for it (ms): its term is counted from here.
+    /// When this member requested the quota (ms), which is the beginning of the term.
     pub requested_ms: f64,
-    /// How long it may be used (ms).
+    /// Term of the quota (ms).
     pub term_ms: f64,
-    /// Largest relative difference between the rates of two clocks.
+    /// Limit on the relative difference between the rates of two clocks.
     pub clock_skew: f64,
 }
 
-/// What a follower reacts to.
+/// An input of a follower.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum FollowerEvent<'a> {
     /// The status of all zones that are not in full use, as the leader knows them.
     DecisionsReceived(&'a [(ZoneId, ZoneStatus)]),
-    /// A quota of a returning zone. One that belongs to another decision than the zone's current one is ignored.
+    /// A quota of a recovering zone. It is ignored unless it belongs to the zone's current decision.
     QuotaReceived(QuotaGrant),
 }
 
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Takes what the leader sent.
+    /// Handles a message of the leader.
     pub fn handle(&mut self, event: FollowerEvent<'_>, now_ms: f64) {
         match event {
             FollowerEvent::DecisionsReceived(statuses) => self.on_decisions(statuses, now_ms),
@@ -99,7 +99,7 @@
                 quota: 0.0,
                 quota_expires_ms: f64::NEG_INFINITY,
             });
-            // A decision that was overtaken on its way has a lower number.
+            // A decision that arrives out of order has a lower number.
             if is_older(status.decision_number, known.status.decision_number) {
                 continue;
             }
@@ -118,7 +118,7 @@
             return;
         }
         let expires_ms = grant.requested_ms + grant.term_ms * (1.0 - grant.clock_skew);
-        // The quota requested last holds, also if it is smaller: the leader relies on it only after the term.
+        // The last requested quota applies, even if it is smaller: the leader frees the difference after the term.
         if expires_ms >= known.quota_expires_ms {
             known.quota = grant.quota.clamp(0.0, 1.0);
             known.quota_expires_ms = expires_ms;
@@ -127,7 +127,7 @@
 
     /// How a zone may be used now.
     pub fn zone_use(&self, zone: ZoneId, now_ms: f64) -> ZoneUse {
-        // Members inside a zone go on using it.
+        // Members inside a zone continue to use it.
         if zone == self.own_zone {
             return ZoneUse::LocalDecision;
         }
@@ -145,8 +145,8 @@
     }
 
     fn use_of_unknown_zone(&self, now_ms: f64) -> ZoneUse {
-        let never_heard_leader = self.leader_contact_ms == f64::NEG_INFINITY;
-        if never_heard_leader && now_ms - self.started_ms < STARTUP_CLOSED_MS {
+        let has_no_leader_contact = self.leader_contact_ms == f64::NEG_INFINITY;
+        if has_no_leader_contact && now_ms - self.started_ms < STARTUP_CLOSED_MS {
             ZoneUse::Closed
         } else {
             ZoneUse::LocalDecision
--- a/crates/zone-evacuation/src/lib.rs
+++ b/crates/zone-evacuation/src/lib.rs
@@ -1,21 +1,21 @@
-//! Evacuating a failing zone as a fleet, and returning to it.
+//! Evacuation of a failing zone by the fleet, and its recovery.
 //!
-//! Implements docs/design/zones.md: the fleet's leader decides from the reports of all members, in the manner of a
-//! zonal evacuation (AWS calls it zonal shift), and a return follows a ramp of steps like the recovery ramp of
-//! graceful degradation in "Site Reliability Engineering" (chapters 21 and 22). What differs: witnesses inside the
-//! zone and witnesses that are cut off themselves do not count, and a step of the ramp is shared among members by
-//! quotas that expire, so that their sum holds although members are lost, paused or restarted.
+//! Implements docs/design/zones.md. The fleet's leader decides from the reports of all members, as in a zonal evacuation
+//! (AWS: zonal shift). A recovery follows a ramp of steps, as after graceful degradation in "Site Reliability Engineering"
+//! (chapters 21 and 22). What differs: reports of members inside the zone and of isolated members do not count as
+//! evidence, and members share a ramp step by quotas that expire, so that the sum of quotas is bounded while members are
+//! lost, paused or restarted.
 //!
-//! Owns: the leader's decisions ([`EvacuationController`], [`Decision`]), the quotas of a returning zone
-//! ([`RampQuotas`]), what a member makes of decisions and of not hearing them ([`EvacuationFollower`]), and the layout
-//! of their messages ([`codec`]). It never does I/O, reads no clock and keeps nothing on disk: decisions are agreed by
-//! crates/coordination, and what one dispatcher observes alone belongs to crates/zone-routing.
+//! Owns: the leader's decisions ([`EvacuationController`], [`Decision`]), the quotas of a recovering zone
+//! ([`RampQuotas`]), how a member uses zones with and without the leader's decisions ([`EvacuationFollower`]), and the
+//! layout of their messages ([`codec`]). It does no I/O, reads no clock and stores nothing on disk. crates/coordination
+//! agrees on decisions; observations of a single dispatcher belong to crates/zone-routing.
 //!
 //! Invariants, checked in `tests/`:
-//! - the quotas of a zone that members may hold at any moment add up to no more than its ramp step, whoever is lost,
-//!   late, paused or restarted;
-//! - a member that is cut off itself, or has observed nothing, is no witness;
-//! - members inside a zone go on using it.
+//! - the unexpired quotas of a zone add up to no more than its ramp step, whichever members are lost, late, paused or
+//!   restarted;
+//! - an isolated member, and a member without observations, is no witness;
+//! - members inside a zone continue to use it.
 //!
 //! Start reading at [`EvacuationController::evaluate`].
 
--- a/crates/zone-evacuation/src/model.rs
+++ b/crates/zone-evacuation/src/model.rs
@@ -1,4 +1,4 @@
-//! What the controller, the followers and the codec have in common: zones, their agreed status, and evidence.
+//! Types of the controller, the followers and the codec: zones, their agreed status, and evidence.
 
 use std::fmt;
 use tansymux_codec::wire_enum;
@@ -12,29 +12,29 @@
 pub const MAX_ZONES: usize = 12;
 
 wire_enum! {
-    /// Stage of an evacuation. Its number is part of the fleet's records and messages.
+    /// Stage of an evacuation. Its code is part of the fleet's records and messages.
     pub enum Stage {
-        /// Nothing new is sent there from outside.
+        /// Members outside the zone send nothing new there.
         Evacuated = 0,
-        /// The zone gets what its ramp step allows, shared by quotas.
+        /// Members outside the zone send what their quota of the ramp step allows.
         Recovering = 1,
     }
 }
 
 wire_enum! {
-    /// Why a zone's status changed. Its number is part of the fleet's records and messages.
+    /// Why a zone's status changed. Its code is part of the fleet's records and messages.
     pub enum Reason {
-        /// Nobody outside reaches the zone, and nobody inside reports that it does.
+        /// No member outside reaches the zone, and none inside reports that it does.
         Lost = 0,
-        /// Nobody outside reaches the zone; those inside go on using it.
+        /// No member outside reaches the zone; members inside continue to use it.
         CutOff = 1,
         /// An operator's command.
         Operator = 2,
         /// The zone is reached again.
         Reached = 3,
-        /// Failures increased during the return, or the zone was lost again.
+        /// Failures increased during the recovery, or the zone was lost again.
         FailuresIncreased = 4,
-        /// The last step of the return went well.
+        /// The last step of the recovery ramp succeeded.
         Restored = 5,
     }
 }
@@ -58,11 +58,11 @@
 pub struct ZoneStatus {
     /// Evacuated or recovering.
     pub stage: Stage,
-    /// Step of the return, from 0; 0 while evacuated.
+    /// Step of the recovery ramp, from 0; 0 while evacuated.
     pub step: u8,
     /// Number of the decision: a later one is higher, wrapping around.
     pub decision_number: u32,
-    /// Why it was decided.
+    /// The reason of the decision.
     pub reason: Reason,
 }
 
@@ -71,20 +71,20 @@
 pub struct Decision {
     /// The zone.
     pub zone: ZoneId,
-    /// Its new status; `None`: in full use again.
+    /// The new status; `None`: the zone returns to full use.
     pub status: Option<ZoneStatus>,
-    /// Why it was decided.
+    /// The reason of the decision.
     pub reason: Reason,
 }
 
-/// What the reports of all members say about a zone.
+/// The health of a zone by the reports of all members.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ZoneHealth {
-    /// Too few members know.
+    /// Too few members have evidence.
     Unknown,
     /// All witnesses reach it.
     Reachable,
-    /// Some witnesses do not reach it: their path is cut, and each avoids the zone by its own judgement.
+    /// Some witnesses do not reach it: their path is cut, and each of them avoids the zone by a local decision.
     PartlyUnreachable,
     /// The witnesses do not reach it, and nobody inside reports that it does.
     Lost,
@@ -93,9 +93,9 @@
 }
 
 wire_enum! {
-    /// Whether a member reaches a zone. Its number is part of the messages.
+    /// Whether a member reaches a zone. Its code is part of the messages.
     pub enum Reachability {
-        /// It has no recent evidence.
+        /// The member has no recent evidence.
         Unknown = 0,
         /// Engines answer.
         Reachable = 1,
@@ -113,14 +113,14 @@
     }
 }
 
-/// What one member reports about a zone.
+/// One member's observations of a zone.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Evidence {
     /// The zone.
     pub zone: ZoneId,
     /// Whether the member reaches it.
     pub reachability: Reachability,
-    /// Threads that the member's work takes there, or would take.
+    /// Threads that the member uses there, or would use.
     pub threads: f32,
     /// Attempts that succeeded since the member started, wrapping around.
     pub successes: u16,
@@ -128,15 +128,15 @@
     pub failures: u16,
 }
 
-/// What a member reports to the leader.
+/// A member's report to the leader.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct MemberReport {
-    /// Drawn at each start of the member: its counts begin anew with it.
+    /// The member's session, drawn at each start: its counts begin at zero in each session.
     pub session: u32,
-    /// Comes back in the answer, so that the member knows when it asked.
+    /// Pairs the reply with this report.
     pub sequence_number: u32,
-    /// The member reaches no zone: it is probably cut off itself.
+    /// Whether the member reaches no zone: it is probably cut off itself.
     pub is_isolated: bool,
-    /// Its evidence, of up to [`MAX_ZONES`] zones.
+    /// The member's evidence, about up to [`MAX_ZONES`] zones.
     pub zones: Vec<Evidence>,
 }
--- a/crates/zone-evacuation/src/ramp_quotas.rs
+++ b/crates/zone-evacuation/src/ramp_quotas.rs
@@ -1,19 +1,19 @@
-//! Quotas of a returning zone: a ramp step is shared among members by demand, and each quota expires.
+//! Quotas of a recovering zone: members share a ramp step by demand, and each quota expires.
 
 use crate::MemberId;
 use std::collections::BTreeMap;
 
-/// Members that can hold quotas.
+/// Limit on the members with quotas.
 const MAX_HOLDERS: usize = 1024;
-/// Unexpired grants kept for each member, each smaller than the one before.
+/// Limit on the unexpired grants of a member, each of which is smaller than the previous one.
 const MAX_GRANTS_PER_MEMBER: usize = 16;
-/// Fraction of a step that is shared evenly, the rest by demand: a member without a quota can still find out that it
-/// needs more.
+/// Fraction of a ramp step that is shared evenly, while the rest is shared by demand. A member without demand gets a small
+/// quota, by which it can learn that it needs more.
 const EVEN_FRACTION: f64 = 0.2;
-/// Demand that was not repeated for this many quota terms is forgotten.
+/// Number of quota terms after which a demand that was not repeated expires.
 const DEMAND_TERMS: f64 = 2.0;
 
-/// A quota that a member may still hold.
+/// An unexpired quota of a member.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct Grant {
     quota: f64,
@@ -26,22 +26,22 @@
     reported_ms: f64,
 }
 
-/// A member asks for its quota of a returning zone.
+/// A member's request for its quota of a recovering zone.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct QuotaRequest {
-    /// The member that asks.
+    /// The member.
     pub member: MemberId,
-    /// What it could use (threads).
+    /// The member's demand (threads).
     pub demand: f64,
-    /// The fraction of full use that all members together may take.
+    /// Limit on the sum of all quotas, as a fraction of full use.
     pub total: f64,
-    /// How long the member may use the quota, counted from when it asked.
+    /// Term of the quota at the member (ms), which begins at its request.
     pub term_ms: f64,
-    /// Largest relative difference between the rates of two clocks.
+    /// Limit on the relative difference between the rates of two clocks.
     pub clock_skew: f64,
 }
 
-/// The quotas of one zone, as the leader has granted them.
+/// The quotas of one zone that the leader granted.
 #[derive(Debug, Clone, Default)]
 pub struct RampQuotas {
     grants: BTreeMap<MemberId, Vec<Grant>>,
@@ -49,7 +49,7 @@
 }
 
 impl RampQuotas {
-    /// The sum of what members may hold at this moment: of each member the largest quota that has not expired.
+    /// The sum of the largest unexpired quotas of all members.
     pub fn granted_total(&self) -> f64 {
         self.grants
             .values()
@@ -57,20 +57,20 @@
             .sum()
     }
 
-    /// Grants a quota, so that [`RampQuotas::granted_total`] does not exceed `request.total` through it. The leader
-    /// counts its term from now, lengthened by the clock skew; the member counts it from when it asked.
+    /// Grants a quota that does not raise [`RampQuotas::granted_total`] above `request.total`. At the leader its term begins
+    /// now and is lengthened by the clock skew; at the member it began with the request.
     pub fn request(&mut self, request: &QuotaRequest, now_ms: f64) -> f64 {
         self.forget_expired(now_ms, DEMAND_TERMS * request.term_ms);
-        if !self.note_demand(request, now_ms) {
+        if !self.record_demand(request, now_ms) {
             return 0.0;
         }
-        let held = match self.grants.get(&request.member) {
+        let own_quota = match self.grants.get(&request.member) {
             Some(grants) => largest_quota(grants),
             None => 0.0,
         };
-        // What the member holds already is counted; anything above that must be free.
+        // The member's unexpired quota is part of the total; an increase must be free.
         let free = (request.total - self.granted_total()).max(0.0);
-        let quota = self.fair_quota(request).min(held + free);
+        let quota = self.fair_quota(request).min(own_quota + free);
         if quota > 0.0 {
             let expires_ms = now_ms + request.term_ms * (1.0 + request.clock_skew);
             let grants = self.grants.entry(request.member).or_default();
@@ -88,8 +88,8 @@
             .retain(|_, demand| now_ms - demand.reported_ms < demand_lifetime_ms);
     }
 
-    /// Notes what the member could use; false where there are too many members.
-    fn note_demand(&mut self, request: &QuotaRequest, now_ms: f64) -> bool {
+    /// Records the member's demand; false if there are too many members.
+    fn record_demand(&mut self, request: &QuotaRequest, now_ms: f64) -> bool {
         if self.demands.len() >= MAX_HOLDERS && !self.demands.contains_key(&request.member) {
             return false;
         }
@@ -108,7 +108,7 @@
         true
     }
 
-    /// The member's share of the total by its demand, whatever the others hold.
+    /// The member's share of the total by its demand, regardless of the quotas of others.
     fn fair_quota(&self, request: &QuotaRequest) -> f64 {
         let demand_sum: f64 = self.demands.values().map(|demand| demand.threads).sum();
         let even = request.total * EVEN_FRACTION / self.demands.len() as f64;
@@ -128,7 +128,7 @@
 
 /// Adds a grant to a member's unexpired ones, which stay ordered from the largest to the smallest.
 fn add_grant(grants: &mut Vec<Grant>, new: Grant) {
-    // A grant that is no larger need not be kept beside the new one, but its time counts.
+    // A grant that is not larger is replaced by the new one, which expires no earlier.
     let expires_ms = grants
         .iter()
         .filter(|grant| grant.quota <= new.quota)
@@ -137,7 +137,7 @@
     grants.retain(|grant| grant.quota > new.quota);
     let is_full = grants.len() >= MAX_GRANTS_PER_MEMBER;
     match grants.last_mut() {
-        // Counted as the larger quota that it replaces, and never as less.
+        // The new grant is counted as the last one, which is larger.
         Some(last) if is_full => last.expires_ms = last.expires_ms.max(expires_ms),
         _ => grants.push(Grant {
             quota: new.quota,
