--- a/crates/membership/src/authenticator.rs
+++ b/crates/membership/src/authenticator.rs
@@ -15,21 +15,21 @@
 
 /// Length of a seal (bytes).
 pub const SEAL_LEN: usize = 16;
-/// Session and sequence number, the part of the seal that the hash covers (bytes).
+/// Length of the part of the seal that the hash covers (bytes): session and sequence number.
 const SEAL_HEADER_LEN: usize = 8;
-/// Sessions remembered for each sender; the least recently used one makes room.
+/// Limit on the sessions of a sender; beyond it the least recently used one is evicted.
 const MAX_SESSIONS: usize = 8;
-/// Sequence numbers behind the highest that are still accepted, once each.
+/// Number of sequence numbers below the highest one that are accepted, once each.
 const REPLAY_WINDOW: u32 = 64;
-/// Senders whose sequence numbers are remembered; the least recently used one makes room.
+/// Limit on the senders whose sequence numbers are recorded; beyond it the least recently used one is evicted.
 const MAX_SENDERS: usize = 2048;
 
-/// The keys in force. Without any, datagrams are neither sealed nor checked.
+/// The keys in force. Without keys, datagrams are neither sealed nor checked.
 #[derive(Debug, Clone, Default)]
 pub struct Keys {
-    /// Seals what is sent, and is accepted.
+    /// Key that seals outgoing datagrams, and is accepted in incoming ones.
     pub signing: Option<[u8; 16]>,
-    /// A second key that is accepted during a rotation.
+    /// Second key that is accepted in incoming datagrams, during a rotation.
     pub also_accepted: Option<[u8; 16]>,
 }
 
@@ -48,12 +48,12 @@
     received: u64,
 }
 
-/// A sender's sessions, the most recently used one at the end. No session is ever shut out: a receiver that has just started
-/// cannot know which of two is the later one, and a delayed datagram of an old session must not shut out the new one.
+/// A sender's sessions, the most recently used one at the end. Old sessions are accepted too: a receiver that has just
+/// started cannot know which of two sessions is newer, and a delayed datagram of the old one must not block the new one.
 #[derive(Debug, Clone, Default)]
 struct Sender {
     sessions: Vec<Session>,
-    /// Value of `accepted_count` at its last accepted datagram.
+    /// Value of `accepted_count` at the sender's last accepted datagram.
     last_accepted: u64,
 }
 
@@ -64,12 +64,12 @@
     session: u32,
     sequence_number: u32,
     senders: HashMap<u64, Sender>,
-    /// Datagrams accepted so far: orders senders by their last one.
+    /// Number of accepted datagrams, which orders senders by their last one.
     accepted_count: u64,
 }
 
 impl DatagramAuthenticator {
-    /// `session` is drawn anew at each start of the process.
+    /// An authenticator at the start of the process. `session` has to be drawn at each start.
     pub fn new(keys: Keys, session: u32) -> Self {
         DatagramAuthenticator {
             keys,
@@ -121,10 +121,10 @@
             .then_some(content)
     }
 
-    /// Whether this sequence number of the session was not received before, noting that it now was.
+    /// Records a sequence number of a session; returns whether it was not received before.
     fn accept_once(&mut self, sender: u64, session: u32, sequence_number: u32) -> bool {
-        // Only holders of a key get this far. Forgetting a sender reopens its window for replays; commands of the
-        // fleet also carry a number that their receiver chose, so a replay of them is still refused.
+        // Only holders of a key get this far. Evicting a sender reopens its window for replays; commands of the fleet also
+        // contain a nonce of their receiver, so a replay of them is still rejected.
         if !self.senders.contains_key(&sender) && self.senders.len() >= MAX_SENDERS {
             self.evict_oldest_sender();
         }
@@ -153,7 +153,7 @@
     hasher.finish().to_be_bytes()
 }
 
-/// Compares all bytes wherever they differ, so that the time taken reveals nothing about the hash.
+/// Compares all bytes regardless of differences, so that the time taken reveals nothing about the hash.
 fn equal_in_constant_time(expected: &[u8; 8], received: &[u8]) -> bool {
     let differing_bits = expected
         .iter()
--- a/crates/membership/src/codec.rs
+++ b/crates/membership/src/codec.rs
@@ -24,30 +24,46 @@
 
 use crate::authenticator;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, SocketAddrV4};
-use tansymux_codec::{ByteReader, ByteWriter};
+use tansymux_codec::{wire_enum, ByteReader, ByteWriter};
 
-/// Longest datagram with its seal (bytes). The fleet's network contract allows datagrams of up to 256 bytes.
+/// Limit on the length of a datagram with its seal (bytes). The fleet's network contract allows datagrams of up to 256 bytes.
 pub const MAX_DATAGRAM_LEN: usize = 256;
 /// First byte of every membership datagram.
 pub const DATAGRAM_KIND: u8 = 4;
+/// Version of the layout.
 const VERSION: u8 = 1;
-/// Kind, version, message, sender, sequence number.
+/// Length of the header (bytes): kind, version, message, sender, sequence number.
 const HEADER_LEN: usize = 3 + 8 + 4;
+/// Length of the member that a message is about (bytes).
 const SUBJECT_LEN: usize = 8;
+/// Length of one gossip entry (bytes).
 const GOSSIP_LEN: usize = 8 + 4 + 2 + 1 + 4;
-/// Buckets of the member table whose digests are compared in a table sync.
+/// Number of buckets of the member table whose digests a table sync compares.
 pub const TABLE_BUCKETS: usize = 16;
+/// Length of the digests of a table sync (bytes).
 const DIGESTS_LEN: usize = 4 * TABLE_BUCKETS;
 
-const PING: u8 = 0;
-const ACK: u8 = 1;
-const PING_REQUEST: u8 = 2;
-const INDIRECT_ACK: u8 = 3;
-const JOIN: u8 = 4;
-const TABLE_SYNC: u8 = 5;
-const USER_MESSAGE: u8 = 6;
+wire_enum! {
+    /// The code of a message.
+    enum MessageKind {
+        /// [`Message::Ping`].
+        Ping = 0,
+        /// [`Message::Ack`].
+        Ack = 1,
+        /// [`Message::PingRequest`].
+        PingRequest = 2,
+        /// [`Message::IndirectAck`].
+        IndirectAck = 3,
+        /// [`Message::Join`].
+        Join = 4,
+        /// [`Message::TableSync`].
+        TableSync = 5,
+        /// A message of another protocol.
+        UserMessage = 6,
+    }
+}
 
-/// Longest content of a user message (bytes).
+/// Limit on the content of a user message (bytes).
 pub const MAX_USER_MESSAGE_LEN: usize = MAX_DATAGRAM_LEN - authenticator::SEAL_LEN - HEADER_LEN;
 
 /// A member's identifier, derived from its name: the same after a restart.
@@ -58,17 +74,18 @@
     tansymux_codec::fnv1a_64(name.as_bytes())
 }
 
-/// State of a member, from best to worst: at equal incarnation the worse state wins.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum MemberState {
-    /// It answers probes.
-    Alive,
-    /// It did not answer and has not refuted the suspicion yet.
-    Suspect,
-    /// The suspicion timed out.
-    Dead,
-    /// It announced that it leaves.
-    Left,
+wire_enum! {
+    /// State of a member, from best to worst: at equal incarnation the worse state wins.
+    pub enum MemberState {
+        /// The member answers probes.
+        Alive = 0,
+        /// The member did not answer and has not refuted the suspicion yet.
+        Suspect = 1,
+        /// The suspicion timed out.
+        Dead = 2,
+        /// The member announced that it leaves.
+        Left = 3,
+    }
 }
 
 impl MemberState {
@@ -76,16 +93,6 @@
     pub fn is_present(self) -> bool {
         self <= MemberState::Suspect
     }
-
-    fn from_byte(byte: u8) -> Option<MemberState> {
-        match byte {
-            0 => Some(MemberState::Alive),
-            1 => Some(MemberState::Suspect),
-            2 => Some(MemberState::Dead),
-            3 => Some(MemberState::Left),
-            _ => None,
-        }
-    }
 }
 
 /// A claim about a member, piggybacked on other messages.
@@ -93,26 +100,26 @@
 pub struct Gossip {
     /// The member that the claim is about.
     pub id: MemberId,
-    /// Its address.
+    /// The member's address.
     pub address: SocketAddr,
-    /// Its state.
+    /// The member's state.
     pub state: MemberState,
     /// The incarnation that the state belongs to.
     pub incarnation: u32,
 }
 
-/// What a datagram asks for or answers.
+/// The request or answer in a datagram.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Message {
     /// A direct probe.
     Ping,
     /// The answer to a ping or a join, under its sequence number.
     Ack,
-    /// Asks the receiver to probe this member for the sender (indirect probe).
+    /// A request to probe this member on behalf of the sender (indirect probe).
     PingRequest(MemberId),
     /// The answer to a ping request: this member acknowledged.
     IndirectAck(MemberId),
-    /// Asks a seed for its member table.
+    /// A request for the member table of a seed.
     Join,
     /// Digests of the sender's table by bucket; the receiver answers with its members of buckets that differ.
     TableSync([u32; TABLE_BUCKETS]),
@@ -121,23 +128,23 @@
 /// A datagram without its seal.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Datagram {
-    /// What it asks for or answers.
+    /// The request or answer.
     pub message: Message,
-    /// The member that sent it, as it says itself.
+    /// The sender that the datagram names.
     pub sender: MemberId,
-    /// Pairs an answer with its request.
+    /// Sequence number of the request, which its answer repeats.
     pub sequence_number: u32,
     /// Claims about members.
     pub gossip: Vec<Gossip>,
 }
 
-/// Why bytes are not a membership datagram.
+/// Why bytes could not be decoded as a membership datagram.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// Too short for the header, or another kind or version.
+    /// The datagram is too short for the header, or of another kind or version.
     #[error("no membership datagram of version {VERSION}")]
     NotMembership,
-    /// The message code is not known, or not one that carries gossip.
+    /// The code is unknown, or that of a user message.
     #[error("message code {0}: expected 0 to 5")]
     UnknownMessage(u8),
     /// The datagram ends inside a field of its message.
@@ -145,7 +152,7 @@
     Truncated,
 }
 
-/// How many gossip entries fit behind this message.
+/// Number of gossip entries that fit behind this message.
 pub fn gossip_capacity(message: Message) -> usize {
     let body_len = match message {
         Message::PingRequest(_) | Message::IndirectAck(_) => SUBJECT_LEN,
@@ -158,15 +165,15 @@
 /// Encodes a datagram without a seal. Gossip beyond [`gossip_capacity`] and gossip of addresses other than IPv4 is
 /// left out.
 pub fn encode(datagram: &Datagram) -> Vec<u8> {
-    let code = match datagram.message {
-        Message::Ping => PING,
-        Message::Ack => ACK,
-        Message::PingRequest(_) => PING_REQUEST,
-        Message::IndirectAck(_) => INDIRECT_ACK,
-        Message::Join => JOIN,
-        Message::TableSync(_) => TABLE_SYNC,
+    let kind = match datagram.message {
+        Message::Ping => MessageKind::Ping,
+        Message::Ack => MessageKind::Ack,
+        Message::PingRequest(_) => MessageKind::PingRequest,
+        Message::IndirectAck(_) => MessageKind::IndirectAck,
+        Message::Join => MessageKind::Join,
+        Message::TableSync(_) => MessageKind::TableSync,
     };
-    let mut writer = encode_header(code, datagram.sender, datagram.sequence_number);
+    let mut writer = encode_header(kind, datagram.sender, datagram.sequence_number);
     match datagram.message {
         Message::PingRequest(subject) | Message::IndirectAck(subject) => {
             writer.u64(subject);
@@ -185,10 +192,10 @@
     writer.into_bytes()
 }
 
-fn encode_header(code: u8, sender: MemberId, sequence_number: u32) -> ByteWriter {
+fn encode_header(kind: MessageKind, sender: MemberId, sequence_number: u32) -> ByteWriter {
     let mut writer = ByteWriter::with_capacity(MAX_DATAGRAM_LEN);
     writer
-        .bytes(&[DATAGRAM_KIND, VERSION, code])
+        .bytes(&[DATAGRAM_KIND, VERSION, kind.code()])
         .u64(sender)
         .u32(sequence_number);
     writer
@@ -202,7 +209,7 @@
         .u64(gossip.id)
         .bytes(&ip.octets())
         .u16(gossip.address.port())
-        .u8(gossip.state as u8)
+        .u8(gossip.state.code())
         .u32(gossip.incarnation);
 }
 
@@ -213,7 +220,7 @@
     sequence_number: u32,
 }
 
-/// Reads the header; `None` for what is no membership datagram.
+/// Decodes the header; `None` for bytes of another kind or version.
 fn decode_header(reader: &mut ByteReader) -> Option<Header> {
     let kind = reader.u8().ok()?;
     let version = reader.u8().ok()?;
@@ -227,7 +234,7 @@
     })
 }
 
-/// The sender that a datagram names, before any of it is verified; `None` for what is no membership datagram.
+/// The sender that a datagram names, not verified; `None` for bytes of another kind or version.
 pub fn peek_sender(bytes: &[u8]) -> Option<MemberId> {
     decode_header(&mut ByteReader::new(bytes)).map(|header| header.sender)
 }
@@ -236,7 +243,7 @@
 /// the end; at most as many entries are read as fit behind a ping.
 ///
 /// # Errors
-/// Where the bytes are no membership datagram, or a user message.
+/// A [`DecodeError`] for malformed bytes and for user messages.
 pub fn decode(bytes: &[u8]) -> Result<Datagram, DecodeError> {
     let mut reader = ByteReader::new(bytes);
     let header = decode_header(&mut reader).ok_or(DecodeError::NotMembership)?;
@@ -256,14 +263,15 @@
 }
 
 fn decode_message(code: u8, reader: &mut ByteReader) -> Result<Message, DecodeError> {
-    match code {
-        PING => Ok(Message::Ping),
-        ACK => Ok(Message::Ack),
-        PING_REQUEST => Ok(Message::PingRequest(decode_subject(reader)?)),
-        INDIRECT_ACK => Ok(Message::IndirectAck(decode_subject(reader)?)),
-        JOIN => Ok(Message::Join),
-        TABLE_SYNC => Ok(Message::TableSync(decode_digests(reader)?)),
-        code => Err(DecodeError::UnknownMessage(code)),
+    let kind = MessageKind::from_code(code).ok_or(DecodeError::UnknownMessage(code))?;
+    match kind {
+        MessageKind::Ping => Ok(Message::Ping),
+        MessageKind::Ack => Ok(Message::Ack),
+        MessageKind::PingRequest => Ok(Message::PingRequest(decode_subject(reader)?)),
+        MessageKind::IndirectAck => Ok(Message::IndirectAck(decode_subject(reader)?)),
+        MessageKind::Join => Ok(Message::Join),
+        MessageKind::TableSync => Ok(Message::TableSync(decode_digests(reader)?)),
+        MessageKind::UserMessage => Err(DecodeError::UnknownMessage(code)),
     }
 }
 
@@ -287,7 +295,7 @@
     Ok(Gossip {
         id,
         address: SocketAddr::V4(SocketAddrV4::new(ip, port)),
-        state: reader.code("state", MemberState::from_byte)?,
+        state: reader.code("state", MemberState::from_code)?,
         incarnation: reader.u32()?,
     })
 }
@@ -297,7 +305,7 @@
     if content.len() > MAX_USER_MESSAGE_LEN {
         return None;
     }
-    let mut writer = encode_header(USER_MESSAGE, sender, 0);
+    let mut writer = encode_header(MessageKind::UserMessage, sender, 0);
     writer.bytes(content);
     Some(writer.into_bytes())
 }
@@ -306,5 +314,5 @@
 pub fn decode_user_message(bytes: &[u8]) -> Option<&[u8]> {
     let mut reader = ByteReader::new(bytes);
     let header = decode_header(&mut reader)?;
-    (header.message_code == USER_MESSAGE).then(|| reader.take_remaining())
+    (header.message_code == MessageKind::UserMessage.code()).then(|| reader.take_remaining())
 }
--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -2,18 +2,18 @@
 
 use std::net::SocketAddr;
 
-/// Settings of the failure detector; times in milliseconds. Their ranges are checked where they are read.
+/// Settings of the failure detector; times in milliseconds. Their ranges are checked where the operators' file is read.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Config {
     /// Protocol period: one member is probed in each.
     pub period_ms: f64,
-    /// How long a direct probe may take before other members are asked to probe.
+    /// Timeout of a direct probe, after which indirect probes are requested.
     pub probe_timeout_ms: f64,
-    /// Number of members that are asked for an indirect probe each time.
+    /// Number of members from which indirect probes are requested at a time.
     pub indirect_probes: usize,
-    /// Protocol periods of suspicion for each doubling of the group.
+    /// Suspicion timeout, in protocol periods for each doubling of the size of the group.
     pub suspicion_multiplier: f64,
-    /// Addresses that are asked for the member table on joining.
+    /// Addresses of members from which a joining member requests the member table.
     pub seeds: Vec<SocketAddr>,
 }
 
--- a/crates/membership/src/detector.rs
+++ b/crates/membership/src/detector.rs
@@ -1,10 +1,14 @@
 //! The SWIM failure detector of one member.
 //!
-//! [`SwimDetector::handle`] takes what arrives and [`SwimDetector::poll`] what time brings; both queue datagrams that
-//! `poll` returns. The steps stand in the submodules: `probing` (direct and indirect probes, suspicion), `gossip`
-//! (claims about members and how they spread) and `table_sync` (joining and anti-entropy).
+//! [`SwimDetector::handle`] handles datagrams and [`SwimDetector::poll`] runs timers; both queue datagrams, which `poll`
+//! returns. The steps of the protocol are in the submodules: `probing` (direct and indirect probes, suspicion), `gossip`
+//! (dissemination) and `table_sync` (joining and anti-entropy).
 
 mod gossip;
+mod interface;
+mod local_health;
+mod outgoing;
+mod probe_round;
 mod probing;
 mod table_sync;
 
@@ -13,56 +17,28 @@
 use crate::config::Config;
 use crate::member::{Member, StateChange, UserMessage};
 use gossip::GossipQueue;
+pub use interface::{Event, OutgoingDatagram, PollOutput};
+use local_health::LocalHealth;
+use outgoing::Outgoing;
+use probe_round::ProbeRound;
 use probing::{IndirectProbe, Probe};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
 
-/// Members that are kept, those included that are dead and not yet forgotten.
+/// Limit on the members, including those that are dead and not yet forgotten.
 pub const MAX_MEMBERS: usize = 1024;
-/// Highest local health multiplier (Lifeguard): timeouts are up to nine times as long.
-const MAX_LOCAL_HEALTH: u32 = 8;
-/// State changes that are kept for display.
+/// Limit on the state changes in the history.
 const MAX_HISTORY: usize = 128;
-/// User messages that wait to be taken.
+/// Limit on the queued user messages.
 const MAX_QUEUED_USER_MESSAGES: usize = 1024;
-/// Protocol periods for which tables are synchronized in each one after the start.
+/// Number of protocol periods after the start in each of which tables are synchronized.
 const INITIAL_UNSETTLED_PERIODS: u32 = 10;
-/// A gap of this many protocol periods between two polls means that this process was paused.
+/// Gap between two polls that counts as a pause of this process, in protocol periods.
 const PAUSE_PERIODS: f64 = 2.0;
-
-/// What a detector reacts to.
-#[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Event<'a> {
-    /// A datagram arrived. What cannot be decoded or is not authentic is ignored.
-    DatagramReceived {
-        /// The address that it came from.
-        from: SocketAddr,
-        /// Its bytes.
-        bytes: &'a [u8],
-    },
-    /// This member leaves; the datagrams that the next poll returns tell the others.
-    LeaveRequested,
-}
-
-/// A datagram to be sent.
-#[derive(Debug, Clone, PartialEq)]
-pub struct OutgoingDatagram {
-    /// Where it goes.
-    pub to: SocketAddr,
-    /// Its bytes, sealed.
-    pub bytes: Vec<u8>,
-}
-
-/// The result of a poll.
-#[derive(Debug, Clone, PartialEq)]
-pub struct PollOutput {
-    /// Datagrams to be sent, in order.
-    pub datagrams: Vec<OutgoingDatagram>,
-    /// When to poll next at the latest (ms).
-    pub next_poll_ms: f64,
-}
+/// Increase of the local health multiplier after a pause.
+const PAUSE_HEALTH_PENALTY: u32 = 2;
 
 /// The SWIM failure detector of one member. All times in milliseconds of the caller's clock.
 #[derive(Debug, Clone)]
@@ -70,39 +46,36 @@
     id: MemberId,
     address: SocketAddr,
     incarnation: u32,
-    leaving: bool,
+    /// Whether this member has announced that it leaves.
+    is_leaving: bool,
     config: Config,
-    authenticator: DatagramAuthenticator,
+    outgoing: Outgoing,
     rng: Pcg32,
     /// All known members but this one.
     members: BTreeMap<MemberId, Member>,
-    /// Members still to be probed in this round, in random order: none waits for more than two rounds.
-    probe_round: Vec<MemberId>,
+    probe_round: ProbeRound,
     probe: Option<Probe>,
-    /// Probes that this member makes for others.
+    /// Probes that this member sends on behalf of others.
     indirect_probes: Vec<IndirectProbe>,
     next_period_ms: f64,
     next_join_ms: f64,
     next_sync_ms: f64,
-    /// Protocol periods for which tables are still synchronized in each.
+    /// Remaining number of protocol periods in each of which tables are synchronized.
     unsettled_periods: u32,
     /// Datagrams that answered table syncs in this period.
     sync_answers_sent: usize,
     /// Datagrams that answered joins in this period.
     join_answers_sent: usize,
     user_messages: VecDeque<UserMessage>,
-    sequence_number: u32,
-    /// Lifeguard's local health multiplier: grows with missed answers and with suspicions this member had to refute.
-    local_health: u32,
+    local_health: LocalHealth,
     gossip_queue: GossipQueue,
     history: Vec<StateChange>,
     now_ms: f64,
-    outbox: Vec<OutgoingDatagram>,
 }
 
 impl SwimDetector {
-    /// `name` stays the same over restarts; `last_incarnation` is the last one known of it, 0 if none is; `seed` is
-    /// drawn anew at each start.
+    /// A detector at the start of a member. `name` is the same after a restart; `last_incarnation` is the member's last
+    /// known incarnation, or 0; `seed` has to be drawn at each start.
     pub fn new(
         name: &str,
         address: SocketAddr,
@@ -113,16 +86,17 @@
     ) -> Self {
         let mut rng = Pcg32::seed_from_u64(seed);
         let session = rng.random();
+        let id = codec::member_id_of(name);
         SwimDetector {
-            id: codec::member_id_of(name),
+            id,
             address,
             incarnation: last_incarnation.wrapping_add(1),
-            leaving: false,
+            is_leaving: false,
             config,
-            authenticator: DatagramAuthenticator::new(keys, session),
+            outgoing: Outgoing::new(id, DatagramAuthenticator::new(keys, session)),
             rng,
             members: BTreeMap::new(),
-            probe_round: Vec::new(),
+            probe_round: ProbeRound::default(),
             probe: None,
             indirect_probes: Vec::new(),
             next_period_ms: f64::NEG_INFINITY,
@@ -132,12 +106,10 @@
             sync_answers_sent: 0,
             join_answers_sent: 0,
             user_messages: VecDeque::new(),
-            sequence_number: 0,
-            local_health: 0,
+            local_health: LocalHealth::default(),
             gossip_queue: GossipQueue::default(),
             history: Vec::new(),
             now_ms: f64::NEG_INFINITY,
-            outbox: Vec::new(),
         }
     }
 
@@ -146,7 +118,7 @@
         self.id
     }
 
-    /// This member's incarnation, to be kept over a restart.
+    /// This member's incarnation, to be stored for the next start.
     pub fn incarnation(&self) -> u32 {
         self.incarnation
     }
@@ -156,7 +128,7 @@
         self.members.values()
     }
 
-    /// Members that count as running, this one included.
+    /// Number of members that count as running, this one included.
     pub fn present_count(&self) -> usize {
         self.present_members().count() + 1
     }
@@ -173,15 +145,15 @@
 
     /// Lifeguard's local health multiplier, from 0 (healthy): timeouts are `1 + local_health` times as long.
     pub fn local_health(&self) -> u32 {
-        self.local_health
+        self.local_health.multiplier()
     }
 
     /// Replaces the keys of the datagrams.
     pub fn set_keys(&mut self, keys: Keys) {
-        self.authenticator.set_keys(keys);
+        self.outgoing.set_keys(keys);
     }
 
-    /// Takes an event. Answers wait for the next [`SwimDetector::poll`].
+    /// Handles an event. The next [`SwimDetector::poll`] returns the answers.
     pub fn handle(&mut self, event: Event<'_>, now_ms: f64) {
         self.now_ms = self.now_ms.max(now_ms);
         match event {
@@ -190,13 +162,13 @@
         }
     }
 
-    /// Runs what is due; returns what is to be sent and when to poll again.
+    /// Runs the timers that are due. Returns the datagrams to send and when to poll again.
     pub fn poll(&mut self, now_ms: f64) -> PollOutput {
         if self.was_paused(now_ms) {
             self.recover_from_pause(now_ms);
         }
         self.now_ms = self.now_ms.max(now_ms);
-        if !self.leaving {
+        if !self.is_leaving {
             self.join_if_due();
             self.sync_tables_if_due();
             self.retry_probe_if_due();
@@ -210,7 +182,7 @@
         self.indirect_probes
             .retain(|indirect| indirect.expires_ms > now_ms);
         PollOutput {
-            datagrams: std::mem::take(&mut self.outbox),
+            datagrams: self.outgoing.take(),
             next_poll_ms: self.next_poll_ms(),
         }
     }
@@ -226,7 +198,7 @@
             .max(self.now_ms + 1.0)
     }
 
-    /// Sends a message of another protocol to a member; whether it is present and the message fits.
+    /// Sends a message of another protocol to a member. Returns whether the member is present and the message fits.
     pub fn send_user_message(&mut self, to: MemberId, content: &[u8]) -> bool {
         match self.members.get(&to) {
             Some(member) if member.is_present() => {
@@ -237,15 +209,9 @@
         }
     }
 
-    /// Sends a message of another protocol to an address, as in answer to one that is no member; whether it fits.
+    /// Sends a message of another protocol to an address, for instance of a client. Returns whether the message fits.
     pub fn send_user_message_to(&mut self, to: SocketAddr, content: &[u8]) -> bool {
-        match codec::encode_user_message(self.id, content) {
-            Some(bytes) => {
-                self.seal_and_queue(to, bytes);
-                true
-            }
-            None => false,
-        }
+        self.outgoing.push_user_message(to, content)
     }
 
     /// The next message that another protocol sent to this member.
@@ -253,10 +219,8 @@
         self.user_messages.pop_front()
     }
 
-    // ---- Events ----
-
     fn leave(&mut self) {
-        self.leaving = true;
+        self.is_leaving = true;
         let farewell = self.own_gossip(MemberState::Left);
         self.enqueue_gossip(farewell);
         let receivers: Vec<SocketAddr> = self
@@ -279,7 +243,7 @@
         if sender == self.id {
             return;
         }
-        let Some(opened) = self.authenticator.open(sender, bytes) else {
+        let Some(opened) = self.outgoing.open(sender, bytes) else {
             return;
         };
         if let Some(content) = codec::decode_user_message(opened) {
@@ -292,7 +256,7 @@
         for gossip in &datagram.gossip {
             self.apply_gossip(*gossip);
         }
-        self.answer(from, &datagram);
+        self.on_message(from, &datagram);
     }
 
     fn queue_user_message(&mut self, from: MemberId, address: SocketAddr, content: &[u8]) {
@@ -305,7 +269,8 @@
         }
     }
 
-    fn answer(&mut self, from: SocketAddr, datagram: &Datagram) {
+    /// Handles the message of a datagram.
+    fn on_message(&mut self, from: SocketAddr, datagram: &Datagram) {
         let sequence_number = datagram.sequence_number;
         match datagram.message {
             Message::Ping => self.send_numbered(from, Message::Ack, sequence_number),
@@ -319,15 +284,15 @@
         }
     }
 
-    // ---- Helpers of all steps ----
-
-    /// A pause of this process says nothing about the others: it lowers its own health instead of suspecting them.
+    /// Whether this process was paused since the last poll.
     fn was_paused(&self, now_ms: f64) -> bool {
         now_ms - self.now_ms > PAUSE_PERIODS * self.config.period_ms && self.now_ms.is_finite()
     }
 
+    /// Drops the probe in progress and extends suspicions: after a pause of this process, missing answers are no evidence
+    /// against other members.
     fn recover_from_pause(&mut self, now_ms: f64) {
-        self.raise_local_health(2);
+        self.local_health.degrade(PAUSE_HEALTH_PENALTY);
         self.probe = None;
         let earliest_start_ms = now_ms - self.suspicion_timeout_ms() / 2.0;
         for member in self.members.values_mut() {
@@ -337,10 +302,7 @@
         }
     }
 
-    fn raise_local_health(&mut self, by: u32) {
-        self.local_health = (self.local_health + by).min(MAX_LOCAL_HEALTH);
-    }
-
+    /// A claim about this member.
     fn own_gossip(&self, state: MemberState) -> Gossip {
         Gossip {
             id: self.id,
@@ -354,17 +316,12 @@
         self.members.values().filter(|member| member.is_present())
     }
 
-    /// The address of a known member, in whichever state.
+    /// The address of a known member in any state.
     fn address_of(&self, id: MemberId) -> Option<SocketAddr> {
         self.members.get(&id).map(|member| member.address)
     }
 
-    /// Factor on timeouts by the local health multiplier.
-    fn timeout_factor(&self) -> f64 {
-        1.0 + f64::from(self.local_health)
-    }
-
-    /// log2 of the size of the group, which SWIM's dissemination and suspicion times grow with.
+    /// Binary logarithm of the size of the group. SWIM's dissemination and suspicion times are proportional to it.
     fn group_doublings(&self) -> f64 {
         (self.members.len() as f64 + 2.0).log2()
     }
@@ -380,37 +337,16 @@
         });
     }
 
-    /// Sends a message under the next sequence number, which it returns.
+    /// Sends a request and returns its sequence number.
     fn send(&mut self, to: SocketAddr, message: Message) -> u32 {
-        self.sequence_number = self.sequence_number.wrapping_add(1);
-        self.send_numbered(to, message, self.sequence_number);
-        self.sequence_number
+        let sequence_number = self.outgoing.next_sequence_number();
+        self.send_numbered(to, message, sequence_number);
+        sequence_number
     }
 
     /// Sends a message under a given sequence number, with as much gossip as fits.
     fn send_numbered(&mut self, to: SocketAddr, message: Message, sequence_number: u32) {
         let gossip = self.take_gossip(codec::gossip_capacity(message));
-        self.send_datagram(to, message, sequence_number, gossip);
-    }
-
-    fn send_datagram(
-        &mut self,
-        to: SocketAddr,
-        message: Message,
-        sequence_number: u32,
-        gossip: Vec<Gossip>,
-    ) {
-        let bytes = codec::encode(&Datagram {
-            message,
-            sender: self.id,
-            sequence_number,
-            gossip,
-        });
-        self.seal_and_queue(to, bytes);
-    }
-
-    fn seal_and_queue(&mut self, to: SocketAddr, mut bytes: Vec<u8>) {
-        self.authenticator.seal(&mut bytes);
-        self.outbox.push(OutgoingDatagram { to, bytes });
+        self.outgoing.push(to, message, sequence_number, gossip);
     }
 }
--- a/crates/membership/src/detector/gossip.rs
+++ b/crates/membership/src/detector/gossip.rs
@@ -1,4 +1,4 @@
-//! Dissemination: claims about members, how they are merged and how often they are passed on.
+//! Dissemination: how claims about members are merged and how often they are transmitted.
 
 use super::{SwimDetector, MAX_MEMBERS};
 use crate::codec::{Gossip, MemberId, MemberState};
@@ -7,21 +7,21 @@
 use std::cmp::Reverse;
 use std::collections::VecDeque;
 
-/// Each claim is passed on this many times for each doubling of the group, and for one doubling more.
+/// Number of transmissions of a claim for each doubling of the size of the group, plus one doubling.
 const TRANSMISSIONS_PER_DOUBLING: f64 = 3.0;
-/// Members named at random behind the gossip of a datagram, where there is room.
+/// Limit on the claims about random members in a datagram, where it has capacity.
 const MAX_REMINDERS: usize = 2;
-/// Protocol periods for which tables are synchronized in each after a new member was found.
+/// Number of protocol periods after a new member was found in each of which tables are synchronized.
 const UNSETTLED_PERIODS_AFTER_JOIN: u32 = 3;
-/// Half of the range of incarnations, which wrap around: a difference up to here is newer, beyond it older.
+/// Half of the range of incarnations, which wrap around: a smaller difference means newer, any other older.
 const INCARNATION_HALF_RANGE: u32 = 0x8000_0000;
 
-/// Whether one incarnation comes after another one.
+/// Whether an incarnation is newer than another one.
 fn is_newer_incarnation(incarnation: u32, than: u32) -> bool {
     (1..INCARNATION_HALF_RANGE).contains(&incarnation.wrapping_sub(than))
 }
 
-/// Whether a claim overrides what is known: a higher incarnation, or a worse state at the same one.
+/// Whether a claim overrides the known state of a member: a higher incarnation, or a worse state at the same one.
 fn overrides(gossip: &Gossip, known: &Member) -> bool {
     if gossip.incarnation == known.incarnation {
         return gossip.state > known.state;
@@ -29,21 +29,21 @@
     is_newer_incarnation(gossip.incarnation, known.incarnation)
 }
 
-/// Claims that are still to be passed on, each with its remaining transmissions; one for each member at the most.
+/// Claims to be transmitted, at most one for each member, each with its remaining transmissions.
 #[derive(Debug, Clone, Default)]
 pub(super) struct GossipQueue {
     entries: VecDeque<(Gossip, u32)>,
 }
 
 impl GossipQueue {
-    /// Puts a claim first; an older one about the same member goes.
+    /// Queues a claim first, in place of any other about the same member.
     fn push(&mut self, gossip: Gossip, transmissions: u32) {
         self.entries.retain(|(queued, _)| queued.id != gossip.id);
         self.entries.push_front((gossip, transmissions));
         self.entries.truncate(MAX_MEMBERS);
     }
 
-    /// Up to `count` claims, those with the most remaining transmissions first, without those about `except`.
+    /// Takes up to `count` claims, those with the most remaining transmissions first, without those about `except`.
     fn take(&mut self, count: usize, except: MemberId) -> Vec<Gossip> {
         self.entries
             .make_contiguous()
@@ -64,17 +64,17 @@
 }
 
 impl SwimDetector {
-    /// Queues a claim to be passed on.
+    /// Queues a claim for dissemination.
     pub(super) fn enqueue_gossip(&mut self, gossip: Gossip) {
         let transmissions =
             (TRANSMISSIONS_PER_DOUBLING * (self.group_doublings() + 1.0)).ceil() as u32;
         self.gossip_queue.push(gossip, transmissions);
     }
 
-    /// Gossip for a datagram that holds `capacity` claims: about the sender itself, then what was passed on least
-    /// often, then members at random in the room that is left.
+    /// Gossip for a datagram with `capacity` claims: about this member, then the claims transmitted least often, then
+    /// claims about random members.
     pub(super) fn take_gossip(&mut self, capacity: usize) -> Vec<Gossip> {
-        let own_state = if self.leaving {
+        let own_state = if self.is_leaving {
             MemberState::Left
         } else {
             MemberState::Alive
@@ -91,21 +91,21 @@
         gossip
     }
 
-    /// A claim about a member drawn at random, if that one is present: who missed gossip about it learns of it yet.
+    /// A claim about a member drawn at random, if that member is present, for receivers that missed its gossip.
     fn draw_reminder(&mut self) -> Option<Gossip> {
         let index = self.rng.random_range(0..self.members.len());
         let member = self.members.values().nth(index)?;
         member.is_present().then(|| member.to_gossip())
     }
 
-    /// Merges a claim into the table, and passes it on if it is new.
+    /// Merges a claim into the table, and disseminates it if it is new.
     pub(super) fn apply_gossip(&mut self, gossip: Gossip) {
         if gossip.id == self.id {
             self.refute_if_needed(gossip);
         } else if self.members.contains_key(&gossip.id) {
             self.update_member(gossip);
         } else if gossip.state < MemberState::Dead && self.members.len() < MAX_MEMBERS {
-            // Claims about unknown members that are gone already are of no use to anyone.
+            // A claim that an unknown member is dead or left is of no use.
             self.add_member(gossip);
         }
     }
@@ -143,17 +143,15 @@
             },
         );
         self.unsettled_periods = self.unsettled_periods.max(UNSETTLED_PERIODS_AFTER_JOIN);
-        // A random place in the round, so that not all members probe the newest one at once.
-        let place = self.rng.random_range(0..=self.probe_round.len());
-        self.probe_round.insert(place, gossip.id);
+        self.probe_round.insert(gossip.id, &mut self.rng);
         self.record_change(gossip.id, gossip.state);
         self.enqueue_gossip(gossip);
     }
 
-    /// Others consider this member suspect, dead or gone, or remember a later incarnation of it: it refutes with a
-    /// higher incarnation. A suspicion it has to refute also means that its own answers are slow.
+    /// Refutes a claim that this member is suspect, dead or left, or has a newer incarnation, by a higher incarnation. A
+    /// suspicion is also evidence that this member answers slowly.
     fn refute_if_needed(&mut self, gossip: Gossip) {
-        if self.leaving {
+        if self.is_leaving {
             return;
         }
         let accuses_this_incarnation =
@@ -164,7 +162,7 @@
         }
         self.incarnation = gossip.incarnation.wrapping_add(1);
         if accuses_this_incarnation && gossip.state == MemberState::Suspect {
-            self.raise_local_health(1);
+            self.local_health.degrade(1);
         }
         let refutation = self.own_gossip(MemberState::Alive);
         self.enqueue_gossip(refutation);
--- a/crates/membership/src/detector/probing.rs
+++ b/crates/membership/src/detector/probing.rs
@@ -1,35 +1,34 @@
 //! Failure detection: direct and indirect probes, suspicion and its timeout.
 
+use super::probe_round::ProbeRound;
 use super::{SwimDetector, MAX_MEMBERS};
 use crate::codec::{Gossip, MemberId, MemberState, Message};
 use rand::RngExt;
 use std::net::SocketAddr;
 
-/// Direct pings of one member within a protocol period; from the second one on with indirect probes beside it.
+/// Limit on the direct pings of one member in a protocol period. Indirect probes accompany all but the first.
 const MAX_PINGS_PER_PERIOD: u32 = 3;
-/// Protocol periods in a row without an answer before a member is suspected. On a network that loses three in ten,
-/// one probe in thirty fails for a whole period: suspecting then, 300 members would have to spread more refutations
-/// than gossip can carry.
+/// Number of protocol periods in a row without an answer after which a member is suspected. With one, refutations in a
+/// large group on a lossy network would exceed the capacity of gossip.
 const PERIODS_BEFORE_SUSPICION: u32 = 2;
-/// A member that is dead or left is remembered for this many protocol periods, so that old gossip does not bring it
-/// back.
-const REMEMBERED_PERIODS: f64 = 60.0;
+/// Retention of a member that is dead or left, in protocol periods, so that old gossip does not add it again.
+const RETENTION_PERIODS: f64 = 60.0;
 
-/// The probe under way.
+/// The probe in progress.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Probe {
     target: MemberId,
     sequence_number: u32,
     sent_ms: f64,
     pings: u32,
-    /// Earlier periods in which it did not answer.
+    /// Number of previous periods in a row in which the target did not answer.
     missed_periods: u32,
 }
 
-/// A probe that this member makes for another one.
+/// A probe that this member sends on behalf of another one.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct IndirectProbe {
-    /// The requester's sequence number, under which the answer is passed on.
+    /// The requester's sequence number, under which the answer is forwarded.
     sequence_number: u32,
     target: MemberId,
     requester: MemberId,
@@ -37,7 +36,7 @@
 }
 
 impl SwimDetector {
-    /// Begins a protocol period: probes the next member, or again the one that did not answer in the last period.
+    /// Begins a protocol period: probes the member again that did not answer in the last period, or else the next one.
     pub(super) fn begin_period(&mut self) {
         self.forget_departed();
         self.join_answers_sent = 0;
@@ -46,16 +45,17 @@
             if self.probe_again(&unanswered) {
                 return;
             }
-            self.raise_local_health(1);
+            self.local_health.degrade(1);
             self.suspect(unanswered.target);
         }
         if !self.probe_next_in_round() {
-            self.draw_probe_round();
+            let present = self.present_members().map(|member| member.id).collect();
+            self.probe_round = ProbeRound::draw(present, &mut self.rng);
         }
     }
 
-    /// Probes a member again that did not answer in the last period, unless it is suspected already, is gone or
-    /// missed enough periods; whether it does.
+    /// Probes a member again that did not answer in the last period, unless it is suspected already, was forgotten or
+    /// missed the limit of periods. Returns whether it does.
     fn probe_again(&mut self, unanswered: &Probe) -> bool {
         let Some(member) = self.members.get(&unanswered.target) else {
             return false;
@@ -80,9 +80,9 @@
         });
     }
 
-    /// Probes the next present member of the round; false where none is left.
+    /// Probes the next present member of the round; false at its end.
     fn probe_next_in_round(&mut self) -> bool {
-        while let Some(target) = self.probe_round.pop() {
+        while let Some(target) = self.probe_round.next() {
             let present = self
                 .members
                 .get(&target)
@@ -95,24 +95,18 @@
         false
     }
 
-    fn draw_probe_round(&mut self) {
-        self.probe_round = self.present_members().map(|member| member.id).collect();
-        for last in (1..self.probe_round.len()).rev() {
-            let other = self.rng.random_range(0..=last);
-            self.probe_round.swap(last, other);
-        }
-    }
-
-    /// When a probe without an answer is repeated (ms).
+    /// When a probe without an answer is retried (ms).
     pub(super) fn probe_retry_ms(&self, probe: &Probe) -> f64 {
         if probe.pings >= MAX_PINGS_PER_PERIOD {
             return f64::INFINITY;
         }
         probe.sent_ms
-            + self.config.probe_timeout_ms * self.timeout_factor() * f64::from(probe.pings)
+            + self.config.probe_timeout_ms
+                * self.local_health.timeout_factor()
+                * f64::from(probe.pings)
     }
 
-    /// Pings once more, and asks other members, drawn anew each time, to probe as well.
+    /// Pings the target again, and requests indirect probes from other members, drawn at random for each retry.
     pub(super) fn retry_probe_if_due(&mut self) {
         let Some(probe) = self.probe else {
             return;
@@ -164,7 +158,7 @@
     pub(super) fn on_ack(&mut self, from: MemberId, sequence_number: u32) {
         if self.ends_probe(from, sequence_number) {
             self.probe = None;
-            self.local_health = self.local_health.saturating_sub(1);
+            self.local_health.improve();
         }
         let answered: Vec<IndirectProbe> = self
             .indirect_probes
@@ -193,8 +187,6 @@
             .is_some_and(|probe| probe.target == target && probe.sequence_number == sequence_number)
     }
 
-    // ---- Suspicion ----
-
     fn suspect(&mut self, id: MemberId) {
         let Some(member) = self.members.get(&id) else {
             return;
@@ -212,12 +204,12 @@
         self.send(address, Message::Ping);
     }
 
-    /// How long a member is suspected before it is considered dead (ms).
+    /// Time for which a member is suspected before it is declared dead (ms).
     pub(super) fn suspicion_timeout_ms(&self) -> f64 {
         self.config.suspicion_multiplier
             * self.group_doublings()
             * self.config.period_ms
-            * self.timeout_factor()
+            * self.local_health.timeout_factor()
     }
 
     pub(super) fn expire_suspicions(&mut self) {
@@ -239,9 +231,9 @@
 
     fn forget_departed(&mut self) {
         let now_ms = self.now_ms;
-        let remembered_ms = REMEMBERED_PERIODS * self.config.period_ms;
+        let retention_ms = RETENTION_PERIODS * self.config.period_ms;
         self.members.retain(|_, member| {
-            member.is_present() || now_ms - member.state_since_ms < remembered_ms
+            member.is_present() || now_ms - member.state_since_ms < retention_ms
         });
     }
 }
--- a/crates/membership/src/detector/table_sync.rs
+++ b/crates/membership/src/detector/table_sync.rs
@@ -1,4 +1,4 @@
-//! Joining through seeds, and anti-entropy: members compare digests of their tables and exchange what differs.
+//! Joining through seeds, and anti-entropy: members compare digests of their tables and exchange the differing parts.
 
 use super::SwimDetector;
 use crate::codec::{self, Gossip, MemberId, MemberState, Message, TABLE_BUCKETS};
@@ -6,33 +6,35 @@
 use rand::RngExt;
 use std::net::SocketAddr;
 
-/// Datagrams in a protocol period that answer joins: as many as a few newcomers need, since an answer is longer than
-/// its question.
+/// Limit on the datagrams in a protocol period that answer joins, since an answer is longer than its request: enough for
+/// a few joining members.
 const MAX_JOIN_ANSWERS: usize = 60;
-/// Datagrams in a protocol period that answer table syncs; three times as many while the table is unsettled.
+/// Limit on the datagrams in a protocol period that answer table syncs.
 const MAX_SYNC_ANSWERS: usize = 5;
+/// The same limit while the table is unsettled.
 const MAX_SYNC_ANSWERS_UNSETTLED: usize = 3 * MAX_SYNC_ANSWERS;
-/// Protocol periods between two table syncs; one while the table is unsettled.
+/// Mean number of protocol periods between two table syncs; one while the table is unsettled.
 const SYNC_PERIODS: f64 = 5.0;
-/// Protocol periods between two joins of a member that knows others; one while it knows none.
+/// Mean number of protocol periods between two joins of a member that knows others; one while it knows none.
 const REJOIN_PERIODS: f64 = 15.0;
-/// Multiplier of Fibonacci hashing (2^64 divided by the golden ratio), part of the wire format: both sides must place
-/// members in the same buckets and mix digests alike.
+/// Multiplier of Fibonacci hashing (2^64 divided by the golden ratio). It is part of the wire format: all members have to
+/// compute the same buckets and digests.
 const HASH_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
 
+/// The bucket of the member table that a member belongs to.
 fn bucket_of(id: MemberId) -> usize {
     (id.wrapping_mul(HASH_MULTIPLIER) >> 60) as usize % TABLE_BUCKETS
 }
 
 impl SwimDetector {
-    /// Asks the seeds for their tables: all of them while no other member is known, else one at random now and then,
-    /// so that two halves of a partitioned group find each other again.
+    /// Requests the tables of the seeds: of all seeds while no other member is known, else of a random one periodically, so
+    /// that two halves of a partitioned group find each other again.
     pub(super) fn join_if_due(&mut self) {
         if self.now_ms < self.next_join_ms {
             return;
         }
         let knows_nobody = self.present_members().next().is_none();
-        // Spread at random, so that members that started together do not go on asking together.
+        // The jitter keeps members that started together from sending their requests together.
         let spread = 0.5 + self.rng.random::<f64>();
         let periods = if knows_nobody {
             1.0
@@ -53,7 +55,7 @@
         }
     }
 
-    /// Sends a joining member all present members, in as many datagrams as that takes and the period allows.
+    /// Sends all present members to a joining one, in as many datagrams as the limit of the period allows.
     pub(super) fn answer_join(&mut self, to: SocketAddr, sequence_number: u32) {
         let present: Vec<Gossip> = self.present_members().map(Member::to_gossip).collect();
         self.send_numbered(to, Message::Ack, sequence_number);
@@ -61,7 +63,7 @@
         self.join_answers_sent += self.send_table(to, sequence_number, present, allowed);
     }
 
-    /// Sends claims in at most so many datagrams, beginning at a random one; returns how many it sent.
+    /// Sends claims in at most `max_datagrams`, beginning at a random claim; returns the number of datagrams.
     fn send_table(
         &mut self,
         to: SocketAddr,
@@ -79,13 +81,14 @@
             .chunks(codec::gossip_capacity(Message::Ack))
             .take(max_datagrams)
         {
-            self.send_datagram(to, Message::Ack, sequence_number, chunk.to_vec());
+            self.outgoing
+                .push(to, Message::Ack, sequence_number, chunk.to_vec());
             sent += 1;
         }
         sent
     }
 
-    /// A digest of each bucket of the table: of who is present, and in which incarnation.
+    /// A digest of each bucket of the table, over the present members and their incarnations.
     fn table_digests(&self) -> [u32; TABLE_BUCKETS] {
         let mut digests = [0_u32; TABLE_BUCKETS];
         let mut add = |id: MemberId, incarnation: u32| {
@@ -100,7 +103,7 @@
         digests
     }
 
-    /// Sends what is known of the buckets that differ, dead members included.
+    /// Sends the members of the buckets that differ, dead members included.
     pub(super) fn answer_table_sync(&mut self, to: SocketAddr, theirs: &[u32; TABLE_BUCKETS]) {
         let ours = self.table_digests();
         let differs = |id: MemberId| ours[bucket_of(id)] != theirs[bucket_of(id)];
@@ -110,7 +113,7 @@
             .filter(|member| differs(member.id))
             .map(Member::to_gossip)
             .collect();
-        if differs(self.id) && !self.leaving {
+        if differs(self.id) && !self.is_leaving {
             claims.push(self.own_gossip(MemberState::Alive));
         }
         if claims.is_empty() {
@@ -125,9 +128,9 @@
         self.sync_answers_sent += self.send_table(to, 0, claims, allowed);
     }
 
-    /// Compares tables with one random member: gossip is passed on for a limited time and may miss some members.
+    /// Compares tables with a random member: gossip is transmitted a limited number of times and may miss some members.
     pub(super) fn sync_tables_if_due(&mut self) {
-        if self.now_ms < self.next_sync_ms || self.leaving {
+        if self.now_ms < self.next_sync_ms || self.is_leaving {
             return;
         }
         let spread = 0.5 + self.rng.random::<f64>();
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -4,12 +4,12 @@
 //! Protocol", DSN 2002) with the local health multiplier of Lifeguard (Dadgar, Phillips, Currey: "Lifeguard: Local
 //! Health Awareness for More Accurate Failure Detection", 2018). What differs from the papers:
 //! - a direct probe is repeated together with each round of indirect probes, and a member is suspected only after two
-//!   protocol periods without an answer, because a network may lose three datagrams in ten;
+//!   protocol periods without an answer, because of networks with a high datagram loss;
 //! - beside piggybacked gossip, members compare digests of their tables (anti-entropy, [`Message::TableSync`]);
-//! - each datagram also repeats a few members at random, so that one that missed their gossip still learns of them;
+//! - each datagram also contains claims about a few random members, for receivers that missed their gossip;
 //! - datagrams are authenticated and replay-protected ([`DatagramAuthenticator`]).
 //!
-//! Owns: who is a member and in which state ([`SwimDetector`]), the datagram layout ([`codec`]) and which datagrams are
+//! Owns: the members and their states ([`SwimDetector`]), the datagram layout ([`codec`]) and which datagrams are
 //! accepted ([`authenticator`]). It never does I/O and never reads a clock: datagrams and times come in, datagrams go
 //! out. It decides nothing about engines or queries.
 //!
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -1,4 +1,4 @@
-//! What the detector knows of a member, and what it reports.
+//! Members, their state changes, and messages of other protocols.
 
 use crate::codec::{Gossip, MemberId, MemberState};
 use std::net::SocketAddr;
@@ -8,18 +8,18 @@
 pub struct Member {
     /// Identifier derived from the member's name.
     pub id: MemberId,
-    /// Where its datagrams go.
+    /// The member's address.
     pub address: SocketAddr,
-    /// Its last known state.
+    /// The last known state.
     pub state: MemberState,
-    /// Its last known incarnation.
+    /// The last known incarnation.
     pub incarnation: u32,
     /// When `state` last changed (ms).
     pub state_since_ms: f64,
 }
 
 impl Member {
-    /// The claim about this member that is passed on to others.
+    /// The claim about this member for dissemination.
     pub(crate) fn to_gossip(&self) -> Gossip {
         Gossip {
             id: self.id,
@@ -35,24 +35,24 @@
     }
 }
 
-/// A member appeared, changed its state or moved to another address.
+/// A change of a member: it appeared, or its state or address changed.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StateChange {
-    /// When it was noticed (ms).
+    /// When the change was recorded (ms).
     pub at_ms: f64,
     /// The member.
     pub id: MemberId,
-    /// Its state from then on.
+    /// The member's new state.
     pub state: MemberState,
 }
 
-/// A message that another protocol sent through the membership datagrams.
+/// A message of another protocol in a membership datagram.
 #[derive(Debug, Clone, PartialEq)]
 pub struct UserMessage {
-    /// The sender as the datagram names it.
+    /// The sender that the datagram names.
     pub from: MemberId,
     /// The address that the datagram came from.
     pub address: SocketAddr,
-    /// The message, not interpreted here.
+    /// The message, which the detector does not interpret.
     pub content: Vec<u8>,
 }
