--- a/crates/codec/src/error.rs
+++ b/crates/codec/src/error.rs
@@ -8,15 +8,15 @@
     /// The bytes end within a field.
     #[error("the datagram ends within a field")]
     Truncated,
-    /// A code that has no meaning in this version.
+    /// A field has a code without a meaning in this version.
     #[error("{field} has no code {code}")]
     UnknownCode {
         /// The field.
         field: &'static str,
-        /// What it held.
+        /// The code.
         code: u8,
     },
-    /// A floating point field holds a NaN or an infinity.
+    /// A floating point field has a NaN or an infinity.
     #[error("a number is not finite")]
     NotFinite,
     /// An embedded message of another package is malformed.
--- a/crates/codec/src/hash.rs
+++ b/crates/codec/src/hash.rs
@@ -1,9 +1,13 @@
-//! The FNV-1a hash (Fowler, Noll, Vo) in the widths that stand in messages. It is part of wire formats: two versions
-//! that hash the same name must agree. It does not resist an attacker who picks the input.
+//! The FNV-1a hash (Fowler, Noll, Vo) in the widths that messages use. It is part of wire formats: all versions have to
+//! compute the same hash of a name. It does not resist an attacker who chooses the input.
 
+/// Offset basis of 32-bit FNV-1a.
 const OFFSET_BASIS_32: u32 = 0x811c_9dc5;
+/// Prime of 32-bit FNV-1a.
 const PRIME_32: u32 = 0x0100_0193;
+/// Offset basis of 64-bit FNV-1a.
 const OFFSET_BASIS_64: u64 = 0xcbf2_9ce4_8422_2325;
+/// Prime of 64-bit FNV-1a.
 const PRIME_64: u64 = 0x0100_0000_01b3;
 
 /// 32-bit FNV-1a folded to 16 bits: the upper half XORed onto the lower one.
--- a/crates/codec/src/lib.rs
+++ b/crates/codec/src/lib.rs
@@ -4,15 +4,15 @@
 //! - [`ByteReader`] and [`ByteWriter`]: fields read from the front of a datagram, and appended to one.
 //! - [`wire_enum!`]: enums that are one byte on the wire.
 //! - [`DecodeError`]: why bytes could not be decoded.
-//! - [`fnv1a_16`], [`fnv1a_32`] and [`fnv1a_64`]: the hashes of names and texts that stand in messages.
+//! - [`fnv1a_16`], [`fnv1a_32`] and [`fnv1a_64`]: the hashes of names and texts in messages.
 //!
-//! It knows no message: layouts, limits and what is skipped or rejected stay with the package of the message, in its
-//! `codec` module. It does no I/O, and no input makes the reader panic.
+//! It defines no message: layouts, limits and the handling of malformed fields belong to the `codec` module of the
+//! message's package. It does no I/O, and no input makes the reader panic.
 //!
 //! # Why not `bytes::Buf`
-//! The usual getters of `bytes::Buf` panic on short input, and datagrams come from the network; its checked ones
-//! (`try_get_u32`) know neither codes nor finite numbers nor a part of the datagram as a reader of its own. What is
-//! needed here is a few dozen lines over a slice, fewer than the dependency would bring.
+//! The usual getters of `bytes::Buf` panic on short input, and datagrams come from the network. Its checked getters
+//! (`try_get_u32`) support neither codes nor finite numbers nor sub-readers. A few dozen lines over a slice are simpler
+//! than the dependency.
 //!
 //! Start reading at [`ByteReader`].
 
--- a/crates/codec/src/reader.rs
+++ b/crates/codec/src/reader.rs
@@ -14,20 +14,20 @@
         ByteReader { bytes }
     }
 
-    /// Whether nothing is left.
+    /// Whether no bytes remain.
     pub fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
 
-    /// Takes all that is left.
+    /// Takes all remaining bytes.
     pub fn take_remaining(&mut self) -> &'a [u8] {
         std::mem::take(&mut self.bytes)
     }
 
-    /// Takes the next `length` bytes as a reader of their own.
+    /// Takes the next `length` bytes as a separate reader.
     ///
     /// # Errors
-    /// [`DecodeError::Truncated`] where fewer are left.
+    /// [`DecodeError::Truncated`] where fewer bytes remain.
     pub fn split(&mut self, length: usize) -> Result<ByteReader<'a>, DecodeError> {
         let (first, remaining) = self
             .bytes
@@ -49,7 +49,7 @@
     /// One byte.
     ///
     /// # Errors
-    /// [`DecodeError::Truncated`] where none is left.
+    /// [`DecodeError::Truncated`] where none remains.
     pub fn u8(&mut self) -> Result<u8, DecodeError> {
         self.array::<1>().map(|[byte]| byte)
     }
@@ -57,7 +57,7 @@
     /// Two bytes.
     ///
     /// # Errors
-    /// [`DecodeError::Truncated`] where fewer are left.
+    /// [`DecodeError::Truncated`] where fewer bytes remain.
     pub fn u16(&mut self) -> Result<u16, DecodeError> {
         self.array().map(u16::from_be_bytes)
     }
@@ -65,7 +65,7 @@
     /// Four bytes.
     ///
     /// # Errors
-    /// [`DecodeError::Truncated`] where fewer are left.
+    /// [`DecodeError::Truncated`] where fewer bytes remain.
     pub fn u32(&mut self) -> Result<u32, DecodeError> {
         self.array().map(u32::from_be_bytes)
     }
@@ -73,7 +73,7 @@
     /// Eight bytes.
     ///
     /// # Errors
-    /// [`DecodeError::Truncated`] where fewer are left.
+    /// [`DecodeError::Truncated`] where fewer bytes remain.
     pub fn u64(&mut self) -> Result<u64, DecodeError> {
         self.array().map(u64::from_be_bytes)
     }
@@ -81,7 +81,7 @@
     /// A finite floating point number of four bytes.
     ///
     /// # Errors
-    /// [`DecodeError::Truncated`] where fewer are left, [`DecodeError::NotFinite`] for a NaN or an infinity.
+    /// [`DecodeError::Truncated`] where fewer bytes remain, [`DecodeError::NotFinite`] for a NaN or an infinity.
     pub fn finite_f32(&mut self) -> Result<f32, DecodeError> {
         let number = f32::from_bits(self.u32()?);
         if !number.is_finite() {
@@ -93,7 +93,7 @@
     /// A byte that `from_code` knows.
     ///
     /// # Errors
-    /// [`DecodeError::UnknownCode`] where it does not, [`DecodeError::Truncated`] where no byte is left.
+    /// [`DecodeError::UnknownCode`] where it does not, [`DecodeError::Truncated`] where no byte remains.
     pub fn code<T>(
         &mut self,
         field: &'static str,
--- a/crates/codec/src/writer.rs
+++ b/crates/codec/src/writer.rs
@@ -7,19 +7,19 @@
 }
 
 impl ByteWriter {
-    /// An empty datagram with room for `capacity` bytes.
+    /// An empty datagram with preallocated capacity (bytes).
     pub fn with_capacity(capacity: usize) -> Self {
         ByteWriter {
             bytes: Vec::with_capacity(capacity),
         }
     }
 
-    /// What was written.
+    /// The written bytes.
     pub fn into_bytes(self) -> Vec<u8> {
         self.bytes
     }
 
-    /// Bytes written so far.
+    /// Number of written bytes.
     pub fn len(&self) -> usize {
         self.bytes.len()
     }
@@ -29,7 +29,7 @@
         self.bytes.is_empty()
     }
 
-    /// Appends zeros up to `length` bytes in all. Bytes beyond that are cut off.
+    /// Appends zeros up to a total of `length` bytes. Bytes beyond that are dropped.
     pub fn pad_to(&mut self, length: usize) -> &mut Self {
         self.bytes.resize(length, 0);
         self
--- a/crates/engine-state/src/cache.rs
+++ b/crates/engine-state/src/cache.rs
@@ -1,4 +1,4 @@
-//! The cache: merges observations and weighs them at a given time.
+//! The cache: merges observations and weights them at a given time.
 
 use crate::observation::{Observation, ObservationKind};
 use crate::serial;
@@ -6,32 +6,32 @@
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
 
-/// Engines that are kept; beyond it the one that was updated longest ago is evicted.
+/// Limit on the engines; beyond it the least recently updated one is evicted.
 pub const MAX_ENGINES: usize = 2048;
-/// Origins that are kept for each engine and kind; beyond it those with the lowest ids are dropped.
+/// Limit on the origins of each engine and kind; beyond it those with the lowest ids are dropped.
 pub const MAX_ORIGINS: usize = 8;
 /// Weight of this dispatcher's own observations, relative to received ones.
 const OWN_WEIGHT: f64 = 8.0;
-/// Below this sum of weights a kind counts as unknown.
+/// Sum of weights below which a kind counts as unknown.
 const MIN_TOTAL_WEIGHT: f64 = 1e-6;
-/// A table group counts as locked above this weight.
+/// Weight above which a table group counts as locked.
 const MIN_LOCK_WEIGHT: f64 = 0.5;
 
-/// A value and how far decisions should move towards it from their default, from 0 (not at all) to 1 (fully).
+/// A value, and the weight with which decisions should prefer it to their default, from 0 (not at all) to 1 (fully).
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct WeightedValue {
     /// The weighted mean of the observations.
     pub value: f64,
-    /// The highest weight of any of them.
+    /// The highest weight of any observation.
     pub weight: f64,
 }
 
-/// What the cache holds of an engine at a given time.
+/// The state of an engine by the cache at a given time.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct EngineView {
     /// The engine drains or is gone: nothing may be sent to it.
     pub is_closed: bool,
-    /// How strongly it should be ejected until it has answered here, from 0 to 1: recent unresponsiveness or errors.
+    /// Weight for ejecting the engine until it has answered this dispatcher, from 0 to 1: recent unresponsiveness or errors.
     pub suspicion: f64,
     /// Log ratio of observed to best run time.
     pub slowdown: Option<WeightedValue>,
@@ -39,11 +39,11 @@
     pub concurrency_limit: Option<WeightedValue>,
     /// Time since the engine started (ms).
     pub uptime_ms: Option<f64>,
-    /// The table group that a load holds locked there.
+    /// The table group that a load has locked there.
     pub locked_table_group: Option<u32>,
 }
 
-/// An observation as it is stored: with its time by this dispatcher's clock.
+/// A stored observation, with its time by this dispatcher's clock.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct Entry {
     value: f64,
@@ -72,7 +72,7 @@
         self.of_kind(kind).any(|(_, entry)| entry.value > 0.0)
     }
 
-    /// Merges an entry of the same incarnation. The higher sequence number of an origin counts; of equal ones the
+    /// Merges an entry of the same incarnation. The higher sequence number of an origin wins; of equal sequence numbers the
     /// greater age and the greater value, so that the order of merges does not matter.
     fn merge(&mut self, kind: ObservationKind, origin_id: u64, candidate: Entry) {
         self.updated_at_ms = self.updated_at_ms.max(candidate.observed_at_ms);
@@ -80,7 +80,7 @@
         match serial::compare(candidate.sequence, entry.sequence) {
             Ordering::Greater => *entry = candidate,
             Ordering::Equal => {
-                // The same observation by another path: time in transit makes it look younger, never older.
+                // The same observation on another path: its time in transit is unknown and makes it look younger.
                 entry.observed_at_ms = entry.observed_at_ms.min(candidate.observed_at_ms);
                 if candidate.value.total_cmp(&entry.value).is_gt() {
                     entry.value = candidate.value;
@@ -101,7 +101,7 @@
     }
 }
 
-/// Observations of all engines, held by one dispatcher.
+/// Observations of all engines at one dispatcher.
 #[derive(Debug, Clone)]
 pub struct EngineStateCache {
     own_id: u64,
@@ -132,7 +132,7 @@
         self.engines.is_empty()
     }
 
-    /// Records what this dispatcher observed itself.
+    /// Records an observation of this dispatcher.
     pub fn record(
         &mut self,
         engine_id: u64,
@@ -154,7 +154,7 @@
         self.merge(&observation, now_ms);
     }
 
-    /// Merges an observation, whatever its origin. A later incarnation of the engine replaces all observations of
+    /// Merges an observation of any origin. A later incarnation of the engine replaces all observations of
     /// earlier ones; observations that are not finite or of negative age are ignored.
     pub fn merge(&mut self, observation: &Observation, now_ms: f64) {
         let has_valid_age = observation.age_ms >= 0.0 && observation.age_ms.is_finite();
@@ -251,7 +251,7 @@
         })
     }
 
-    /// What is known of an engine at `now_ms`; the default if nothing is.
+    /// The state of an engine at `now_ms`; the default for an unknown engine.
     pub fn view(&self, engine_id: u64, now_ms: f64) -> EngineView {
         let Some(engine) = self.engines.get(&engine_id) else {
             return EngineView::default();
@@ -299,8 +299,8 @@
     }
 }
 
-/// The shortest uptime that any origin reports: an engine that is warming up must not look warm because the report of
-/// its latest start was lost.
+/// The shortest uptime that any origin reports: an engine that is warming up must not look warm because an observation
+/// of its latest start was lost.
 fn shortest_uptime_ms(engine: &EngineEntries, now_ms: f64) -> Option<f64> {
     engine
         .of_kind(ObservationKind::Uptime)
--- a/crates/engine-state/src/codec.rs
+++ b/crates/engine-state/src/codec.rs
@@ -25,32 +25,33 @@
 
 /// The first byte of a message, which distinguishes it from other messages between dispatchers.
 pub const MESSAGE_TYPE: u8 = 5;
-/// The version that is encoded, and the only one that is decoded.
+/// The version of the encoding. Other versions are not decoded.
 pub const VERSION: u8 = 1;
+/// Length of the message's header (bytes).
 const HEADER_BYTES: usize = 2;
-/// Bytes of an entry of this version, without its length byte.
+/// Length of an entry of this version without its length byte (bytes).
 const ENTRY_BYTES: usize = 1 + 8 + 4 + 8 + 4 + 4 + 4;
 
-/// Why a message can't be decoded.
+/// Why a message could not be decoded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum CodecError {
-    /// It is shorter than its header.
+    /// The message is shorter than its header.
     #[error("the message is shorter than its header of {HEADER_BYTES} bytes")]
     Truncated,
-    /// It is another message.
+    /// The message is of another type.
     #[error("message type {0}: expected {MESSAGE_TYPE}")]
     WrongMessageType(u8),
-    /// It is of another version.
+    /// The message is of another version.
     #[error("version {0}: expected {VERSION}")]
     UnsupportedVersion(u8),
 }
 
-/// A message and how many of the observations it holds.
+/// An encoded message.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Encoded {
-    /// The message.
+    /// The bytes.
     pub bytes: Vec<u8>,
-    /// How many observations fit; the rest is left for the next message.
+    /// Number of observations that fit; the others belong in the next message.
     pub count: usize,
 }
 
@@ -86,7 +87,7 @@
         .f32(observation.value as f32);
 }
 
-/// Decodes a message. Entries that are unknown, too short, or not finite are skipped; decoding ends at one that is cut.
+/// Decodes a message. Entries that are unknown, too short, or not finite are skipped; decoding ends at a truncated entry.
 ///
 /// # Errors
 /// The message has no valid header. Any bytes are accepted without a panic.
--- a/crates/engine-state/src/lib.rs
+++ b/crates/engine-state/src/lib.rs
@@ -1,8 +1,9 @@
-//! State of engines that one dispatcher inherits from others: who observed it, and how old it is.
+//! State of engines that a dispatcher inherits from others, with origin and age.
 //!
 //! The cache is a state-based replicated data type (CRDT, Shapiro et al. 2011): for each engine, kind and origin the
-//! observation with the highest sequence number is kept, so that merging is free of order and repetition. It differs
-//! from the paper in that values lose weight with age, and that origins are weighted by how often they proved right.
+//! observation with the highest sequence number wins, so that merging does not depend on order and repetition. It differs
+//! from the paper in that values lose weight with age, and that origins are weighted by the verification of their
+//! observations.
 //!
 //! Owns: observations with origin and age ([`Observation`]), their merge ([`EngineStateCache::merge`]), the weight of
 //! an observation at a given time ([`EngineStateCache::view`]), the trust in its origin
@@ -11,10 +12,10 @@
 //!
 //! Invariants, checked in `tests/merge.rs`:
 //! - merging is commutative, associative and idempotent;
-//! - an observation that is passed on does not become younger;
+//! - an observation that is forwarded does not become younger;
 //! - draining and gone end with a new incarnation of the engine only, never by age;
 //! - fresh unresponsiveness outweighs stale health;
-//! - what this dispatcher observed itself outweighs what it received.
+//! - this dispatcher's own observations outweigh received ones.
 //!
 //! Start reading at [`EngineStateCache::view`].
 
--- a/crates/engine-state/src/observation.rs
+++ b/crates/engine-state/src/observation.rs
@@ -1,6 +1,6 @@
 //! Observations of engines and how fast each kind loses weight.
 
-/// What an observation is about. The order is that of the encoding and of [`EngineStateCache::export`].
+/// The kind of an observation. The order is that of the encoding and of [`EngineStateCache::export`].
 ///
 /// [`EngineStateCache::export`]: crate::EngineStateCache::export
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -11,15 +11,15 @@
     Gone,
     /// 1: the engine did not answer when it should have; 0: it answered.
     Unresponsive,
-    /// Fraction of its answers that are errors.
+    /// Fraction of the engine's answers that are errors.
     ErrorRate,
     /// Log ratio of observed to best run time.
     Slowdown,
-    /// Its concurrency limit for the low lane (threads a core).
+    /// The engine's concurrency limit for the low lane (threads a core).
     ConcurrencyLimit,
-    /// Time since it started (ms); grows with the observation's own age.
+    /// Time since the engine started (ms); grows with the observation's own age.
     Uptime,
-    /// The table group that a load holds locked there.
+    /// The table group that a load has locked there.
     LockedTableGroup,
 }
 
@@ -36,7 +36,7 @@
         ObservationKind::LockedTableGroup,
     ];
 
-    /// Time (ms) until an observation of this kind has half its weight; `None` where age does not matter.
+    /// Half-life of the weight of an observation of this kind (ms); `None` where age does not matter.
     pub(crate) fn half_life_ms(self) -> Option<f64> {
         match self {
             ObservationKind::Draining | ObservationKind::Gone | ObservationKind::Uptime => None,
@@ -49,21 +49,21 @@
     }
 }
 
-/// Something that a dispatcher observed of an engine.
+/// An observation of an engine by a dispatcher.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Observation {
     /// The engine.
     pub engine_id: u64,
-    /// Which start of the engine was observed: a number that all dispatchers derive alike from the endpoint list.
+    /// The engine's incarnation: a number for each start, which all dispatchers derive equally from the endpoint list.
     pub incarnation: u32,
-    /// What was observed.
+    /// The kind.
     pub kind: ObservationKind,
-    /// Its value, in the unit of the kind.
+    /// The value, in the unit of the kind.
     pub value: f64,
-    /// The dispatcher that observed it.
+    /// The dispatcher that made the observation.
     pub origin_id: u64,
-    /// Rises with each observation of this origin, by serial number arithmetic.
+    /// Sequence number: increases with each observation of this origin, by serial number arithmetic.
     pub sequence: u32,
-    /// Lower bound of the time (ms) since it was observed.
+    /// Lower bound of the time since the observation (ms).
     pub age_ms: f64,
 }
--- a/crates/engine-state/src/serial.rs
+++ b/crates/engine-state/src/serial.rs
@@ -2,7 +2,7 @@
 
 use std::cmp::Ordering;
 
-/// The largest distance by which one number is ahead of another.
+/// Limit on the distance by which a number is after another one.
 const MAX_DISTANCE: u32 = 0x7fff_ffff;
 
 /// Whether `candidate` is before or after `current`.
--- a/crates/engine-state/src/trust.rs
+++ b/crates/engine-state/src/trust.rs
@@ -1,22 +1,22 @@
-//! How far observations of other dispatchers are trusted.
+//! Trust in observations of other dispatchers.
 
 use std::collections::BTreeMap;
 
-/// Trust in an origin of which nothing was verified.
+/// Trust in an origin without verifications.
 const INITIAL_TRUST: f64 = 0.7;
-/// How many verifications the initial trust counts for.
+/// Weight of the initial trust, in verifications.
 const INITIAL_WEIGHT: f64 = 3.0;
-/// How many confirmations one refutation outweighs.
+/// Weight of a refutation, in confirmations.
 const REFUTATION_WEIGHT: f64 = 4.0;
-/// Origins of which verifications are kept.
+/// Limit on the origins whose verifications are counted.
 const MAX_TRACKED_ORIGINS: usize = 2048;
 
-/// Whether an observation of another dispatcher agreed with what this one observed itself.
+/// Whether an observation of another dispatcher agreed with this dispatcher's own.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verification {
-    /// It agreed.
+    /// The observations agreed.
     Confirmed,
-    /// It did not.
+    /// The observations differed.
     Refuted,
 }
 
@@ -45,7 +45,7 @@
         }
     }
 
-    /// From 0 to 1.
+    /// Trust in an origin, from 0 to 1.
     pub fn trust(&self, origin_id: u64) -> f64 {
         let VerificationCounts { confirmed, refuted } =
             self.counts.get(&origin_id).copied().unwrap_or_default();
--- a/crates/store/src/config.rs
+++ b/crates/store/src/config.rs
@@ -1,4 +1,4 @@
-//! Settings of a store, checked when they are made.
+//! Settings of a store, checked by the constructor.
 
 use crate::error::StoreError;
 
@@ -7,13 +7,12 @@
 pub enum SyncPolicy {
     /// After each record.
     EveryRecord,
-    /// At most this often (ms), by [`Store::poll`](crate::Store::poll). A crash of the machine loses what was appended
-    /// since the last sync.
+    /// Periodically, by [`Store::poll`](crate::Store::poll). A crash of the machine loses the records since the last sync.
     Interval {
-        /// Time between two syncs in ms, greater than 0.
+        /// Interval between two syncs (ms), greater than 0.
         interval_ms: f64,
     },
-    /// Never explicitly. A crash of the machine may lose all records since the last checkpoint.
+    /// Never by the store. A crash of the machine may lose all records since the last checkpoint.
     Never,
 }
 
@@ -25,15 +24,15 @@
     retry_after_ms: f64,
 }
 
-/// Syncs once a second: engine state that is a second old is worth little more than none.
+/// Default interval between two syncs (ms).
 const DEFAULT_SYNC_INTERVAL_MS: f64 = 1000.0;
-/// 4 MiB of logs hold several times the facts of the largest pool.
+/// Default size of all logs beyond which a checkpoint is due (bytes).
 const DEFAULT_MAX_LOG_BYTES: u64 = 4 << 20;
-/// A disk that failed is retried twice a minute.
+/// Default time until a failed disk is retried (ms).
 const DEFAULT_RETRY_AFTER_MS: f64 = 30_000.0;
-/// Appends are rejected beyond this many times `max_log_bytes`.
+/// Multiple of `max_log_bytes` beyond which appends are rejected.
 const HARD_LIMIT_FACTOR: u64 = 2;
-/// A single file is not read if it is longer than this many times `max_log_bytes`.
+/// Multiple of `max_log_bytes` beyond which a file is not read.
 const MAX_FILE_FACTOR: u64 = 4;
 
 impl Default for Config {
@@ -49,8 +48,8 @@
 }
 
 impl Config {
-    /// Settings for a store that asks for a checkpoint beyond `max_log_bytes` of logs, rejects appends beyond twice
-    /// that, and retries a failed disk after `retry_after_ms`.
+    /// Settings for a store that needs a checkpoint beyond `max_log_bytes` of logs, rejects appends beyond twice that, and
+    /// retries a failed disk after `retry_after_ms`.
     ///
     /// # Errors
     /// [`StoreError::InvalidConfig`] for a sync interval that is not finite and positive, for `max_log_bytes` of 0, or
@@ -95,22 +94,22 @@
         self.sync_policy
     }
 
-    /// Bytes of logs beyond which a checkpoint is due.
+    /// Size of all logs beyond which a checkpoint is due (bytes).
     pub fn max_log_bytes(&self) -> u64 {
         self.max_log_bytes
     }
 
-    /// Time (ms) after a disk error until appends are tried again.
+    /// Time after a disk error until appends are retried (ms).
     pub fn retry_after_ms(&self) -> f64 {
         self.retry_after_ms
     }
 
-    /// Bytes of logs beyond which appends are rejected.
+    /// Size of all logs beyond which appends are rejected (bytes).
     pub(crate) fn hard_limit_bytes(&self) -> u64 {
         HARD_LIMIT_FACTOR * self.max_log_bytes
     }
 
-    /// Length in bytes beyond which recovery does not read a file.
+    /// Length beyond which recovery does not read a file (bytes).
     pub(crate) fn max_file_bytes(&self) -> u64 {
         MAX_FILE_FACTOR * self.max_log_bytes
     }
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -9,25 +9,25 @@
     /// Names of all files.
     ///
     /// # Errors
-    /// The directory can't be read.
+    /// The directory cannot be read.
     fn list(&self) -> io::Result<Vec<String>>;
 
-    /// A whole file.
+    /// The content of a file.
     ///
     /// # Errors
-    /// The file can't be read, or it is longer than `max_bytes` (`InvalidData`).
+    /// The file cannot be read, or is longer than `max_bytes` (`InvalidData`).
     fn read(&self, name: &str, max_bytes: u64) -> io::Result<Vec<u8>>;
 
     /// Appends to a file, which is created if it does not exist.
     ///
     /// # Errors
-    /// Not all bytes were written; how many were is unknown.
+    /// An unknown number of bytes was not written.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
 
     /// Makes a file's content and its directory entry durable.
     ///
     /// # Errors
-    /// It is unknown how much of the file is durable.
+    /// An unknown part of the file is not durable.
     fn sync(&mut self, name: &str) -> io::Result<()>;
 
     /// Renames a file atomically, replacing an existing `to`.
@@ -43,7 +43,7 @@
     fn remove(&mut self, name: &str) -> io::Result<()>;
 }
 
-/// A directory of the file system. The file that was appended to last stays open.
+/// A directory of the file system. The file of the last append stays open.
 #[derive(Debug)]
 pub struct Directory {
     path: PathBuf,
@@ -60,7 +60,7 @@
     /// Opens the directory at `path`, creating it if it does not exist.
     ///
     /// # Errors
-    /// It can't be created.
+    /// The directory cannot be created.
     pub fn new(path: impl Into<PathBuf>) -> io::Result<Self> {
         let path = path.into();
         fs::create_dir_all(&path)?;
@@ -85,7 +85,8 @@
         Ok(&mut self.open_file.insert(open_file).file)
     }
 
-    /// Makes directory entries durable. Some file systems can't sync a directory and need not: errors are ignored.
+    /// Makes directory entries durable. Errors are ignored: some file systems neither support nor require
+    /// it.
     fn sync_directory(&self) {
         if let Ok(directory) = File::open(&self.path) {
             let _ = directory.sync_all();
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a store can't be configured or written to.
+//! Errors of a store.
 
 /// An error of the store's settings, or the reason why a record or snapshot was not written.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
@@ -10,7 +10,7 @@
         key: &'static str,
         /// The value that was given.
         value: String,
-        /// What is allowed.
+        /// The allowed values.
         expected: &'static str,
     },
     /// The disk is full, read-only, or failed in another way; it is retried after `retry_after_ms`.
@@ -25,7 +25,7 @@
     /// The record is longer than [`format::MAX_RECORD_BYTES`](crate::format::MAX_RECORD_BYTES).
     #[error("a record of {length} bytes is too long: at most {max} are allowed", max = crate::format::MAX_RECORD_BYTES)]
     RecordTooLong {
-        /// Its length in bytes.
+        /// Length of the record (bytes).
         length: usize,
     },
 }
--- a/crates/store/src/format.rs
+++ b/crates/store/src/format.rs
@@ -18,69 +18,75 @@
 //! | 4 | 4 | checksum of the length field and the record |
 //! | 8 | length | the record; in a trailer 8 bytes, the number of records before it |
 //!
-//! A snapshot ends with a trailer, so that one that was cut short at a frame is recognised; a log has none.
+//! A snapshot ends with a trailer, by which a snapshot truncated between two frames is recognised. A log has no trailer.
 
 /// The format version that is written. Older ones are read, newer ones are left untouched.
 pub const VERSION: u16 = 1;
+/// The first bytes of each file.
 const MAGIC: &[u8; 4] = b"TXST";
-/// Bytes of a file's header.
+/// Length of a file's header (bytes).
 pub const HEADER_BYTES: usize = 4 + 2 + 1 + 8 + 8 + 8 + CHECKSUM_BYTES;
+/// Length of a checksum (bytes).
 const CHECKSUM_BYTES: usize = 4;
+/// Offset of the format version in the header (bytes).
 const VERSION_OFFSET: usize = 4;
+/// Offset of the predecessor's file number in the header (bytes).
 const PREDECESSOR_NUMBER_OFFSET: usize = 15;
+/// Offset of the predecessor's valid bytes in the header (bytes).
 const PREDECESSOR_LENGTH_OFFSET: usize = 23;
-/// Bytes of a frame before its record: length and checksum.
+/// Length of a frame's header (bytes): length and checksum of the record.
 pub const FRAME_HEADER_BYTES: usize = 8;
-/// The longest record in bytes: larger lengths are taken for corruption instead of being allocated.
+/// Limit on the length of a record (bytes). A larger length field counts as corruption, and nothing is allocated for it.
 pub const MAX_RECORD_BYTES: usize = 64 * 1024;
 /// The length field of a trailer.
 const TRAILER_LENGTH: u32 = u32::MAX;
+/// Length of the record in a trailer (bytes).
 const TRAILER_RECORD_BYTES: usize = 8;
-/// Hexadecimal digits of the number in a file's name.
+/// Number of hexadecimal digits of the number in a file's name.
 const NAME_DIGITS: usize = 16;
 
-/// What a file holds.
+/// The kind of a file.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FileKind {
-    /// Records since a snapshot or since the log before.
+    /// Records since a snapshot or since the previous log.
     Log,
-    /// The whole state at a checkpoint.
+    /// All records of the state at a checkpoint.
     Snapshot,
 }
 
-/// A position in the sequence of files: a file and how many of its bytes are valid.
+/// A position in the sequence of files: a file and the number of its valid bytes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LogPosition {
     /// Number of the file, 0 if there is none.
     pub file_number: u64,
-    /// Valid bytes of the file.
+    /// Number of valid bytes of the file.
     pub valid_bytes: u64,
 }
 
 impl LogPosition {
-    /// Before any file.
+    /// The position before any file.
     pub const START: LogPosition = LogPosition {
         file_number: 0,
         valid_bytes: 0,
     };
 }
 
-/// Why a file, or the part of it after its valid bytes, can't be used.
+/// Why a file, or the part after its valid bytes, cannot be used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum FormatError {
     /// A header or a frame is incomplete.
     #[error("a header or frame is cut short")]
     Truncated,
-    /// It is not a file of the store, not the one that its name promises, or it does not continue the file before it.
+    /// The file does not belong to the store, does not match its name, or does not continue the previous file.
     #[error("the content does not belong to this file")]
     Foreign,
     /// A checksum differs, or a length is impossible.
     #[error("a checksum does not match")]
     ChecksumMismatch,
-    /// A newer version wrote it.
+    /// A newer version wrote the file.
     #[error("format version {0} is newer than {VERSION}")]
     NewerVersion(u16),
-    /// A snapshot without its trailer.
+    /// The snapshot has no trailer.
     #[error("the snapshot has no trailer")]
     MissingTrailer,
 }
@@ -93,7 +99,7 @@
     }
 }
 
-/// Kind and number of a file by its name; `None` for a file that is not the store's.
+/// Kind and number of a file by its name; `None` for a file that does not belong to the store.
 pub fn parse_file_name(name: &str) -> Option<(FileKind, u64)> {
     let (prefix, digits) = name.split_once('-')?;
     let kind = match prefix {
@@ -108,7 +114,7 @@
     Some((kind, number))
 }
 
-/// The header of a file. `predecessor` is where a log continues, [`LogPosition::START`] for a snapshot.
+/// The header of a file. `predecessor` is the position that a log continues, [`LogPosition::START`] for a snapshot.
 pub fn encode_header(kind: FileKind, number: u64, predecessor: LogPosition) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(HEADER_BYTES);
     bytes.extend_from_slice(MAGIC);
@@ -147,20 +153,20 @@
     hasher.finalize()
 }
 
-/// The content of a file up to its first error.
+/// The content of a file up to the first error.
 #[derive(Debug, Clone, PartialEq)]
 pub struct DecodedFile {
-    /// Where a log continues.
+    /// The position that a log continues.
     pub predecessor: LogPosition,
     /// The valid records.
     pub records: Vec<Vec<u8>>,
-    /// How many bytes of the file are valid.
+    /// Number of valid bytes of the file.
     pub valid_bytes: usize,
-    /// What is wrong after them.
+    /// The error after the valid bytes.
     pub error: Option<FormatError>,
 }
 
-/// Decodes a file which by its name is of this kind and number. Any bytes are accepted.
+/// Decodes a file whose name has this kind and number. Any bytes are accepted.
 pub fn decode_file(bytes: &[u8], kind: FileKind, number: u64) -> DecodedFile {
     let mut file = DecodedFile {
         predecessor: LogPosition::START,
@@ -168,43 +174,45 @@
         valid_bytes: 0,
         error: None,
     };
-    match decode_header(bytes, kind, number) {
-        Ok(predecessor) => file.predecessor = predecessor,
-        Err(error) => {
-            file.error = Some(error);
-            return file;
-        }
-    }
-    file.valid_bytes = HEADER_BYTES;
-    while file.valid_bytes < bytes.len() {
-        match decode_frame(&bytes[file.valid_bytes..]) {
-            Err(error) => {
-                file.error = Some(error);
-                return file;
-            }
-            Ok(Frame::Record(record)) => {
-                file.valid_bytes += FRAME_HEADER_BYTES + record.len();
-                file.records.push(record.to_vec());
-            }
-            Ok(Frame::Trailer { record_count }) => {
-                file.valid_bytes += FRAME_HEADER_BYTES + TRAILER_RECORD_BYTES;
-                let is_complete = kind == FileKind::Snapshot
-                    && record_count == file.records.len() as u64
-                    && file.valid_bytes == bytes.len();
-                if !is_complete {
-                    file.error = Some(FormatError::Foreign);
+    let decoded = decode_header(bytes, kind, number).and_then(|predecessor| {
+        file.predecessor = predecessor;
+        file.valid_bytes = HEADER_BYTES;
+        file.decode_frames(bytes, kind)
+    });
+    file.error = decoded.err();
+    file
+}
+
+impl DecodedFile {
+    /// Decodes the frames after the header, up to the end, the trailer or the first error.
+    fn decode_frames(&mut self, bytes: &[u8], kind: FileKind) -> Result<(), FormatError> {
+        while self.valid_bytes < bytes.len() {
+            match decode_frame(&bytes[self.valid_bytes..])? {
+                Frame::Record(record) => {
+                    self.valid_bytes += FRAME_HEADER_BYTES + record.len();
+                    self.records.push(record.to_vec());
+                }
+                Frame::Trailer { record_count } => {
+                    self.valid_bytes += FRAME_HEADER_BYTES + TRAILER_RECORD_BYTES;
+                    let is_complete = kind == FileKind::Snapshot
+                        && record_count == self.records.len() as u64
+                        && self.valid_bytes == bytes.len();
+                    return if is_complete {
+                        Ok(())
+                    } else {
+                        Err(FormatError::Foreign)
+                    };
                 }
-                return file;
             }
         }
+        match kind {
+            FileKind::Log => Ok(()),
+            FileKind::Snapshot => Err(FormatError::MissingTrailer),
+        }
     }
-    if kind == FileKind::Snapshot {
-        file.error = Some(FormatError::MissingTrailer);
-    }
-    file
 }
 
-/// Checks a header and returns where the file continues.
+/// Checks a header and returns the position that the file continues.
 fn decode_header(bytes: &[u8], kind: FileKind, number: u64) -> Result<LogPosition, FormatError> {
     let header = bytes.get(..HEADER_BYTES).ok_or(FormatError::Truncated)?;
     if !header.starts_with(MAGIC) {
--- a/crates/store/src/recovery.rs
+++ b/crates/store/src/recovery.rs
@@ -1,11 +1,11 @@
-//! Recovery: the newest complete snapshot, and then each log that continues what was replayed before it.
+//! Recovery: replays the newest complete snapshot, and then each log that continues the previous file.
 
 use crate::config::Config;
 use crate::disk::Disk;
 use crate::format::{self, DecodedFile, FileKind, FormatError, LogPosition};
 use std::io;
 
-/// What recovery found.
+/// The result of recovery.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RecoveryReport {
     /// The directory holds no file of the store.
@@ -15,30 +15,30 @@
         /// Number of records.
         records: usize,
     },
-    /// Records up to an error were recovered; what follows it was not used.
+    /// Records up to an error were recovered; the rest was not used.
     Partial {
         /// Number of records.
         records: usize,
         /// The file with the error.
         file: String,
-        /// What is wrong with it.
+        /// The error in it.
         error: FormatError,
     },
     /// No record could be recovered.
     Lost {
         /// The file with the error.
         file: String,
-        /// What is wrong with it.
+        /// The error in it.
         error: FormatError,
     },
-    /// A newer version wrote here: nothing was recovered, and nothing will be written.
+    /// The directory has files of a newer version: nothing was recovered, and nothing will be written.
     NewerVersion {
         /// The file of the newer version.
         file: String,
         /// Its format version.
         version: u16,
     },
-    /// The directory can't be read.
+    /// The directory cannot be read.
     Unreadable {
         /// The disk's error.
         reason: String,
@@ -69,7 +69,7 @@
     Ok(files)
 }
 
-/// The recovered records, and where writing continues.
+/// The recovered records, and the position at which writing continues.
 pub(crate) struct Recovered {
     pub records: Vec<Vec<u8>>,
     pub report: RecoveryReport,
@@ -211,7 +211,7 @@
     let mut log_bytes = 0;
     while let Some(log) = successor_of(tail, &logs) {
         if log.content.predecessor.valid_bytes > tail.valid_bytes {
-            // Its predecessor had more valid bytes when this log was begun: records in between are missing.
+            // The predecessor had more valid bytes when this log was begun: records in between are missing.
             error.get_or_insert_with(|| log.error(FormatError::ChecksumMismatch));
             break;
         }
@@ -237,7 +237,7 @@
     }
 }
 
-/// The log that continues `tail`. Of several the latest counts: it was begun after writing to the others had failed.
+/// The log that continues `tail`. Of several logs the latest one applies: it was begun after a write to the others failed.
 fn successor_of(tail: LogPosition, logs: &[Log]) -> Option<&Log> {
     logs.iter().rev().find(|log| {
         log.content.predecessor.file_number == tail.file_number && log.number > tail.file_number
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -9,7 +9,7 @@
 
 /// A snapshot is written under this name and renamed once it is synced.
 const TEMPORARY_NAME: &str = "new-snapshot";
-/// Frames of a snapshot are collected up to this many bytes for each write.
+/// Size of a write of a snapshot (bytes): frames are collected up to it.
 const SNAPSHOT_CHUNK_BYTES: usize = format::MAX_RECORD_BYTES;
 
 /// A write-ahead log with snapshots on a disk.
@@ -17,18 +17,18 @@
 pub struct Store<D: Disk> {
     disk: D,
     config: Config,
-    /// Number of the log that is appended to; `None` if the next record begins a new one.
+    /// Number of the log for appends; `None` if the next record begins a new one.
     active_log: Option<u64>,
     /// Number of the next file. A number is never used twice.
     next_number: u64,
     /// The end of the last valid file, which the next log continues.
     tail: LogPosition,
-    /// Bytes of all logs since the snapshot.
+    /// Size of all logs since the snapshot (bytes).
     log_bytes: u64,
     has_unsynced_records: bool,
     last_sync_ms: f64,
     last_failure: Option<Failure>,
-    /// The files are of a newer version.
+    /// Whether the files are of a newer version.
     is_read_only: bool,
 }
 
@@ -38,20 +38,20 @@
     at_ms: f64,
 }
 
-/// A store that was opened.
+/// An opened store.
 #[derive(Debug)]
 pub struct Opened<D: Disk> {
     /// The store, ready for appends.
     pub store: Store<D>,
     /// The recovered records in the order in which they were appended.
     pub records: Vec<Vec<u8>>,
-    /// What recovery found.
+    /// The result of recovery.
     pub report: RecoveryReport,
 }
 
 impl<D: Disk> Store<D> {
-    /// Recovers the records on `disk`. Nothing is written before the first append. What is wrong with the files is not
-    /// an error but part of the report: the store can be used in any case.
+    /// Recovers the records on `disk`. Nothing is written before the first append. Corrupt files are not an error but part
+    /// of the report: the store can be used in any case.
     pub fn open(disk: D, config: Config) -> Opened<D> {
         let recovered = recover(&disk, config.max_file_bytes());
         let store = Store {
@@ -78,7 +78,7 @@
         self.last_failure.as_ref().map(|failure| &failure.error)
     }
 
-    /// Bytes of logs since the last snapshot.
+    /// Size of all logs since the last snapshot (bytes).
     pub fn log_bytes(&self) -> u64 {
         self.log_bytes
     }
@@ -158,7 +158,7 @@
         Ok(())
     }
 
-    /// The next file number, taken even if creating its file fails later.
+    /// The next file number. It is not used again, even if the file cannot be created.
     fn take_number(&mut self) -> u64 {
         let number = self.next_number;
         self.next_number += 1;
@@ -175,7 +175,7 @@
                 self.last_sync_ms = now_ms;
                 Ok(())
             }
-            // After a failed sync it is unknown what is on the disk.
+            // After a failed sync the content on the disk is unknown.
             Err(error) => Err(self.record_failure(&error, now_ms)),
         }
     }
@@ -264,7 +264,7 @@
         )
     }
 
-    /// Removes the files that a snapshot replaced. One that can't be removed is ignored by the next recovery.
+    /// Removes the files that a snapshot replaced. The next recovery ignores files that cannot be removed.
     fn remove_files_before(&mut self, snapshot_number: u64) {
         let Ok(files) = list_files(&self.disk) else {
             return;
