--- a/crates/operator-config/src/error.rs
+++ b/crates/operator-config/src/error.rs
@@ -1,14 +1,14 @@
-//! What is wrong with an operators' file, and where.
+//! Errors of an operators' file, with their locations.
 
 use crate::MAX_BYTES;
 use std::fmt;
 
-/// A place in the file.
+/// A location in the file.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SourceLocation {
-    /// Line, from 1.
+    /// Line, counted from 1.
     pub line: usize,
-    /// Column in characters, from 1.
+    /// Column in characters, counted from 1.
     pub column: usize,
 }
 
@@ -18,7 +18,7 @@
     }
 }
 
-/// What is wrong.
+/// The kind of an error.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum ConfigErrorKind {
     /// The file is longer than [`MAX_BYTES`].
@@ -27,13 +27,13 @@
     /// Messages are nested more deeply than any schema of tansymux.
     #[error("messages are nested too deeply")]
     NestedTooDeeply,
-    /// The text does not follow the schema: an unknown name, a wrong type, a field given twice, a missing bracket.
+    /// The text does not match the schema: an unknown name, a wrong type, a repeated field, a missing bracket.
     #[error("{message}")]
     Syntax {
         /// The text-format parser's message.
         message: String,
     },
-    /// The compiled schema can't be used. This is a defect of the program and not of the file.
+    /// The compiled schema is unusable: a defect of the program, not of the file.
     #[error("{message}")]
     Schema {
         /// The library's message.
@@ -42,9 +42,9 @@
     /// A value is outside its range, missing, repeated, or refers to something that does not exist.
     #[error("is {found}, allowed is {allowed}")]
     NotAllowed {
-        /// What was there.
+        /// The value found.
         found: String,
-        /// What is allowed there.
+        /// The values allowed.
         allowed: String,
     },
 }
@@ -54,11 +54,11 @@
 /// Displayed as in `12:3: statements.cache.shapes is 3, allowed is 16 to 1000000`.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub struct ConfigError {
-    /// Where it is; `None` if it concerns the file as a whole.
+    /// The error's location; `None` for an error of the entire file.
     pub location: Option<SourceLocation>,
-    /// The key, as in `statements.rule.1.class`; empty if it is unknown.
+    /// The key, as in `statements.rule.1.class`; empty if unknown.
     pub key: String,
-    /// What is wrong.
+    /// The kind of the error.
     pub kind: ConfigErrorKind,
 }
 
@@ -77,12 +77,12 @@
     }
 }
 
-/// All errors of a file, in the order of their locations. There is at least one.
+/// All errors of a file, at least one, in the order of their locations.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub struct ConfigErrors(Vec<ConfigError>);
 
 impl ConfigErrors {
-    /// Sorts errors by location; those of one location keep their order. `None` if there are none.
+    /// Sorts errors by location, in a stable order; `None` if there are none.
     pub(crate) fn sorted(mut errors: Vec<ConfigError>) -> Option<Self> {
         if errors.is_empty() {
             return None;
@@ -91,7 +91,7 @@
         Some(ConfigErrors(errors))
     }
 
-    /// An error that concerns the file as a whole.
+    /// An error of the entire file.
     pub(crate) fn of_file(kind: ConfigErrorKind) -> Self {
         ConfigErrors(vec![ConfigError {
             location: None,
@@ -100,7 +100,7 @@
         }])
     }
 
-    /// An error at a place of the file; `key` may be empty.
+    /// An error at a location; `key` may be empty.
     pub(crate) fn at(location: SourceLocation, key: String, kind: ConfigErrorKind) -> Self {
         ConfigErrors(vec![ConfigError {
             location: Some(location),
--- a/crates/operator-config/src/error_collector.rs
+++ b/crates/operator-config/src/error_collector.rs
@@ -1,16 +1,16 @@
-//! Collects the errors that checks find, with the location of each key.
+//! Collects the errors of checks, and adds the location of each key.
 
 use crate::error::{ConfigError, ConfigErrorKind};
 use crate::source_location::SourceMap;
 
-/// Errors found so far, and the locations of keys in the text.
+/// The errors found so far, and the locations of keys in the text.
 pub(crate) struct ErrorCollector<'a> {
     source_map: &'a SourceMap,
     errors: Vec<ConfigError>,
 }
 
 impl<'a> ErrorCollector<'a> {
-    /// Without errors so far.
+    /// Without errors.
     pub fn new(source_map: &'a SourceMap) -> Self {
         ErrorCollector {
             source_map,
@@ -18,7 +18,7 @@
         }
     }
 
-    /// Adds an error: `found` was at `key`, where `allowed` is.
+    /// Adds an error: the value of `key` is `found`, and `allowed` is allowed.
     pub fn add(&mut self, key: &str, found: impl Into<String>, allowed: impl Into<String>) {
         self.errors.push(ConfigError {
             location: self.source_map.nearest_location(key),
@@ -30,12 +30,12 @@
         });
     }
 
-    /// Adds an error for a value that was left out.
+    /// Adds an error for a missing value.
     pub fn add_missing(&mut self, key: &str, allowed: impl Into<String>) {
         self.add(key, "missing", allowed);
     }
 
-    /// Adds an error if a number was given and is not from `min` to `max`; NaN never is.
+    /// Adds an error if a number is given and is outside `min` to `max`, or NaN.
     pub fn check_range(&mut self, key: &str, value: Option<impl Into<f64>>, min: f64, max: f64) {
         let Some(value) = value.map(Into::into) else {
             return;
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Whether no error was found so far.
+    /// Whether there are no errors so far.
     pub fn is_empty(&self) -> bool {
         self.errors.is_empty()
     }
--- a/crates/operator-config/src/fleet.rs
+++ b/crates/operator-config/src/fleet.rs
@@ -2,6 +2,7 @@
 //! packages.
 
 use crate::schema;
+use crate::units::MS_PER_S;
 use std::net::SocketAddr;
 use tansymux_coordination::disruption_budget::{DisruptionBudget, Limit};
 use tansymux_coordination::QuorumConfig;
@@ -9,19 +10,20 @@
 use tansymux_rollout::canary_analysis::AnalysisConfig;
 use tansymux_rollout::{FleetConfig, RolloutConfig, RolloutPlan};
 
-const MS_PER_S: f64 = 1000.0;
-/// Records are sent again this many times within the leader's lease.
+/// Number of retransmits of a quorum record within the leader's lease.
 const RETRANSMITS_PER_LEASE: f64 = 10.0;
+/// The highest number of ramp steps: a step is one byte in messages.
+const MAX_RAMP_STEPS: u32 = 255;
+/// Length of a key that signs datagrams.
 const KEY_BYTES: usize = 16;
 
-/// The number by which zones, versions and engines are identified in messages: the 32-bit FNV-1a hash of the name,
-/// never 0.
+/// The number of a zone, version or engine in messages: the 32-bit FNV-1a hash of its name, never 0.
 pub fn name_hash(name: &str) -> u32 {
     tansymux_codec::fnv1a_32(name.as_bytes()).max(1)
 }
 
-/// The fleet's configuration. `grant_id` is the restart lease under which the program was started, 0 without one.
-/// `None` if a required field is missing or malformed, which [`parse`](crate::parse) does not let pass.
+/// The fleet's configuration; `None` if a required field is missing or malformed, which [`parse`](crate::parse) rejects.
+/// `grant_id`: the restart lease under which the program was started, 0 without one.
 pub fn fleet_config(fleet: &schema::Fleet, grant_id: u64) -> Option<FleetConfig> {
     let timing = fleet.timing.unwrap_or_default();
     let rollout = rollout_config(fleet, &timing);
@@ -154,7 +156,7 @@
         spill_capacity_fraction: zones.carry(),
         initial_ramp_fraction: zones.first(),
         full_threads_per_core: zones.whole(),
-        ramp_steps: zones.steps().min(255) as u8,
+        ramp_steps: zones.steps().min(MAX_RAMP_STEPS) as u8,
         ramp_step_ms: zones.step_s() * MS_PER_S,
         min_evacuation_ms: zones.hold_s() * MS_PER_S,
         max_evacuation_ms: zones.hold_most_s() * MS_PER_S,
--- a/crates/operator-config/src/levels.rs
+++ b/crates/operator-config/src/levels.rs
@@ -1,14 +1,13 @@
 //! Conversion of the block `levels` into the configuration of the service levels package.
 
 use crate::schema::{self, term};
+use crate::units::MS_PER_S;
 use tansymux_service_levels::{
     ClassFraction, Condition, Config, Degradation, Level, Signal, Trigger,
 };
 
-const MS_PER_S: f64 = 1000.0;
-
-/// The configuration of service levels. Its values are not checked here: see [`parse`](crate::parse). A threshold that
-/// is missing is NaN.
+/// The configuration of service levels. [`parse`](crate::parse) checks its values, this conversion does not. A missing
+/// threshold is NaN.
 pub fn service_level_config(levels: &schema::Levels) -> Config {
     Config {
         levels: levels.level.iter().map(level).collect(),
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! Owns: the schema (`proto/operator.proto`) with the defaults of its fields, every check that needs the file alone
 //! (`validate`), and the conversion of the schema's messages into the types of the packages that use them
-//! ([`fleet_config`], [`zone_routing_config`], [`service_level_config`]). It never opens a file, never reads the environment and never
-//! changes what is in force: [`parse`] takes a text and returns the whole configuration or all of its errors.
+//! ([`fleet_config`], [`zone_routing_config`], [`service_level_config`]). It never opens a file, reads the environment or
+//! applies a configuration: [`parse`] takes a text and returns either the configuration or all errors of the text.
 //!
 //! Start reading at [`parse`].
 
@@ -12,6 +12,8 @@
 mod fleet;
 mod levels;
 mod source_location;
+mod tokens;
+mod units;
 mod validate;
 mod zone_routing;
 
@@ -31,22 +33,24 @@
     include!(concat!(env!("OUT_DIR"), "/tansymux.operator.rs"));
 }
 
+/// The compiled schema.
 static DESCRIPTORS: &[u8] = include_bytes!(concat!(env!("OUT_DIR"), "/operator.fds"));
+/// The schema's message for the entire file.
 const ROOT_MESSAGE: &str = "tansymux.operator.Operator";
 
 /// The longest file that is parsed, in bytes.
 pub const MAX_BYTES: usize = 1 << 20;
 
-/// Parses and checks a whole file.
+/// Parses and checks the text of a file.
 ///
 /// # Errors
-/// The first syntax error (an unknown word, type or name, or a field given twice), else all errors of meaning (ranges,
+/// The first syntax error (an unknown word, type or name, or a repeated field), else all invalid values (ranges,
 /// references, duplicates), in the order of their lines.
 pub fn parse(text: &str) -> Result<Operator, ConfigErrors> {
     if text.len() > MAX_BYTES {
         return Err(ConfigErrors::of_file(ConfigErrorKind::FileTooLong));
     }
-    // The parser recurses into messages: their depth must be bounded before it runs.
+    // The parser recurses into messages, so their depth is checked first.
     if let Some(location) = source_location::first_too_deep(text) {
         let kind = ConfigErrorKind::NestedTooDeeply;
         return Err(ConfigErrors::at(location, String::new(), kind));
@@ -59,7 +63,7 @@
     }
 }
 
-/// Parses a text into the schema's messages, without checking their meaning.
+/// Parses a text into the schema's messages, without checking their values.
 fn parse_messages(text: &str) -> Result<Operator, ConfigErrors> {
     let schema_error = |message: String| ConfigErrors::of_file(ConfigErrorKind::Schema { message });
     let pool =
@@ -74,11 +78,11 @@
         .map_err(|error| schema_error(error.to_string()))
 }
 
-/// An error of the text-format parser, with its location and the key there.
+/// Converts an error of the text-format parser, with its location and the key at that location.
 fn syntax_error(text: &str, error: &ParseError) -> ConfigErrors {
     use miette::Diagnostic;
     let first_label = error.labels().and_then(|mut labels| labels.next());
-    // An error without a label is an unexpected end.
+    // An error without a label is an unexpected end of the text.
     let offset = first_label.map_or(text.len(), |label| label.offset());
     let message =
         std::error::Error::source(error).map_or_else(|| error.to_string(), ToString::to_string);
--- a/crates/operator-config/src/source_location.rs
+++ b/crates/operator-config/src/source_location.rs
@@ -1,13 +1,14 @@
-//! Locations of the keys of a text-format file, by a scan over its tokens. It serves error messages only; the meaning of
-//! the file is the parser's.
+//! Locations of the keys of a text-format file, by a scan over its tokens. They are used in error messages only; the
+//! parser interprets the file.
 
 use crate::error::SourceLocation;
+use crate::tokens::{tokens, TokenKind};
 use std::collections::HashMap;
 
 #[cfg(test)]
 mod tests;
 
-/// Messages may be nested this deeply; the schema needs less than half of it.
+/// Maximum depth of nested messages. The schema needs less than half of it.
 const MAX_DEPTH: usize = 32;
 
 /// The location of a byte.
@@ -24,90 +25,6 @@
     }
 }
 
-#[derive(Debug, Clone, Copy, PartialEq)]
-enum TokenKind<'a> {
-    /// A name, number or enum value.
-    Name(&'a str),
-    /// A quoted string.
-    QuotedString,
-    Punctuation(u8),
-}
-
-#[derive(Debug, Clone, Copy)]
-struct Token<'a> {
-    offset: usize,
-    kind: TokenKind<'a>,
-}
-
-/// The tokens of a text; comments and blanks are skipped. Any text is accepted.
-struct Tokens<'a> {
-    text: &'a str,
-    offset: usize,
-}
-
-fn is_name_byte(byte: u8) -> bool {
-    byte.is_ascii_alphanumeric() || matches!(byte, b'_' | b'-' | b'.')
-}
-
-impl Tokens<'_> {
-    fn peek(&self) -> Option<u8> {
-        self.text.as_bytes().get(self.offset).copied()
-    }
-
-    fn skip_comment(&mut self) {
-        while self.peek().is_some_and(|byte| byte != b'\n') {
-            self.offset += 1;
-        }
-    }
-
-    /// Skips a string whose opening quote was read. It ends at the line's end at the latest.
-    fn skip_string(&mut self, quote: u8) {
-        while let Some(byte) = self.peek() {
-            if byte == quote || byte == b'\n' {
-                break;
-            }
-            let is_escape = byte == b'\\';
-            self.offset += if is_escape { 2 } else { 1 };
-        }
-        self.offset = (self.offset + 1).min(self.text.len());
-    }
-}
-
-impl<'a> Iterator for Tokens<'a> {
-    type Item = Token<'a>;
-
-    fn next(&mut self) -> Option<Token<'a>> {
-        loop {
-            let first = self.peek()?;
-            let offset = self.offset;
-            self.offset += 1;
-            let kind = match first {
-                b'#' => {
-                    self.skip_comment();
-                    continue;
-                }
-                b'"' | b'\'' => {
-                    self.skip_string(first);
-                    TokenKind::QuotedString
-                }
-                _ if is_name_byte(first) => {
-                    while self.peek().is_some_and(is_name_byte) {
-                        self.offset += 1;
-                    }
-                    TokenKind::Name(&self.text[offset..self.offset])
-                }
-                _ if first.is_ascii_whitespace() || !first.is_ascii() => continue,
-                _ => TokenKind::Punctuation(first),
-            };
-            return Some(Token { offset, kind });
-        }
-    }
-}
-
-fn tokens(text: &str) -> Tokens<'_> {
-    Tokens { text, offset: 0 }
-}
-
 /// The location where messages are first nested more deeply than `MAX_DEPTH`.
 pub(crate) fn first_too_deep(text: &str) -> Option<SourceLocation> {
     let mut depth = 0_usize;
@@ -124,8 +41,8 @@
     None
 }
 
-/// Locations of all keys by their paths. A path has the number of its occurrence, from 0, after each name; the first
-/// occurrence is also found without it.
+/// The locations of all keys by their paths. A path has an occurrence number (from 0) after each name; the first
+/// occurrence of a path is also found without its number.
 #[derive(Debug, Default)]
 pub(crate) struct SourceMap {
     by_path: HashMap<String, SourceLocation>,
--- a/crates/operator-config/src/validate/fleet.rs
+++ b/crates/operator-config/src/validate/fleet.rs
@@ -7,12 +7,15 @@
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
-/// Voters that a quorum may have: with more, each round waits for more answers than failures justify.
+/// Maximum number of voters. More voters would tolerate more failures than is useful, and slow each round down.
 const MAX_VOTERS: usize = 9;
-/// Bytes of a name, as they fit in a datagram's field.
+/// Longest name, in bytes: the limit of a datagram's field.
 const MAX_NAME_BYTES: usize = 64;
+/// The allowed names, for error texts.
 const ALLOWED_NAME: &str = "a name of 1 to 64 bytes without blanks";
+/// The allowed addresses, for error texts.
 const ALLOWED_ADDRESS: &str = "an address and port of IPv4, as in 127.0.0.1:7946";
+/// The allowed keys, for error texts.
 const ALLOWED_KEY: &str = "32 hex digits";
 
 pub(super) fn validate(fleet: &Fleet, errors: &mut ErrorCollector) {
--- a/crates/operator-config/src/validate/levels.rs
+++ b/crates/operator-config/src/validate/levels.rs
@@ -11,11 +11,11 @@
     for (index, level) in levels.level.iter().enumerate() {
         validate_level(&format!("levels.level.{index}"), level, errors);
     }
-    // The definition's own checks expect values in their ranges.
+    // `Config::validate` requires values within their ranges.
     if errors.is_empty() {
-        for fault in service_level_config(levels).validate() {
-            let key = format!("levels.level.{}.{}", fault.level, fault.key);
-            errors.add(&key, fault.found, fault.allowed);
+        for error in service_level_config(levels).validate() {
+            let key = format!("levels.level.{}.{}", error.level, error.key);
+            errors.add(&key, error.found, error.allowed);
         }
     }
 }
--- a/crates/operator-config/src/validate/mod.rs
+++ b/crates/operator-config/src/validate/mod.rs
@@ -1,5 +1,5 @@
-//! Checks of what the schema's types can't express: ranges, references and duplicates. One module for each block of the
-//! file; none depends on another.
+//! Checks that the schema's types cannot express: ranges, references and duplicates. Each block of the file has its own
+//! module, independent of the others.
 
 mod fleet;
 mod levels;
--- a/crates/operator-config/src/validate/rules.rs
+++ b/crates/operator-config/src/validate/rules.rs
@@ -1,4 +1,4 @@
-//! Checks of `statements.rule`: each rule needs a class that a read-only statement may have, and must be reachable.
+//! Checks of `statements.rule`: each rule needs a class of read-only statements, and must be reachable.
 
 use crate::error_collector::ErrorCollector;
 use crate::schema::{Class, Rule};
--- a/crates/operator-config/src/validate/statements.rs
+++ b/crates/operator-config/src/validate/statements.rs
@@ -5,9 +5,9 @@
 use crate::schema::{Cache, Estimate, Groups, Learning, Statements};
 use std::collections::HashSet;
 
-/// Prefixes of paths that the dispatcher serves itself, or that name a class.
+/// Prefixes of the dispatcher's own paths, and of paths that name a class.
 const RESERVED_PATHS: [&str; 3] = ["/_", "/invoke/", "/query/"];
-/// Bytes of a path or of a function's name: longer ones are mistakes.
+/// Longest path or name of a function, in bytes.
 const MAX_NAME_BYTES: usize = 128;
 
 pub(super) fn validate(statements: &Statements, errors: &mut ErrorCollector) {
@@ -46,7 +46,7 @@
     }
 }
 
-/// A path needs a resource group for each class but `unknown`.
+/// Requires a resource group for each class except `unknown`.
 fn validate_groups(groups: Option<&Groups>, errors: &mut ErrorCollector) {
     let look_up = groups.and_then(|groups| groups.look_up.as_deref());
     let report = groups.and_then(|groups| groups.report.as_deref());
--- a/crates/operator-config/src/validate/zone_routing.rs
+++ b/crates/operator-config/src/validate/zone_routing.rs
@@ -22,7 +22,7 @@
         errors.check_range("halls.climb.over_s", ramp.over_s, 1.0, 3600.0);
         errors.check_range("halls.climb.whole", ramp.whole, 0.25, 8.0);
     }
-    for fault in zone_routing_config(halls).validate() {
-        errors.add(&format!("halls.{}", fault.key), fault.found, fault.allowed);
+    for error in zone_routing_config(halls).validate() {
+        errors.add(&format!("halls.{}", error.key), error.found, error.allowed);
     }
 }
--- a/crates/operator-config/src/zone_routing.rs
+++ b/crates/operator-config/src/zone_routing.rs
@@ -1,11 +1,10 @@
 //! Conversion of the block `halls` into the configuration of the zone routing package.
 
 use crate::schema;
+use crate::units::MS_PER_S;
 use tansymux_zone_routing::{Config, CutDetection, RecoveryRamp, Route, SpillLimit, Tier};
 
-const MS_PER_S: f64 = 1000.0;
-
-/// The configuration of zone routing. Its values are not checked here: see [`parse`](crate::parse).
+/// The configuration of zone routing. [`parse`](crate::parse) checks its values, this conversion does not.
 pub fn zone_routing_config(halls: &schema::Halls) -> Config {
     let cut = halls.cut.unwrap_or_default();
     let ramp = halls.climb.unwrap_or_default();
