--- a/crates/adapter/src/batch.rs
+++ b/crates/adapter/src/batch.rs
@@ -1,56 +1,57 @@
-//! The lines of a batch: endpoint lists ("censuses"), which events refer to by slot, and events, by instance.
+//! The lines of a batch: endpoint lists, which events refer to by slot, and events, by dispatcher.
 
 use crate::error::{InputError, LineError};
 use crate::fields::{parse_number, to_millis, Fields};
-use crate::vocabulary::EventKind;
+use crate::vocabulary::{field, line, EventKind, FAILED_LIST};
 use std::collections::BTreeMap;
 use std::iter::Enumerate;
 use std::rc::Rc;
 use std::str::Lines;
 
-/// Slots for censuses, by the wire.
-const CENSUS_SLOTS: usize = 16;
-
-/// The form of an update that brings no list.
-const FAILED_LIST: &str = "X";
+/// Number of slots for endpoint lists, by the protocol.
+const LIST_SLOTS: usize = 16;
+/// Number of fields of an update: dispatcher, kind, revision and slot.
+const MAX_UPDATE_FIELDS: usize = 4;
+/// Number of fields of the first line of an endpoint list: slot and number of entries.
+const MAX_LIST_FIELDS: usize = 2;
 
 /// The lines of a batch with their numbers, counted from 0.
 pub type BatchLines<'a> = Enumerate<Lines<'a>>;
 
-/// One census: its entry lines as they came, and the line of the batch that the first one is on.
-pub struct Census {
-    /// The entries, each ended by a line feed.
+/// An endpoint list, whose entries are not yet parsed.
+pub struct EndpointList {
+    /// The lines of the entries, each ended by a line feed.
     pub text: String,
-    /// Line of the first entry, counted from 0.
+    /// Line of the first entry in the batch, counted from 0.
     pub first_line: usize,
 }
 
-/// The censuses by slot. They stay from batch to batch.
+/// The endpoint lists by slot. They are kept from batch to batch.
 #[derive(Default)]
-pub struct Censuses([Option<Rc<Census>>; CENSUS_SLOTS]);
+pub struct EndpointLists([Option<Rc<EndpointList>>; LIST_SLOTS]);
 
-/// One event of an instance, its fields not yet read.
+/// An event of a dispatcher, whose fields are not yet parsed.
 pub struct Event<'a> {
-    /// Its line of the batch, counted from 0.
+    /// The event's line in the batch, counted from 0.
     pub line: usize,
-    /// What it is about.
+    /// The kind of the event.
     pub kind: EventKind,
     /// The fields after the first word.
     pub fields: &'a str,
-    /// The census that it refers to.
-    pub census: Option<Rc<Census>>,
+    /// The endpoint list that the event refers to.
+    pub endpoint_list: Option<Rc<EndpointList>>,
 }
 
-/// The events of a batch by instance, each instance's in order; and the instances in the order of their first event.
+/// The events of a batch by dispatcher, each dispatcher's in order.
 #[derive(Default)]
 pub struct Events<'a> {
     by_dispatcher: BTreeMap<u64, Vec<Event<'a>>>,
-    /// Instances in the order of their first event.
+    /// The dispatchers in the order of their first event.
     pub order: Vec<u64>,
 }
 
 impl<'a> Events<'a> {
-    /// The events of an instance, in order.
+    /// The events of a dispatcher, in order.
     pub fn of(&self, dispatcher: u64) -> &[Event<'a>] {
         self.by_dispatcher
             .get(&dispatcher)
@@ -66,12 +67,12 @@
     }
 }
 
-/// Reads a batch's first line: its clock (ms).
+/// Reads the first line of a batch: its time (ms).
 pub fn read_clock(first: Option<(usize, &str)>) -> Result<f64, InputError> {
     let text = first.map_or("", |(_, text)| text);
     match split_first(text) {
-        ("batch", clock) => {
-            let micros = parse_number(clock, "clock").map_err(|error| error.at(0))?;
+        (line::BATCH, clock) => {
+            let micros = parse_number(clock, field::CLOCK).map_err(|error| error.at(0))?;
             Ok(to_millis(micros))
         }
         _ => {
@@ -81,93 +82,99 @@
     }
 }
 
-/// Reads the lines after the first: keeps censuses, and sorts events by instance.
+/// Reads the lines after the first: stores endpoint lists, and groups events by dispatcher.
 pub fn read_events<'a>(
     mut lines: BatchLines<'a>,
-    censuses: &mut Censuses,
+    endpoint_lists: &mut EndpointLists,
 ) -> Result<Events<'a>, InputError> {
     let mut events = Events::default();
-    while let Some((line, text)) = lines.next() {
+    while let Some((number, text)) = lines.next() {
         let (token, fields) = split_first(text);
-        if token == "census" {
-            let stored = censuses.store(line, fields, &mut lines);
-            stored.map_err(|error| error.at(line))?;
+        if token == line::ENDPOINT_LIST {
+            let stored = endpoint_lists.store(number, fields, &mut lines);
+            stored.map_err(|error| error.at(number))?;
             continue;
         }
-        let event = read_event(line, token, fields, censuses);
-        let (dispatcher, event) = event.map_err(|error| error.at(line))?;
+        let event = read_event(number, token, fields, endpoint_lists);
+        let (dispatcher, event) = event.map_err(|error| error.at(number))?;
         events.push(dispatcher, event);
     }
     Ok(events)
 }
 
-/// Reads which instance an event concerns, and which census it refers to.
+/// Reads an event's dispatcher, and finds the endpoint list that the event refers to.
 fn read_event<'a>(
     line: usize,
     token: &str,
     fields: &'a str,
-    censuses: &Censuses,
+    endpoint_lists: &EndpointLists,
 ) -> Result<(u64, Event<'a>), LineError> {
     let kind = EventKind::parse(token)?;
-    let dispatcher = parse_number(split_first(fields).0, "dispatcher")?;
-    let mut census = None;
+    let dispatcher = parse_number(split_first(fields).0, field::DISPATCHER)?;
+    let mut endpoint_list = None;
     if kind == EventKind::Update {
-        let mut fields = Fields::new(fields, 4);
-        fields.required("dispatcher")?;
-        let form = fields.required("form")?;
-        fields.required("rev")?;
-        if form != FAILED_LIST {
-            census = Some(censuses.find(fields.number("slot")?)?);
+        let mut fields = Fields::new(fields, MAX_UPDATE_FIELDS);
+        fields.required(field::DISPATCHER)?;
+        let list_kind = fields.required(field::LIST_KIND)?;
+        fields.required(field::REVISION)?;
+        if list_kind != FAILED_LIST {
+            endpoint_list = Some(endpoint_lists.find(fields.number(field::SLOT)?)?);
         }
     }
     let event = Event {
         line,
         kind,
         fields,
-        census,
+        endpoint_list,
     };
     Ok((dispatcher, event))
 }
 
-/// A line's first word, and what follows it.
+/// A line's first word, and the rest of the line.
 fn split_first(text: &str) -> (&str, &str) {
     text.split_once(' ').unwrap_or((text, ""))
 }
 
-impl Censuses {
-    /// Reads a census and its entries, and keeps it in its slot.
+impl EndpointLists {
+    /// Reads an endpoint list with its entries, and stores it in its slot.
     fn store(
         &mut self,
         line: usize,
         fields: &str,
         lines: &mut BatchLines,
     ) -> Result<(), LineError> {
-        let mut fields = Fields::new(fields, 2);
-        let slot: usize = fields.number("slot")?;
-        let entries: usize = fields.number("entries")?;
+        let mut fields = Fields::new(fields, MAX_LIST_FIELDS);
+        let slot: usize = fields.number(field::SLOT)?;
+        let entries: usize = fields.number(field::ENTRIES)?;
         fields.finish()?;
-        if slot >= CENSUS_SLOTS {
-            let max = CENSUS_SLOTS - 1;
-            return Err(LineError::CensusSlotTooHigh { slot, max });
+        if slot >= LIST_SLOTS {
+            let max = LIST_SLOTS - 1;
+            return Err(LineError::ListSlotTooHigh { slot, max });
         }
         let mut text = String::new();
         for _ in 0..entries {
             match lines.next() {
-                Some((_, entry)) if entry.starts_with("m ") => {
+                Some((_, entry)) if is_list_entry(entry) => {
                     text.push_str(entry);
                     text.push('\n');
                 }
-                _ => return Err(LineError::CensusTooShort { entries }),
+                _ => return Err(LineError::ListTooShort { entries }),
             }
         }
         let first_line = line + 1;
-        self.0[slot] = Some(Rc::new(Census { text, first_line }));
+        self.0[slot] = Some(Rc::new(EndpointList { text, first_line }));
         Ok(())
     }
 
-    /// The census in a slot.
-    fn find(&self, slot: usize) -> Result<Rc<Census>, LineError> {
-        let census = self.0.get(slot).and_then(Clone::clone);
-        census.ok_or(LineError::NoCensus { slot })
+    /// The endpoint list in a slot.
+    fn find(&self, slot: usize) -> Result<Rc<EndpointList>, LineError> {
+        let list = self.0.get(slot).and_then(Clone::clone);
+        list.ok_or(LineError::NoList { slot })
     }
 }
+
+/// Whether a line is an entry of an endpoint list.
+fn is_list_entry(text: &str) -> bool {
+    text.strip_prefix(line::ENDPOINT)
+        .is_some_and(|rest| rest.starts_with(' '))
+}
--- a/crates/adapter/src/decode.rs
+++ b/crates/adapter/src/decode.rs
@@ -1,9 +1,13 @@
-//! Events of the wire as typed events of the core. One function a kind; each reads all fields before it calls the core.
+//! Decodes events of the wire into events of the decisions. Each kind has one function, which parses all fields before it
+//! calls the decisions.
 
-use crate::batch::{Census, Event};
+use crate::batch::{EndpointList, Event};
 use crate::error::LineError;
 use crate::fields::{parse_number, to_millis, Fields};
-use crate::vocabulary::{parse_list_kind, parse_note_kind, parse_outcome, parse_state, EventKind};
+use crate::vocabulary::{
+    field, line, parse_list_kind, parse_note_kind, parse_outcome, parse_state, EventKind, ENLIST,
+    NO_VALUE, POWER_OFF,
+};
 use base64::prelude::{Engine, BASE64_STANDARD};
 use tansymux::control::Control;
 use tansymux::events::{
@@ -11,66 +15,67 @@
     QueryArrived, ResourceUsage, StatementTraits,
 };
 
-/// Fields of an event at most, the instance included.
+/// Maximum number of fields of an event, the dispatcher included.
 const MAX_EVENT_FIELDS: usize = 12;
-/// Fields of a census entry at most.
+/// Maximum number of fields of an endpoint list's entry.
 const MAX_ENTRY_FIELDS: usize = 9;
-/// Bit of a query's flags: the estimate of its cost is there.
+/// Bit of a query's flags: the query has an estimate of its cost.
 const HAS_ESTIMATE: u32 = 1;
-/// An attempt's bill holds thread time (ms) above these bits, and memory below them, in units of 4 MB.
-const BILL_MEMORY_BITS: u32 = 12;
-const BILL_MEMORY_UNIT_MB: f64 = 4.0;
+/// Number of low bits for memory in the resources that an attempt used. The bits above hold thread time (ms).
+const USED_MEMORY_BITS: u32 = 12;
+/// Unit of memory in the resources that an attempt used (MB).
+const USED_MEMORY_UNIT_MB: f64 = 4.0;
 
-/// Hands an event over to the instance's decisions.
+/// Decodes an event and passes it to the dispatcher's decisions.
 pub fn deliver(
     event: &Event,
     control: &mut Control,
     out: &mut dyn DecisionSink,
 ) -> Result<(), LineError> {
     let mut fields = Fields::new(event.fields, MAX_EVENT_FIELDS);
-    fields.required("dispatcher")?;
+    fields.required(field::DISPATCHER)?;
     match event.kind {
-        EventKind::Update => deliver_update(fields, event.census.as_deref(), control, out),
+        EventKind::Update => deliver_update(fields, event.endpoint_list.as_deref(), control, out),
         EventKind::Inbound => deliver_query(fields, control, out),
         EventKind::ClosedAttempt => deliver_attempt_end(fields, control, out),
         EventKind::StatusNote => deliver_note(fields, control),
         EventKind::PingResult => deliver_health_check(fields, control),
         EventKind::Vanished => {
-            let query_id = fields.number("txn")?;
+            let query_id = fields.number(field::QUERY_ID)?;
             fields.finish()?;
             control.on_client_gone(query_id, out);
             Ok(())
         }
         EventKind::Peer => deliver_peer_message(fields, control),
-        // A timer only makes the round come.
+        // A timer has no effect except the round itself.
         EventKind::DeadlineHit => {
-            fields.number::<u64>("handle")?;
+            fields.number::<u64>(field::HANDLE)?;
             fields.finish()
         }
-        // No streams here: an answer that has begun says nothing that its end will not.
-        EventKind::First => fields.number::<u64>("txn").map(drop),
-        // Starts and stops are taken out before.
-        EventKind::Enlist => Err(LineError::unknown_token("event", "enlist")),
-        EventKind::PowerOff => Err(LineError::unknown_token("event", "power_off")),
+        // Answers are not streamed, so the first bytes have no effect.
+        EventKind::First => fields.number::<u64>(field::QUERY_ID).map(drop),
+        // The host handles starts and stops.
+        EventKind::Enlist => Err(LineError::unknown_token("event", ENLIST)),
+        EventKind::PowerOff => Err(LineError::unknown_token("event", POWER_OFF)),
     }
 }
 
 fn deliver_update(
     mut fields: Fields,
-    census: Option<&Census>,
+    endpoint_list: Option<&EndpointList>,
     control: &mut Control,
     out: &mut dyn DecisionSink,
 ) -> Result<(), LineError> {
-    let kind = parse_list_kind(fields.required("form")?)?;
-    fields.number::<u64>("rev")?;
-    fields.required("slot").ok();
+    let kind = parse_list_kind(fields.required(field::LIST_KIND)?)?;
+    fields.number::<u64>(field::REVISION)?;
+    fields.required(field::SLOT).ok();
     fields.finish()?;
     control.begin_update(kind);
-    if let Some(census) = census {
-        for (index, entry) in census.text.lines().enumerate() {
+    if let Some(list) = endpoint_list {
+        for (index, entry) in list.text.lines().enumerate() {
             let delivered = deliver_endpoint(entry, control);
-            delivered.map_err(|source| LineError::CensusEntry {
-                line: census.first_line + index + 1,
+            delivered.map_err(|source| LineError::ListEntry {
+                line: list.first_line + index + 1,
                 source: Box::new(source),
             })?;
         }
@@ -81,14 +86,14 @@
 
 fn deliver_endpoint(entry: &str, control: &mut Control) -> Result<(), LineError> {
     let mut fields = Fields::new(entry, MAX_ENTRY_FIELDS);
-    fields.required("m")?;
-    let kind = fields.required("family-type")?;
-    let zone = fields.required("rack-zone")?;
-    let state = parse_state(fields.required("status")?)?;
-    let started_micros: u64 = fields.optional_number("start-time-us")?.unwrap_or(0);
-    let cell = fields.optional_number("pod")?.unwrap_or(0);
-    let engine_id = fields.number("node")?;
-    fields.optional_number::<f64>("capacity-hint")?;
+    fields.required(line::ENDPOINT)?;
+    let kind = fields.required(field::ENGINE_KIND)?;
+    let zone = fields.required(field::ZONE)?;
+    let state = parse_state(fields.required(field::ENGINE_STATE)?)?;
+    let started_micros: u64 = fields.optional_number(field::STARTED_US)?.unwrap_or(0);
+    let cell = fields.optional_number(field::CELL)?.unwrap_or(0);
+    let engine_id = fields.number(field::ENGINE_ID)?;
+    fields.optional_number::<f64>(field::CAPACITY_HINT)?;
     fields.finish()?;
     control.upsert_endpoint(&EndpointUpdate {
         engine_id,
@@ -106,15 +111,15 @@
     control: &mut Control,
     out: &mut dyn DecisionSink,
 ) -> Result<(), LineError> {
-    let query_id = fields.number("txn")?;
-    let group = fields.required("cls")?;
-    let tenant = fields.optional("account")?.unwrap_or("");
-    let key = fields.optional("object")?.map(parse_key).transpose()?;
-    let deadline_ms = fields.millis("due-us")?;
-    let cost_micros = fields.optional_number("plan-cost-us")?.unwrap_or(0);
-    let memory_mb = fields.optional_number("est-memory-mb")?.unwrap_or(0.0);
-    let tables: f64 = fields.optional_number("tables")?.unwrap_or(0.0);
-    let flags: u32 = fields.optional_number("flags")?.unwrap_or(0);
+    let query_id = fields.number(field::QUERY_ID)?;
+    let group = fields.required(field::GROUP)?;
+    let tenant = fields.optional(field::TENANT)?.unwrap_or("");
+    let key = fields.optional(field::KEY)?.map(parse_key).transpose()?;
+    let deadline_ms = fields.millis(field::DEADLINE_US)?;
+    let cost_micros = fields.optional_number(field::COST_US)?.unwrap_or(0);
+    let memory_mb = fields.optional_number(field::MEMORY_MB)?.unwrap_or(0.0);
+    let tables: f64 = fields.optional_number(field::TABLES)?.unwrap_or(0.0);
+    let flags: u32 = fields.optional_number(field::FLAGS)?.unwrap_or(0);
     fields.finish()?;
     let mut estimated_cost_ms = 0.0;
     if flags & HAS_ESTIMATE != 0 {
@@ -135,7 +140,7 @@
     Ok(())
 }
 
-/// An ordering key, in hexadecimal digits.
+/// Parses an ordering key of hexadecimal digits.
 fn parse_key(text: &str) -> Result<u64, LineError> {
     u64::from_str_radix(text, 16).map_err(|_| LineError::NotAKey {
         text: text.to_owned(),
@@ -147,19 +152,14 @@
     control: &mut Control,
     out: &mut dyn DecisionSink,
 ) -> Result<(), LineError> {
-    let query_id = fields.number("txn")?;
-    let answer_delivered = fields.flag("complete")?;
-    let attempt = fields.number("round-no")?;
-    let bill: u64 = fields.optional_number("bill")?.unwrap_or(0);
-    let outcome = parse_outcome(fields.required("state-code")?)?;
-    let engine_id = fields.number("node")?;
-    let latency_ms = fields.millis("latency-us")?;
+    let query_id = fields.number(field::QUERY_ID)?;
+    let answer_delivered = fields.flag(field::ANSWER_DELIVERED)?;
+    let attempt = fields.number(field::ATTEMPT)?;
+    let used: u64 = fields.optional_number(field::USED)?.unwrap_or(0);
+    let outcome = parse_outcome(fields.required(field::OUTCOME)?)?;
+    let engine_id = fields.number(field::ENGINE_ID)?;
+    let latency_ms = fields.millis(field::LATENCY_US)?;
     check_report(&mut fields)?;
-    let memory_units = bill & ((1 << BILL_MEMORY_BITS) - 1);
-    let used = ResourceUsage {
-        thread_ms: (bill >> BILL_MEMORY_BITS) as f64,
-        memory_mb: memory_units as f64 * BILL_MEMORY_UNIT_MB,
-    };
     let event = AttemptEnded {
         query_id,
         attempt,
@@ -167,18 +167,27 @@
         outcome,
         answer_delivered,
         latency_ms,
-        used: Some(used),
+        used: Some(resource_usage(used)),
     };
     control.on_attempt_ended(&event, out);
     Ok(())
 }
 
+/// The resources that an attempt used, from one number.
+fn resource_usage(used: u64) -> ResourceUsage {
+    let memory_units = used & ((1 << USED_MEMORY_BITS) - 1);
+    ResourceUsage {
+        thread_ms: (used >> USED_MEMORY_BITS) as f64,
+        memory_mb: memory_units as f64 * USED_MEMORY_UNIT_MB,
+    }
+}
+
 fn deliver_note(mut fields: Fields, control: &mut Control) -> Result<(), LineError> {
-    let query_id = fields.number("txn")?;
-    let amount = fields.number("amount")?;
-    let kind = parse_note_kind(fields.number("sort")?)?;
-    let attempt = fields.number("round-no")?;
-    fields.number::<u64>("node")?;
+    let query_id = fields.number(field::QUERY_ID)?;
+    let amount = fields.number(field::AMOUNT)?;
+    let kind = parse_note_kind(fields.number(field::NOTE_KIND)?)?;
+    let attempt = fields.number(field::ATTEMPT)?;
+    fields.number::<u64>(field::ENGINE_ID)?;
     fields.finish()?;
     control.on_progress_note(&ProgressNote {
         query_id,
@@ -190,19 +199,19 @@
 }
 
 fn deliver_health_check(mut fields: Fields, control: &mut Control) -> Result<(), LineError> {
-    let outcome = parse_outcome(fields.required("state-code")?)?;
-    let engine_id = fields.number("node")?;
-    fields.number::<u64>("latency-us")?;
+    let outcome = parse_outcome(fields.required(field::OUTCOME)?)?;
+    let engine_id = fields.number(field::ENGINE_ID)?;
+    fields.number::<u64>(field::LATENCY_US)?;
     check_report(&mut fields)?;
     control.on_health_check_ended(&HealthCheckEnded { engine_id, outcome });
     Ok(())
 }
 
 fn deliver_peer_message(mut fields: Fields, control: &mut Control) -> Result<(), LineError> {
-    let peer = fields.number("origin-peer")?;
-    let text = fields.required("content")?;
+    let peer = fields.number(field::PEER)?;
+    let text = fields.required(field::CONTENT)?;
     let content = match text {
-        "-" => Ok(Vec::new()),
+        NO_VALUE => Ok(Vec::new()),
         text => BASE64_STANDARD.decode(text),
     };
     fields.finish()?;
@@ -216,9 +225,9 @@
     Ok(())
 }
 
-/// An engine's load report, the last field: it is checked and not used.
+/// Checks an engine's load report, which is the last field. Its values are not used.
 fn check_report(fields: &mut Fields) -> Result<(), LineError> {
-    let report = fields.optional("report")?.unwrap_or("");
+    let report = fields.optional(field::REPORT)?.unwrap_or("");
     for pair in report.split(',').filter(|pair| !pair.is_empty()) {
         let Some((name, value)) = pair.split_once(':') else {
             let text = pair.to_owned();
--- a/crates/adapter/src/error.rs
+++ b/crates/adapter/src/error.rs
@@ -1,19 +1,19 @@
-//! What can be wrong with the input.
+//! Errors of the input.
 
 use tansymux::events::UnknownResourceGroup;
 use tansymux::settings::SettingsError;
 
-/// A line of a batch that cannot be used.
+/// An invalid line of a batch.
 #[derive(Debug, thiserror::Error)]
 #[error("{cause}")]
 pub struct InputError {
-    /// Which line of the batch, counted from 0.
+    /// The line of the batch, counted from 0.
     pub line: usize,
-    /// What is wrong with it.
+    /// The error of the line.
     pub cause: LineError,
 }
 
-/// What is wrong with a line.
+/// The error of a line.
 #[derive(Debug, thiserror::Error)]
 pub enum LineError {
     #[error("not UTF-8")]
@@ -39,13 +39,13 @@
     #[error("report value {text:?} has no name")]
     ReportWithoutName { text: String },
     #[error("census slot {slot} is above {max}")]
-    CensusSlotTooHigh { slot: usize, max: usize },
+    ListSlotTooHigh { slot: usize, max: usize },
     #[error("the census should hold {entries} entries")]
-    CensusTooShort { entries: usize },
+    ListTooShort { entries: usize },
     #[error("no census has slot {slot}")]
-    NoCensus { slot: usize },
+    NoList { slot: usize },
     #[error("{source} (in the census entry on line {line} of the batch)")]
-    CensusEntry { line: usize, source: Box<LineError> },
+    ListEntry { line: usize, source: Box<LineError> },
     #[error("dispatcher {dispatcher} is not enlisted")]
     NotEnlisted { dispatcher: u64 },
     #[error(transparent)]
@@ -55,12 +55,12 @@
 }
 
 impl LineError {
-    /// The error with the line of the batch that it is in, counted from 0.
+    /// The error with its line of the batch, counted from 0.
     pub fn at(self, line: usize) -> InputError {
         InputError { line, cause: self }
     }
 
-    /// A word that is none of those that are allowed.
+    /// The error for a word that is not allowed.
     pub fn unknown_token(kind: &'static str, token: &str) -> Self {
         let token = token.to_owned();
         LineError::UnknownToken { kind, token }
--- a/crates/adapter/src/fields.rs
+++ b/crates/adapter/src/fields.rs
@@ -1,9 +1,13 @@
-//! The space-separated fields of a line, taken one by one.
+//! The space-separated fields of a line, read one after another.
 
 use crate::error::LineError;
+use crate::vocabulary::NO_VALUE;
 use std::str::{FromStr, SplitN};
 
-/// What is left of a line's fields.
+/// Microseconds in a millisecond.
+pub const US_PER_MS: f64 = 1000.0;
+
+/// The remaining fields of a line.
 pub struct Fields<'a>(SplitN<'a, char>);
 
 impl<'a> Fields<'a> {
@@ -12,7 +16,7 @@
         Fields(text.splitn(max_fields, ' '))
     }
 
-    /// The next field, which must be there.
+    /// The next field, which must not be missing.
     pub fn required(&mut self, name: &str) -> Result<&'a str, LineError> {
         match self.0.next() {
             Some(text) if !text.is_empty() => Ok(text),
@@ -22,10 +26,10 @@
         }
     }
 
-    /// The next field, which must be there; `-` stands for no value.
+    /// The next field; `None` for a field without a value.
     pub fn optional(&mut self, name: &str) -> Result<Option<&'a str>, LineError> {
         let text = self.required(name)?;
-        Ok(Some(text).filter(|&text| text != "-"))
+        Ok(Some(text).filter(|&text| text != NO_VALUE))
     }
 
     /// The next field as a number.
@@ -33,7 +37,7 @@
         parse_number(self.required(name)?, name)
     }
 
-    /// The next field as a number; `-` stands for no value.
+    /// The next field as a number; `None` for a field without a value.
     pub fn optional_number<T: FromStr>(&mut self, name: &str) -> Result<Option<T>, LineError> {
         match self.optional(name)? {
             Some(text) => parse_number(text, name).map(Some),
@@ -41,7 +45,7 @@
         }
     }
 
-    /// The next field as a time: whole microseconds on the wire, milliseconds here.
+    /// The next field as a time: converts the wire's microseconds to milliseconds.
     pub fn millis(&mut self, name: &str) -> Result<f64, LineError> {
         self.number(name).map(to_millis)
     }
@@ -58,7 +62,7 @@
         }
     }
 
-    /// Checks that nothing is left.
+    /// Checks that no field remains.
     pub fn finish(&mut self) -> Result<(), LineError> {
         match self.0.next() {
             None => Ok(()),
@@ -71,7 +75,7 @@
 
 /// A time in microseconds as milliseconds.
 pub fn to_millis(micros: u64) -> f64 {
-    micros as f64 / 1000.0
+    micros as f64 / US_PER_MS
 }
 
 /// A field's text as a number.
--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -1,11 +1,11 @@
-//! Plays batches: gives each instance's events to its own decisions as one round.
+//! Runs batches: passes each dispatcher's events to its own decisions as one round.
 
-use crate::batch::{read_clock, read_events, Censuses, Event};
+use crate::batch::{read_clock, read_events, EndpointLists, Event};
 use crate::decode;
 use crate::error::{InputError, LineError};
 use crate::fields::Fields;
 use crate::reply::Reply;
-use crate::vocabulary::EventKind;
+use crate::vocabulary::{field, line, EventKind};
 use std::collections::BTreeMap;
 use std::io::Write;
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -13,68 +13,79 @@
 use tansymux::events::DecisionSink;
 use tansymux::settings;
 
-/// All dispatchers that the simulator started, and the censuses that they were given.
+/// Number of fields of a start: dispatcher, seed and settings.
+const START_FIELDS: usize = 3;
+
+/// All dispatchers that the simulator started, and the endpoint lists that it sent.
 #[derive(Default)]
 pub struct Host {
-    instances: BTreeMap<u64, Control>,
-    censuses: Censuses,
+    dispatchers: BTreeMap<u64, Control>,
+    endpoint_lists: EndpointLists,
 }
 
 impl Host {
-    /// Answers one batch (all lines but `end`) with the actions and the closing line.
+    /// Answers one batch (all lines except `end`) with the actions and the closing line.
     ///
     /// # Errors
-    /// The first line that cannot be used. What `to` holds by then is of no use.
+    /// The first invalid line. The contents of `to` are incomplete then.
     pub fn answer(&mut self, batch: &[u8], to: &mut Vec<u8>) -> Result<(), InputError> {
         let text = std::str::from_utf8(batch).map_err(|_| LineError::NotUtf8.at(0))?;
         let mut lines = text.lines().enumerate();
         let now_ms = read_clock(lines.next())?;
-        let events = read_events(lines, &mut self.censuses)?;
+        let events = read_events(lines, &mut self.endpoint_lists)?;
         for &dispatcher in &events.order {
             let mut reply = Reply { to, dispatcher };
-            self.play(now_ms, events.of(dispatcher), &mut reply)?;
+            self.run_dispatcher(now_ms, events.of(dispatcher), &mut reply)?;
         }
-        to.extend_from_slice(b"finished\n");
+        to.extend_from_slice(line::FINISHED.as_bytes());
+        to.push(b'\n');
         Ok(())
     }
 
-    /// Plays one instance's events of a batch. What lies before its last stop concerns the stopped one only.
-    fn play(&mut self, now_ms: f64, events: &[Event], reply: &mut Reply) -> Result<(), InputError> {
+    /// Runs the events of one dispatcher in a batch. Events before its last stop or start are dropped: they are those of an
+    /// earlier incarnation.
+    fn run_dispatcher(
+        &mut self,
+        now_ms: f64,
+        events: &[Event],
+        reply: &mut Reply,
+    ) -> Result<(), InputError> {
         let dispatcher = reply.dispatcher;
         let mut events = events;
         if let Some(stop) = last(events, EventKind::PowerOff) {
-            self.instances.remove(&dispatcher);
+            self.dispatchers.remove(&dispatcher);
             events = &events[stop + 1..];
         }
         if let Some(start) = last(events, EventKind::Enlist) {
-            let control = start_instance(events[start].fields);
+            let control = start_dispatcher(events[start].fields);
             let control = control.map_err(|error| error.at(events[start].line))?;
-            self.instances.insert(dispatcher, control);
+            self.dispatchers.insert(dispatcher, control);
             events = &events[start + 1..];
         }
         let Some(first) = events.first() else {
             return Ok(());
         };
-        let Some(control) = self.instances.get_mut(&dispatcher) else {
+        let Some(control) = self.dispatchers.get_mut(&dispatcher) else {
             return Err(LineError::NotEnlisted { dispatcher }.at(first.line));
         };
         run_round(control, now_ms, events, reply)
     }
 }
 
+/// Index of the last event of a kind.
 fn last(events: &[Event], kind: EventKind) -> Option<usize> {
     events.iter().rposition(|event| event.kind == kind)
 }
 
-fn start_instance(fields: &str) -> Result<Control, LineError> {
-    let mut fields = Fields::new(fields, 3);
-    fields.required("dispatcher")?;
-    let seed = fields.number("nonce64")?;
-    let settings = settings::parse_pairs(fields.required("profile-data")?)?;
+fn start_dispatcher(fields: &str) -> Result<Control, LineError> {
+    let mut fields = Fields::new(fields, START_FIELDS);
+    fields.required(field::DISPATCHER)?;
+    let seed = fields.number(field::SEED)?;
+    let settings = settings::parse_pairs(fields.required(field::SETTINGS)?)?;
     Ok(Control::new(seed, &settings)?)
 }
 
-/// Runs a round; a panic of the decisions is reported as a fault and ends the round only.
+/// Runs a round. A panic of the decisions is reported in the answer, and ends only this round.
 fn run_round(
     control: &mut Control,
     now_ms: f64,
@@ -91,13 +102,14 @@
         // Writing to a Vec cannot fail.
         let _ = writeln!(
             reply.to,
-            "fault {dispatcher} the decisions panicked, see standard error"
+            "{} {dispatcher} the decisions panicked, see standard error",
+            line::FAULT
         );
     }
     round.error.map_or(Ok(()), Err)
 }
 
-/// An instance's events of a batch, and the first that could not be used: none after it is delivered.
+/// The events of a dispatcher in a batch, and the error of the first invalid event. Events after it are not delivered.
 struct Round<'a> {
     events: &'a [Event<'a>],
     error: Option<InputError>,
--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -1,8 +1,8 @@
-//! Speaks the simulator's wire on standard input and output, for the decisions of `tansymux`.
+//! Runs the decisions of `tansymux` for the simulator, with its protocol on standard input and output.
 //!
-//! It parses and prints, and decides nothing. Start reading at [`host`], which plays a batch; [`batch`] sorts its lines,
-//! [`decode`] turns them into events, [`reply`] prints what was decided. A line that cannot be used ends the program with
-//! a message on standard error.
+//! The program parses and prints, and decides nothing. Start reading at [`host`], which runs a batch. [`batch`] groups the
+//! lines of a batch, [`decode`] turns them into events, [`reply`] writes the decisions, and [`vocabulary`] has the words of
+//! the protocol. An invalid line ends the program with a message on standard error.
 
 mod batch;
 mod decode;
@@ -15,8 +15,11 @@
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
 
+/// Size of the buffer for standard input.
+const INPUT_BUFFER_BYTES: usize = 1 << 20;
+
 fn main() -> ExitCode {
-    let mut input = io::BufReader::with_capacity(1 << 20, io::stdin().lock());
+    let mut input = io::BufReader::with_capacity(INPUT_BUFFER_BYTES, io::stdin().lock());
     let mut output = io::stdout().lock();
     let mut host = host::Host::default();
     let mut batch = Vec::new();
@@ -45,13 +48,13 @@
     }
 }
 
-/// Names a line of the input, counted from 1, and what is wrong with it.
+/// Prints an error with its line of the input, counted from 1.
 fn fail(line: usize, error: &dyn std::fmt::Display) -> ExitCode {
     eprintln!("tansymux-adapter: line {line}: {error}");
     ExitCode::FAILURE
 }
 
-/// Reads up to and with the `end` line; false at the end of input.
+/// Reads a batch up to the `end` line, which is not kept; false at the end of the input.
 fn read_batch(
     input: &mut impl BufRead,
     batch: &mut Vec<u8>,
@@ -76,7 +79,7 @@
             batch.pop();
         }
         let line = &batch[start..];
-        if line == b"end" {
+        if line == vocabulary::line::END.as_bytes() {
             batch.truncate(start);
             return Ok(true);
         }
--- a/crates/adapter/src/reply.rs
+++ b/crates/adapter/src/reply.rs
@@ -1,89 +1,93 @@
-//! Prints decisions as the wire's actions. Times are rounded so that no deadline comes later than it was decided, and no
-//! timer earlier.
+//! Writes decisions as the wire's actions. Times are rounded so that a deadline is never later, and a timer never earlier,
+//! than decided.
 
+use crate::fields::US_PER_MS;
+use crate::vocabulary::action;
 use base64::prelude::{Engine, BASE64_STANDARD};
+use std::fmt::Arguments;
 use std::io::Write;
 use tansymux::events::{AttemptLimits, DecisionSink};
 
-/// The actions of one instance.
+/// Tolerance for floating-point errors in the conversion of times (us).
+const ROUNDING_TOLERANCE_US: f64 = 1e-3;
+
+/// The actions of one dispatcher.
 pub struct Reply<'a> {
-    /// Where they are printed.
+    /// The answer that actions are written to.
     pub to: &'a mut Vec<u8>,
-    /// Number of the instance.
+    /// Number of the dispatcher.
     pub dispatcher: u64,
 }
 
-macro_rules! action {
-    ($reply:expr, $($format:tt)*) => {{
+impl Reply<'_> {
+    /// Writes an action with its fields after the dispatcher.
+    fn write(&mut self, action: &str, fields: Arguments) {
         // Writing to a Vec cannot fail.
-        let _ = writeln!($reply.to, $($format)*);
-    }};
+        let _ = writeln!(self.to, "{action} {} {fields}", self.dispatcher);
+    }
 }
 
-/// A time (ms) in whole microseconds, rounded down; what is short of one by rounding of floats counts as whole.
+/// A time (ms) in whole microseconds, rounded down. A time just below a whole microsecond counts as that microsecond.
 fn micros_down(ms: f64) -> u64 {
-    (ms.max(0.0) * 1000.0 + 1e-3).floor() as u64
+    (ms.max(0.0) * US_PER_MS + ROUNDING_TOLERANCE_US).floor() as u64
 }
 
-/// A time (ms) in whole microseconds, rounded up.
+/// A time (ms) in whole microseconds, rounded up. A time just above a whole microsecond counts as that microsecond.
 fn micros_up(ms: f64) -> u64 {
-    (ms.max(0.0) * 1000.0 - 1e-3).ceil() as u64
+    (ms.max(0.0) * US_PER_MS - ROUNDING_TOLERANCE_US).ceil() as u64
 }
 
 impl DecisionSink for Reply<'_> {
     fn submit(&mut self, query_id: u64, engine_id: u64, limits: AttemptLimits) {
-        action!(
-            self,
-            "try {} {query_id} {engine_id} {}",
-            self.dispatcher,
-            micros_down(limits.deadline_ms)
+        let deadline_us = micros_down(limits.deadline_ms);
+        self.write(
+            action::SUBMIT,
+            format_args!("{query_id} {engine_id} {deadline_us}"),
         );
     }
+
     fn reject(&mut self, query_id: u64, retry_after_ms: f64) {
-        action!(
-            self,
-            "not_now {} {query_id} {}",
-            self.dispatcher,
-            micros_down(retry_after_ms)
-        );
+        let retry_after_us = micros_down(retry_after_ms);
+        self.write(action::REJECT, format_args!("{query_id} {retry_after_us}"));
     }
+
     fn fail(&mut self, query_id: u64) {
-        action!(self, "error {} {query_id}", self.dispatcher);
+        self.write(action::FAIL, format_args!("{query_id}"));
     }
+
     fn cancel(&mut self, query_id: u64, attempt: usize) {
-        action!(
-            self,
-            "abort_attempt {} {query_id} {attempt}",
-            self.dispatcher
-        );
+        self.write(action::CANCEL, format_args!("{query_id} {attempt}"));
     }
+
     fn grant(&mut self, query_id: u64, priority: u8, memory_mb: f64) {
-        action!(
-            self,
-            "allot {} {query_id} {priority} {memory_mb:.3}",
-            self.dispatcher
+        self.write(
+            action::GRANT,
+            format_args!("{query_id} {priority} {memory_mb:.3}"),
         );
     }
+
     fn check_health(&mut self, engine_id: u64) {
-        action!(self, "sound_out {} {engine_id}", self.dispatcher);
+        self.write(action::CHECK_HEALTH, format_args!("{engine_id}"));
     }
+
     fn send_to_peer(&mut self, peer: Option<u32>, content: &[u8]) {
         let content = BASE64_STANDARD.encode(content);
         match peer {
-            Some(peer) => action!(self, "share {} {peer} {content}", self.dispatcher),
-            None => action!(self, "share {} all {content}", self.dispatcher),
+            Some(peer) => self.write(action::SEND_TO_PEER, format_args!("{peer} {content}")),
+            None => self.write(
+                action::SEND_TO_PEER,
+                format_args!("{} {content}", action::ALL_PEERS),
+            ),
         }
     }
+
     fn set_timer(&mut self, delay_ms: f64, handle: u64) {
-        action!(
-            self,
-            "notify_me {} {} {handle}",
-            self.dispatcher,
-            micros_up(delay_ms)
-        );
+        let delay_us = micros_up(delay_ms);
+        self.write(action::SET_TIMER, format_args!("{delay_us} {handle}"));
     }
+
     fn watch_endpoints(&mut self) {
-        action!(self, "track {} 1", self.dispatcher);
+        self.write(action::WATCH_ENDPOINTS, format_args!("1"));
     }
 }
 
--- a/crates/adapter/src/vocabulary.rs
+++ b/crates/adapter/src/vocabulary.rs
@@ -1,26 +1,149 @@
-//! The words of the wire, as enums.
+//! The words of the simulator's wire, mapped to the terms of the decisions. All other files use these names.
 
 use crate::error::LineError;
 use tansymux::events::{EndpointListKind, EndpointState, NoteKind, Outcome};
 
-/// What an event line is about: its first word.
+/// First words of lines that are no events.
+pub mod line {
+    /// Begins a batch, with its clock.
+    pub const BATCH: &str = "batch";
+    /// Ends a batch.
+    pub const END: &str = "end";
+    /// Begins an endpoint list.
+    pub const ENDPOINT_LIST: &str = "census";
+    /// An entry of an endpoint list.
+    pub const ENDPOINT: &str = "m";
+    /// Ends the answer to a batch.
+    pub const FINISHED: &str = "finished";
+    /// Reports a panic of the decisions.
+    pub const FAULT: &str = "fault";
+}
+
+/// Names of fields, for error texts.
+pub mod field {
+    /// Time of a batch (us).
+    pub const CLOCK: &str = "clock";
+    /// Number of a dispatcher.
+    pub const DISPATCHER: &str = "dispatcher";
+    /// Seed of a dispatcher.
+    pub const SEED: &str = "nonce64";
+    /// Settings of a dispatcher.
+    pub const SETTINGS: &str = "profile-data";
+    /// Kind of an endpoint list.
+    pub const LIST_KIND: &str = "form";
+    /// Revision of an endpoint list.
+    pub const REVISION: &str = "rev";
+    /// Slot of an endpoint list.
+    pub const SLOT: &str = "slot";
+    /// Number of entries of an endpoint list.
+    pub const ENTRIES: &str = "entries";
+    /// Kind of an engine.
+    pub const ENGINE_KIND: &str = "family-type";
+    /// Zone of an engine.
+    pub const ZONE: &str = "rack-zone";
+    /// State of an engine.
+    pub const ENGINE_STATE: &str = "status";
+    /// Start of an engine (us).
+    pub const STARTED_US: &str = "start-time-us";
+    /// Cell of an engine.
+    pub const CELL: &str = "pod";
+    /// Id of an engine.
+    pub const ENGINE_ID: &str = "node";
+    /// Capacity of an engine, which is ignored.
+    pub const CAPACITY_HINT: &str = "capacity-hint";
+    /// Id of a query.
+    pub const QUERY_ID: &str = "txn";
+    /// Resource group of a query.
+    pub const GROUP: &str = "cls";
+    /// Tenant of a query.
+    pub const TENANT: &str = "account";
+    /// Ordering key of a query.
+    pub const KEY: &str = "object";
+    /// Deadline of a query (us).
+    pub const DEADLINE_US: &str = "due-us";
+    /// Estimated cost of a query (us on one core).
+    pub const COST_US: &str = "plan-cost-us";
+    /// Estimated memory of a query (MB).
+    pub const MEMORY_MB: &str = "est-memory-mb";
+    /// Tables of a query.
+    pub const TABLES: &str = "tables";
+    /// Flags of a query.
+    pub const FLAGS: &str = "flags";
+    /// Whether the client already has the answer.
+    pub const ANSWER_DELIVERED: &str = "complete";
+    /// Number of an attempt.
+    pub const ATTEMPT: &str = "round-no";
+    /// Resources that an attempt used.
+    pub const USED: &str = "bill";
+    /// Outcome of an attempt or a health check.
+    pub const OUTCOME: &str = "state-code";
+    /// Latency of an attempt or a health check (us).
+    pub const LATENCY_US: &str = "latency-us";
+    /// Amount of a progress note.
+    pub const AMOUNT: &str = "amount";
+    /// Kind of a progress note.
+    pub const NOTE_KIND: &str = "sort";
+    /// Sender of a message.
+    pub const PEER: &str = "origin-peer";
+    /// Content of a message.
+    pub const CONTENT: &str = "content";
+    /// Handle of a timer.
+    pub const HANDLE: &str = "handle";
+    /// Load report of an engine.
+    pub const REPORT: &str = "report";
+}
+
+/// First words of actions in the answer.
+pub mod action {
+    /// Submits an attempt.
+    pub const SUBMIT: &str = "try";
+    /// Rejects a query.
+    pub const REJECT: &str = "not_now";
+    /// Fails a query.
+    pub const FAIL: &str = "error";
+    /// Cancels an attempt.
+    pub const CANCEL: &str = "abort_attempt";
+    /// Changes priority and memory grant of an attempt.
+    pub const GRANT: &str = "allot";
+    /// Checks an engine's health.
+    pub const CHECK_HEALTH: &str = "sound_out";
+    /// Sends a message to peers.
+    pub const SEND_TO_PEER: &str = "share";
+    /// Sets a timer.
+    pub const SET_TIMER: &str = "notify_me";
+    /// Requests endpoint lists.
+    pub const WATCH_ENDPOINTS: &str = "track";
+    /// The peer of a message to all.
+    pub const ALL_PEERS: &str = "all";
+}
+
+/// The text of a field without a value.
+pub const NO_VALUE: &str = "-";
+/// First word of an event that starts a dispatcher.
+pub const ENLIST: &str = "enlist";
+/// First word of an event that stops a dispatcher.
+pub const POWER_OFF: &str = "power_off";
+/// The endpoint list kind of an update without a list.
+pub const FAILED_LIST: &str = "X";
+
+/// The kind of an event, by the first word of its line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EventKind {
-    /// An instance starts.
+    /// A dispatcher starts.
     Enlist,
-    /// An endpoint list, or word that none comes.
+    /// An endpoint list, or the failure of a request for one.
     Update,
-    /// A query.
+    /// A query arrived.
     Inbound,
-    /// An answer has begun.
+    /// The first bytes of an answer.
     First,
     /// A health check ended.
     PingResult,
     /// A query's client left.
     Vanished,
-    /// An instance stops.
+    /// A dispatcher stops.
     PowerOff,
-    /// A note on an attempt.
+    /// A progress note on an attempt.
     StatusNote,
     /// A message from another dispatcher.
     Peer,
@@ -31,16 +154,16 @@
 }
 
 impl EventKind {
-    /// The event that a word stands for.
+    /// Parses the first word of an event line.
     pub fn parse(word: &str) -> Result<Self, LineError> {
         Ok(match word {
-            "enlist" => EventKind::Enlist,
+            ENLIST => EventKind::Enlist,
             "update" => EventKind::Update,
             "inbound" => EventKind::Inbound,
             "first" => EventKind::First,
             "ping_result" => EventKind::PingResult,
             "vanished" => EventKind::Vanished,
-            "power_off" => EventKind::PowerOff,
+            POWER_OFF => EventKind::PowerOff,
             "status_note" => EventKind::StatusNote,
             "peer" => EventKind::Peer,
             "deadline_hit" => EventKind::DeadlineHit,
@@ -50,18 +173,18 @@
     }
 }
 
-/// The kind of endpoint list that a word stands for.
+/// Parses the kind of an endpoint list.
 pub fn parse_list_kind(word: &str) -> Result<EndpointListKind, LineError> {
     match word {
         "D" => Ok(EndpointListKind::Delta),
         "F" => Ok(EndpointListKind::Snapshot),
         "C" => Ok(EndpointListKind::Cached),
-        "X" => Ok(EndpointListKind::Failed),
+        FAILED_LIST => Ok(EndpointListKind::Failed),
         other => Err(LineError::unknown_token("list form", other)),
     }
 }
 
-/// The endpoint state that a word stands for.
+/// Parses the state of an endpoint.
 pub fn parse_state(word: &str) -> Result<EndpointState, LineError> {
     match word {
         "ready" => Ok(EndpointState::Ready),
@@ -71,7 +194,7 @@
     }
 }
 
-/// The outcome that a word stands for.
+/// Parses an outcome.
 pub fn parse_outcome(word: &str) -> Result<Outcome, LineError> {
     match word {
         "served" => Ok(Outcome::Completed),
@@ -86,7 +209,7 @@
     }
 }
 
-/// The kind of note that a number stands for.
+/// The kind of progress note with a number.
 pub fn parse_note_kind(number: i32) -> Result<NoteKind, LineError> {
     match number {
         1 => Ok(NoteKind::Progress),
