--- a/crates/testbed/src/cli.rs
+++ b/crates/testbed/src/cli.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 use tansymux_testbed::soak::FaultFamily;
 
-/// Stand-ins, faults and measurements for tansymux, all on loopback.
+/// Stand-ins, fault injection and measurements for tansymux, on loopback.
 #[derive(Debug, Parser)]
 #[command(name = "tansymux-testbed", version)]
 pub struct Cli {
@@ -16,7 +16,7 @@
 /// The subcommands; their docs are the help texts.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Half a minute of a quarter start, with one engine failing and one draining; exit 1 if a rule broke
+    /// The load of a quarter start, with one engine failing and one draining; exit 1 if a rule was broken
     Demo {
         #[arg(long, default_value_t = 30.0)]
         seconds: f64,
@@ -56,8 +56,8 @@
     },
     /// Fleet scenarios on real processes, with a relay on every link; exit 1 if one failed
     Fleet(FleetArgs),
-    /// One zone is cut and returns cold, on real processes, in three variants; exit 1 if the agreed variant did not leave
-    /// it, did not become whole again, gave out more than the whole, or left a query without an answer
+    /// One zone is cut and returns cold, on real processes, in three variants; exit 1 if the agreed variant did not evacuate
+    /// or restore it, granted shares of more than 1 in total, or left a query without an answer
     Zones(ZonesArgs),
     /// Random faults on a fleet of real processes, several at a time, checked from outside; exit 1 if a rule broke
     Soak(SoakArgs),
@@ -67,7 +67,7 @@
     Accuracy {
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// How many wrong ones are shown of each part
+        /// How many wrong results are shown of each part
         #[arg(long, default_value_t = 0)]
         show: usize,
     },
@@ -93,7 +93,7 @@
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
-    /// Statement analysis: the corpus through the real program, bare, honest and guessed
+    /// Statement analysis: the corpus through the real program, without classes, with true classes and with guessed ones
     Replay {
         #[arg(long, default_value_t = 15.0)]
         seconds: f64,
@@ -125,7 +125,7 @@
     /// A scenario from a file, as `--show` prints it
     #[arg(long)]
     pub file: Option<PathBuf>,
-    /// Prints the scenario and does not play it
+    /// Prints the scenario and does not run it
     #[arg(long)]
     pub show: bool,
     /// A folder for the processes' logs
@@ -142,10 +142,10 @@
     /// Dispatchers of a run, drawn from here, the last one included
     #[arg(long, default_value = "10..40", value_parser = parse_range)]
     pub processes: Range<u64>,
-    /// How long clients ask
+    /// How long clients send queries (s)
     #[arg(long, default_value_t = 8.0)]
     pub seconds: f64,
-    /// What is injected; without it all
+    /// The families of faults that are injected; all unless given
     #[arg(long, value_delimiter = ',')]
     pub faults: Vec<FaultFamily>,
     /// Runs at a time
@@ -154,7 +154,7 @@
     /// A folder for the records and logs of runs that failed
     #[arg(long, default_value = "target/soak")]
     pub keep: PathBuf,
-    /// Plays a run that failed with fewer faults, as long as it fails
+    /// Repeats a failed run with fewer faults, as long as it still fails
     #[arg(long)]
     pub shrink: bool,
 }
--- a/crates/testbed/src/client.rs
+++ b/crates/testbed/src/client.rs
@@ -1,4 +1,4 @@
-//! Stand-in clients: each sends one query on a connection of its own, and what came of it goes to the record.
+//! Stand-in clients: each sends one query on its own connection and records what became of the query.
 
 use crate::program::TIMEOUT;
 use crate::record::{EventKind, Record};
@@ -8,6 +8,9 @@
 use std::thread;
 use std::time::Duration;
 
+/// How much longer than its client's time a connection is read for an answer.
+const ANSWER_GRACE: Duration = Duration::from_secs(2);
+
 /// A query as a client sends it.
 #[derive(Debug, Clone)]
 pub struct ClientQuery {
@@ -19,7 +22,7 @@
     pub class: String,
     /// The statement.
     pub statement: String,
-    /// How long it waits for an answer (ms).
+    /// How long the client waits for an answer (ms).
     pub wait: f64,
     /// The tenant.
     pub owner: String,
@@ -69,12 +72,12 @@
     }
 }
 
-/// What a client got.
+/// A response, as a client received it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ClientResponse {
     /// The HTTP status.
     pub status: u16,
-    /// When it may come back, where it was rejected (ms).
+    /// After which time the client may retry, where its query was rejected (ms).
     pub retry_after_ms: Option<f64>,
     /// The answer.
     pub body: String,
@@ -82,31 +85,27 @@
     pub latency_ms: f64,
 }
 
-/// Sends a query and waits for its answer; none if its connection ended without one.
-pub fn send_query(
-    to: SocketAddr,
-    send_query: &ClientQuery,
-    record: &Record,
-) -> Option<ClientResponse> {
+/// Sends a query and waits for its answer; returns none if the connection ended without one.
+pub fn send_query(to: SocketAddr, query: &ClientQuery, record: &Record) -> Option<ClientResponse> {
     let mut stream = TcpStream::connect(to).ok()?;
     stream.set_nodelay(true).ok()?;
     stream
         .set_read_timeout(Some(
-            Duration::from_secs_f64(send_query.wait / 1000.0) + Duration::from_secs(2),
+            Duration::from_secs_f64(query.wait / 1000.0) + ANSWER_GRACE,
         ))
         .ok()?;
     let from = record.now_ms();
-    let (id, class, wait) = (send_query.id(), send_query.class.clone(), send_query.wait);
+    let id = query.id();
     record.push_at(
         from,
         EventKind::Asked {
             id: id.clone(),
-            class,
-            max_wait_ms: wait,
+            class: query.class.clone(),
+            max_wait_ms: query.wait,
             key: None,
         },
     );
-    stream.write_all(&send_query.bytes()).ok()?;
+    stream.write_all(&query.bytes()).ok()?;
     let HttpResponse { status, head, body } = read_response(&mut BufReader::new(stream))?;
     let retry_after_ms = field(&head, "Srv-Wait-Ms").and_then(|ms| ms.parse().ok());
     record.push(EventKind::Answered {
@@ -122,10 +121,10 @@
     })
 }
 
-/// Sends a query in two parts with a pause between them; the connection on which its answer will come.
+/// Sends a query in two parts with a pause between them, and returns the connection on which the answer will come.
 pub fn send_query_in_two_writes(
     to: SocketAddr,
-    send_query: &ClientQuery,
+    query: &ClientQuery,
     cut: usize,
     pause: Duration,
 ) -> TcpStream {
@@ -133,8 +132,8 @@
     stream
         .set_read_timeout(Some(TIMEOUT))
         .expect("a socket takes a timeout");
-    let whole = send_query.bytes();
-    let (first, second) = whole.split_at(cut.min(whole.len()));
+    let bytes = query.bytes();
+    let (first, second) = bytes.split_at(cut.min(bytes.len()));
     stream.write_all(first).expect("the program reads");
     thread::sleep(pause);
     stream.write_all(second).expect("the program reads");
--- a/crates/testbed/src/commands.rs
+++ b/crates/testbed/src/commands.rs
@@ -1,14 +1,14 @@
-//! One function for each subcommand that needs more than a line: each prints its report on standard output.
+//! Runs the subcommands; each prints its report on standard output.
 //!
 //! Start reading at [`run`].
 
 use crate::cli::{Command, FleetArgs, FleetVirtualArgs, SoakArgs, ZonesArgs};
 use clap::ValueEnum;
-use std::path::PathBuf;
+use std::path::{Path, PathBuf};
 use tansymux_testbed::fleet::processes::{self, ProcessOptions};
 use tansymux_testbed::fleet::scenario::{self, Scenario};
 use tansymux_testbed::fleet::zones::ZoneCutPlan;
-use tansymux_testbed::fleet::{self, run_seeds, PlayOptions, ScenarioFileError};
+use tansymux_testbed::fleet::{self, run_seeds, RunOptions, ScenarioFileError};
 use tansymux_testbed::program::LocateError;
 use tansymux_testbed::soak::{self, FaultFamily, SoakOptions};
 use tansymux_testbed::{demo, fault_shim, levels, measure, program, replay, zone_routing};
@@ -33,7 +33,7 @@
 /// How a subcommand that ran ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// All that it checks held, or it checks nothing.
+    /// All checks passed, or the subcommand has none.
     Passed,
     /// A rule or bar was broken; the report names it.
     Failed,
@@ -56,19 +56,12 @@
 pub fn run(command: Command) -> Result<Outcome, CommandError> {
     match command {
         Command::Demo { seconds, seed } => run_demo(seconds, seed),
-        Command::Levels { seconds, svg } => {
-            let (table, has_failed) = levels::swing(&locate_program()?, seconds, svg.as_deref());
-            Ok(print_checked(&table, has_failed))
-        }
+        Command::Levels { seconds, svg } => run_levels(seconds, svg.as_deref()),
         Command::Halls {
             seconds,
             seeds,
             svg,
-        } => {
-            let program = locate_program()?;
-            let (table, has_failed) = zone_routing::run(&program, seconds, seeds, svg.as_deref());
-            Ok(print_checked(&table, has_failed))
-        }
+        } => run_zone_routing(seconds, seeds, svg.as_deref()),
         Command::Reaction { seconds, seeds } => {
             Ok(print(&levels::reaction(&locate_program()?, seconds, seeds)))
         }
@@ -91,12 +84,10 @@
             seconds,
             rate,
             seeds,
-        } => Ok(print(&replay::run(
-            &locate_program()?,
-            seconds,
-            rate,
-            seeds,
-        ))),
+        } => {
+            let program = locate_program()?;
+            Ok(print(&replay::run(&program, seconds, rate, seeds)))
+        }
     }
 }
 
@@ -118,6 +109,16 @@
     Ok(print_checked(&report.table, !report.violations.is_empty()))
 }
 
+fn run_levels(seconds: f64, svg: Option<&Path>) -> Result<Outcome, CommandError> {
+    let (table, has_failed) = levels::swing(&locate_program()?, seconds, svg);
+    Ok(print_checked(&table, has_failed))
+}
+
+fn run_zone_routing(seconds: f64, seeds: u64, svg: Option<&Path>) -> Result<Outcome, CommandError> {
+    let (table, has_failed) = zone_routing::run(&locate_program()?, seconds, seeds, svg);
+    Ok(print_checked(&table, has_failed))
+}
+
 fn run_fleet(arguments: &FleetArgs) -> Result<Outcome, CommandError> {
     let options = ProcessOptions {
         uncoordinated: arguments.uncoordinated,
@@ -146,7 +147,7 @@
     Ok(print_checked(&table, is_broken && !arguments.uncoordinated))
 }
 
-/// The scenario that the flags of `fleet` ask for: a file goes before a name, a name before `--calm`.
+/// The scenario that the flags of `fleet` select: a file takes precedence over a name, a name over `--calm`.
 fn fleet_scenario(arguments: &FleetArgs, seed: u64) -> Result<Scenario, CommandError> {
     if let Some(path) = &arguments.file {
         return Ok(fleet::read_scenario(path)?);
@@ -208,7 +209,7 @@
             scenario
         }
     };
-    let options = PlayOptions {
+    let options = RunOptions {
         uncoordinated: arguments.uncoordinated,
         show_all: arguments.show,
     };
--- a/crates/testbed/src/corpus/generator.rs
+++ b/crates/testbed/src/corpus/generator.rs
@@ -1,5 +1,5 @@
-//! Makes statements of patterns in two steps: first names ([`fill_names`]), which gives a shape, then literals
-//! ([`fill_literals`]), which gives a statement.
+//! Generates statements from patterns in two steps: a pattern with its names filled in ([`fill_names`]) is a shape, and a
+//! shape with its literals filled in ([`fill_literals`]) is a statement.
 
 use super::patterns::{COLUMNS, TABLES};
 use rand::seq::IndexedRandom;
@@ -16,8 +16,8 @@
 /// Ends of string literals.
 const STRING_ENDS: [&str; 5] = ["", " ", "''", ";", "é"];
 
-/// Fills a pattern's table and column names. Placeholders of literals stay: literals are what differs between
-/// statements of one shape.
+/// Fills a pattern's table and column names. Placeholders of literals remain, because statements of one shape differ in
+/// their literals.
 pub(super) fn fill_names(pattern: &str, rng: &mut Pcg64) -> String {
     let mut numbered_names: HashMap<String, String> = HashMap::new();
     let mut text = String::new();
@@ -74,7 +74,7 @@
     text
 }
 
-/// Appends what a placeholder of this kind stands for. One of an unknown kind is kept as it is.
+/// Appends the text that replaces a placeholder of this kind. A placeholder of an unknown kind remains unchanged.
 fn push_placeholder(text: &mut String, kind: Option<char>, rng: &mut Pcg64) {
     match kind {
         Some('n') => *text += &rng.random_range(0..1_000_000).to_string(),
--- a/crates/testbed/src/corpus/mod.rs
+++ b/crates/testbed/src/corpus/mod.rs
@@ -1,7 +1,7 @@
 //! SQL statements whose class and effect are known by construction: some written by hand, most generated from patterns.
 //!
 //! The corpus has two splits that share no pattern. Only [`Split::Development`] may be consulted while classification
-//! rules are written; [`Split::Evaluation`] measures how well they hold on patterns that nobody tuned them for.
+//! rules are written; [`Split::Evaluation`] measures how well the rules work on patterns that they were not written for.
 //!
 //! Start reading at [`corpus`].
 
@@ -21,7 +21,7 @@
 use rand_distr::{Distribution, LogNormal};
 use rand_pcg::Pcg64;
 
-/// Standard deviation of the logarithm of the costs of a class's shapes: wide enough that the class alone predicts a
+/// Standard deviation of the logarithm of the costs of a class's shapes. It is wide, so that the class alone predicts a
 /// shape's cost badly.
 const COST_LOG_DEVIATION: f64 = 0.8;
 /// Cost of a statement written by hand (ms).
@@ -57,8 +57,8 @@
     pub threads: f64,
 }
 
-/// A corpus of `shapes_per_pattern` shapes of each pattern, with `statements_per_shape` statements each, behind the
-/// statements written by hand. The same seed gives the same corpus.
+/// A corpus of the statements written by hand and then, for each pattern, `shapes_per_pattern` shapes with
+/// `statements_per_shape` statements each. The same seed generates the same corpus.
 pub fn corpus(
     shapes_per_pattern: usize,
     statements_per_shape: usize,
--- a/crates/testbed/src/corpus/oracle.rs
+++ b/crates/testbed/src/corpus/oracle.rs
@@ -98,7 +98,7 @@
     text: &'a [u8],
     dialect: Dialect,
     position: usize,
-    /// No word of the current statement came yet.
+    /// No word of the current statement has been read yet.
     at_statement_start: bool,
     /// The next word is a column's or table's name, as in `t.update`.
     after_dot: bool,
--- a/crates/testbed/src/corpus/patterns.rs
+++ b/crates/testbed/src/corpus/patterns.rs
@@ -9,7 +9,7 @@
 //! | `%l` | a list of literals | for each statement |
 //! | `%v` | rows of literals | for each statement |
 //!
-//! `%t` and `%c` with a digit behind them (`%c1`) stand for the same name throughout the pattern.
+//! `%t` and `%c` followed by a digit (`%c1`) stand for the same name throughout the pattern.
 
 /// The patterns of one class of statements.
 pub(super) struct ClassPatterns {
--- a/crates/testbed/src/demo.rs
+++ b/crates/testbed/src/demo.rs
@@ -1,4 +1,4 @@
-//! Half a minute of a quarter start: stand-in engines, one that fails and one that drains, and the real program.
+//! The demo: the real program under the load of a quarter start, with stand-in engines of which one fails and one drains.
 //!
 //! Start reading at [`run`].
 
@@ -22,7 +22,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Number of stand-in engines.
+/// Number of engines.
 const ENGINES: usize = 5;
 /// Cores of each engine.
 const CORES: f64 = 8.0;
@@ -33,6 +33,9 @@
 /// Spread (log) of works about their median.
 const WORK_SPREAD: f64 = 0.5;
 
+/// Interval at which faults and announcements are checked for being due.
+const ACTION_POLL: Duration = Duration::from_millis(20);
+
 /// A class of the demo's traffic.
 struct DemoClass {
     traffic: TrafficClass,
@@ -108,10 +111,10 @@
 
 type Outcomes = Mutex<BTreeMap<&'static str, ClassOutcome>>;
 
-/// What a run ended with.
+/// The results of a run.
 #[derive(Debug)]
 pub struct Report {
-    /// For people.
+    /// A table for people.
     pub table: String,
     /// The rules that were broken.
     pub violations: Vec<Violation>,
@@ -148,7 +151,7 @@
     setup::with_retry_budget(config)
 }
 
-/// Plays `seconds` of it with everything drawn from `seed`; progress goes to standard error unless `quiet`.
+/// Runs the demo for `seconds`, with all random draws from `seed`. Progress goes to standard error unless `quiet`.
 pub fn run(exe: &Path, seconds: f64, seed: u64, quiet: bool) -> Report {
     let context = Arc::new(RunContext::default());
     let spec = EngineSpec {
@@ -167,7 +170,7 @@
     let mut shown_s = 0;
     let mut actions = timed_actions(&engines, &names).into_iter().peekable();
     while from.elapsed().as_secs_f64() < seconds {
-        thread::sleep(Duration::from_millis(20));
+        thread::sleep(ACTION_POLL);
         let fraction = from.elapsed().as_secs_f64() / seconds;
         while let Some(action) = actions.next_if(|action| fraction >= action.at_fraction) {
             (action.act)();
@@ -181,13 +184,16 @@
     setup::join_all(clients);
     program.terminate();
     let _ = program.end();
-    let entries = context.record.entries();
-    let violations = find_violations(
-        &entries,
-        &setup::rules(&traffic_classes(), Some(RETRY_BUDGET)),
-    );
-    let mut table = class_table(&outcomes);
-    table += &engine_table(&entries, &engines, from.elapsed().as_secs_f64() * 1000.0);
+    let lasted_ms = from.elapsed().as_secs_f64() * 1000.0;
+    report(&context.record.entries(), &outcomes, &engines, lasted_ms)
+}
+
+/// The report on a run that lasted `lasted_ms`.
+fn report(entries: &[Entry], outcomes: &Outcomes, engines: &[Engine], lasted_ms: f64) -> Report {
+    let rules = setup::rules(&traffic_classes(), Some(RETRY_BUDGET));
+    let violations = find_violations(entries, &rules);
+    let mut table = class_table(outcomes);
+    table += &engine_table(entries, engines, lasted_ms);
     if violations.is_empty() {
         table += "rules: all seven kept\n";
     }
@@ -197,7 +203,7 @@
     Report { table, violations }
 }
 
-/// One thread for each class draws arrivals; one for each query waits for its answer.
+/// Starts a thread for each class, which draws arrivals and starts a thread for each query.
 fn spawn_clients(
     dispatcher: SocketAddr,
     seconds: f64,
@@ -269,7 +275,7 @@
         setup::join_all(waiting);
     }
 
-    /// A quarter start: from calm to its peak and halfway back.
+    /// The load of a quarter start: from calm to its peak and back.
     fn queries_per_s(&self, at_s: f64) -> f64 {
         let height = (at_s / self.seconds * std::f64::consts::PI).sin().max(0.0);
         self.class.calm_queries_per_s * (1.0 + (self.class.peak_factor - 1.0) * height)
--- a/crates/testbed/src/engine/attempt.rs
+++ b/crates/testbed/src/engine/attempt.rs
@@ -13,7 +13,7 @@
 
 /// The longest step of a run.
 const STEP: Duration = Duration::from_millis(2);
-/// How long an engine goes on past the limit that it was given (ms).
+/// How long an engine continues past the limit of an attempt (ms).
 const LIMIT_GRACE_MS: f64 = 200.0;
 /// The limit of a request without one (ms).
 const NO_LIMIT_MS: f64 = 1e9;
@@ -21,7 +21,7 @@
 const ERROR_DELAY: Duration = Duration::from_millis(3);
 /// The most progress that is reported of an attempt that still runs.
 const MAX_REPORTED_PROGRESS: f64 = 0.9999;
-/// What an answer that can't be read looks like.
+/// The bytes of a malformed answer.
 const MALFORMED_ANSWER: &[u8] = b"*4\r\n$1\r\n\xff\xfe no";
 
 /// An attempt, from its arrival until its end.
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Asks for its end; what runs it notices at its next step.
+    /// Requests the attempt's end; its run ends at its next step.
     pub fn cancel(&self) {
         self.cancelled.store(true, Ordering::Relaxed);
     }
@@ -49,15 +49,15 @@
     }
 }
 
-/// What was decided on an attempt's arrival.
+/// The decision on an attempt's arrival.
 struct Admission {
     fault: Fault,
-    /// Drawn once for each attempt: what a fault's fraction is compared with.
+    /// A random number that is compared with a fault's fraction; drawn once for each attempt.
     draw: f64,
     is_full: bool,
 }
 
-/// An attempt that was admitted, with all that its run needs.
+/// An admitted attempt, with everything that its run needs.
 struct Run {
     engine: Engine,
     attempt: Arc<Attempt>,
@@ -68,7 +68,7 @@
 }
 
 impl Engine {
-    /// Takes a request in; whether its connection goes on.
+    /// Handles a request. Returns whether its connection stays open.
     pub(super) fn accept(
         &self,
         attempt: Arc<Attempt>,
@@ -76,22 +76,11 @@
         writer: &Arc<Mutex<TcpStream>>,
     ) -> bool {
         let work = self.context.work_of(&attempt.id);
-        self.context.record.push(EventKind::Arrived {
-            engine: self.id.clone(),
-            id: attempt.id.clone(),
-            work_ms: work.work,
-        });
         let limit_ms = fields
             .get(2)
             .and_then(|list| list_value(list, "limit")?.parse::<f64>().ok())
             .unwrap_or(NO_LIMIT_MS);
-        if limit_ms < NO_LIMIT_MS {
-            self.context.record.push(EventKind::Told {
-                engine: self.id.clone(),
-                id: attempt.id.clone(),
-                limit_ms,
-            });
-        }
+        self.record_arrival(&attempt, &work, limit_ms);
         let admission = self.admit(&work);
         let draw = admission.draw;
         let said_full = matches!(admission.fault, Fault::Full(fraction) if draw < fraction);
@@ -116,14 +105,26 @@
             admission,
             writer: writer.clone(),
         };
-        thread::spawn(move || {
-            run.play();
-            run.engine.release_threads(&run.work);
-        });
+        run.spawn();
         true
     }
 
-    /// Takes the threads for an attempt, where there is room.
+    fn record_arrival(&self, attempt: &Attempt, work: &QueryWork, limit_ms: f64) {
+        self.context.record.push(EventKind::Arrived {
+            engine: self.id.clone(),
+            id: attempt.id.clone(),
+            work_ms: work.work,
+        });
+        if limit_ms < NO_LIMIT_MS {
+            self.context.record.push(EventKind::Told {
+                engine: self.id.clone(),
+                id: attempt.id.clone(),
+                limit_ms,
+            });
+        }
+    }
+
+    /// Reserves the threads for an attempt, where the engine has capacity.
     fn admit(&self, work: &QueryWork) -> Admission {
         let mut state = self.state();
         let draw: f64 = state.rng.random();
@@ -166,7 +167,15 @@
         write_frame(&mut *writer, &[&self.attempt.id, word, fields, body]);
     }
 
-    fn play(&self) {
+    /// Executes the attempt on a thread of its own, and releases its threads at its end.
+    fn spawn(self) {
+        thread::spawn(move || {
+            self.execute();
+            self.engine.release_threads(&self.work);
+        });
+    }
+
+    fn execute(&self) {
         let draw = self.admission.draw;
         match self.admission.fault {
             Fault::Silent => self.stay_silent(),
@@ -185,7 +194,7 @@
         }
     }
 
-    /// Does nothing until the attempt is cancelled or its limit is over.
+    /// Waits until the attempt is cancelled or its limit is over.
     fn stay_silent(&self) {
         let from = Instant::now();
         while !self.attempt.is_cancelled() && elapsed_ms(from) < self.limit_ms {
@@ -194,7 +203,7 @@
         self.engine.record_cancelled(&self.attempt);
     }
 
-    /// Works until all is done; false where the attempt was cancelled or its limit is over before.
+    /// Works until the query is done. Returns false where the attempt was cancelled or its limit was over before.
     fn work_off(&self) -> bool {
         let needed_ms = self.work.work / self.work.threads;
         let from = Instant::now();
--- a/crates/testbed/src/engine/mod.rs
+++ b/crates/testbed/src/engine/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-in engines. [`scripted`] answers each frame as a closure says. [`Engine`] has cores, runs queries side by side,
-//! reports progress, keeps a record, and fails as it is told to.
+//! Stand-in engines. [`scripted`] answers each frame by a closure. [`Engine`] has cores, runs queries concurrently, reports
+//! progress, keeps a record, and simulates injected faults.
 //!
 //! Start reading at [`Engine::start`], then at the `attempt` module.
 
@@ -21,26 +21,26 @@
 use std::thread;
 use std::time::Instant;
 
-/// What an engine does with what comes. Fractions are probabilities of a request.
+/// How an engine misbehaves. Fractions are probabilities of a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Fault {
     /// It works.
     None,
-    /// All runs take so many times as long.
+    /// All runs take this many times as long.
     Slow(f64),
-    /// This fraction of the queries ends with an error after a moment; of them what changes tables may have run.
+    /// This fraction of the queries ends with an error after a short delay; those that change tables may have run.
     Errors(f64),
     /// This fraction of the queries is answered as full.
     Full(f64),
     /// This fraction of the requests ends its connection.
     Resets(f64),
-    /// It reads all and answers nothing.
+    /// It reads all requests and answers none.
     Silent,
-    /// This fraction of the answers can't be read.
+    /// This fraction of the answers is malformed.
     Spoils(f64),
 }
 
-/// The truth about a query, for engines.
+/// The ground truth of a query, for engines.
 #[derive(Debug, Clone, Copy)]
 pub struct QueryWork {
     /// Work on one core (ms).
@@ -54,7 +54,7 @@
 }
 
 impl Default for QueryWork {
-    /// What an engine takes for a query that it does not know.
+    /// The work of a query that was not registered.
     fn default() -> Self {
         QueryWork {
             work: 1.0,
@@ -70,12 +70,12 @@
 pub struct RunContext {
     /// What was observed.
     pub record: Arc<Record>,
-    /// The truth about queries, by their ids.
+    /// The ground truth of queries, by their ids.
     pub works: Mutex<HashMap<String, QueryWork>>,
 }
 
 impl RunContext {
-    /// Tells the engines the truth about a query, before it is sent.
+    /// Registers the ground truth of a query for the engines, before the query is sent.
     pub fn register(&self, query_id: String, work: QueryWork) {
         self.works
             .lock()
@@ -123,11 +123,11 @@
     threads: f64,
     started: Instant,
     rng: Pcg32,
-    /// Core time given so far (ms).
+    /// Core time that queries have used (ms).
     busy_ms: f64,
 }
 
-/// A running stand-in engine, until it is stopped or the process ends.
+/// A running engine; it ends when it is stopped or with the process.
 #[derive(Debug, Clone)]
 pub struct Engine {
     /// Its name in lists and in the record.
@@ -187,7 +187,7 @@
         self.streams.lock().expect("no holder panics")
     }
 
-    /// Injects a fault, or ends the one that was.
+    /// Injects a fault, which replaces the one before.
     pub fn fault(&self, fault: Fault) {
         self.state().fault = fault;
         self.context.record.push(EventKind::Fault {
@@ -196,7 +196,7 @@
         });
     }
 
-    /// Starts anew: from now on it warms up.
+    /// Simulates a restart: from now on the engine warms up.
     pub fn restart_cold(&self) {
         self.state().started = Instant::now();
         self.context.record.push(EventKind::Started {
@@ -205,7 +205,7 @@
         });
     }
 
-    /// Ends: what is open is reset, what comes is refused.
+    /// Stops the engine: open connections are reset, new ones are refused.
     pub fn stop(&self) {
         self.stopped.store(true, Ordering::Relaxed);
         for (_, stream) in self.streams().drain() {
@@ -215,17 +215,17 @@
         let _ = TcpStream::connect(self.address);
     }
 
-    /// Core time that it has given so far (ms).
+    /// Core time that queries have used since the engine's start (ms).
     pub fn busy(&self) -> f64 {
         self.state().busy_ms
     }
 
-    /// Threads that run at the moment.
+    /// Threads that run now.
     pub fn threads(&self) -> f64 {
         self.state().threads
     }
 
-    /// Serves a connection until it ends; what still runs on it is cancelled then.
+    /// Serves a connection until it ends; attempts that still run on it are cancelled then.
     fn serve(&self, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
         let (Ok(kept), Ok(peer)) = (stream.try_clone(), stream.peer_addr()) else {
@@ -253,7 +253,7 @@
         }
     }
 
-    /// Handles a frame; whether its connection goes on.
+    /// Handles a frame. Returns whether its connection stays open.
     fn handle_frame(
         &self,
         fields: &[String],
@@ -283,7 +283,7 @@
         true
     }
 
-    /// How fast a thread runs at the moment, against one alone on a warm engine.
+    /// The speed of a thread now, relative to that of a single thread on a warm engine.
     fn speed(&self) -> f64 {
         let state = self.state();
         let sharing = (self.spec.cores / state.threads.max(1.0)).min(1.0);
--- a/crates/testbed/src/engine/scripted.rs
+++ b/crates/testbed/src/engine/scripted.rs
@@ -7,10 +7,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The fields of a frame that came in, and when.
+/// The fields of a received frame, and when it was received.
 pub type ReceivedFrame = (Vec<String>, Instant);
 
-/// An engine whose connections' frames come out of the channel, each with its time; `react` writes what is to be answered.
+/// Starts an engine that sends each frame it receives, with its time, to the returned channel; `react` writes the answer.
 ///
 /// # Panics
 /// The loopback has no free port.
@@ -42,8 +42,8 @@
     (address, receiver)
 }
 
-/// From now on no connection comes up at this listener, as at a machine that vanished, as long as what is returned is
-/// held and nobody accepts: its backlog is as short as it gets, and full.
+/// Makes a listener unreachable, as on a machine that vanished: its backlog is set to the minimum and filled. No
+/// connection is established while the returned streams are held and nothing accepts them.
 ///
 /// # Panics
 /// The listener has no address or can't listen.
--- a/crates/testbed/src/fleet/links.rs
+++ b/crates/testbed/src/fleet/links.rs
@@ -1,19 +1,19 @@
-//! What a link does to datagrams: one seeded model for virtual time and for the relay on sockets.
+//! The conditions of a link between members: one seeded model for virtual time and for the relay on sockets.
 
 use rand::RngExt;
 use rand_pcg::Pcg32;
 use serde::{Deserialize, Serialize};
 
-/// What a link does to datagrams. Probabilities are of one datagram.
+/// How a link delays, duplicates and loses datagrams. Probabilities are for one datagram.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct LinkConditions {
     /// Probability that a copy is lost.
     pub loss: f64,
-    /// Probability that a datagram comes twice.
+    /// Probability that a datagram is delivered twice.
     pub doubled: f64,
     /// Longest delay (ms). Delays are uniform, so that datagrams overtake each other.
     pub delay: f64,
-    /// Probability that a copy comes as late as the scenario allows.
+    /// Probability that a copy is as late as the scenario allows.
     pub late: f64,
 }
 
@@ -33,7 +33,7 @@
         late: 0.01,
     };
 
-    /// The delays (ms) of the copies of one datagram that are not lost. A late copy comes after `late_ms`.
+    /// The delays (ms) of the copies of one datagram that are not lost. A late copy is delayed by `late_ms`.
     pub fn draw_delays_ms(&self, late_ms: f64, rng: &mut Pcg32) -> Vec<f64> {
         let copies = if rng.random_bool(self.doubled) { 2 } else { 1 };
         let mut delays_ms = Vec::with_capacity(copies);
--- a/crates/testbed/src/fleet/mod.rs
+++ b/crates/testbed/src/fleet/mod.rs
@@ -1,8 +1,9 @@
-//! Fleets under test: the same scenarios in virtual time round the decisions, and on real processes of the program with
-//! a relay on every link.
+//! Fleets under test: the same scenarios run in virtual time around the decisions, and on real processes of the program
+//! with a relay on every link.
 //!
-//! One true clock, the rig's. What a member believes is never taken for what is: who is out is known from what the
-//! rig's own supervisors did. Safety is checked at every true instant, progress from the end of the last fault.
+//! The testbed's clock is the true one. Members' reports are never taken for the ground truth: which dispatchers are out is
+//! known from what the testbed's own supervisors did. Safety is checked at every true instant, progress from the end of the
+//! last fault.
 
 mod links;
 pub mod processes;
@@ -21,16 +22,19 @@
 /// The key that all members of a fleet on processes share.
 pub(crate) const FLEET_KEY: &str = "00112233445566778899aabbccddeeff";
 
-/// What was observed in one run.
+/// The longest time in a table, shown for a release that did not complete (ms).
+const MAX_SHOWN_MS: f64 = 1e8;
+
+/// What was observed in one run of a scenario.
 #[derive(Debug, Clone, Default)]
 pub struct FleetReport {
-    /// The seed that plays the run again.
+    /// The seed that reproduces the run.
     pub seed: u64,
-    /// Most dispatchers out under a restart lease at any true instant, and the limit.
+    /// The most dispatchers that were out under a restart lease at any true instant.
     pub max_out: usize,
     /// Dispatchers that may be out at a time.
     pub limit: usize,
-    /// Most engines drained at a time.
+    /// The most engines that were drained at a time.
     pub max_drained: usize,
     /// Engines that may be drained at a time.
     pub drain_limit: usize,
@@ -48,7 +52,7 @@
     pub bytes_per_s: f64,
     /// When the release halted for the first time (ms after its begin).
     pub halted_after_ms: Option<f64>,
-    /// Requests answered well; 0 where no load was played.
+    /// Requests answered well; 0 where the run had no load.
     pub requests_ok: u64,
     /// Requests sent.
     pub requests: u64,
@@ -69,7 +73,7 @@
         }
     }
 
-    /// One line for people, and one more for each violation.
+    /// A summary line for people, followed by a line for each violation.
     pub fn line(&self) -> String {
         let mut line = format!(
             "seed {}: out {} of at most {}, drained {} of {}, released {} of {}",
@@ -103,7 +107,7 @@
         line
     }
 
-    /// Takes down how many dispatchers are out now; the first time over the limit is a violation.
+    /// Records how many dispatchers are out now; the first time over the limit is a violation.
     pub fn record_out(&mut self, out: usize) {
         self.max_out = self.max_out.max(out);
         if out > self.limit && !self.has_violation("out at a time") {
@@ -114,7 +118,7 @@
         }
     }
 
-    /// Takes down how many engines are drained now; the first time over the limit is a violation.
+    /// Records how many engines are drained now; the first time over the limit is a violation.
     pub fn record_drained(&mut self, drained: usize) {
         self.max_drained = self.max_drained.max(drained);
         if drained > self.drain_limit && !self.has_violation("drained at a time") {
@@ -125,7 +129,7 @@
         }
     }
 
-    /// Whether one of the violations has these words.
+    /// Whether the text of one of the violations contains `words`.
     fn has_violation(&self, words: &str) -> bool {
         self.violations
             .iter()
@@ -133,7 +137,7 @@
     }
 }
 
-/// What came of runs that are played one after the other: a table, and whether one failed.
+/// The results of several runs: a table, and whether one failed.
 #[derive(Debug)]
 pub struct RunsOutcome {
     /// For people.
@@ -142,20 +146,20 @@
     pub failed: bool,
 }
 
-/// How a fleet is played in virtual time.
+/// How fleets run in virtual time.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct PlayOptions {
+pub struct RunOptions {
     /// Supervisors restart without a lease, for comparison.
     pub uncoordinated: bool,
     /// The table has a line for each run, not only for those that failed.
     pub show_all: bool,
 }
 
-/// Plays one scenario in virtual time for each seed, on all cores.
+/// Runs one scenario in virtual time for each seed, on all cores.
 pub fn run_seeds(
     seeds: std::ops::Range<u64>,
     scenario: impl Fn(u64) -> Scenario + Sync,
-    options: PlayOptions,
+    options: RunOptions,
 ) -> RunsOutcome {
     let next_seed = AtomicU64::new(seeds.start);
     let reports = Mutex::new(Vec::new());
@@ -172,7 +176,7 @@
                 let mut fleet = VirtualFleet::new(scenario, definition, VersionQuality::default());
                 fleet.set_uncoordinated(options.uncoordinated);
                 let report = fleet.run();
-                reports.lock().expect("no player panics").push(report);
+                reports.lock().expect("no holder panics").push(report);
             });
         }
     });
@@ -184,7 +188,7 @@
     }
 }
 
-/// A table of all runs: a line for each that failed, or with `show` for each, and the sums.
+/// A table of runs: a line for each run that failed, or with `show_all` for each run, and a summary.
 pub fn table(reports: &[FleetReport], show: bool) -> String {
     let mut text = String::new();
     for report in reports
@@ -193,15 +197,23 @@
     {
         let _ = writeln!(text, "{}", report.line());
     }
-    let mut waits_ms =
-        Histogram::<u64>::new_with_bounds(1, 100_000_000, 3).expect("bounds are in order");
-    let mut completions_ms = waits_ms.clone();
-    for report in reports {
-        for wait_ms in &report.lease_waits_ms {
-            waits_ms.saturating_record(*wait_ms as u64);
-        }
-        completions_ms.saturating_record(report.completed_after_ms.unwrap_or(1e8) as u64);
-    }
+    text += &summary(reports);
+    text
+}
+
+/// The line of a table that sums up all runs.
+fn summary(reports: &[FleetReport]) -> String {
+    let waits_ms = histogram(
+        reports
+            .iter()
+            .flat_map(|report| &report.lease_waits_ms)
+            .copied(),
+    );
+    let completions_ms = histogram(
+        reports
+            .iter()
+            .map(|report| report.completed_after_ms.unwrap_or(MAX_SHOWN_MS)),
+    );
     let count = |words: &str| {
         reports
             .iter()
@@ -218,10 +230,9 @@
     let seconds = |times_ms: &Histogram<u64>, quantile: f64| {
         times_ms.value_at_quantile(quantile) as f64 / 1e3
     };
-    let _ = writeln!(
-        text,
+    format!(
         "{} runs: over the limit {}, drains over it {}, not ended in time {}; most out {max_out}; turn after {:.1} s (p50), \
-         {:.1} s (p99); all released after {:.0} s (p50), {:.0} s (p99); {bytes_per_s:.0} bytes/s each",
+         {:.1} s (p99); all released after {:.0} s (p50), {:.0} s (p99); {bytes_per_s:.0} bytes/s each\n",
         reports.len(),
         count("dispatchers out at a time"),
         count("drained at a time"),
@@ -230,8 +241,17 @@
         seconds(&waits_ms, 0.99),
         seconds(&completions_ms, 0.5),
         seconds(&completions_ms, 0.99),
-    );
-    text
+    )
+}
+
+/// A histogram of times, rounded down to milliseconds.
+fn histogram(times_ms: impl Iterator<Item = f64>) -> Histogram<u64> {
+    let mut histogram =
+        Histogram::<u64>::new_with_bounds(1, MAX_SHOWN_MS as u64, 3).expect("bounds are in order");
+    for time_ms in times_ms {
+        histogram.saturating_record(time_ms as u64);
+    }
+    histogram
 }
 
 /// Why a scenario's file could not be used.
--- a/crates/testbed/src/fleet/processes/members.rs
+++ b/crates/testbed/src/fleet/processes/members.rs
@@ -27,7 +27,7 @@
 /// The members' processes, each in its slot.
 pub(super) struct MemberProcesses {
     exe: PathBuf,
-    /// A folder for logs that are kept after the run.
+    /// The folder for logs that remain after the run.
     logs: Option<PathBuf>,
     slots: Vec<Mutex<DispatcherSlot>>,
     listen_addresses: Vec<SocketAddr>,
--- a/crates/testbed/src/fleet/processes/mod.rs
+++ b/crates/testbed/src/fleet/processes/mod.rs
@@ -11,7 +11,7 @@
 mod slot;
 mod supervisor;
 
-use super::relay::{EngineLink, Relay};
+use super::relay::{start_engine_links, EngineLink, Relay};
 use super::scenario::Scenario;
 use super::FleetReport;
 use crate::engine::{Engine, EngineSpec, RunContext};
@@ -63,7 +63,7 @@
     for _ in 0..MAX_SETUPS {
         match run_once(exe, scenario, options) {
             Some(report) => return report,
-            None => eprintln!("an address was taken by another program: played again"),
+            None => eprintln!("an address was taken by another program: run repeated"),
         }
     }
     FleetReport {
@@ -111,7 +111,7 @@
     fn new(exe: &Path, scenario: Scenario, options: &ProcessOptions, engines: &[Engine]) -> Self {
         let members = scenario.members;
         let relay = Relay::start(members, scenario.late, scenario.seed);
-        let engine_links = setup::start_engine_links(members, engines);
+        let engine_links = start_engine_links(members, engines);
         let listen: Vec<SocketAddr> = (0..members).map(|_| free_address()).collect();
         let configs = (0..members)
             .map(|member| {
--- a/crates/testbed/src/fleet/processes/setup.rs
+++ b/crates/testbed/src/fleet/processes/setup.rs
@@ -12,17 +12,6 @@
 /// The latency objective of their queries (ms).
 const LATENCY_OBJECTIVE_MS: f64 = 300.0;
 
-/// For each member, a link of its own to each engine.
-pub(super) fn start_engine_links(members: usize, engines: &[Engine]) -> Vec<Vec<EngineLink>> {
-    let links_of_member = |_| {
-        engines
-            .iter()
-            .map(|engine| EngineLink::start(engine.address))
-            .collect()
-    };
-    (0..members).map(links_of_member).collect()
-}
-
 /// The configuration of a member, which knows each engine by the address of its own link.
 pub(super) fn member_config(
     scenario: &Scenario,
--- a/crates/testbed/src/fleet/processes/supervisor.rs
+++ b/crates/testbed/src/fleet/processes/supervisor.rs
@@ -8,8 +8,7 @@
 
 /// How long a supervisor waits for its restarted dispatcher to be healthy.
 const HEALTHY_TIMEOUT: Duration = Duration::from_secs(60);
-/// How long a supervisor waits for a process to end before it kills the process: a stopped process does not end by a
-/// signal.
+/// How long a supervisor waits for a process to end before it sends SIGKILL: a stopped process does not handle SIGTERM.
 const TERMINATION_TIMEOUT: Duration = Duration::from_secs(6);
 /// Exit codes of `tansymux fleet turn` with which no lease was granted and none failed.
 const NO_LEASE_CODES: [i32; 3] = [0, 3, 4];
@@ -137,7 +136,7 @@
         }
     }
 
-    /// Terminates a member's process and waits for its end; one that does not end in time is killed.
+    /// Terminates a member's process and waits for its end; a process that does not end in time is ended by SIGKILL.
     fn end_process(&self, member: usize) {
         let is_terminated = self.processes.slot(member).terminate();
         let from = Instant::now();
--- a/crates/testbed/src/fleet/relay.rs
+++ b/crates/testbed/src/fleet/relay.rs
@@ -1,9 +1,9 @@
-//! A relay on every link: between two members, and from a member to an engine. It does what the scenario says, and the
-//! processes know nothing of it: each member is known by an address of the relay's, and each engine, to each member, by
-//! another.
+//! A relay on every link: between two members, and from a member to an engine. It applies the scenario's faults, unnoticed
+//! by the processes: other members know a member by an address of the relay, and each member knows each engine by a
+//! separate address.
 
 use super::links::LinkConditions;
-use crate::engine::refuse_silently;
+use crate::engine::{refuse_silently, Engine};
 use crate::program::free_udp_address;
 use rand::SeedableRng;
 use rand_pcg::Pcg32;
@@ -15,18 +15,18 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How often the relay looks for what is due.
+/// Interval at which the relay sends datagrams that are due.
 const POLL_INTERVAL: Duration = Duration::from_millis(1);
-/// A receiving thread looks this often whether the relay was dropped.
+/// Interval at which a receiving thread checks whether the relay was dropped.
 const RECEIVE_TIMEOUT: Duration = Duration::from_millis(50);
 /// Larger than any datagram of the fleet (bytes).
 const RECEIVE_BUFFER_BYTES: usize = 2048;
-/// What is copied at a time between a member and an engine (bytes).
+/// The most bytes that are copied at a time between a member and an engine.
 const COPY_BUFFER_BYTES: usize = 16 * 1024;
-/// Delay between members where the scenario says nothing (ms).
+/// Delay between members unless the scenario sets another (ms).
 const DEFAULT_DELAY_MS: f64 = 1.0;
 
-/// A datagram under way between two members.
+/// A datagram in flight between two members.
 #[derive(Debug)]
 struct Datagram {
     from: usize,
@@ -73,7 +73,7 @@
     pub public: Vec<SocketAddr>,
     /// The address at which each member listens.
     pub private: Vec<SocketAddr>,
-    /// Bytes that came from members.
+    /// Bytes received from members.
     pub bytes: Arc<AtomicU64>,
     state: Arc<Mutex<LinkState>>,
     over: Arc<AtomicBool>,
@@ -115,7 +115,7 @@
         relay
     }
 
-    /// Takes in what others send to member `to`.
+    /// Receives what other members send to member `to`.
     fn spawn_receiver(&self, to: usize, socket: Arc<UdpSocket>) {
         let private = self.private.clone();
         let state = self.state.clone();
@@ -139,7 +139,7 @@
         });
     }
 
-    /// Sends on what is due, from the address by which the sender is known, so that it can be answered.
+    /// Forwards datagrams that are due from the address by which the sender is known, so that they can be answered.
     fn spawn_sender(&self, sockets: Vec<Arc<UdpSocket>>) {
         let private = self.private.clone();
         let state = self.state.clone();
@@ -159,7 +159,7 @@
         self.state.lock().expect("no holder panics")
     }
 
-    /// Sets what all links between members do.
+    /// Sets the conditions of all links between members.
     pub fn set_conditions(&self, conditions: LinkConditions) {
         self.state().conditions = conditions;
     }
@@ -239,7 +239,7 @@
     fn accept_connections(&self, listener: &TcpListener, engine: SocketAddr) {
         while !self.over.load(Ordering::Relaxed) {
             if self.cut.load(Ordering::Relaxed) {
-                // No connection comes up, as on a network: a relay that still accepts would look different.
+                // No connection is established, as on a network: a relay that still accepts would look different.
                 let held = refuse_silently(listener);
                 while self.is_cut() {
                     thread::sleep(POLL_INTERVAL);
@@ -264,7 +264,7 @@
         }
     }
 
-    /// Copies one direction of a connection; what comes during a cut is held back.
+    /// Copies one direction of a connection; bytes that arrive during a cut are held until its end.
     fn spawn_copy(&self, mut from: TcpStream, mut to: TcpStream) {
         let own = self.clone();
         thread::spawn(move || {
@@ -287,8 +287,19 @@
         self.cut.store(cut, Ordering::Relaxed);
     }
 
-    /// Ends the link; connections that are up end with their next byte.
+    /// Ends the link; established connections end with their next byte.
     pub fn stop(&self) {
         self.over.store(true, Ordering::Relaxed);
     }
 }
+
+/// For each member, a link of its own to each engine.
+pub(super) fn start_engine_links(members: usize, engines: &[Engine]) -> Vec<Vec<EngineLink>> {
+    let links_of_member = |_| {
+        engines
+            .iter()
+            .map(|engine| EngineLink::start(engine.address))
+            .collect()
+    };
+    (0..members).map(links_of_member).collect()
+}
--- a/crates/testbed/src/fleet/scenario.rs
+++ b/crates/testbed/src/fleet/scenario.rs
@@ -1,5 +1,5 @@
-//! Scenarios: a fleet, its release, and which faults come when: from a seed, by name, or from a file. They are written
-//! to files as JSON, whose keys must stay.
+//! Scenarios: a fleet, its release, and when which faults are injected. A scenario is generated from a seed, selected by
+//! name, or read from a file. Files are JSON, whose keys must stay.
 
 pub use super::links::LinkConditions;
 
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fault {
-    /// What all links do from now on.
+    /// Sets the conditions of all links.
     Links(LinkConditions),
     /// Cuts some members off from the others.
     Cut {
@@ -28,14 +28,14 @@
     },
     /// Ends all cuts.
     Heal,
-    /// Stops a process, which then goes on.
+    /// Stops a process, which later continues.
     Stall {
         /// The member.
         who: usize,
         /// For how long (ms).
         lasts: f64,
     },
-    /// Stops the leader's process, which then goes on.
+    /// Stops the leader's process, which later continues.
     StallLeader {
         /// For how long (ms).
         lasts: f64,
@@ -57,7 +57,7 @@
         /// Until its start (ms).
         back: f64,
     },
-    /// Operators ask to drain engines, at the same time.
+    /// Operators request drains of engines, at the same time.
     Drain {
         /// At which member, and which engine.
         engines: Vec<(usize, usize)>,
@@ -104,9 +104,9 @@
 /// A fleet, and what happens to it while it is released to another version.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Scenario {
-    /// What it is called in reports.
+    /// The scenario's name in reports.
     pub name: String,
-    /// All randomness comes from it.
+    /// The seed of all random draws.
     pub seed: u64,
     /// Dispatchers.
     pub members: usize,
@@ -127,17 +127,17 @@
     pub turn: f64,
     /// How long a restart takes (ms).
     pub down: f64,
-    /// How late a late datagram is (ms): what the voters allow for.
+    /// The delay of a late datagram, up to which voters are correct (ms).
     pub late: f64,
     /// Faults, in the order of their times.
     pub events: Vec<Event>,
-    /// All must be released so long after the last fault (ms); 0: no such claim.
+    /// All members must be released this long after the last fault (ms); 0: no such requirement.
     pub done_within: f64,
-    /// How long it is played at most (ms).
+    /// The longest duration of a run (ms).
     pub lasts: f64,
 }
 
-/// The hard cases that are played on processes too.
+/// The names of the hard cases, which also run on processes.
 pub const NAMES: [&str; 9] = [
     "two-halves",
     "leader-one-way",
@@ -152,6 +152,8 @@
 
 /// Faults of a mixed scenario, one after the other.
 const MIXED_FAULTS: usize = 7;
+/// How long after a cut drains are requested on both sides of it (ms).
+const DRAIN_DELAY_MS: f64 = 200.0;
 
 fn cut(side: &[usize]) -> Fault {
     Fault::Cut {
@@ -166,6 +168,11 @@
     }
 }
 
+/// Drains that are requested at members on both sides of a cut.
+fn drain_on_both_sides(inside: usize, outside: usize) -> Fault {
+    drain(&[(inside, 0), (outside, 1), (inside, 2), (outside, 3)])
+}
+
 fn crash(who: usize, back: f64) -> Fault {
     Fault::Kill { who, back }
 }
@@ -189,7 +196,7 @@
             down: 1500.0,
             late: 10_000.0,
             events: Vec::new(),
-            // A lease may be used at its very end, and a voter that was restarted keeps silent for a while.
+            // A lease may be used at its very end, and a restarted voter is silent during its quarantine.
             done_within: 40_000.0 + 30_000.0 * voters as f64 + 12_000.0 * waves,
             lasts: 140_000.0 + 30_000.0 * voters as f64 + 12_000.0 * waves,
         }
@@ -199,16 +206,20 @@
         self.events.push(Event { at, what });
     }
 
+    /// Ends cuts and bad links.
+    fn end_network_faults(&mut self, at: f64) {
+        self.add(at, Fault::Heal);
+        self.add(at, Fault::Links(LinkConditions::GOOD));
+    }
+
     fn sort_events(&mut self) {
         self.events.sort_by(|a, b| a.at.total_cmp(&b.at));
     }
 
-    /// All faults mixed, by the seed.
+    /// A release with a sequence of faults of all kinds, drawn from the seed.
     pub fn mixed(seed: u64, members: usize) -> Self {
-        let mut scenario = Scenario {
-            name: "mixed".into(),
-            ..Scenario::calm(seed, members)
-        };
+        let mut scenario = Scenario::calm(seed, members);
+        scenario.name = "mixed".into();
         let mut rng = Pcg32::seed_from_u64(seed ^ 0x5EED);
         let mut at = 2000.0;
         let mut shuffled: Vec<usize> = (0..members).collect();
@@ -218,44 +229,37 @@
             shuffled.shuffle(&mut rng);
             let one_way = rng.random_bool(0.3);
             let half = &shuffled[..members / 2];
-            match rng.random_range(0..10) {
-                0 => scenario.add(at, Fault::Links(LinkConditions::BAD)),
-                1 => scenario.add(
-                    at,
-                    Fault::Cut {
-                        side: half.to_vec(),
-                        one_way,
-                    },
-                ),
-                2 => scenario.add(at, Fault::CutLeader { one_way }),
-                3 => scenario.add(at, Fault::Stall { who, lasts }),
-                4 => scenario.add(at, Fault::StallLeader { lasts }),
-                5 => scenario.add(at, crash(who, lasts)),
-                6 => scenario.add(at, Fault::KillLeader { back: lasts }),
-                7 => scenario.add(at, Fault::KillHolder { back: lasts }),
+            let fault = match rng.random_range(0..10) {
+                0 => Fault::Links(LinkConditions::BAD),
+                1 => Fault::Cut {
+                    side: half.to_vec(),
+                    one_way,
+                },
+                2 => Fault::CutLeader { one_way },
+                3 => Fault::Stall { who, lasts },
+                4 => Fault::StallLeader { lasts },
+                5 => crash(who, lasts),
+                6 => Fault::KillLeader { back: lasts },
+                7 => Fault::KillHolder { back: lasts },
                 8 => {
-                    let inside = half[0];
                     let outside = shuffled[members - 1];
-                    scenario.add(at, cut(half));
-                    scenario.add(
-                        at + 200.0,
-                        drain(&[(inside, 0), (outside, 1), (inside, 2), (outside, 3)]),
-                    );
+                    scenario.add(at + DRAIN_DELAY_MS, drain_on_both_sides(half[0], outside));
+                    cut(half)
                 }
                 _ => {
-                    scenario.add(at, Fault::Halt { at: who });
                     scenario.add(at + lasts, Fault::Resume { at: who });
+                    Fault::Halt { at: who }
                 }
-            }
-            scenario.add(at + lasts, Fault::Heal);
-            scenario.add(at + lasts, Fault::Links(LinkConditions::GOOD));
+            };
+            scenario.add(at, fault);
+            scenario.end_network_faults(at + lasts);
             at += lasts + rng.random_range(500.0..4000.0);
         }
         scenario.sort_events();
         scenario
     }
 
-    /// One of the hard cases by name, of which [`NAMES`] are all. The seed shifts its faults in time.
+    /// The hard case of this name, one of [`NAMES`]. The seed shifts its faults in time.
     pub fn named(name: &str, seed: u64) -> Option<Self> {
         let members = if name == "seven-in-ten" { 10 } else { 5 };
         let mut scenario = Scenario {
--- a/crates/testbed/src/fleet/virtual_fleet/member.rs
+++ b/crates/testbed/src/fleet/virtual_fleet/member.rs
@@ -253,7 +253,7 @@
         self.send_all(datagrams, environment);
     }
 
-    /// Tells the other members that this one leaves, where its process runs.
+    /// Announces to the other members that this one leaves, where its process runs.
     pub fn leave(&mut self, environment: &mut Environment) {
         let process_ms = self.process_clock_ms(environment.now_ms);
         let Some(fleet) = &mut self.fleet else {
--- a/crates/testbed/src/fleet/virtual_fleet/members.rs
+++ b/crates/testbed/src/fleet/virtual_fleet/members.rs
@@ -11,7 +11,7 @@
 
 /// Engine ids start here, so that they differ from any other number.
 pub(super) const FIRST_ENGINE_ID: u64 = 1000;
-/// Cores of each engine, as members are told.
+/// Cores of each engine, as members know them.
 const ENGINE_CAPACITY: f64 = 8.0;
 /// Zones over which engines are spread in turn.
 const ENGINE_ZONES: usize = 2;
--- a/crates/testbed/src/fleet/virtual_fleet/mod.rs
+++ b/crates/testbed/src/fleet/virtual_fleet/mod.rs
@@ -1,8 +1,8 @@
 //! A fleet of dispatchers in virtual time, around the same `tansymux_rollout::FleetNode` that the program drives.
 //!
-//! Owns: the true clock and the network ([`environment`]), every member's own clock and process state ([`members`]), the
-//! supervisors that restart dispatchers under a lease ([`supervisors`]) and the operators that issue commands
-//! ([`operators`]). It checks the limits at every step against what its own supervisors did, never against what a member
+//! Owns: the true clock and the network (`environment`), every member's own clock and process state (`members`), the
+//! supervisors that restart dispatchers under a lease (`supervisors`) and the operators that issue commands
+//! (`operators`). It checks the limits at every step against what its own supervisors did, never against what a member
 //! reports.
 //!
 //! Start reading at [`VirtualFleet::run_until`].
@@ -155,7 +155,7 @@
         self.operators.answers()
     }
 
-    /// Waits for a lease that supervisors gave up.
+    /// Number of times that a supervisor stopped waiting for a lease.
     pub fn abandoned_waits(&self) -> usize {
         self.supervisors.abandoned_waits()
     }
--- a/crates/testbed/src/fleet/virtual_fleet/run.rs
+++ b/crates/testbed/src/fleet/virtual_fleet/run.rs
@@ -21,7 +21,7 @@
 const SHOWN_WAITING: usize = 5;
 
 impl VirtualFleet {
-    /// Runs the whole scenario.
+    /// Runs the scenario until its end.
     pub fn run(mut self) -> FleetReport {
         self.run_until(|_| false);
         self.environment.report
@@ -173,7 +173,7 @@
         self.environment.record_violation(description);
     }
 
-    /// Runs on without further faults (ms).
+    /// Runs without further faults for a time (ms).
     pub fn run_for(&mut self, lasts_ms: f64) {
         let end_ms = self.environment.now_ms + lasts_ms;
         while self.environment.now_ms < end_ms {
--- a/crates/testbed/src/fleet/virtual_fleet/supervisors.rs
+++ b/crates/testbed/src/fleet/virtual_fleet/supervisors.rs
@@ -11,8 +11,10 @@
 
 /// How far a supervisor's clock may be off, as a fraction.
 const MAX_CLOCK_SKEW: f64 = 0.02;
-/// How long a supervisor waits for a lease before it gives up and pauses (host's ms).
+/// How long a supervisor waits for a lease before it pauses (host's ms).
 const MAX_LEASE_WAIT_MS: f64 = 20_000.0;
+/// How long a supervisor pauses after a wait without a lease (ms).
+const PAUSE_MS: std::ops::Range<f64> = 500.0..2500.0;
 /// A prompt script begins its restart this long after the grant (ms).
 const PROMPT_RESTART_MS: f64 = 300.0;
 /// Probability that a script is slow and begins at the very end of its lease.
@@ -91,7 +93,7 @@
         }
     }
 
-    /// Waits for a lease that were given up.
+    /// Number of times that a supervisor stopped waiting for a lease.
     pub fn abandoned_waits(&self) -> usize {
         self.abandoned_waits
     }
@@ -225,8 +227,7 @@
         else {
             return;
         };
-        let since_ms = *since_ms;
-        let version = *version;
+        let (since_ms, version) = (*since_ms, *version);
         let action = lease.poll(host_ms);
         let outcome = lease.outcome();
         let lease = lease.grant_id();
@@ -247,17 +248,20 @@
                     lease,
                 };
             }
-            Some(outcome) => {
-                let has_timed_out = matches!(outcome, LeaseOutcome::TimedOut(_));
-                self.abandoned_waits += usize::from(has_timed_out);
-                let pause_ms = environment.rng.random_range(500.0..2500.0);
-                self.supervisors[index] = Supervisor::Idle {
-                    until_ms: environment.now_ms + pause_ms,
-                };
-            }
+            Some(outcome) => self.pause(index, outcome, environment),
             None => {}
         }
     }
+
+    /// Pauses after a wait that ended without a lease.
+    fn pause(&mut self, index: usize, outcome: LeaseOutcome, environment: &mut Environment) {
+        let has_timed_out = matches!(outcome, LeaseOutcome::TimedOut(_));
+        self.abandoned_waits += usize::from(has_timed_out);
+        let pause_ms = environment.rng.random_range(PAUSE_MS);
+        self.supervisors[index] = Supervisor::Idle {
+            until_ms: environment.now_ms + pause_ms,
+        };
+    }
 }
 
 /// How long a script takes to begin the restart (true ms). A slow script begins at the very end of its lease.
--- a/crates/testbed/src/fleet/zones/mod.rs
+++ b/crates/testbed/src/fleet/zones/mod.rs
@@ -1,7 +1,7 @@
-//! A zone cut and returned, on real processes: evacuated by agreement, judged by each dispatcher alone, and neither, on
-//! the same seeds.
+//! A zone is cut and returns, on real processes, in three variants on the same seeds: the fleet evacuates it by agreement,
+//! each dispatcher decides alone, or zones have no meaning.
 //!
-//! Start reading at [`compare`], then at [`play`].
+//! Start reading at [`compare`], then at [`run`].
 
 mod site;
 
@@ -31,34 +31,34 @@
 const MAX_WAIT_MS: f64 = 1500.0;
 /// Number of clients, each with one query at a time.
 const CLIENTS: usize = 64;
-/// Until leaders are elected, members known and engines warm.
+/// Time until leaders are elected, members are known and engines are warm.
 const SETTLING: Duration = Duration::from_millis(6000);
-/// How often a run is watched.
+/// Interval at which a run is observed.
 const WATCH_INTERVAL: Duration = Duration::from_millis(30);
 /// Length of the phase after the cut that is reported separately (ms).
 const RETURN_PHASE_MS: f64 = 10_000.0;
 /// The peak load of a returning engine is taken within this time after the cut's end (ms).
 const PEAK_PHASE_MS: f64 = 3000.0;
-/// Shares of returning zones may add up to this at most; floats do not meet 1 exactly.
+/// The largest valid sum of the shares of returning zones; sums of floats do not reach 1 exactly.
 const MAX_SHARE_SUM: f64 = 1.001;
 
 /// How dispatchers treat a zone that is cut.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Variant {
-    /// The fleet evacuates it and lets it back in by agreement.
+    /// The fleet evacuates and restores it by agreement.
     Agreed,
-    /// Each dispatcher judges alone.
+    /// Each dispatcher decides alone.
     Alone,
-    /// Zones mean nothing.
+    /// Zones have no meaning.
     Neither,
 }
 
-/// What one run is played with.
+/// The parameters of one run.
 #[derive(Debug, Clone, Copy)]
 pub struct ZoneCutPlan {
-    /// All randomness comes from it.
+    /// The seed of all random draws.
     pub seed: u64,
-    /// Dispatchers, spread over zones in turn.
+    /// Number of dispatchers, spread over zones in turn.
     pub dispatchers: usize,
     /// Requests a second to all dispatchers together.
     pub queries_per_s: f64,
@@ -66,7 +66,7 @@
     pub cut_at_ms: f64,
     /// How long the cut lasts (ms).
     pub cut_for_ms: f64,
-    /// How long the run goes on after the cut (ms).
+    /// Duration of the run after the cut (ms).
     pub after_ms: f64,
     /// Loss between dispatchers, all the time.
     pub loss: f64,
@@ -120,15 +120,15 @@
 pub struct ZoneCutReport {
     /// Queries answered within their objective, by phase.
     pub in_time: [u64; 4],
-    /// Queries asked, by phase.
+    /// Queries sent, by phase.
     pub asked: [u64; 4],
-    /// Most threads on one engine of the zone in the three seconds after its return.
+    /// The most threads on one engine of the zone in the three seconds after its return.
     pub peak_threads: f64,
-    /// When all dispatchers outside had left the zone (ms after the cut's begin).
+    /// When all dispatchers outside the zone had evacuated it (ms after the cut's begin).
     pub evacuated_after_ms: Option<f64>,
-    /// When all used it fully again (ms after the cut's end).
+    /// When all dispatchers used the zone fully again (ms after the cut's end).
     pub restored_after_ms: Option<f64>,
-    /// The most that the shares of returning zones added up to.
+    /// The largest sum of the shares of returning zones.
     pub max_share_sum: f64,
     /// Queries without an answer.
     pub unanswered: u64,
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Whether the agreed variant did not do what it promises.
+    /// Whether the agreed variant failed to evacuate or restore the zone, exceeded its shares or left a query unanswered.
     fn is_failed(&self) -> bool {
         self.evacuated_after_ms.is_none()
             || self.restored_after_ms.is_none()
@@ -197,8 +197,8 @@
         self.report.lock().expect("no holder panics")
     }
 
-    /// A client of dispatchers outside the zone: what runs in the zone is what the fleet sends there. The first
-    /// dispatchers get far more queries than the last ones.
+    /// Sends queries to dispatchers outside the zone, so that work in the zone is work that the fleet placed there. The
+    /// first dispatchers get far more queries than the last ones.
     fn run_client(&self, number: usize) {
         let plan = &self.site.plan;
         let outside = plan.outside();
@@ -226,7 +226,7 @@
         }
     }
 
-    /// Cuts and heals the zone in their time, and observes what dispatchers make of it.
+    /// Cuts and heals the zone at the planned times, and observes how dispatchers react.
     fn watch(&self) {
         let plan = self.site.plan;
         let mut cut = false;
@@ -240,7 +240,7 @@
             }
             if cut && !healed && now_ms >= plan.heal_at_ms() {
                 healed = true;
-                // They come back cold: what ran there is gone.
+                // The engines return cold, and without the queries that ran on them.
                 self.site.engines_inside().for_each(Engine::restart_cold);
                 self.site.set_cut(false);
             }
@@ -257,7 +257,7 @@
         self.over.store(true, Ordering::Relaxed);
     }
 
-    /// Takes down when all outside have left the zone, when all use it again, and how much they were let in.
+    /// Records when all dispatchers outside have evacuated the zone, when all use it again, and the sum of shares.
     fn observe_agreement(&self, healed: bool, now_ms: f64) {
         let plan = &self.site.plan;
         let known = self.report().clone();
@@ -282,8 +282,8 @@
     }
 }
 
-/// Plays one run of one variant.
-pub fn play(exe: &Path, plan: ZoneCutPlan, variant: Variant) -> ZoneCutReport {
+/// Runs one variant once.
+pub fn run(exe: &Path, plan: ZoneCutPlan, variant: Variant) -> ZoneCutReport {
     let site = Site::start(exe, plan, variant);
     thread::sleep(SETTLING);
     let run = ZoneCutRun {
@@ -306,7 +306,7 @@
     run.report.into_inner().unwrap_or_default()
 }
 
-/// What the leader says that the shares of returning zones add up to.
+/// The sum of the shares of returning zones, as the leader reports it.
 fn share_sum(exe: &Path, operator_text: &str) -> f64 {
     let file = TempFile::new("ask.textproto", operator_text);
     let path = file.0.display().to_string();
@@ -326,8 +326,8 @@
     text.lines().filter_map(shares_of).fold(0.0, f64::max)
 }
 
-/// All variants on the same seeds. The outcome failed where the agreed variant did not evacuate the zone, did not restore
-/// it, gave out more than the whole, or left a query without an answer.
+/// Runs all variants on the same seeds. The outcome is failed where the agreed variant did not evacuate or restore the
+/// zone, granted shares of more than 1 in total, or left a query without an answer.
 pub fn compare(
     exe: &Path,
     seeds: std::ops::Range<u64>,
@@ -339,7 +339,7 @@
     };
     for variant in [Variant::Agreed, Variant::Alone, Variant::Neither] {
         for seed in seeds.clone() {
-            let report = play(exe, plan(seed), variant);
+            let report = run(exe, plan(seed), variant);
             let _ = writeln!(outcome.table, "{}", report.line(variant, seed));
             outcome.failed |= variant == Variant::Agreed && report.is_failed();
         }
--- a/crates/testbed/src/fleet/zones/site.rs
+++ b/crates/testbed/src/fleet/zones/site.rs
@@ -3,7 +3,7 @@
 use super::{Variant, ZoneCutPlan, LATENCY_OBJECTIVE_MS, MAX_WAIT_MS, ZONES};
 use crate::engine::{Engine, EngineSpec, RunContext};
 use crate::fleet::links::LinkConditions;
-use crate::fleet::relay::{EngineLink, Relay};
+use crate::fleet::relay::{start_engine_links, EngineLink, Relay};
 use crate::fleet::FLEET_KEY;
 use crate::program::{class, free_address, Config, Program, TempFile};
 use crate::setup;
@@ -17,8 +17,22 @@
 
 /// Number of engines, spread over the zones in turn.
 const ENGINES: usize = 2 * ZONES;
-/// How long a restarted engine warms up (ms).
-const WARM_UP_MS: f64 = 15_000.0;
+/// What each engine can do.
+const ENGINE_SPEC: EngineSpec = EngineSpec {
+    cores: 8.0,
+    max_threads_a_core: 16.0,
+    progress_interval_ms: 100.0,
+    cold_from: 0.25,
+    warm_after_ms: 15_000.0,
+};
+/// Age of the engines when dispatchers start.
+const ENGINE_START: Duration = Duration::from_millis(10);
+/// Delay of a late datagram between dispatchers (ms).
+const LATE_MS: f64 = 500.0;
+/// Longest delay of other datagrams between dispatchers (ms).
+const RELAY_DELAY_MS: f64 = 1.0;
+/// The most dispatchers that each dispatcher's file names to join by.
+const MAX_JOIN_SEEDS: usize = 3;
 
 /// The operators' file of a dispatcher.
 fn operator_text(variant: Variant, dispatcher: usize, relay: &Relay) -> String {
@@ -26,7 +40,7 @@
     let seeds: String = relay
         .public
         .iter()
-        .take(3)
+        .take(MAX_JOIN_SEEDS)
         .map(|address| format!("seed: \"{address}\" "))
         .collect();
     let fleet = format!(
@@ -80,7 +94,18 @@
     config
 }
 
-/// Dispatchers, engines and the links between them.
+/// Starts the links between dispatchers, with the plan's loss.
+fn start_relay(plan: &ZoneCutPlan) -> Relay {
+    let relay = Relay::start(plan.dispatchers, LATE_MS, plan.seed);
+    relay.set_conditions(LinkConditions {
+        loss: plan.loss,
+        delay: RELAY_DELAY_MS,
+        ..LinkConditions::GOOD
+    });
+    relay
+}
+
+/// The processes, stand-ins and links of one run.
 pub(super) struct Site {
     pub plan: ZoneCutPlan,
     programs: Vec<Program>,
@@ -98,28 +123,10 @@
     /// Starts the engines, their links and the dispatchers, and waits until all dispatchers are healthy.
     pub fn start(exe: &Path, plan: ZoneCutPlan, variant: Variant) -> Self {
         let context = Arc::new(RunContext::default());
-        let spec = EngineSpec {
-            cold_from: 0.25,
-            warm_after_ms: WARM_UP_MS,
-            progress_interval_ms: 100.0,
-            ..EngineSpec::default()
-        };
-        let engines = setup::start_engines(ENGINES, spec, plan.seed * 100, &context);
-        thread::sleep(Duration::from_millis(10));
-        let relay = Relay::start(plan.dispatchers, 500.0, plan.seed);
-        relay.set_conditions(LinkConditions {
-            loss: plan.loss,
-            delay: 1.0,
-            ..LinkConditions::GOOD
-        });
-        let engine_links: Vec<Vec<EngineLink>> = (0..plan.dispatchers)
-            .map(|_| {
-                engines
-                    .iter()
-                    .map(|engine| EngineLink::start(engine.address))
-                    .collect()
-            })
-            .collect();
+        let engines = setup::start_engines(ENGINES, ENGINE_SPEC, plan.seed * 100, &context);
+        thread::sleep(ENGINE_START);
+        let relay = start_relay(&plan);
+        let engine_links = start_engine_links(plan.dispatchers, &engines);
         let listen_addresses: Vec<SocketAddr> =
             (0..plan.dispatchers).map(|_| free_address()).collect();
         let operator_texts: Vec<String> = (0..plan.dispatchers)
@@ -131,13 +138,9 @@
             .collect();
         let programs: Vec<Program> = (0..plan.dispatchers)
             .map(|dispatcher| {
-                let config = configuration(
-                    &plan,
-                    dispatcher,
-                    listen_addresses[dispatcher],
-                    &engines,
-                    &engine_links[dispatcher],
-                );
+                let listen = listen_addresses[dispatcher];
+                let links = &engine_links[dispatcher];
+                let config = configuration(&plan, dispatcher, listen, &engines, links);
                 let path = operator_files[dispatcher].0.display().to_string();
                 Program::launch(exe, &config, &["--operator", &path], Stdio::null())
             })
@@ -156,7 +159,7 @@
         }
     }
 
-    /// Cuts zone h0 off from all outside it, or heals it: links to engines and between dispatchers.
+    /// Cuts the first zone off from the others, or heals it: links to engines and links between dispatchers.
     pub fn set_cut(&self, cut: bool) {
         for (dispatcher, links) in self.engine_links.iter().enumerate() {
             for (engine, link) in links.iter().enumerate() {
@@ -180,7 +183,7 @@
         self.engines.iter().step_by(ZONES)
     }
 
-    /// Whether all dispatchers outside count so many zones as evacuated.
+    /// Whether all dispatchers outside the zone count `evacuated` zones as evacuated.
     pub fn all_outside_count(&self, evacuated: u64) -> bool {
         self.plan.outside().iter().all(|dispatcher| {
             self.programs[*dispatcher].counter("fleet_zones_out") == Some(evacuated)
--- a/crates/testbed/src/invariants/arrivals.rs
+++ b/crates/testbed/src/invariants/arrivals.rs
@@ -1,17 +1,18 @@
-//! What is checked when an attempt arrives at an engine.
+//! The checks when an attempt arrives at an engine.
 
 use super::history::{Arrival, Attempt};
 use super::{Checker, ClassRules, DedupScope, Effect};
 
-/// On sockets, delays shift retries between spans: the budget is wider by this factor, and by one retry.
+/// Factor by which the retry budget is wider, in addition to one retry: on sockets, delays shift retries between spans.
 const BUDGET_TOLERANCE: f64 = 1.15;
 
-/// How long (ms) after its client left an attempt may still begin (operators' page).
+/// How long after its client left an attempt may still begin (ms; operators' page).
 const AFTER_LEAVING_MS: f64 = 100.0;
-/// How much more (ms) than what the client has left an engine may be told (operators' page).
+/// How much more than the client's remaining time an engine may be given (ms; operators' page).
 const DEADLINE_SLACK_MS: f64 = 150.0;
 
 impl Checker<'_> {
+    /// Records an attempt's arrival and checks all rules that apply to it.
     pub(super) fn on_arrival(&mut self, engine: &str, id: &str, work_ms: f64, at_ms: f64) {
         let known = self.engines.entry(engine.to_owned()).or_default();
         known.arrivals.push(Arrival { at_ms, work_ms });
@@ -38,12 +39,7 @@
             let description = format!("{id} was sent to {engine} after its answer");
             self.add_violation(1, at_ms, description);
         }
-        if left_ms.is_some_and(|left_ms| at_ms > left_ms + AFTER_LEAVING_MS + self.rules.slack_ms) {
-            let since_ms = at_ms - left_ms.unwrap_or(at_ms);
-            let description =
-                format!("{id} was sent to {engine} {since_ms:.0} ms after its client left");
-            self.add_violation(1, at_ms, description);
-        }
+        self.check_client_present(engine, id, left_ms, at_ms);
         if is_retry {
             self.retries_ms.push(at_ms);
             self.check_retry_budget(at_ms);
@@ -57,7 +53,17 @@
         }
     }
 
-    /// What an engine is told is at most what the client has left.
+    /// Rule 1: no attempt begins after the query's client left.
+    fn check_client_present(&mut self, engine: &str, id: &str, left_ms: Option<f64>, at_ms: f64) {
+        if left_ms.is_some_and(|left_ms| at_ms > left_ms + AFTER_LEAVING_MS + self.rules.slack_ms) {
+            let since_ms = at_ms - left_ms.unwrap_or(at_ms);
+            let description =
+                format!("{id} was sent to {engine} {since_ms:.0} ms after its client left");
+            self.add_violation(1, at_ms, description);
+        }
+    }
+
+    /// Rule 1: the limit that an engine is given is at most the client's remaining time.
     pub(super) fn check_passed_deadline(
         &mut self,
         engine: &str,
@@ -90,8 +96,8 @@
         }
     }
 
-    /// Rule 4: what all dispatchers together send to an engine that warms up, in any span. One query alone never breaks
-    /// it, whatever its work.
+    /// Rule 4: what all dispatchers together send to an engine that warms up, in any span. A single query never breaks it,
+    /// however large its work is.
     fn check_warm_up(&mut self, engine: &str, at_ms: f64) {
         let (Some(rule), Some(known)) = (self.rules.warm_up, self.engines.get(engine)) else {
             return;
--- a/crates/testbed/src/invariants/history.rs
+++ b/crates/testbed/src/invariants/history.rs
@@ -1,4 +1,4 @@
-//! What the checker knows of queries, attempts and engines from the entries read so far. Times are milliseconds.
+//! The history of queries, attempts and engines up to the current entry of a record. Times are milliseconds.
 
 /// A query and its attempts.
 #[derive(Debug, Default)]
@@ -7,9 +7,9 @@
     pub asked_ms: f64,
     pub max_wait_ms: f64,
     pub key: Option<String>,
-    /// When answers came.
+    /// When answers were received.
     pub answered_ms: Vec<f64>,
-    /// The client left without waiting.
+    /// Whether no answer is expected any more: the client left, or its query is excluded or lost.
     pub abandoned: bool,
     /// When the client left.
     pub left_ms: Option<f64>,
@@ -19,7 +19,7 @@
 }
 
 impl QueryHistory {
-    /// Whether the client has an answer or wants none.
+    /// Whether the client has an answer or expects none.
     pub fn is_over(&self) -> bool {
         self.abandoned || !self.answered_ms.is_empty()
     }
@@ -44,7 +44,7 @@
 }
 
 impl Attempt {
-    /// Whether its statement may have run: so too while its end is not known.
+    /// Whether its statement may have run, which is also assumed while its end is not known.
     pub fn may_have_run(&self) -> bool {
         self.end.is_none_or(|end| end.may_have_run)
     }
@@ -55,10 +55,30 @@
 pub(super) struct AttemptEnd {
     pub at_ms: f64,
     pub may_have_run: bool,
-    /// Nobody knows whether it ran.
+    /// Whether it is unknown if the attempt ran.
     pub is_uncertain: bool,
 }
 
+impl AttemptEnd {
+    /// An end that the engine reported.
+    pub fn certain(at_ms: f64, may_have_run: bool) -> Self {
+        AttemptEnd {
+            at_ms,
+            may_have_run,
+            is_uncertain: false,
+        }
+    }
+
+    /// An end by cancellation or with the connection.
+    pub fn uncertain(at_ms: f64) -> Self {
+        AttemptEnd {
+            at_ms,
+            may_have_run: true,
+            is_uncertain: true,
+        }
+    }
+}
+
 /// An engine as it was listed, and what reached it.
 #[derive(Debug, Default)]
 pub(super) struct EngineHistory {
--- a/crates/testbed/src/invariants/mod.rs
+++ b/crates/testbed/src/invariants/mod.rs
@@ -1,11 +1,11 @@
-//! Checks a run's record against the seven rules. The checker knows the rules' figures and the record, and nothing of
-//! how a dispatcher decides.
+//! Checks a run's record against the seven rules. The checker uses only the rules' parameters and the record, and is
+//! independent of how a dispatcher decides.
 //!
 //! 1. One final answer to each query, in time, and no attempt after it.
 //! 2. No effect applied twice, and no answer that invites a retry of what may have run.
 //! 3. Nothing is sent to an engine that is draining or gone, past a grace.
-//! 4. An engine that warms up is not sent more than it bears.
-//! 5. Queries of one key run in their order, and a key rests after an end in doubt.
+//! 4. An engine that warms up is not sent more than it sustains.
+//! 5. Queries of one key run in their order, and a key cools down after an attempt whose end is unknown.
 //! 6. Each attempt runs in a zone and on a kind of engine that its class allows.
 //! 7. Retries stay within their budget.
 //!
@@ -25,8 +25,8 @@
 use history::{AttemptEnd, EngineHistory, EngineStart, QueryHistory};
 use std::collections::BTreeMap;
 
-/// All violations in a record, by time. Entries must be in the order of their times; what is still to come in a record
-/// that was cut is no violation.
+/// All violations in a record, by time. Entries must be in the order of their times. What a truncated record does not
+/// contain any more is no violation.
 pub fn find_violations(entries: &[Entry], rules: &Rules) -> Vec<Violation> {
     let mut checker = Checker::new(rules);
     for entry in entries {
@@ -38,15 +38,16 @@
     violations
 }
 
-/// What was read so far, and what it broke.
+/// The state of a check: the history up to the current entry, and the violations in it.
 struct Checker<'a> {
     rules: &'a Rules,
     queries: BTreeMap<String, QueryHistory>,
     engines: BTreeMap<String, EngineHistory>,
-    /// When queries were asked, and when retries arrived.
+    /// When queries were sent.
     asked_ms: Vec<f64>,
+    /// When retries arrived at engines.
     retries_ms: Vec<f64>,
-    /// For each key, its queries in the order in which they were asked.
+    /// For each ordering key, its queries in the order in which they were sent.
     queries_by_key: BTreeMap<String, Vec<String>>,
     violations: Vec<Violation>,
 }
@@ -80,23 +81,10 @@
                 class,
                 max_wait_ms,
                 key,
-            } => {
-                self.asked_ms.push(at_ms);
-                if let Some(key) = key {
-                    self.queries_by_key
-                        .entry(key.clone())
-                        .or_default()
-                        .push(id.clone());
-                }
-                let query = self.queries.entry(id.clone()).or_default();
-                query.class.clone_from(class);
-                query.asked_ms = at_ms;
-                query.max_wait_ms = *max_wait_ms;
-                query.key.clone_from(key);
-            }
+            } => self.on_query(id, class, *max_wait_ms, key.as_deref(), at_ms),
             EventKind::Answered { id, status, .. } => self.on_answer(id, *status, at_ms),
             EventKind::Left { .. }
-            | EventKind::Excused { .. }
+            | EventKind::Excluded { .. }
             | EventKind::Lost { .. }
             | EventKind::Told { .. }
             | EventKind::DispatcherFailed { .. }
@@ -109,21 +97,9 @@
             EventKind::Applied { engine, id } => self.on_effect_applied(engine, id, at_ms),
             EventKind::Ended {
                 engine, id, ran, ..
-            } => {
-                let end = AttemptEnd {
-                    at_ms,
-                    may_have_run: *ran,
-                    is_uncertain: false,
-                };
-                self.on_attempt_ended(engine, id, end);
-            }
+            } => self.on_attempt_ended(engine, id, AttemptEnd::certain(at_ms, *ran)),
             EventKind::GivenUp { engine, id } => {
-                let end = AttemptEnd {
-                    at_ms,
-                    may_have_run: true,
-                    is_uncertain: true,
-                };
-                self.on_attempt_ended(engine, id, end);
+                self.on_attempt_ended(engine, id, AttemptEnd::uncertain(at_ms));
             }
             EventKind::Listed { .. } | EventKind::Started { .. } | EventKind::Fault { .. } => {
                 self.observe_engine(entry);
@@ -131,7 +107,23 @@
         }
     }
 
-    /// What ends a query beside an answer, and what a dispatcher did wrong as a process.
+    /// Records a query that a client sent.
+    fn on_query(&mut self, id: &str, class: &str, max_wait_ms: f64, key: Option<&str>, at_ms: f64) {
+        self.asked_ms.push(at_ms);
+        if let Some(key) = key {
+            self.queries_by_key
+                .entry(key.to_owned())
+                .or_default()
+                .push(id.to_owned());
+        }
+        let query = self.queries.entry(id.to_owned()).or_default();
+        query.class = class.to_owned();
+        query.asked_ms = at_ms;
+        query.max_wait_ms = max_wait_ms;
+        query.key = key.map(str::to_owned);
+    }
+
+    /// Records how queries end without an answer, and how dispatchers fail as processes.
     fn observe_service(&mut self, entry: &Entry) {
         let at_ms = entry.at_ms;
         match &entry.event {
@@ -141,7 +133,7 @@
                     query.left_ms = query.left_ms.or(Some(at_ms));
                 }
             }
-            EventKind::Excused { id } => {
+            EventKind::Excluded { id } => {
                 if let Some(query) = self.queries.get_mut(id) {
                     query.abandoned = true;
                 }
@@ -225,8 +217,7 @@
         }
     }
 
-    /// Rule 2: no second effect. A key that is recognised within its scope applies once, and a stand-in engine keeps no
-    /// keys, so that only classes without one are checked here.
+    /// Rule 2: no second effect. Only classes without an idempotency key are checked: stand-in engines keep no keys.
     fn on_effect_applied(&mut self, engine: &str, id: &str, at_ms: f64) {
         let Some(query) = self.queries.get_mut(id) else {
             return;
@@ -252,7 +243,7 @@
         }
     }
 
-    /// Rule 1: at the record's end, all whose time is over have an answer.
+    /// Rule 1: at the record's end, all queries whose time is over have an answer.
     fn check_unanswered(&mut self, end_ms: f64) {
         let mut unanswered = Vec::new();
         for (id, query) in &self.queries {
--- a/crates/testbed/src/invariants/rules.rs
+++ b/crates/testbed/src/invariants/rules.rs
@@ -1,57 +1,57 @@
-//! The figures of the seven rules, and what breaks them. Times are milliseconds.
+//! The parameters of the seven rules, and their violations. Times are milliseconds.
 
 use std::collections::HashMap;
 use std::fmt;
 
-/// Figures of the rules.
+/// The parameters of the rules.
 #[derive(Debug, Clone)]
 pub struct Rules {
-    /// Added to every limit in time, for the delays of the machine that plays the run.
+    /// Tolerance of every time limit, for delays of the machine on which the run takes place.
     pub slack_ms: f64,
-    /// How much later than its client's time an answer only counts as late, and not as lost.
+    /// Up to how much after its client's time an answer counts as late instead of lost.
     pub late_answer_ms: f64,
     /// Rule 3: how long after its announcement as draining or gone an engine may still be sent to.
     pub grace_ms: f64,
-    /// Rule 4: none where it does not hold.
+    /// Rule 4; none where it does not apply.
     pub warm_up: Option<WarmUpRule>,
-    /// Rule 5: how long a key rests after an end that leaves open what ran.
+    /// Rule 5: how long a key cools down after an attempt whose end is unknown.
     pub cooldown_ms: f64,
-    /// Rule 7: none where it does not hold.
+    /// Rule 7; none where it does not apply.
     pub retry_budget: Option<RetryBudget>,
     /// What holds for each class, by its name in the record.
     pub classes: HashMap<String, ClassRules>,
 }
 
-/// Rule 4: in a span, an engine that is warming up bears so many times what it can do at its start.
+/// Rule 4: within a span, an engine that is warming up sustains a multiple of its initial capacity.
 #[derive(Debug, Clone, Copy)]
 pub struct WarmUpRule {
-    /// How many times its initial capacity it bears.
+    /// The multiple of its initial capacity that the engine sustains.
     pub multiple: f64,
-    /// The fraction of its full speed that it starts with.
+    /// The initial speed as a fraction of the full speed.
     pub initial_fraction: f64,
     /// The span over which work is summed (ms).
     pub span_ms: f64,
-    /// How long after its start it is warm (ms).
+    /// How long after its start an engine is warm (ms).
     pub warm_after_ms: f64,
 }
 
-/// Rule 7: in a span at most `free` retries, and a fraction of the queries asked.
+/// Rule 7: within a span, at most `free` retries and a fraction of the queries sent in it.
 #[derive(Debug, Clone, Copy)]
 pub struct RetryBudget {
     /// The span over which retries and queries are counted (ms).
     pub span_ms: f64,
     /// Retries that are always allowed in a span.
     pub free: f64,
-    /// Retries for each query asked in the span.
+    /// Additional retries for each query sent in the span.
     pub query_fraction: f64,
 }
 
 /// What a query does to data.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Effect {
-    /// It changes nothing: it may be retried anywhere.
+    /// The query changes nothing and may be retried anywhere.
     ReadOnly,
-    /// It carries a key by which engines recognise a retry.
+    /// The query carries a key by which engines recognise a retry.
     IdempotencyKey,
     /// A second run is a second effect.
     NonIdempotent,
@@ -77,7 +77,7 @@
     pub dedup_scope: DedupScope,
     /// For how long a retry is recognised by its key (ms).
     pub dedup_window_ms: f64,
-    /// Queries of one key run one after the other, in the order in which they were asked.
+    /// Whether queries of one key run one after the other, in the order in which they were sent.
     pub in_order: bool,
     /// Rule 6: zones in which it may run; none where it may run in all.
     pub zones: Option<Vec<String>>,
@@ -106,7 +106,7 @@
     pub rule: u8,
     /// Milliseconds since the start of the record.
     pub at_ms: f64,
-    /// What happened, with the ids of query and engine.
+    /// A description with the ids of query and engine.
     pub description: String,
 }
 
--- a/crates/testbed/src/invariants/slow_start.rs
+++ b/crates/testbed/src/invariants/slow_start.rs
@@ -1,13 +1,13 @@
-//! Rule 4 for a whole fleet, in the operators' figures: how many requests a warming engine bears in a span.
+//! Rule 4 for a whole fleet, with the operators' parameters: how many requests a warming engine sustains in a span.
 
 use super::rules::{Violation, WarmUpRule};
 use crate::record::{Entry, EventKind};
 use std::collections::BTreeMap;
 
-/// Under so many allowed requests the larger tolerance holds.
+/// Below this many allowed requests the larger tolerance applies.
 const FEW_REQUESTS: f64 = 30.0;
 
-/// How many requests of mean work break the rule, where the settings allow `allowed`.
+/// The most requests of mean work that do not break the rule, where the settings allow `allowed`.
 pub fn bearable_requests(allowed: f64) -> f64 {
     if allowed < FEW_REQUESTS {
         allowed + 3.0 * allowed.sqrt() + 3.0
@@ -16,15 +16,15 @@
     }
 }
 
-/// A start of an engine, and what reached it since.
+/// A start of an engine, and the work that reached it since.
 struct WarmingEngine {
     started_ms: f64,
     cores: f64,
     arrivals: Vec<(f64, f64)>,
 }
 
-/// Each engine's first span since its start in which all dispatchers together sent more than it bears. `mean_work_ms` is
-/// that of all requests.
+/// For each engine, the first span after its start in which all dispatchers together sent more than it sustains.
+/// `mean_work_ms`: the mean work of all requests.
 pub fn find_slow_start_violations(
     entries: &[Entry],
     rule: &WarmUpRule,
@@ -65,7 +65,7 @@
 }
 
 impl WarmingEngine {
-    /// What is too much in the span that ends now, if it is.
+    /// A description of the excess in the span that ends now, if there is one.
     fn excess(&self, now_ms: f64, rule: &WarmUpRule, mean_work_ms: f64) -> Option<String> {
         if now_ms - self.started_ms >= rule.warm_after_ms {
             return None;
--- a/crates/testbed/src/invariants/tests.rs
+++ b/crates/testbed/src/invariants/tests.rs
@@ -398,7 +398,7 @@
         dispatcher: "n1".into(),
         how: "was not ready in time".into(),
     };
-    let excused = EventKind::Excused { id: "b".into() };
+    let excused = EventKind::Excluded { id: "b".into() };
     let entries = [
         (0.0, asked("look", "a", None)),
         (0.0, asked("look", "b", None)),
--- a/crates/testbed/src/levels/clients.rs
+++ b/crates/testbed/src/levels/clients.rs
@@ -1,4 +1,4 @@
-//! Clients of the runs with levels: they come back after a rejection, and count what they get.
+//! Clients of the runs with levels: they retry after a rejection, and count their answers.
 
 use super::{capacity_per_s, MixClass, Outcome, RunPlan, CLASSES, WORK_SPREAD};
 use crate::client::{send_query, ClientQuery, ClientResponse};
@@ -13,14 +13,14 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How often a client asks: once, and again after up to three rejections.
+/// The most requests of a client for one query, the first one included.
 const MAX_TRIES: usize = 4;
-/// When a client comes back that was not told a time (ms).
+/// After which time a client retries when a rejection names none (ms).
 const DEFAULT_RETRY_AFTER_MS: f64 = 500.0;
 /// The load never falls below this fraction of capacity.
 const MIN_LOAD: f64 = 0.02;
 
-/// What ended since the last sample.
+/// Answers since the last sample.
 #[derive(Debug, Default, Clone, Copy)]
 pub(super) struct SinceSample {
     pub completed: f64,
@@ -28,7 +28,7 @@
     pub value: f64,
 }
 
-/// What clients got so far.
+/// Counts of the answers that clients have received.
 #[derive(Debug)]
 pub(super) struct Tally {
     outcome: Outcome,
@@ -55,12 +55,12 @@
         }
     }
 
-    /// What was counted since the last sample; counting starts anew.
+    /// Returns the counts since the last sample and resets them.
     pub fn take_since_sample(&mut self) -> SinceSample {
         std::mem::take(&mut self.since_sample)
     }
 
-    /// The outcome, with what follows from all queries. `spent_ms`: core time that the engines gave.
+    /// The outcome, with the figures over all queries. `spent_ms`: core time that queries used on the engines.
     pub fn finish(&mut self, spent_ms: f64) -> Outcome {
         let mut outcome = std::mem::take(&mut self.outcome);
         outcome.lookup_p99_ms = self.lookup_latencies_ms.value_at_quantile(0.99);
@@ -96,7 +96,7 @@
 
     fn record_answer(&mut self, job: &ClientJob, response: &ClientResponse) {
         let class = &job.class.traffic;
-        // In time counts from the first try: a rejection is no excuse.
+        // The time limit counts from the first request: rejections do not extend it.
         let total_ms = job.from.elapsed().as_secs_f64() * 1000.0;
         let in_time = total_ms <= class.objective_ms.max(class.max_wait_ms)
             && response.latency_ms <= class.objective_ms;
@@ -122,7 +122,7 @@
     }
 }
 
-/// A client's query, until it has its answer or gives up.
+/// A client's query, until it is answered or its last request is rejected.
 struct ClientJob {
     class: &'static MixClass,
     query: ClientQuery,
@@ -141,7 +141,7 @@
 }
 
 impl Clients {
-    /// Draws arrivals, and starts a thread for each query.
+    /// Draws arrivals and starts a thread for each query.
     pub fn run(&self) {
         let plan = &self.plan;
         let mut rng = Pcg64::seed_from_u64(plan.seed);
@@ -170,7 +170,7 @@
             thread::sleep(Duration::from_secs_f64(at_s).saturating_sub(self.start.elapsed()));
             let own = self.clone();
             waiting.push(thread::spawn(move || {
-                own.ask(ClientJob {
+                own.send(ClientJob {
                     class,
                     query,
                     work_ms,
@@ -182,8 +182,8 @@
         setup::join_all(waiting);
     }
 
-    /// Asks until there is an answer, an error or one rejection too many. Each try has an id of its own.
-    fn ask(&self, mut job: ClientJob) {
+    /// Sends a query until it is answered, fails, or is rejected [`MAX_TRIES`] times. Each request has its own id.
+    fn send(&self, mut job: ClientJob) {
         for tries in 1..=MAX_TRIES {
             let truth = job.class.traffic.query_work(job.work_ms, 0);
             self.context.register(job.query.id(), truth);
--- a/crates/testbed/src/levels/mod.rs
+++ b/crates/testbed/src/levels/mod.rs
@@ -1,7 +1,7 @@
 //! Service levels on loopback: loads that swing around thresholds for minutes, and a quarter start with and without
-//! levels, on the same seeds.
+//! levels on the same seeds.
 //!
-//! Start reading at [`play`]; [`swing`], [`reaction`] and [`quarters`] are what is shown of it.
+//! Start reading at [`run`]; [`swing`], [`reaction`] and [`quarters`] report on its results.
 
 mod clients;
 mod loads;
@@ -12,13 +12,12 @@
 use crate::engine::{Engine, EngineSpec, Fault, RunContext};
 use crate::invariants::{find_violations, Violation};
 use crate::name_service::NameService;
-use crate::program::{free_address, get, Config, Program, TempFile};
+use crate::program::{free_address, get, Config, TempFile};
 use crate::setup::{self, TrafficClass, RETRY_BUDGET};
 use clients::{Clients, Tally};
 use serde_json::Value;
 use std::net::SocketAddr;
 use std::path::Path;
-use std::process::Stdio;
 use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::{Duration, Instant};
@@ -29,7 +28,7 @@
 
 /// Cores of each engine.
 const CORES: f64 = 8.0;
-/// Number of stand-in engines.
+/// Number of engines.
 const ENGINES: usize = 4;
 /// The engine that fails, where one does.
 const FAILING_ENGINE: usize = 1;
@@ -105,20 +104,20 @@
     ENGINES as f64 * CORES * 1000.0 / mean_work_ms()
 }
 
-/// What a run is played with.
+/// The parameters of a run.
 #[derive(Debug, Clone, Copy)]
 pub struct RunPlan {
-    /// How long it is played.
+    /// Duration of the run (s).
     pub seconds: f64,
-    /// All randomness comes from it.
+    /// The seed of all random draws.
     pub seed: u64,
     /// Whether the operators' file defines levels.
     pub levels: bool,
-    /// One engine fails for the middle third.
+    /// Whether one engine fails during the middle third of the run.
     pub failing: bool,
     /// Load, as a fraction of capacity, at a fraction of the run and with a peak.
     pub load: fn(f64, f64) -> f64,
-    /// The peak that `load` is given.
+    /// The peak that is passed to `load`.
     pub peak: f64,
 }
 
@@ -133,7 +132,7 @@
     pub to: usize,
 }
 
-/// A quarter of a second.
+/// The state of a run at one moment, with the counts since the sample before.
 #[derive(Debug, Clone, Copy)]
 pub struct Sample {
     /// Seconds since the run's begin.
@@ -148,10 +147,10 @@
     pub value_per_s: f64,
 }
 
-/// What came of a run.
+/// The results of a run.
 #[derive(Debug, Default, Clone)]
 pub struct Outcome {
-    /// Queries asked, each counted once.
+    /// Queries sent, each counted once.
     pub asked: u64,
     /// Answers in time.
     pub in_time: u64,
@@ -167,9 +166,9 @@
     pub max_value: f64,
     /// The 99th percentile of look-ups' latencies (ms).
     pub lookup_p99_ms: u64,
-    /// Core time spent on what nobody got in time, as a fraction of all that was spent.
+    /// Core time spent on queries that were not answered in time, as a fraction of all core time spent.
     pub waste: f64,
-    /// Rejections that clients came back from.
+    /// Rejections after which clients retried.
     pub retried: u64,
     /// The rules that were broken.
     pub violations: Vec<Violation>,
@@ -186,7 +185,7 @@
     setup::with_retry_budget(config)
 }
 
-/// The depth that the program shows.
+/// The depth of the level in force, as the program reports it.
 fn level_depth(dispatcher: SocketAddr) -> usize {
     get(dispatcher, "/_levels")
         .and_then(|response| serde_json::from_str::<Value>(&response.body).ok())
@@ -194,8 +193,8 @@
         .unwrap_or(0) as usize
 }
 
-/// Plays one run.
-pub fn play(exe: &Path, plan: RunPlan) -> Outcome {
+/// Runs the program once under the plan's load.
+pub fn run(exe: &Path, plan: RunPlan) -> Outcome {
     let context = Arc::new(RunContext::default());
     let spec = EngineSpec {
         cores: CORES,
@@ -205,11 +204,8 @@
     let engines = setup::start_engines(ENGINES, spec, plan.seed, &context);
     let names = setup::start_name_service(&engines, &context);
     let operator = TempFile::new("operator.textproto", if plan.levels { LEVELS } else { "" });
-    let path = operator.0.display().to_string();
     let config = configuration(&engines, &names);
-    let arguments = ["--operator", path.as_str(), "--log-level", "error"];
-    let mut program = Program::launch(exe, &config, &arguments, Stdio::piped());
-    program.wait_until_healthy();
+    let mut program = setup::start_with_operator(exe, &config, &operator);
     let tally = Arc::new(Mutex::new(Tally::new()));
     let start = Instant::now();
     let clients = Clients {
@@ -239,7 +235,7 @@
     outcome
 }
 
-/// What is observed of a run from outside, and the fault that it injects.
+/// Samples a run from outside, and injects its fault.
 #[derive(Default)]
 struct Watch {
     samples: Vec<Sample>,
--- a/crates/testbed/src/levels/reports.rs
+++ b/crates/testbed/src/levels/reports.rs
@@ -1,7 +1,7 @@
-//! What is shown of runs with levels: a swinging load, the reaction to a step, and quarter starts.
+//! Reports on runs with levels: a swinging load, the reaction to a step, and quarter starts.
 
 use super::loads::{quarter_start, step, swings, STEP_DOWN, STEP_UP};
-use super::{play, LevelChange, Outcome, RunPlan, Sample};
+use super::{run, LevelChange, Outcome, RunPlan, Sample};
 use crate::plot::{plot, Line};
 use std::fmt::Write as _;
 use std::path::Path;
@@ -11,10 +11,12 @@
 const MIN_CHANGE_DISTANCE_S: f64 = 59.5;
 /// The peak of the step, as a fraction of capacity.
 const STEP_PEAK: f64 = 2.2;
+/// Levels of the operators' file of these runs.
+const LEVELS: usize = 3;
 /// Violations that a table shows.
 const SHOWN_VIOLATIONS: usize = 5;
 
-/// How long after a step of load each level came, and full service after the step back.
+/// Runs a step of load, and reports how long after it each level was entered, and full service after the step back.
 pub fn reaction(exe: &Path, seconds: f64, seeds: u64) -> String {
     let mut table = format!(
         "{:<6} {:>12} {:>12} {:>12} {:>12}\n",
@@ -30,7 +32,7 @@
     });
     let shown =
         |at_s: Option<f64>| at_s.map_or_else(|| "-".to_owned(), |at_s| format!("{at_s:.1}"));
-    for (n, outcome) in play_side_by_side(exe, plans).iter().enumerate() {
+    for (n, outcome) in run_concurrently(exe, plans).iter().enumerate() {
         let first = |depth: usize| {
             let change = outcome.changes.iter().find(|change| change.to == depth);
             change.map(|change| change.at_s - seconds * STEP_UP)
@@ -50,11 +52,11 @@
     table
 }
 
-/// Plays runs at the same time; one whose thread panicked is left out.
-fn play_side_by_side(exe: &Path, plans: impl Iterator<Item = RunPlan>) -> Vec<Outcome> {
+/// Runs all plans at the same time. A run whose thread panicked is left out.
+fn run_concurrently(exe: &Path, plans: impl Iterator<Item = RunPlan>) -> Vec<Outcome> {
     thread::scope(|scope| {
         let running: Vec<_> = plans
-            .map(|plan| scope.spawn(move || play(exe, plan)))
+            .map(|plan| scope.spawn(move || run(exe, plan)))
             .collect();
         running
             .into_iter()
@@ -68,7 +70,7 @@
     change.from.min(change.to)
 }
 
-/// Changes of a level that lie less than a minute apart.
+/// Number of changes of a level that are less than a minute after another one.
 fn count_too_near(changes: &[LevelChange]) -> usize {
     let is_too_near = |n: &usize| {
         let change = &changes[*n];
@@ -80,9 +82,35 @@
     (0..changes.len()).filter(is_too_near).count()
 }
 
-/// A load that swings around all thresholds, for so many seconds; a table, and whether a promise broke.
+/// Number of changes by more than one level.
+fn count_skips(changes: &[LevelChange]) -> usize {
+    changes
+        .iter()
+        .filter(|change| change.from.abs_diff(change.to) != 1)
+        .count()
+}
+
+/// A line for each level with its number of changes.
+fn changes_by_level(changes: &[LevelChange], seconds: f64) -> String {
+    let mut lines = String::new();
+    for level in 0..LEVELS {
+        let count = changes
+            .iter()
+            .filter(|change| level_of(change) == level)
+            .count();
+        let per_minute = count as f64 / (seconds / 60.0);
+        let _ = writeln!(
+            lines,
+            "level {}: {count} changes, {per_minute:.2} a minute",
+            level + 1
+        );
+    }
+    lines
+}
+
+/// Runs a load that swings around all thresholds. Returns a table, and whether a check failed.
 pub fn swing(exe: &Path, seconds: f64, svg: Option<&Path>) -> (String, bool) {
-    let outcome = play(
+    let outcome = run(
         exe,
         RunPlan {
             seconds,
@@ -94,11 +122,7 @@
         },
     );
     let too_near = count_too_near(&outcome.changes);
-    let skips = outcome
-        .changes
-        .iter()
-        .filter(|change| change.from.abs_diff(change.to) != 1)
-        .count();
+    let skips = count_skips(&outcome.changes);
     let mut table = format!(
         "{seconds:.0} s, {} asked, {} in time, {} late, {} deferred, {} killed, value {:.3} of the most\n",
         outcome.asked,
@@ -108,19 +132,7 @@
         outcome.failed,
         outcome.value / outcome.max_value.max(1.0)
     );
-    for level in 0..3 {
-        let changes = &outcome.changes;
-        let count = changes
-            .iter()
-            .filter(|change| level_of(change) == level)
-            .count();
-        let per_minute = count as f64 / (seconds / 60.0);
-        let _ = writeln!(
-            table,
-            "level {}: {count} changes, {per_minute:.2} a minute",
-            level + 1
-        );
-    }
+    table += &changes_by_level(&outcome.changes, seconds);
     let _ = writeln!(
         table,
         "changes of a level less than a minute apart: {too_near}; steps of more than one: {skips}"
@@ -170,7 +182,7 @@
     plot(svg, title, "s", &lines)
 }
 
-/// The same quarter start with levels and without, for several peaks, with and without a failing engine.
+/// Runs the same quarter starts with levels and without, for several peaks, with and without a failing engine.
 pub fn quarters(exe: &Path, seconds: f64, seeds: u64) -> String {
     let mut table = format!(
         "{:<7} {:<8} {:<7} {:>6} {:>8} {:>6} {:>9} {:>7} {:>9} {:>7} {:>9} {:>7} {:>7}\n",
@@ -198,7 +210,7 @@
                 load: quarter_start,
                 peak,
             };
-            let (without, with) = play_with_and_without_levels(exe, seeds, plan);
+            let (without, with) = run_with_and_without_levels(exe, seeds, plan);
             for (levels, outcomes) in [(false, without), (true, with)] {
                 let _ = writeln!(
                     table,
@@ -211,8 +223,8 @@
     table
 }
 
-/// All runs side by side; first those without levels, then those with.
-fn play_with_and_without_levels(
+/// Runs all seeds at the same time. Returns the outcomes without levels, then those with levels.
+fn run_with_and_without_levels(
     exe: &Path,
     seeds: u64,
     plan: impl Fn(u64, bool) -> RunPlan,
@@ -222,7 +234,7 @@
         for seed in 0..seeds {
             for levels in [false, true] {
                 let plan = plan(seed, levels);
-                running[usize::from(levels)].push(scope.spawn(move || play(exe, plan)));
+                running[usize::from(levels)].push(scope.spawn(move || run(exe, plan)));
             }
         }
         let [without, with] = running.map(|runs| {
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,4 +1,4 @@
-//! The testbed: stand-ins for all that a dispatcher talks to, written from the published protocols, on loopback.
+//! The testbed: stand-ins, on loopback, for clients, engines and the name service, written from the published protocols.
 //!
 //! Owns: scripted clients ([`client`]), engines ([`engine`]) and a name service ([`name_service`]), the start of the real
 //! program ([`program`]), the record of a run ([`record`]), the checker that holds a record against the seven rules
--- a/crates/testbed/src/measure/mod.rs
+++ b/crates/testbed/src/measure/mod.rs
@@ -1,5 +1,5 @@
 //! Measurements of statement analysis: accuracy and false proofs (here), cache and time ([`cache`], [`time`]), learned
-//! costs ([`learning`]). Each function gives a table as text.
+//! costs ([`learning`]). Each function returns a table as text.
 
 mod learning;
 mod speed;
@@ -13,9 +13,9 @@
 use std::fmt::Write as _;
 use tansymux_sql_analysis::{Analysis, Config, Effect, StatementAnalyzer};
 
-/// Shapes that the measured corpus has of each pattern.
+/// Shapes of each pattern in the measured corpus.
 pub const SHAPES_PER_PATTERN: usize = 8;
-/// Statements that the measured corpus has of each shape.
+/// Statements of each shape in the measured corpus.
 pub const STATEMENTS_PER_SHAPE: usize = 10;
 /// Key of the analyzer's shape hashes: fixed, so that runs can be compared.
 const SHAPE_KEY: [u8; 16] = [3; 16];
--- a/crates/testbed/src/measure/speed.rs
+++ b/crates/testbed/src/measure/speed.rs
@@ -38,7 +38,7 @@
     flood: usize,
 }
 
-/// The kinds of traffic for which the hit rate is measured.
+/// The kinds of traffic in the table of hit rates.
 const TRAFFIC: [Traffic; 4] = [
     Traffic {
         name: "2,000 shapes",
--- a/crates/testbed/src/name_service.rs
+++ b/crates/testbed/src/name_service.rs
@@ -1,10 +1,23 @@
-//! A stand-in name service: answers the one question of dispatchers with the whole list of engines, in DNS records.
+//! A stand-in name service: answers dispatchers' questions with the complete list of engines, in DNS records.
 
 use crate::record::{EventKind, Record, Status};
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::{Arc, Mutex};
 use std::thread;
 
+/// A pointer to the name in the question, as a record's name.
+const QUESTION_NAME: [u8; 2] = [0xc0, 12];
+/// DNS record type A.
+const TYPE_A: u8 = 1;
+/// DNS record type SOA.
+const TYPE_SOA: u8 = 6;
+/// DNS record type TXT.
+const TYPE_TXT: u8 = 16;
+/// DNS record type SRV.
+const TYPE_SRV: u8 = 33;
+/// The weight of all SRV records.
+const SRV_WEIGHT: u16 = 10;
+
 /// An engine as it is listed.
 #[derive(Debug, Clone)]
 pub struct Endpoint {
@@ -36,7 +49,7 @@
 /// A name service, until the process ends.
 #[derive(Debug, Clone)]
 pub struct NameService {
-    /// Where it is asked.
+    /// The address at which it receives questions.
     pub address: SocketAddr,
     list: Arc<Mutex<List>>,
 }
@@ -71,7 +84,7 @@
                 unannounced
                     .iter()
                     .for_each(|engine| record.push(listed_event(engine)));
-                // What is no answer must be passed over.
+                // Dispatchers must ignore a datagram that is no answer.
                 let _ = socket.send_to(b"no answer", from);
                 let _ = socket.send_to(&bytes, from);
             }
@@ -79,7 +92,7 @@
         NameService { address, list }
     }
 
-    /// Changes an entry; one that is gone has no records any more.
+    /// Changes an engine's status; an engine that is gone has no records any more.
     pub fn set(&self, id: &str, status: Status) {
         self.change(id, |engine| engine.status = status);
     }
@@ -104,7 +117,7 @@
         list.serial += 1;
     }
 
-    /// Whether questions go unanswered.
+    /// Sets whether questions remain unanswered.
     pub fn silent(&self, silent: bool) {
         self.list.lock().expect("no holder panics").silent = silent;
     }
@@ -130,7 +143,7 @@
     bytes
 }
 
-/// The answer to a question: SRV, SOA, and A and TXT for each engine that is there.
+/// The answer to a question: SRV, SOA, and A and TXT records for each engine that is not gone.
 fn answer(asked: &[u8], list: &List) -> Vec<u8> {
     let mut bytes = asked.to_vec();
     bytes[2] |= 0x80;
@@ -139,50 +152,68 @@
         .iter()
         .filter(|engine| engine.status != Status::Gone)
         .collect();
-    let count = |n: usize| (n as u16).to_be_bytes();
+    let count = |records: usize| (records as u16).to_be_bytes();
     bytes[6..8].copy_from_slice(&count(there.len()));
     bytes[8..10].copy_from_slice(&count(1));
     bytes[10..12].copy_from_slice(&count(2 * there.len()));
-    let mut record = |name: &[u8], kind: u8, data: &[u8]| {
-        bytes.extend_from_slice(name);
-        bytes.extend_from_slice(&[0, kind, 0, 1, 0, 0, 0, 1]);
-        bytes.extend_from_slice(&(data.len() as u16).to_be_bytes());
-        bytes.extend_from_slice(data);
-    };
-    let question = [0xc0, 12];
-    let target = |engine: &Endpoint| name(&[&engine.id, &engine.zone, "hosts"]);
     for engine in &there {
-        let priority = u16::from(engine.status == Status::Draining);
-        let head = [
-            priority.to_be_bytes(),
-            10_u16.to_be_bytes(),
-            engine.address.port().to_be_bytes(),
-        ]
-        .concat();
-        record(&question, 33, &[head, target(engine)].concat());
+        append_record(&mut bytes, &QUESTION_NAME, TYPE_SRV, &srv_data(engine));
     }
-    let serial = list.serial.to_be_bytes();
-    record(
-        &question,
-        6,
-        &[&question, question.as_slice(), &serial, &[0; 16]].concat(),
-    );
+    let soa = soa_data(list.serial);
+    append_record(&mut bytes, &QUESTION_NAME, TYPE_SOA, &soa);
     for engine in &there {
         let SocketAddr::V4(address) = engine.address else {
             continue;
         };
-        record(&target(engine), 1, &address.ip().octets());
-        let texts = [
-            format!("kind={}", engine.kind),
-            format!("cell={}", engine.cell),
-            format!("started={}", engine.started),
-        ];
-        let text = |text: &String| [&[text.len() as u8], text.as_bytes()].concat();
-        record(
-            &target(engine),
-            16,
-            &texts.iter().flat_map(text).collect::<Vec<u8>>(),
-        );
+        let target = target_name(engine);
+        append_record(&mut bytes, &target, TYPE_A, &address.ip().octets());
+        append_record(&mut bytes, &target, TYPE_TXT, &txt_data(engine));
     }
     bytes
 }
+
+/// Appends a record of class IN that may be cached for a second.
+fn append_record(bytes: &mut Vec<u8>, name: &[u8], record_type: u8, data: &[u8]) {
+    bytes.extend_from_slice(name);
+    bytes.extend_from_slice(&[0, record_type, 0, 1, 0, 0, 0, 1]);
+    bytes.extend_from_slice(&(data.len() as u16).to_be_bytes());
+    bytes.extend_from_slice(data);
+}
+
+/// The name of an engine's host.
+fn target_name(engine: &Endpoint) -> Vec<u8> {
+    name(&[&engine.id, &engine.zone, "hosts"])
+}
+
+/// The data of an engine's SRV record; an engine that drains has the lower priority.
+fn srv_data(engine: &Endpoint) -> Vec<u8> {
+    let priority = u16::from(engine.status == Status::Draining);
+    let numbers = [
+        priority.to_be_bytes(),
+        SRV_WEIGHT.to_be_bytes(),
+        engine.address.port().to_be_bytes(),
+    ];
+    [numbers.concat(), target_name(engine)].concat()
+}
+
+/// The data of the SOA record with a serial number; the other numbers are 0.
+fn soa_data(serial: u32) -> Vec<u8> {
+    [
+        QUESTION_NAME.as_slice(),
+        &QUESTION_NAME,
+        &serial.to_be_bytes(),
+        &[0; 16],
+    ]
+    .concat()
+}
+
+/// The data of an engine's TXT record.
+fn txt_data(engine: &Endpoint) -> Vec<u8> {
+    let texts = [
+        format!("kind={}", engine.kind),
+        format!("cell={}", engine.cell),
+        format!("started={}", engine.started),
+    ];
+    let with_length = |text: &String| [&[text.len() as u8], text.as_bytes()].concat();
+    texts.iter().flat_map(with_length).collect()
+}
--- a/crates/testbed/src/plot.rs
+++ b/crates/testbed/src/plot.rs
@@ -22,10 +22,7 @@
     unit: &str,
     lines: &[Line],
 ) -> Result<(), Box<dyn std::error::Error>> {
-    let all = || lines.iter().flat_map(|line| &line.points);
-    let (right, top) = all().fold((1.0_f64, 1.0_f64), |(x, y), point| {
-        (x.max(point.0), y.max(point.1))
-    });
+    let (right, top) = upper_bounds(lines);
     let area = SVGBackend::new(to, (1000, 420)).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
@@ -39,8 +36,8 @@
         .x_desc(unit)
         .light_line_style(WHITE)
         .draw()?;
-    for (n, line) in lines.iter().enumerate() {
-        let color = Palette99::pick(n).to_rgba();
+    for (index, line) in lines.iter().enumerate() {
+        let color = Palette99::pick(index).to_rgba();
         chart
             .draw_series(LineSeries::new(
                 line.points.iter().copied(),
@@ -51,13 +48,22 @@
                 PathElement::new(vec![(x, y), (x + 18, y)], color.stroke_width(2))
             });
     }
-    let corner = SeriesLabelPosition::UpperRight;
     chart
         .configure_series_labels()
-        .position(corner)
+        .position(SeriesLabelPosition::UpperRight)
         .background_style(WHITE.mix(0.8))
         .border_style(BLACK)
         .draw()?;
     area.present()?;
     Ok(())
 }
+
+/// The largest values on both axes, at least 1.
+fn upper_bounds(lines: &[Line]) -> (f64, f64) {
+    lines
+        .iter()
+        .flat_map(|line| &line.points)
+        .fold((1.0_f64, 1.0_f64), |(right, top), point| {
+            (right.max(point.0), top.max(point.1))
+        })
+}
--- a/crates/testbed/src/program.rs
+++ b/crates/testbed/src/program.rs
@@ -15,10 +15,10 @@
 use std::time::{Duration, Instant};
 use tansymux::settings::keys;
 
-/// Nothing that is waited for here takes longer: ample for a busy machine.
+/// The longest wait for anything in a test, ample for a busy machine.
 pub const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A file in the system's folder for such, removed when dropped.
+/// A file in the system's folder for temporary files, removed when dropped.
 #[derive(Debug)]
 pub struct TempFile(pub PathBuf);
 
@@ -37,7 +37,7 @@
         file
     }
 
-    /// Writes another text in its place.
+    /// Replaces the file's text.
     ///
     /// # Panics
     /// The folder can't be written to.
@@ -62,7 +62,7 @@
     })
 }
 
-/// A configuration with what all tests and runs need; the rest is set by `with`.
+/// A configuration with the values that all tests and runs need; [`Config::with`] sets the others.
 #[derive(Debug, Clone)]
 pub struct Config(pub Value);
 
@@ -357,7 +357,7 @@
     Some((resident, ticks * 10.0))
 }
 
-/// A GET on a connection of its own; none if no whole response comes.
+/// Sends a GET on a new connection; returns none without a complete response.
 pub fn get(to: SocketAddr, path: &str) -> Option<HttpResponse> {
     let mut stream = TcpStream::connect(to).ok()?;
     stream.set_read_timeout(Some(TIMEOUT)).ok()?;
@@ -384,7 +384,7 @@
     Missing(PathBuf),
 }
 
-/// The program under test: beside the one that runs, built by the same cargo where there is one.
+/// The program under test, next to the running program; it is built by the same cargo, where there is one.
 ///
 /// # Errors
 /// It could not be built or is not there.
--- a/crates/testbed/src/record.rs
+++ b/crates/testbed/src/record.rs
@@ -1,5 +1,5 @@
-//! The record of a run: what clients, engines and the name service observed, each with its time. The checker knows
-//! nothing else of a run. Entries are written as JSON, whose keys must stay.
+//! The record of a run: what clients, engines and the name service observed, each entry with its time. It is all that the
+//! checker knows of a run. Entries are written as JSON, whose keys must stay.
 
 use serde::{Deserialize, Serialize};
 use std::sync::Mutex;
@@ -15,19 +15,19 @@
         id: String,
         /// The class by which the checker judges it.
         class: String,
-        /// How long the client waits for an answer.
+        /// How long the client waits for an answer (ms).
         #[serde(rename = "wait")]
         max_wait_ms: f64,
-        /// Queries of one key run in their order.
+        /// The ordering key; queries of one key run in their order.
         key: Option<String>,
     },
-    /// A whole answer came.
+    /// A complete answer was received.
     Answered {
         /// The query.
         id: String,
         /// The HTTP status.
         status: u16,
-        /// When the client may come back, where it was rejected.
+        /// After which time the client may retry, where its query was rejected (ms).
         #[serde(rename = "retry_after")]
         retry_after_ms: Option<f64>,
     },
@@ -36,35 +36,36 @@
         /// The query.
         id: String,
     },
-    /// An attempt came whole to an engine.
+    /// An attempt was received completely by an engine.
     Arrived {
         /// The engine.
         engine: String,
         /// The query.
         id: String,
-        /// Its work on one core, as far as the engine knows.
+        /// The query's work on one core, as the engine knows it (ms).
         #[serde(rename = "work")]
         work_ms: f64,
     },
-    /// What an attempt that arrived was told of its client's time.
+    /// The time limit that an engine was given with an attempt.
     Told {
         /// The engine.
         engine: String,
         /// The query.
         id: String,
-        /// How long the dispatcher says it will wait.
+        /// How long the dispatcher will wait (ms).
         #[serde(rename = "limit")]
         limit_ms: f64,
     },
-    /// The client's connection ended without an answer, and nothing excuses it.
+    /// The client's connection ended without an answer, and no exclusion covers it.
     Lost {
         /// The query.
         id: String,
         /// How it ended, for people.
         how: String,
     },
-    /// No answer is owed: its dispatcher was killed, or another one was asked in its place.
-    Excused {
+    /// No answer is owed: the query's dispatcher was killed, or the query was sent to another one instead.
+    #[serde(rename = "excused")]
+    Excluded {
         /// The query.
         id: String,
     },
@@ -76,7 +77,7 @@
         #[serde(rename = "from")]
         from_ms: f64,
     },
-    /// A dispatcher did not start, end or get ready as it has to.
+    /// A dispatcher did not start, end or become ready as required.
     DispatcherFailed {
         /// Its name.
         dispatcher: String,
@@ -96,10 +97,10 @@
         engine: String,
         /// The query.
         id: String,
-        /// The word of the engine's protocol that it ended with.
+        /// The reply of the engine's protocol with which it ended.
         #[serde(rename = "word")]
         reply: String,
-        /// Whether it may have run.
+        /// Whether the attempt may have run.
         ran: bool,
     },
     /// An attempt was cancelled, or its connection ended.
@@ -147,7 +148,7 @@
     Ready,
     /// It takes no new queries.
     Draining,
-    /// It is listed no more.
+    /// It is no longer listed.
     Gone,
 }
 
@@ -184,12 +185,12 @@
         self.started.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// Adds what happens now.
+    /// Adds an event that happens now.
     pub fn push(&self, event: EventKind) {
         self.push_at(self.now_ms(), event);
     }
 
-    /// Adds what happened before it could be written down.
+    /// Adds an event that happened at an earlier time.
     pub fn push_at(&self, at_ms: f64, event: EventKind) {
         self.entries
             .lock()
@@ -197,7 +198,7 @@
             .push(Entry { at_ms, event });
     }
 
-    /// All entries so far, in the order of their times.
+    /// A copy of all entries, in the order of their times.
     pub fn entries(&self) -> Vec<Entry> {
         let mut entries = self.entries.lock().expect("no writer panics").clone();
         entries.sort_by(|a, b| a.at_ms.total_cmp(&b.at_ms));
--- a/crates/testbed/src/replay.rs
+++ b/crates/testbed/src/replay.rs
@@ -1,13 +1,13 @@
-//! The corpus on loopback through the real program, as four kinds of clients would send it: bare, with honest classes
-//! and costs, and with a class guessed for all. Same seeds, same arrivals, same engines.
+//! Sends the corpus through the real program on loopback as four kinds of clients would: without classes, with true classes
+//! and costs, and with one class guessed for all statements. Seeds, arrivals and engines are the same for all kinds.
 //!
-//! Start reading at [`play`].
+//! Start reading at [`run_variant`].
 
 use crate::client::{send_query, ClientQuery, ClientResponse};
 use crate::corpus::{corpus, LabelledStatement, Split};
 use crate::engine::{Engine, EngineSpec, QueryWork, RunContext};
 use crate::invariants::{find_violations, ClassRules, Effect, Rules, Violation};
-use crate::program::{class, free_address, used, Config, Program, TempFile};
+use crate::program::{class, free_address, used, Config, TempFile};
 use crate::setup;
 use rand::seq::IndexedRandom;
 use rand::{RngExt, SeedableRng};
@@ -15,14 +15,14 @@
 use rand_pcg::Pcg64;
 use serde_json::json;
 use std::fmt::Write as _;
+use std::net::SocketAddr;
 use std::path::Path;
-use std::process::Stdio;
 use std::sync::{Arc, Mutex};
-use std::thread;
+use std::thread::{self, JoinHandle};
 use std::time::{Duration, Instant};
 use tansymux::settings::keys;
 
-/// Number of stand-in engines.
+/// Number of engines.
 const ENGINES: usize = 4;
 /// Violations that the table shows of each run.
 const SHOWN_VIOLATIONS: usize = 3;
@@ -62,7 +62,7 @@
     }
 }
 
-/// What clients of a class want.
+/// What clients of a class expect.
 #[derive(Debug, Clone, Copy)]
 struct Expectation {
     objective_ms: f64,
@@ -84,7 +84,7 @@
     }
 }
 
-/// What came of a run.
+/// The results of a run.
 #[derive(Debug, Clone, Default)]
 pub struct Outcome {
     /// Queries sent.
@@ -200,8 +200,14 @@
     query
 }
 
-/// Plays so many seconds of one variant at a rate of queries a second.
-pub fn play(exe: &Path, variant: Variant, seconds: f64, queries_per_s: f64, seed: u64) -> Outcome {
+/// Runs one variant for `seconds` at a rate of queries a second.
+pub fn run_variant(
+    exe: &Path,
+    variant: Variant,
+    seconds: f64,
+    queries_per_s: f64,
+    seed: u64,
+) -> Outcome {
     let context = Arc::new(RunContext::default());
     let spec = EngineSpec {
         cores: 8.0,
@@ -210,51 +216,77 @@
     };
     let engines = setup::start_engines(ENGINES, spec, seed, &context);
     let operator = TempFile::new("operator.textproto", OPERATOR);
-    let operator_path = operator.0.display().to_string();
-    let arguments = ["--operator", operator_path.as_str(), "--log-level", "error"];
     let config = configuration(&engines);
-    let mut program = Program::launch(exe, &config, &arguments, Stdio::piped());
-    program.wait_until_healthy();
-    let mut rng = Pcg64::seed_from_u64(seed);
-    let mix = Mix::new(seed);
-    let outcome: Arc<Mutex<Outcome>> = Arc::default();
-    let start = Instant::now();
-    let mut at_s = 0.0;
-    let mut number = 0_u64;
-    let mut waiting = Vec::new();
-    while at_s < seconds {
-        at_s += Exp::new(queries_per_s)
-            .expect("a rate above 0")
-            .sample(&mut rng);
-        number += 1;
-        let Some(labelled) = mix.draw(&mut rng) else {
-            continue;
-        };
-        let query = client_query(variant, number, labelled);
-        context.register(query.id(), query_work(labelled));
-        thread::sleep(Duration::from_secs_f64(at_s).saturating_sub(start.elapsed()));
-        let context = context.clone();
-        let outcome = outcome.clone();
-        let dispatcher = program.listen;
-        let expected = expectation(labelled.class);
-        waiting.push(thread::spawn(move || {
-            let response = send_query(dispatcher, &query, &context.record);
-            let mut outcome = outcome.lock().expect("no holder panics");
-            outcome.record(expected, response);
-        }));
-        waiting.retain(|thread| !thread.is_finished());
-    }
-    setup::join_all(waiting);
+    let mut program = setup::start_with_operator(exe, &config, &operator);
+    let traffic = Traffic {
+        variant,
+        dispatcher: program.listen,
+        seconds,
+        queries_per_s,
+        context: context.clone(),
+        outcome: Arc::default(),
+    };
+    let sent = traffic.send_all(seed);
     let (resident_kb, cpu_ms) = used(program.child.id()).unwrap_or((0, 0.0));
     program.terminate();
     let _ = program.end();
-    let mut outcome = outcome.lock().expect("no holder panics").clone();
+    let mut outcome = traffic.outcome.lock().expect("no holder panics").clone();
     outcome.violations = find_violations(&context.record.entries(), &rules(variant));
     outcome.resident_kb = resident_kb;
-    outcome.cpu_ms_per_query = cpu_ms / number as f64;
+    outcome.cpu_ms_per_query = cpu_ms / sent as f64;
     outcome
 }
 
+/// The queries of one run.
+struct Traffic {
+    variant: Variant,
+    dispatcher: SocketAddr,
+    seconds: f64,
+    queries_per_s: f64,
+    context: Arc<RunContext>,
+    outcome: Arc<Mutex<Outcome>>,
+}
+
+impl Traffic {
+    /// Sends statements of the corpus until the run's end, and waits for all answers. Returns the number of queries.
+    fn send_all(&self, seed: u64) -> u64 {
+        let mut rng = Pcg64::seed_from_u64(seed);
+        let mix = Mix::new(seed);
+        let start = Instant::now();
+        let mut at_s = 0.0;
+        let mut number = 0_u64;
+        let mut waiting = Vec::new();
+        while at_s < self.seconds {
+            at_s += Exp::new(self.queries_per_s)
+                .expect("a rate above 0")
+                .sample(&mut rng);
+            number += 1;
+            let Some(labelled) = mix.draw(&mut rng) else {
+                continue;
+            };
+            let query = client_query(self.variant, number, labelled);
+            self.context.register(query.id(), query_work(labelled));
+            thread::sleep(Duration::from_secs_f64(at_s).saturating_sub(start.elapsed()));
+            waiting.push(self.spawn_query(query, expectation(labelled.class)));
+            waiting.retain(|thread| !thread.is_finished());
+        }
+        setup::join_all(waiting);
+        number
+    }
+
+    /// Sends a query on a thread of its own, and records the answer.
+    fn spawn_query(&self, query: ClientQuery, expected: Expectation) -> JoinHandle<()> {
+        let context = self.context.clone();
+        let outcome = self.outcome.clone();
+        let dispatcher = self.dispatcher;
+        thread::spawn(move || {
+            let response = send_query(dispatcher, &query, &context.record);
+            let mut outcome = outcome.lock().expect("no holder panics");
+            outcome.record(expected, response);
+        })
+    }
+}
+
 fn query_work(labelled: &LabelledStatement) -> QueryWork {
     QueryWork {
         work: labelled.work_ms,
@@ -264,7 +296,7 @@
     }
 }
 
-/// What a class promises binds; a class that was guessed promised only to read.
+/// The rules for a variant: the true class of a statement sets its effect, a guessed class only promises to read.
 fn rules(variant: Variant) -> Rules {
     let effect = |class: &str| match (variant, class) {
         (Variant::GuessLookUp | Variant::GuessReport, _) | (_, "look-up" | "report") => {
@@ -296,7 +328,7 @@
     );
     for variant in Variant::ALL {
         for seed in 0..seeds {
-            let outcome = play(exe, variant, seconds, queries_per_s, seed + 1);
+            let outcome = run_variant(exe, variant, seconds, queries_per_s, seed + 1);
             let _ = writeln!(
                 table,
                 "{:<12} {:>6} {:>9} {:>9} {:>9} {:>7} {:>7} {:>7.3} {:>7} {:>7} {:>8.3}",
--- a/crates/testbed/src/setup.rs
+++ b/crates/testbed/src/setup.rs
@@ -1,17 +1,19 @@
-//! What the runs on loopback share: classes of traffic, engines, the name service, settings and rules.
+//! Set-up that the runs on loopback share: classes of traffic, engines, the name service, settings and rules.
 
 use crate::engine::{Engine, EngineSpec, QueryWork, RunContext};
 use crate::invariants::{ClassRules, Effect, RetryBudget, Rules};
 use crate::name_service::{Endpoint, NameService};
-use crate::program::{class, Config};
+use crate::program::{class, Config, Program, TempFile};
 use crate::record::Status;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
+use std::path::Path;
+use std::process::Stdio;
 use std::sync::Arc;
 use std::thread::JoinHandle;
 use tansymux::settings::keys;
 
-/// How much later than its limit an event on a busy machine may come (ms).
+/// How much later than its limit an event may be on a busy machine (ms).
 const SLACK_MS: f64 = 50.0;
 /// How long after its announcement as closed an engine may still be sent to (ms).
 const CLOSED_GRACE_MS: f64 = 1000.0;
@@ -29,7 +31,7 @@
     /// Median work on one core (ms).
     pub work_ms: f64,
     pub threads: f64,
-    /// An answer within this time is worth all of its weight, a later one a third.
+    /// Latency objective (ms): an answer within it has the value of its full weight, a later one of a third.
     pub objective_ms: f64,
     pub max_wait_ms: f64,
     pub weight: f64,
@@ -37,12 +39,12 @@
 }
 
 impl TrafficClass {
-    /// What an answer after `latency_ms` is worth.
+    /// The value of an answer after `latency_ms`.
     pub fn value_of(&self, latency_ms: f64) -> f64 {
         value_of(self.weight, self.objective_ms, latency_ms)
     }
 
-    /// The truth about one of its queries.
+    /// The ground truth of one of its queries.
     pub fn query_work(&self, work_ms: f64, tables: u32) -> QueryWork {
         QueryWork {
             work: work_ms,
@@ -75,7 +77,7 @@
     }
 }
 
-/// What an answer is worth: all of its weight in time, later a third.
+/// The value of an answer: all of its weight within the objective, a third of it later.
 pub(crate) fn value_of(weight: f64, objective_ms: f64, latency_ms: f64) -> f64 {
     if latency_ms <= objective_ms {
         weight
@@ -108,7 +110,7 @@
     }
 }
 
-/// Engines `s-0`, `s-1` and so on; each one's seed is one higher than that of the one before.
+/// Starts engines `s-0`, `s-1` and so on, with ascending seeds from `first_seed`.
 pub(crate) fn start_engines(
     count: usize,
     spec: EngineSpec,
@@ -127,7 +129,7 @@
         .collect()
 }
 
-/// Engines by their ids and addresses, as a configuration knows them.
+/// The engines' ids and addresses, as a configuration lists them.
 pub(crate) fn known_engines(engines: &[Engine]) -> Vec<(String, SocketAddr)> {
     engines
         .iter()
@@ -135,7 +137,7 @@
         .collect()
 }
 
-/// A name service that announces these engines as ready, in zone `h`.
+/// Starts a name service that announces these engines as ready, in zone `h`.
 pub(crate) fn start_name_service(engines: &[Engine], context: &RunContext) -> NameService {
     let endpoints = engines
         .iter()
@@ -167,7 +169,21 @@
         .with_setting(keys::IS_LOAD_BY_GROUP, json!(loads))
 }
 
-/// The configuration with the figures of [`RETRY_BUDGET`].
+/// Starts the program with an operators' file, and waits until it is healthy.
+pub(crate) fn start_with_operator(exe: &Path, config: &Config, operator: &TempFile) -> Program {
+    let program = launch_with_operator(exe, config, operator);
+    program.wait_until_healthy();
+    program
+}
+
+/// Starts the program with an operators' file, without waiting.
+pub(crate) fn launch_with_operator(exe: &Path, config: &Config, operator: &TempFile) -> Program {
+    let path = operator.0.display().to_string();
+    let arguments = ["--operator", path.as_str(), "--log-level", "error"];
+    Program::launch(exe, config, &arguments, Stdio::piped())
+}
+
+/// Adds [`RETRY_BUDGET`] to a configuration.
 pub(crate) fn with_retry_budget(config: Config) -> Config {
     config
         .with_setting(keys::RETRY_BUDGET_SPAN_US, RETRY_BUDGET.span_ms * 1e3)
@@ -175,7 +191,7 @@
         .with_setting(keys::RETRY_BUDGET_RATIO, RETRY_BUDGET.query_fraction)
 }
 
-/// Waits for all threads; one that panicked is passed over.
+/// Waits for all threads, also where one panicked.
 pub(crate) fn join_all(threads: Vec<JoinHandle<()>>) {
     for thread in threads {
         let _ = thread.join();
--- a/crates/testbed/src/soak/clients.rs
+++ b/crates/testbed/src/soak/clients.rs
@@ -1,9 +1,10 @@
-//! Clients of a soak: on connections that they keep or on new ones, whole or in parts, some of them leaving, some with
-//! many requests at once.
+//! Clients of a soak. They send requests on open or new connections, complete or in parts, singly or pipelined, and some
+//! disconnect before the answer.
 
-use super::dispatcher::{DispatcherPlace, Front};
+use super::dispatcher::{ClientEndpoint, DispatcherSlot};
 use crate::client::ClientQuery;
 use crate::engine::{QueryWork, RunContext};
+use crate::invariants::Effect;
 use crate::record::EventKind;
 use crate::wire::{field, read_response};
 use rand::{RngExt, SeedableRng};
@@ -15,13 +16,16 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A request that crosses the close of a resting connection by less than this is sent again (protocol, 50 ms), with as
-/// much for a busy machine.
+/// A request that is sent on an idle connection at most this long before the connection's close is repeated elsewhere.
+/// The protocol allows 50 ms; the rest is for a busy machine.
 const CROSSING: Duration = Duration::from_millis(150);
-/// Later than this after its time an answer is not waited for.
+/// How long after its time limit an answer is still awaited.
 const ANSWER_MARGIN: Duration = Duration::from_millis(1500);
+/// Interval at which a waiting client checks whether it is to disconnect.
+const WAIT_SLICE: Duration = Duration::from_millis(50);
+/// How long a client tries to connect.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
-/// Queries of one client a second, about.
+/// Mean queries a second of one client.
 const QUERIES_PER_S: f64 = 9.0;
 /// Median work of a query (ms on one core).
 pub const MEAN_WORK_MS: f64 = 15.0;
@@ -31,11 +35,11 @@
 pub struct SoakClass {
     /// Its name.
     pub name: &'static str,
-    /// The settings' word for its effect.
-    pub effect: &'static str,
-    /// How long its clients wait at most (ms).
+    /// What its queries do to data.
+    pub effect: Effect,
+    /// The longest wait of its clients (ms).
     pub deadline_ms: f64,
-    /// Its objective (ms).
+    /// Its latency objective (ms).
     pub objective_ms: f64,
     weight: f64,
 }
@@ -44,59 +48,59 @@
 pub const CLASSES: [SoakClass; 3] = [
     SoakClass {
         name: "look",
-        effect: "read_like",
+        effect: Effect::ReadOnly,
         deadline_ms: 2000.0,
         objective_ms: 300.0,
         weight: 0.7,
     },
     SoakClass {
         name: "load",
-        effect: "non_idempotent",
+        effect: Effect::NonIdempotent,
         deadline_ms: 2500.0,
         objective_ms: 800.0,
         weight: 0.15,
     },
     SoakClass {
         name: "post",
-        effect: "idempotency_key",
+        effect: Effect::IdempotencyKey,
         deadline_ms: 2500.0,
         objective_ms: 600.0,
         weight: 0.15,
     },
 ];
 
-/// How a client asks next.
+/// How a client sends its next request.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Manner {
-    /// On the connection that it keeps.
+enum RequestMode {
+    /// On the open connection, where there is one.
     Keep,
     /// On a new connection.
     Fresh,
-    /// In two parts.
+    /// In two writes.
     Parts,
-    /// It leaves before the answer, by a close or a reset.
+    /// With a close or a reset before the answer.
     Leave,
-    /// Several requests at once.
+    /// Several requests in one write.
     Pipeline,
-    /// Half a request, and then nothing more.
+    /// Only a part of the request, followed by a close.
     Abandon,
 }
 
-/// One client, and what all share.
+/// One client, and the state that all clients share.
 pub struct SoakClient {
-    /// Which dispatcher it asks, and which of its clients it is.
+    /// The index of the dispatcher to which the client sends its queries.
     pub dispatcher: usize,
-    /// Number of the client.
+    /// The client's number among those of its dispatcher.
     pub number: u64,
-    /// Its dispatcher.
-    pub place: Arc<DispatcherPlace>,
-    /// The engines' truth, and the record.
+    /// The slot of its dispatcher.
+    pub slot: Arc<DispatcherSlot>,
+    /// The ground truth for the engines, and the record.
     pub context: Arc<RunContext>,
     /// Set at the run's end.
     pub is_over: Arc<AtomicBool>,
-    /// Counts up when clients of this dispatcher leave together.
+    /// Increases when all clients of this dispatcher disconnect together.
     pub leave_generation: Arc<AtomicU64>,
-    /// Clients tell the cost.
+    /// Whether clients declare the cost of their queries.
     pub has_estimates: bool,
 }
 
@@ -113,7 +117,7 @@
 }
 
 impl SoakClient {
-    /// Asks until the run is over.
+    /// Sends queries until the run is over.
     pub fn run(&self, seed: u64) {
         let mut rng = Pcg64::seed_from_u64(seed);
         let mut kept: Option<Connection> = None;
@@ -121,36 +125,39 @@
         while !self.is_over.load(Ordering::SeqCst) {
             let pause_s = rng.random_range(0.2..1.8) / QUERIES_PER_S;
             thread::sleep(Duration::from_secs_f64(pause_s));
-            let front = self.place.front();
-            if kept.as_ref().is_some_and(|kept| kept.epoch != front.epoch) {
+            let endpoint = self.slot.client_endpoint();
+            if kept
+                .as_ref()
+                .is_some_and(|kept| kept.epoch != endpoint.epoch)
+            {
                 kept = None;
             }
-            let manner = draw_manner(&mut rng);
-            let connection = match kept.take().filter(|_| manner != Manner::Fresh) {
-                Some(kept) if front.takes_requests => Some(kept),
-                _ => self.connect(front),
+            let mode = draw_request_mode(&mut rng);
+            let connection = match kept.take().filter(|_| mode != RequestMode::Fresh) {
+                Some(kept) if endpoint.takes_requests => Some(kept),
+                _ => self.connect(endpoint),
             };
             let Some(connection) = connection else {
                 continue;
             };
-            kept = self.ask(connection, manner, &mut sequence, &mut rng);
+            kept = self.send(connection, mode, &mut sequence, &mut rng);
         }
     }
 
-    fn connect(&self, front: Front) -> Option<Connection> {
-        if !front.takes_connections {
+    fn connect(&self, endpoint: ClientEndpoint) -> Option<Connection> {
+        if !endpoint.takes_connections {
             return None;
         }
-        let stream = TcpStream::connect_timeout(&self.place.listen, CONNECT_TIMEOUT).ok()?;
+        let stream = TcpStream::connect_timeout(&self.slot.listen, CONNECT_TIMEOUT).ok()?;
         let _ = stream.set_nodelay(true);
         Some(Connection {
             stream,
-            epoch: front.epoch,
+            epoch: endpoint.epoch,
             is_used: false,
         })
     }
 
-    /// A query with the truth about it told to the engines.
+    /// Draws a query and registers its ground truth for the engines.
     fn query(&self, epoch: u64, sequence: &mut u64, rng: &mut Pcg64) -> (ClientQuery, SoakClass) {
         *sequence += 1;
         let id = (self.dispatcher as u64 + 1) << 48
@@ -183,14 +190,15 @@
             QueryWork {
                 work,
                 threads: 1.0,
-                changes: class.effect != "read_like",
+                changes: class.effect != Effect::ReadOnly,
                 tables,
             },
         );
         (query, class)
     }
 
-    /// Requests sent at once are answered one after the other: the later ones may wait for those before them.
+    /// Records requests that are sent in one write. They are answered one after the other, so that each one's time limit
+    /// includes those before it.
     fn record_asked(&self, queries: &[ClientQuery]) {
         let mut max_wait_ms = 0.0;
         for query in queries {
@@ -204,15 +212,15 @@
         }
     }
 
-    /// Asks in a manner; the connection, if it goes on.
-    fn ask(
+    /// Sends one or more requests in a mode. Returns the connection, if it stays open.
+    fn send(
         &self,
         connection: Connection,
-        manner: Manner,
+        mode: RequestMode,
         sequence: &mut u64,
         rng: &mut Pcg64,
     ) -> Option<Connection> {
-        let count = if manner == Manner::Pipeline {
+        let count = if mode == RequestMode::Pipeline {
             rng.random_range(2..12)
         } else {
             1
@@ -222,27 +230,23 @@
             .collect();
         let bytes: Vec<u8> = queries.iter().flat_map(ClientQuery::bytes).collect();
         let mut stream = &connection.stream;
-        if matches!(manner, Manner::Parts | Manner::Abandon) {
+        let mut unsent = bytes.as_slice();
+        if matches!(mode, RequestMode::Parts | RequestMode::Abandon) {
             let cut = rng.random_range(1..bytes.len());
             stream.write_all(&bytes[..cut]).ok()?;
             thread::sleep(Duration::from_millis(rng.random_range(1..120)));
-            if manner == Manner::Abandon {
-                return None;
-            }
-            self.record_asked(&queries);
-            if stream.write_all(&bytes[cut..]).is_err() {
-                self.excuse(&queries);
-                return None;
-            }
-        } else {
-            self.record_asked(&queries);
-            if stream.write_all(&bytes).is_err() {
-                self.excuse(&queries);
+            if mode == RequestMode::Abandon {
                 return None;
             }
+            unsent = &bytes[cut..];
+        }
+        self.record_asked(&queries);
+        if stream.write_all(unsent).is_err() {
+            self.exclude(&queries);
+            return None;
         }
         let sent = Instant::now();
-        if manner == Manner::Leave {
+        if mode == RequestMode::Leave {
             self.leave(&connection, &queries, rng);
             return None;
         }
@@ -276,7 +280,7 @@
                 Waited::Answered { keeps_alive: true } => connection.is_used = true,
                 Waited::Answered { keeps_alive: false } => {
                     // What was sent behind the last request of a connection is sent again elsewhere.
-                    self.excuse(&queries[nth + 1..]);
+                    self.exclude(&queries[nth + 1..]);
                     return None;
                 }
                 Waited::Ended => {
@@ -295,21 +299,8 @@
         until: Instant,
         generation: u64,
     ) -> Waited {
-        let slice = Duration::from_millis(50);
-        let _ = connection.stream.set_read_timeout(Some(slice));
-        // Waits for the first byte in slices, so that it can leave with the others.
-        let mut first = [0];
-        loop {
-            match connection.stream.peek(&mut first) {
-                Ok(0) => return Waited::Ended,
-                Ok(_) => break,
-                Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => {}
-                Err(_) => return Waited::Ended,
-            }
-            let leaves = self.leave_generation.load(Ordering::SeqCst) != generation;
-            if leaves || Instant::now() > until {
-                return Waited::Ended;
-            }
+        if !self.await_first_byte(&connection.stream, until, generation) {
+            return Waited::Ended;
         }
         let _ = connection.stream.set_read_timeout(Some(ANSWER_MARGIN));
         // Reads no byte beyond the answer: the next one belongs to the next query.
@@ -331,14 +322,34 @@
         }
     }
 
-    fn excuse(&self, queries: &[ClientQuery]) {
+    /// Waits for the first byte of an answer in slices, so that this client can disconnect together with the others.
+    /// Returns false where the connection or the wait ended before.
+    fn await_first_byte(&self, stream: &TcpStream, until: Instant, generation: u64) -> bool {
+        let _ = stream.set_read_timeout(Some(WAIT_SLICE));
+        let mut first = [0];
+        loop {
+            match stream.peek(&mut first) {
+                Ok(0) => return false,
+                Ok(_) => return true,
+                Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => {}
+                Err(_) => return false,
+            }
+            let leaves = self.leave_generation.load(Ordering::SeqCst) != generation;
+            if leaves || Instant::now() > until {
+                return false;
+            }
+        }
+    }
+
+    /// Records that no answer to these queries is owed.
+    fn exclude(&self, queries: &[ClientQuery]) {
         for query in queries {
             let id = query.id();
-            self.context.record.push(EventKind::Excused { id });
+            self.context.record.push(EventKind::Excluded { id });
         }
     }
 
-    /// The connection ended, or the client gives up, with queries unanswered.
+    /// Handles the end of a connection, or of the client's wait, with queries unanswered.
     fn on_ended(
         &self,
         connection: &Connection,
@@ -354,14 +365,14 @@
             }
             return;
         }
-        // A crash shows a moment later than its reset.
+        // A crash is visible a short time after the reset that it causes.
         thread::sleep(Duration::from_millis(30));
-        if self.place.has_crashed(connection.epoch) {
-            return self.excuse(queries);
+        if self.slot.has_crashed(connection.epoch) {
+            return self.exclude(queries);
         }
         let elapsed = sent.elapsed();
         if connection.is_used && elapsed < CROSSING {
-            return self.excuse(queries);
+            return self.exclude(queries);
         }
         for query in queries {
             self.context.record.push(EventKind::Lost {
@@ -376,13 +387,13 @@
     }
 }
 
-fn draw_manner(rng: &mut Pcg64) -> Manner {
+fn draw_request_mode(rng: &mut Pcg64) -> RequestMode {
     match rng.random_range(0..100) {
-        0..55 => Manner::Keep,
-        55..72 => Manner::Fresh,
-        72..80 => Manner::Parts,
-        80..90 => Manner::Leave,
-        90..96 => Manner::Pipeline,
-        _ => Manner::Abandon,
+        0..55 => RequestMode::Keep,
+        55..72 => RequestMode::Fresh,
+        72..80 => RequestMode::Parts,
+        80..90 => RequestMode::Leave,
+        90..96 => RequestMode::Pipeline,
+        _ => RequestMode::Abandon,
     }
 }
--- a/crates/testbed/src/soak/dispatcher.rs
+++ b/crates/testbed/src/soak/dispatcher.rs
@@ -1,5 +1,5 @@
-//! One place for a dispatcher in a soak: its process, started, signalled, killed and replaced, and what clients may still
-//! expect of it.
+//! The slot of a dispatcher in a soak: starts, signals, kills and replaces its process, and knows what clients may expect of
+//! it.
 
 use crate::fault_shim::FaultShim;
 use crate::program::{get, Config, Program};
@@ -14,19 +14,21 @@
 
 /// The platform's limit from a start to being ready.
 const READY_WITHIN: Duration = Duration::from_secs(10);
-/// SIGKILL comes no sooner than this after SIGTERM: the longest deadline (3 s at most) and 0.7 s.
+/// The shortest time between SIGTERM and SIGKILL: the longest deadline (at most 3 s) plus 0.7 s.
 const TERMINATION_GRACE: Duration = Duration::from_millis(3700);
-/// How long after SIGTERM clients still make new connections, and send on open ones.
+/// How long after SIGTERM clients still make new connections.
 const CONNECTS_AFTER_TERM: Duration = Duration::from_millis(300);
+/// How long after SIGTERM clients still send requests on open connections.
 const REQUESTS_AFTER_TERM: Duration = Duration::from_millis(500);
-/// What the log says where an invariant broke, or the program panicked.
+/// What a log line contains where an invariant was violated or the program panicked.
 const FAILURE_PATTERNS: [&str; 2] = ["invariant violated", "panicked"];
+/// Interval at which a process's state is polled.
 const POLL: Duration = Duration::from_millis(10);
 
-/// What a client may do now.
+/// What clients may do at a dispatcher now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Front {
-    /// Counts the processes at this place; part of the ids of queries.
+pub struct ClientEndpoint {
+    /// The number of processes started in this slot; part of the ids of queries.
     pub epoch: u64,
     /// New connections may be made.
     pub takes_connections: bool,
@@ -40,16 +42,16 @@
     epoch: u64,
     is_ready: bool,
     terminated: Option<Instant>,
-    /// The epochs that ended by SIGKILL: nothing is owed for them.
+    /// The epochs that ended by SIGKILL, which owe no answers.
     crashed: Vec<u64>,
     log: PathBuf,
 }
 
-/// The place.
-pub struct DispatcherPlace {
+/// A dispatcher's slot, in which one process runs at a time.
+pub struct DispatcherSlot {
     /// Its name in the record.
     pub name: String,
-    /// Where it takes queries, in all its processes.
+    /// The address at which all its processes accept queries.
     pub listen: SocketAddr,
     exe: PathBuf,
     config: Config,
@@ -59,8 +61,8 @@
     state: Mutex<State>,
 }
 
-impl DispatcherPlace {
-    /// A place without a process yet.
+impl DispatcherSlot {
+    /// A slot in which no process has been started yet.
     pub fn new(
         name: String,
         exe: &Path,
@@ -70,7 +72,7 @@
         record: Arc<Record>,
     ) -> Self {
         let listen = config.0["listen"].as_str().and_then(|at| at.parse().ok());
-        DispatcherPlace {
+        DispatcherSlot {
             name,
             listen: listen.expect("a configuration has its address"),
             exe: exe.to_owned(),
@@ -89,7 +91,7 @@
         }
     }
 
-    /// What its process runs under.
+    /// The fault shim under which the process runs.
     pub fn shim(&self) -> &FaultShim {
         &self.shim
     }
@@ -137,13 +139,13 @@
         self.fail(format!("was not ready {READY_WITHIN:?} after its start"));
     }
 
-    /// What a client may do now.
-    pub fn front(&self) -> Front {
+    /// What clients may do now.
+    pub fn client_endpoint(&self) -> ClientEndpoint {
         let state = self.state();
         let since_term = state.terminated.map(|at| at.elapsed());
         let within =
             |limit: Duration| state.is_ready && since_term.is_none_or(|since| since < limit);
-        Front {
+        ClientEndpoint {
             epoch: state.epoch,
             takes_connections: within(CONNECTS_AFTER_TERM),
             takes_requests: within(REQUESTS_AFTER_TERM),
@@ -155,7 +157,7 @@
         self.state().crashed.contains(&epoch)
     }
 
-    /// Tells the process to end, starts the next one when its clients have gone elsewhere, and checks the first one's end.
+    /// Terminates the process, starts the next one once clients send nothing more to the first, and checks how it ends.
     pub fn restart(&self) {
         let Some(mut old) = self.terminate() else {
             return;
@@ -170,7 +172,7 @@
         self.wait_until_ready(started);
     }
 
-    /// Sends SIGTERM; the process, if it was ready and not told before.
+    /// Sends SIGTERM. Returns the process, if it was ready and not terminated before.
     fn terminate(&self) -> Option<Program> {
         let mut state = self.state();
         if !state.is_ready || state.terminated.is_some() {
@@ -218,7 +220,7 @@
         }
     }
 
-    /// Ends the process by SIGKILL and starts another.
+    /// Ends the process by SIGKILL and starts another one.
     pub fn crash(&self) {
         {
             let mut state = self.state();
@@ -255,7 +257,7 @@
         });
     }
 
-    /// Sends SIGHUPs in a row; every third time the file is half written.
+    /// Sends a number of SIGHUPs; before every third one only half of the configuration is written.
     pub fn reload(&self, count: u32) {
         let text = self.config.0.to_string();
         for nth in 0..count {
@@ -275,7 +277,7 @@
         }
     }
 
-    /// Notices a process that ended by itself.
+    /// Records a failure if the process ended without being terminated.
     pub fn check_alive(&self) {
         let mut state = self.state();
         let Some(program) = state.program.as_mut() else {
--- a/crates/testbed/src/soak/world.rs
+++ b/crates/testbed/src/soak/environment.rs
@@ -1,7 +1,8 @@
-//! One run: starts engines, links, name service and dispatchers, plays the plan's faults while clients ask, and ends all.
+//! One run: starts engines, links, the name service and dispatchers, injects the plan's faults while clients send queries,
+//! and ends all of them.
 
 use super::clients::SoakClient;
-use super::dispatcher::DispatcherPlace;
+use super::dispatcher::DispatcherSlot;
 use super::lag::LagMonitor;
 use super::link::Link;
 use super::names::NamesLink;
@@ -22,55 +23,56 @@
 
 /// Clients of each dispatcher.
 const CLIENTS_PER_DISPATCHER: u64 = 3;
+/// Interval at which dispatchers' processes are checked while the run waits.
 const POLL: Duration = Duration::from_millis(10);
 
-/// An engine's place behind a link.
+/// The slot of an engine behind a link.
 pub(super) struct EngineSlot {
     pub link: Link,
     pub engine: Engine,
-    /// How many engines were at this place before.
+    /// Number of engines that ran in this slot before.
     pub generation: u32,
 }
 
-/// A run.
-pub(super) struct World {
+/// Everything that takes part in a run.
+pub(super) struct Environment {
     pub plan: SoakPlan,
     pub context: Arc<RunContext>,
     pub names: NameService,
     pub names_link: NamesLink,
     engines: Mutex<Vec<EngineSlot>>,
-    pub places: Vec<Arc<DispatcherPlace>>,
+    pub slots: Vec<Arc<DispatcherSlot>>,
     pub leave_generations: Vec<Arc<AtomicU64>>,
     is_over: Arc<AtomicBool>,
     _peers: PeerRelay,
 }
 
-/// Plays a plan.
-pub(super) fn play(plan: SoakPlan, options: &SoakOptions) -> SoakOutcome {
+/// Runs a plan.
+pub(super) fn run(plan: SoakPlan, options: &SoakOptions) -> SoakOutcome {
     let lag = LagMonitor::start();
     let logs = options.keep.join(format!("logs-{}", plan.seed));
     let _ = std::fs::create_dir_all(&logs);
-    let world = Arc::new(World::start(plan, options, &logs));
+    let environment = Arc::new(Environment::start(plan, options, &logs));
     thread::scope(|scope| {
-        for place in &world.places {
-            scope.spawn(|| place.start());
+        for slot in &environment.slots {
+            scope.spawn(|| slot.start());
         }
     });
-    let clients = world.start_clients();
-    world.play_faults();
-    world.is_over.store(true, Ordering::SeqCst);
+    let clients = environment.start_clients();
+    environment.inject_faults();
+    environment.is_over.store(true, Ordering::SeqCst);
     for client in clients {
         let _ = client.join();
     }
     thread::scope(|scope| {
-        for place in &world.places {
+        for slot in &environment.slots {
             scope.spawn(|| {
-                place.check_alive();
-                place.finish();
+                slot.check_alive();
+                slot.finish();
             });
         }
     });
-    let mut outcome = world.outcome();
+    let mut outcome = environment.outcome();
     outcome.max_lag_ms = lag.max_lag_ms();
     if outcome.violations.is_empty() {
         let _ = std::fs::remove_dir_all(&logs);
@@ -78,19 +80,29 @@
     outcome
 }
 
-impl World {
+impl EngineSlot {
+    /// Starts an engine and the link before it.
+    pub fn start(index: usize, plan: &SoakPlan, context: &Arc<RunContext>) -> Self {
+        let engine = start_engine(&format!("s-{index}"), plan, context);
+        EngineSlot {
+            link: Link::start(engine.address, plan.seed ^ index as u64),
+            engine,
+            generation: 0,
+        }
+    }
+
+    /// The engine's id and the address of its link, as a configuration lists them.
+    fn known(&self) -> (String, SocketAddr) {
+        (self.engine.id.clone(), self.link.address)
+    }
+}
+
+impl Environment {
     fn start(plan: SoakPlan, options: &SoakOptions, logs: &Path) -> Self {
         let context = Arc::new(RunContext::default());
-        let mut engines = Vec::new();
-        for nth in 0..plan.engines {
-            let engine = start_engine(&format!("s-{nth}"), &plan, &context);
-            let link = Link::start(engine.address, plan.seed ^ nth as u64);
-            engines.push(EngineSlot {
-                link,
-                engine,
-                generation: 0,
-            });
-        }
+        let engines: Vec<EngineSlot> = (0..plan.engines)
+            .map(|index| EngineSlot::start(index, &plan, &context))
+            .collect();
         let endpoints = engines
             .iter()
             .map(|slot| endpoint(&slot.engine.id, slot.link.address, 0.0));
@@ -100,14 +112,11 @@
             .map(|nth| own_address(plan.seed, nth, PEER_PORT))
             .collect();
         let peers = PeerRelay::start(&peer_listen, plan.seed);
-        let known: Vec<(String, SocketAddr)> = engines
-            .iter()
-            .map(|slot| (slot.engine.id.clone(), slot.link.address))
-            .collect();
-        let mut places = Vec::new();
+        let known: Vec<(String, SocketAddr)> = engines.iter().map(EngineSlot::known).collect();
+        let mut slots = Vec::new();
         for (nth, listen) in peer_listen.iter().enumerate() {
             let config = config(&plan, nth, &known, &names_link, *listen, &peers);
-            places.push(Arc::new(DispatcherPlace::new(
+            slots.push(Arc::new(DispatcherSlot::new(
                 format!("n{nth}"),
                 &options.exe,
                 config,
@@ -116,14 +125,14 @@
                 context.record.clone(),
             )));
         }
-        World {
-            leave_generations: places.iter().map(|_| Arc::default()).collect(),
+        Environment {
+            leave_generations: slots.iter().map(|_| Arc::default()).collect(),
             plan,
             context,
             names,
             names_link,
             engines: Mutex::new(engines),
-            places,
+            slots,
             is_over: Arc::default(),
             _peers: peers,
         }
@@ -135,12 +144,12 @@
 
     fn start_clients(&self) -> Vec<thread::JoinHandle<()>> {
         let mut clients = Vec::new();
-        for (dispatcher, place) in self.places.iter().enumerate() {
+        for (dispatcher, slot) in self.slots.iter().enumerate() {
             for number in 0..CLIENTS_PER_DISPATCHER {
                 let client = SoakClient {
                     dispatcher,
                     number,
-                    place: place.clone(),
+                    slot: slot.clone(),
                     context: self.context.clone(),
                     is_over: self.is_over.clone(),
                     leave_generation: self.leave_generations[dispatcher].clone(),
@@ -153,24 +162,24 @@
         clients
     }
 
-    /// Plays the faults at their times, each on a thread of its own, and waits for the run's end and theirs.
-    fn play_faults(self: &Arc<Self>) {
+    /// Injects the faults at their times, each on its own thread, and waits for the end of the run and of all faults.
+    fn inject_faults(self: &Arc<Self>) {
         let from = Instant::now();
-        let mut playing = Vec::new();
+        let mut injections = Vec::new();
         for planned in self.plan.faults.clone() {
             self.sleep_until(from, planned.at_ms);
-            let world = self.clone();
-            playing.push(thread::spawn(move || world.play_fault(planned)));
+            let environment = self.clone();
+            injections.push(thread::spawn(move || environment.inject(planned)));
         }
         self.sleep_until(from, self.plan.seconds * 1000.0);
-        for fault in playing {
+        for fault in injections {
             let _ = fault.join();
         }
     }
 
     fn sleep_until(&self, from: Instant, at_ms: f64) {
         while from.elapsed().as_secs_f64() * 1000.0 < at_ms {
-            self.places.iter().for_each(|place| place.check_alive());
+            self.slots.iter().for_each(|slot| slot.check_alive());
             thread::sleep(POLL);
         }
     }
--- a/crates/testbed/src/soak/evaluation.rs
+++ b/crates/testbed/src/soak/evaluation.rs
@@ -1,44 +1,34 @@
-//! Evaluates a run by its record: each process against the rules, the fleet against the slow-start budget.
+//! Evaluates a run by its record: each process is checked against the rules, the fleet against the slow-start budget.
 
 use super::clients::{CLASSES, MEAN_WORK_MS};
+use super::environment::Environment;
 use super::plan::{PlannedFault, SoakFault};
-use super::site::{
-    COLD_FROM, DEDUP_WINDOW_MS, DRAIN_GRACE_MS, MULTIPLE, RETRY_FREE, RETRY_RATIO, RETRY_SPAN_MS,
-    SPAN_MS, WARM_AFTER_MS,
-};
-use super::world::World;
+use super::site::{DEDUP_WINDOW_MS, DRAIN_GRACE_MS, RETRY_BUDGET, WARM_UP};
 use super::{SoakCounts, SoakOutcome};
 use crate::invariants::{
-    find_slow_start_violations, find_violations, ClassRules, Effect, RetryBudget, Rules, Violation,
-    WarmUpRule,
+    find_slow_start_violations, find_violations, ClassRules, Rules, Violation,
 };
 use crate::record::{Entry, EventKind};
 use std::collections::BTreeMap;
 
-/// What the name service has to tell counts as told after this time, whether or not it arrived (protocol).
+/// How long after a change of the endpoint list dispatchers must know it, whether or not it arrived (ms; protocol).
 const ANNOUNCED_AFTER_MS: f64 = 7000.0;
-/// How much later than its limit an event may come on a busy machine.
+/// How much later than its limit an event may be on a busy machine (ms).
 const SLACK_MS: f64 = 100.0;
-/// Up to this late an answer only earns nothing.
+/// Up to how much after its client's time an answer counts as late instead of lost (ms).
 const LATE_ANSWER_MS: f64 = 500.0;
-/// A query that was asked within this time (ms) before or after its dispatcher was stopped may have come while it was.
+/// A query that was sent within this time before or after its dispatcher's stop may have arrived during it (ms).
 const STALL_MARGIN_MS: f64 = 100.0;
 
-impl World {
-    /// What was seen, and what broke.
+impl Environment {
+    /// The outcome of the run: its record, its violations and its counts.
     pub(super) fn outcome(&self) -> SoakOutcome {
         let entries = self.context.record.entries();
         let mut violations = self.dispatcher_violations(&entries);
-        let rule = WarmUpRule {
-            multiple: MULTIPLE,
-            initial_fraction: COLD_FROM,
-            span_ms: SPAN_MS,
-            warm_after_ms: WARM_AFTER_MS,
-        };
-        violations.extend(find_slow_start_violations(&entries, &rule, MEAN_WORK_MS));
+        violations.extend(find_slow_start_violations(&entries, &WARM_UP, MEAN_WORK_MS));
         violations.sort_by(|a, b| a.at_ms.total_cmp(&b.at_ms));
         let mut counts = count(&entries);
-        let tables = self.places.iter().map(|place| place.shim().table());
+        let tables = self.slots.iter().map(|slot| slot.shim().table());
         counts.failed_calls = tables.map(|table| table.injected_in_all()).sum();
         SoakOutcome {
             plan: self.plan.clone(),
@@ -49,7 +39,7 @@
         }
     }
 
-    /// Each process keeps the rules for itself: its part of the record is its queries, and what all share.
+    /// Checks the rules for each process on its part of the record: the entries of its queries, and those of no query.
     fn dispatcher_violations(&self, entries: &[Entry]) -> Vec<Violation> {
         let mut parts: BTreeMap<&str, Vec<Entry>> = BTreeMap::new();
         for entry in entries {
@@ -78,10 +68,10 @@
                 let came_while_stopped = stalled
                     .iter()
                     .any(|id| violation.description.contains(id.as_str()));
-                let is_excused = came_while_stopped
-                    || self.is_excused(&violation)
+                let is_excluded = came_while_stopped
+                    || self.is_excluded(&violation)
                     || other_attempt_ends_at_once(&violation, part);
-                if !is_known && !is_excused {
+                if !is_known && !is_excluded {
                     violations.push(violation);
                 }
             }
@@ -89,8 +79,9 @@
         violations
     }
 
-    /// An abort that a link swallowed leaves the attempt running at its engine: the dispatcher has given it up.
-    fn is_excused(&self, violation: &Violation) -> bool {
+    /// Whether a violation is excluded because a link may have swallowed a cancellation: the attempt then still runs at
+    /// its engine, although the dispatcher has cancelled it.
+    fn is_excluded(&self, violation: &Violation) -> bool {
         let swallows = |planned: &PlannedFault| {
             matches!(
                 planned.fault,
@@ -104,7 +95,7 @@
             && self.plan.faults.iter().any(swallows)
     }
 
-    /// Whether the name service is silent or slow at times.
+    /// Whether the plan delays or silences the name service.
     pub(super) fn hides_list(&self) -> bool {
         self.plan.faults.iter().any(|planned| {
             matches!(
@@ -121,14 +112,9 @@
             0.0
         };
         let classes = CLASSES.iter().map(|class| {
-            let effect = match class.effect {
-                "read_like" => Effect::ReadOnly,
-                "non_idempotent" => Effect::NonIdempotent,
-                _ => Effect::IdempotencyKey,
-            };
             let rules = ClassRules {
                 dedup_window_ms: DEDUP_WINDOW_MS,
-                ..ClassRules::of(effect)
+                ..ClassRules::of(class.effect)
             };
             (class.name.to_owned(), rules)
         });
@@ -138,18 +124,14 @@
             grace_ms: DRAIN_GRACE_MS + announced_after_ms,
             warm_up: None,
             cooldown_ms: 0.0,
-            retry_budget: Some(RetryBudget {
-                span_ms: RETRY_SPAN_MS,
-                free: RETRY_FREE,
-                query_fraction: RETRY_RATIO,
-            }),
+            retry_budget: Some(RETRY_BUDGET),
             classes: classes.collect(),
         }
     }
 }
 
-/// A link that is reset shows it to the dispatcher a moment before the engine: the other attempt had been given up when the
-/// next one began, within the time that the protocol allows for both to be seen.
+/// Whether a violation is excluded because the other attempt ended right after the next one began: the dispatcher sees
+/// the reset of a link shortly before the engine does, within the time that the protocol allows.
 fn other_attempt_ends_at_once(violation: &Violation, entries: &[Entry]) -> bool {
     if !violation
         .description
@@ -166,8 +148,8 @@
     })
 }
 
-/// The queries that came to a dispatcher while it was stopped: when, it can't know, so that nothing that counts from there
-/// is judged.
+/// The queries that arrived at a dispatcher while it was stopped. It cannot know when they arrived, so that their time
+/// limits are not checked.
 fn stalled_queries(entries: &[Entry]) -> Vec<String> {
     let mut stalls = Vec::new();
     for entry in entries {
@@ -198,7 +180,7 @@
     ids
 }
 
-/// Digits of a query's id that name its dispatcher and the process at its place.
+/// Digits of a query's id that name its dispatcher and the process at its slot.
 const PROCESS_DIGITS: usize = 6;
 
 fn query_id(event: &EventKind) -> Option<&str> {
@@ -207,7 +189,7 @@
         | EventKind::Answered { id, .. }
         | EventKind::Left { id }
         | EventKind::Lost { id, .. }
-        | EventKind::Excused { id }
+        | EventKind::Excluded { id }
         | EventKind::Arrived { id, .. }
         | EventKind::Told { id, .. }
         | EventKind::Applied { id, .. }
@@ -231,7 +213,7 @@
                 status: 429 | 503, ..
             } => counts.rejected += 1,
             EventKind::Answered { .. } => counts.failed += 1,
-            EventKind::Left { .. } | EventKind::Excused { .. } => counts.left += 1,
+            EventKind::Left { .. } | EventKind::Excluded { .. } => counts.left += 1,
             EventKind::Arrived { .. } => counts.attempts += 1,
             _ => {}
         }
--- a/crates/testbed/src/soak/faults.rs
+++ b/crates/testbed/src/soak/faults.rs
@@ -1,10 +1,9 @@
-//! Injects the plan's faults.
+//! Injects a plan's faults.
 
-use super::link::Link;
+use super::environment::{endpoint, start_engine, unix_ms, EngineSlot, Environment};
 use super::link::LinkFaults;
 use super::plan::{PlannedFault, SoakFault};
 use super::site::CORES;
-use super::world::{endpoint, start_engine, unix_ms, EngineSlot, World};
 use crate::engine::Fault;
 use crate::record::{EventKind, Status};
 use std::sync::atomic::Ordering;
@@ -12,14 +11,14 @@
 use std::time::Duration;
 use tansymux_fault_table::Call;
 
-/// One call in twenty.
+/// Rate of failing system calls (of 10,000): one in twenty.
 const CALL_FAULT_RATE: u32 = 500;
-/// A replaced engine is sent to by those who were not told yet for at most this time (ms).
-const UNTOLD_MS: u64 = 700;
+/// How long dispatchers that do not know of an engine's replacement may still send to the old one (ms).
+const REPLACEMENT_GRACE_MS: u64 = 700;
 
-impl World {
-    /// Plays a fault to its end.
-    pub(super) fn play_fault(&self, planned: PlannedFault) {
+impl Environment {
+    /// Injects a fault and ends it after its time.
+    pub(super) fn inject(&self, planned: PlannedFault) {
         let PlannedFault { for_ms, fault, .. } = planned;
         let time = Duration::from_secs_f64(for_ms / 1000.0);
         self.context.record.push(EventKind::Fault {
@@ -32,31 +31,45 @@
             self.fault_engine(engine, Fault::None);
         };
         match fault {
-            SoakFault::SlowEngine(e, times) => while_on(e, Fault::Slow(times)),
-            SoakFault::FailingEngine(e, fraction) => while_on(e, Fault::Errors(fraction)),
-            SoakFault::SilentEngine(e) => while_on(e, Fault::Silent),
-            SoakFault::ResettingEngine(e, fraction) => while_on(e, Fault::Resets(fraction)),
-            SoakFault::SpoilingEngine(e, fraction) => while_on(e, Fault::Spoils(fraction)),
-            SoakFault::FullEngine(e, fraction) => while_on(e, Fault::Full(fraction)),
-            _ => self.play_outer_fault(fault, time),
+            SoakFault::SlowEngine(engine, times) => while_on(engine, Fault::Slow(times)),
+            SoakFault::FailingEngine(engine, fraction) => while_on(engine, Fault::Errors(fraction)),
+            SoakFault::SilentEngine(engine) => while_on(engine, Fault::Silent),
+            SoakFault::ResettingEngine(engine, fraction) => {
+                while_on(engine, Fault::Resets(fraction))
+            }
+            SoakFault::SpoilingEngine(engine, fraction) => {
+                while_on(engine, Fault::Spoils(fraction))
+            }
+            SoakFault::FullEngine(engine, fraction) => while_on(engine, Fault::Full(fraction)),
+            _ => self.inject_network_fault(fault, time),
         }
     }
 
-    /// Faults of links, lists and the dispatchers' places.
-    fn play_outer_fault(&self, fault: SoakFault, time: Duration) {
+    /// Injects faults of the endpoint list and of links.
+    fn inject_network_fault(&self, fault: SoakFault, time: Duration) {
         match fault {
-            SoakFault::DrainEngine(e) => self.drain_engine(e, time),
-            SoakFault::ReplaceEngine(e) => self.replace_engine(e),
+            SoakFault::DrainEngine(engine) => self.drain_engine(engine, time),
+            SoakFault::ReplaceEngine(engine) => self.replace_engine(engine),
             SoakFault::JoinEngine => self.join_engine(),
-            SoakFault::CutToEngine(e) => self.while_link(e, time, |f, on| f.cut_to_engine = on),
-            SoakFault::CutFromEngine(e) => self.while_link(e, time, |f, on| f.cut_from_engine = on),
-            SoakFault::ResetLink(e) => {
-                self.reset_link(e);
-                self.while_link(e, time, |f, on| f.resets = on);
+            SoakFault::CutToEngine(engine) => {
+                self.while_link(engine, time, |faults, on| faults.cut_to_engine = on);
+            }
+            SoakFault::CutFromEngine(engine) => {
+                self.while_link(engine, time, |faults, on| faults.cut_from_engine = on);
+            }
+            SoakFault::ResetLink(engine) => {
+                self.reset_link(engine);
+                self.while_link(engine, time, |faults, on| faults.resets = on);
+            }
+            SoakFault::SplitLink(engine) => {
+                self.while_link(engine, time, |faults, on| faults.splits = on);
+            }
+            SoakFault::ForgetIdle(engine) => {
+                self.while_link(engine, 2 * time, |faults, on| faults.forgets = on);
+            }
+            SoakFault::LateConnects(engine) => {
+                self.while_link(engine, time, |faults, on| faults.accepts_none = on);
             }
-            SoakFault::SplitLink(e) => self.while_link(e, time, |f, on| f.splits = on),
-            SoakFault::ForgetIdle(e) => self.while_link(e, 2 * time, |f, on| f.forgets = on),
-            SoakFault::LateConnects(e) => self.while_link(e, time, |f, on| f.accepts_none = on),
             SoakFault::SilentNames => {
                 self.names_link.set_silent(true);
                 thread::sleep(time);
@@ -67,35 +80,44 @@
                 thread::sleep(time);
                 self.names_link.set_delay_ms(0);
             }
-            SoakFault::Restart(d) => self.places[d].restart(),
-            SoakFault::Crash(d) => self.places[d].crash(),
-            SoakFault::Stall(d, millis) => self.places[d].stall(Duration::from_millis(millis)),
-            SoakFault::Reload(d, count) => self.places[d].reload(count),
-            SoakFault::StepClock(d, step_s) => {
-                let table = self.places[d].shim().table();
+            _ => self.inject_dispatcher_fault(fault, time),
+        }
+    }
+
+    /// Injects faults of a dispatcher's process and of its clients.
+    fn inject_dispatcher_fault(&self, fault: SoakFault, time: Duration) {
+        match fault {
+            SoakFault::Restart(dispatcher) => self.slots[dispatcher].restart(),
+            SoakFault::Crash(dispatcher) => self.slots[dispatcher].crash(),
+            SoakFault::Stall(dispatcher, stall_ms) => {
+                self.slots[dispatcher].stall(Duration::from_millis(stall_ms));
+            }
+            SoakFault::Reload(dispatcher, count) => self.slots[dispatcher].reload(count),
+            SoakFault::StepClock(dispatcher, step_s) => {
+                let table = self.slots[dispatcher].shim().table();
                 table.set_wall_offset_ns(step_s * 1_000_000_000);
             }
-            SoakFault::ClientsLeave(d) => {
-                self.leave_generations[d].fetch_add(1, Ordering::SeqCst);
+            SoakFault::ClientsLeave(dispatcher) => {
+                self.leave_generations[dispatcher].fetch_add(1, Ordering::SeqCst);
             }
-            _ => self.play_call_fault(fault, time),
+            _ => self.inject_call_fault(fault, time),
         }
     }
 
-    /// Failing system calls of a dispatcher.
-    fn play_call_fault(&self, fault: SoakFault, time: Duration) {
+    /// Injects failing system calls of a dispatcher.
+    fn inject_call_fault(&self, fault: SoakFault, time: Duration) {
         match fault {
-            SoakFault::Interrupt(d) => self.fail_calls(d, libc::EINTR, time),
-            SoakFault::NoBuffers(d) => self.fail_calls(d, libc::ENOBUFS, time),
-            SoakFault::ShortCalls(d) => {
-                let table = self.places[d].shim().table();
+            SoakFault::Interrupt(dispatcher) => self.fail_calls(dispatcher, libc::EINTR, time),
+            SoakFault::NoBuffers(dispatcher) => self.fail_calls(dispatcher, libc::ENOBUFS, time),
+            SoakFault::ShortCalls(dispatcher) => {
+                let table = self.slots[dispatcher].shim().table();
                 table.shorten(Call::Recv, 3000);
                 table.shorten(Call::Writev, 3000);
                 thread::sleep(time);
                 table.clear();
             }
-            SoakFault::FailAccepts(d) => {
-                let table = self.places[d].shim().table();
+            SoakFault::FailAccepts(dispatcher) => {
+                let table = self.slots[dispatcher].shim().table();
                 table.fail(Call::Accept, libc::ECONNABORTED, 2000, None);
                 table.fail(Call::Socket, libc::ENFILE, 1000, None);
                 table.fail(Call::Bind, libc::EADDRINUSE, 1000, None);
@@ -106,8 +128,8 @@
         }
     }
 
-    fn fail_calls(&self, d: usize, errno: i32, time: Duration) {
-        let table = self.places[d].shim().table();
+    fn fail_calls(&self, dispatcher: usize, errno: i32, time: Duration) {
+        let table = self.slots[dispatcher].shim().table();
         for call in [Call::Recv, Call::Writev, Call::RecvFrom, Call::SendTo] {
             table.fail(call, errno, CALL_FAULT_RATE, None);
         }
@@ -118,37 +140,41 @@
         table.clear();
     }
 
-    fn fault_engine(&self, e: usize, fault: Fault) {
-        self.engines()[e].engine.fault(fault);
+    fn fault_engine(&self, engine: usize, fault: Fault) {
+        self.engines()[engine].engine.fault(fault);
     }
 
-    fn while_link(&self, e: usize, time: Duration, set: impl Fn(&mut LinkFaults, bool)) {
-        self.engines()[e].link.change(|faults| set(faults, true));
+    fn while_link(&self, engine: usize, time: Duration, set: impl Fn(&mut LinkFaults, bool)) {
+        self.engines()[engine]
+            .link
+            .change(|faults| set(faults, true));
         thread::sleep(time);
-        self.engines()[e].link.change(|faults| set(faults, false));
+        self.engines()[engine]
+            .link
+            .change(|faults| set(faults, false));
     }
 
-    fn reset_link(&self, e: usize) {
-        self.engines()[e].link.reset_all();
+    fn reset_link(&self, engine: usize) {
+        self.engines()[engine].link.reset_all();
     }
 
-    /// Drains, is gone, and another one comes in its place, cold.
-    fn drain_engine(&self, e: usize, time: Duration) {
-        let id = self.engines()[e].engine.id.clone();
+    /// Drains an engine, removes it and starts another one, cold, under its address.
+    fn drain_engine(&self, engine: usize, time: Duration) {
+        let id = self.engines()[engine].engine.id.clone();
         self.names.set(&id, Status::Draining);
         thread::sleep(time);
         self.names.set(&id, Status::Gone);
         thread::sleep(time / 2);
-        self.replace_engine(e);
+        self.replace_engine(engine);
     }
 
-    /// Another engine starts under the address: the one before has ended.
-    fn replace_engine(&self, e: usize) {
+    /// Replaces an engine by another one under the same address.
+    fn replace_engine(&self, engine: usize) {
         let (old, new, address) = {
             let mut engines = self.engines();
-            let slot = &mut engines[e];
+            let slot = &mut engines[engine];
             slot.generation += 1;
-            let id = format!("s-{e}-{}", slot.generation);
+            let id = format!("s-{engine}-{}", slot.generation);
             let engine = start_engine(&id, &self.plan, &self.context);
             let old = std::mem::replace(&mut slot.engine, engine.clone());
             slot.link.set_target(engine.address);
@@ -158,8 +184,8 @@
         old.stop();
         self.names.set(&old.id, Status::Gone);
         self.names.add(endpoint(&new.id, address, unix_ms()));
-        thread::sleep(Duration::from_millis(UNTOLD_MS));
-        // Who was not told sends as to the engine before: the rule counts what those do who were.
+        thread::sleep(Duration::from_millis(REPLACEMENT_GRACE_MS));
+        // Dispatchers that do not know of the change send as to the old engine: the rule applies to the others.
         if !self.hides_list() {
             self.context.record.push(EventKind::Started {
                 engine: new.id,
@@ -168,19 +194,14 @@
         }
     }
 
-    /// A further engine joins, cold.
+    /// Adds an engine, which is cold.
     fn join_engine(&self) {
         let (id, address) = {
             let mut engines = self.engines();
-            let id = format!("s-{}", engines.len());
-            let engine = start_engine(&id, &self.plan, &self.context);
-            let link = Link::start(engine.address, self.plan.seed ^ engines.len() as u64);
-            let address = link.address;
-            engines.push(EngineSlot {
-                link,
-                engine,
-                generation: 0,
-            });
+            let slot = EngineSlot::start(engines.len(), &self.plan, &self.context);
+            let id = slot.engine.id.clone();
+            let address = slot.link.address;
+            engines.push(slot);
             (id, address)
         };
         self.context.record.push(EventKind::Started {
--- a/crates/testbed/src/soak/lag.rs
+++ b/crates/testbed/src/soak/lag.rs
@@ -1,13 +1,15 @@
-//! How late this machine wakes a thread: what real processes did on time can't be judged while it is too busy.
+//! Measures how late the machine wakes a thread. The timing of real processes cannot be evaluated on a machine that is too
+//! busy.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
 use std::thread;
 use std::time::{Duration, Instant};
 
+/// Time between two wake-ups whose delay is measured.
 const STEP: Duration = Duration::from_millis(5);
 
-/// Watches the machine until it is dropped.
+/// Measures wake-up delays until it is dropped.
 #[derive(Debug)]
 pub struct LagMonitor {
     max_lag_us: Arc<AtomicU64>,
@@ -15,7 +17,7 @@
 }
 
 impl LagMonitor {
-    /// Starts watching.
+    /// Starts measuring.
     pub fn start() -> Self {
         let monitor = LagMonitor {
             max_lag_us: Arc::default(),
@@ -26,7 +28,7 @@
             while !is_over.load(Ordering::Relaxed) {
                 let from = Instant::now();
                 thread::sleep(STEP);
-                // A new thread as well: stand-ins start many, and the process has one lock for its memory map.
+                // Includes the start of a thread: stand-ins start many, and they share the lock of the memory map.
                 let _ = thread::spawn(|| ()).join();
                 let lag = from.elapsed().saturating_sub(STEP);
                 max_lag_us.fetch_max(lag.as_micros() as u64, Ordering::Relaxed);
@@ -35,7 +37,7 @@
         monitor
     }
 
-    /// The longest that a wake-up came late (ms).
+    /// The longest delay of a wake-up (ms).
     pub fn max_lag_ms(&self) -> f64 {
         self.max_lag_us.load(Ordering::Relaxed) as f64 / 1000.0
     }
--- a/crates/testbed/src/soak/link.rs
+++ b/crates/testbed/src/soak/link.rs
@@ -1,7 +1,7 @@
-//! The proxy before each engine: what lies between the dispatchers and the engine, and fails as it is told to.
+//! The proxy before each engine, which simulates faults of the network between the dispatchers and the engine.
 //!
-//! Towards the engine it delays nothing by more than a few milliseconds: the oracle reads an attempt's begin from its
-//! arrival. What it cuts it swallows for good.
+//! Towards the engine it delays bytes by a few milliseconds at most, because the checker takes an attempt's arrival for its
+//! begin. Bytes that are sent during a cut are lost.
 
 use crate::engine::refuse_silently;
 use rand::{RngExt, SeedableRng};
@@ -13,16 +13,16 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// How often a copying thread looks whether its connection was reset.
+/// Interval at which a copying thread checks whether its connection was reset.
 const POLL: Duration = Duration::from_millis(20);
-/// Idle time after which a forgetful link forgets a connection.
+/// Idle time after which a link with [`LinkFaults::forgets`] drops a connection's state.
 const FORGOTTEN_AFTER: Duration = Duration::from_millis(300);
-/// How often a listener looks for connections.
+/// Interval at which a listener accepts connections.
 const ACCEPT_POLL: Duration = Duration::from_millis(2);
 /// Connections that may wait at a listener.
 const BACKLOG: i32 = 128;
 
-/// What a link does.
+/// The faults of a link.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct LinkFaults {
     /// Bytes towards the engine are swallowed.
@@ -211,12 +211,12 @@
                 break;
             }
         }
-        // The engine and the dispatcher end connections whole: half-closes do not occur in their protocol.
+        // Engine and dispatcher close both directions of a connection: half-closes do not occur in their protocol.
         let _ = self.to.shutdown(Shutdown::Both);
         let _ = self.from.shutdown(Shutdown::Both);
     }
 
-    /// Whether the connection goes on.
+    /// Returns whether the connection stays open.
     fn pass_on(&mut self, bytes: &[u8]) -> bool {
         let faults = self.shared.faults();
         let idle = {
@@ -232,7 +232,7 @@
             faults.cut_from_engine
         };
         if is_cut || self.is_forgotten.load(Ordering::SeqCst) {
-            // Once bytes are lost the stream is of no use: nothing more may come through whole.
+            // Once bytes are lost, the rest of the stream cannot be parsed: nothing more may be forwarded.
             self.is_forgotten.store(true, Ordering::SeqCst);
             return true;
         }
--- a/crates/testbed/src/soak/mod.rs
+++ b/crates/testbed/src/soak/mod.rs
@@ -1,11 +1,12 @@
-//! The randomized fault soak: a fleet of real processes on loopback, with proxies on the links, signals, stepped clocks and
-//! failing system calls, several at a time; the record of clients and engines is checked from outside.
+//! The randomized fault soak: a fleet of real processes on loopback, with faults of links, signals, stepped clocks and failing
+//! system calls, several at a time. The record of clients and engines is checked from outside.
 //!
-//! Everything is drawn from a seed ([`plan`]). Times of real processes are not: a seed that failed may pass when it is
-//! played again, so its record and logs are kept. Start reading at [`run`], then at `world`, `faults` and `evaluation`.
+//! All random draws come from a seed ([`plan`]). The timing of real processes does not: a seed that failed may pass in
+//! another run, so its record and logs are kept. Start reading at [`run`], then at `environment`, `faults` and `evaluation`.
 
 mod clients;
 mod dispatcher;
+mod environment;
 mod evaluation;
 mod faults;
 mod lag;
@@ -14,7 +15,6 @@
 mod peers;
 pub mod plan;
 mod site;
-mod world;
 
 pub use plan::{FaultFamily, SoakPlan};
 
@@ -26,53 +26,53 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
 
-/// A run on a machine that woke a thread later than this (ms) is played again if anything broke: times can't be judged.
+/// A run with violations is repeated if the machine woke a thread later than this: its timing cannot be evaluated (ms).
 const BUSY_LAG_MS: f64 = 60.0;
-/// So often.
+/// The most repetitions of a run because the machine was busy.
 const MAX_REPLAYS: usize = 3;
 
-/// What to play.
+/// The parameters of a soak.
 #[derive(Debug, Clone)]
 pub struct SoakOptions {
     /// The program under test.
     pub exe: PathBuf,
     /// The fault shim's library.
     pub shim: PathBuf,
-    /// Seeds.
+    /// The seeds, each of which is a run.
     pub seeds: Range<u64>,
     /// Dispatchers of a run.
     pub processes: RangeInclusive<usize>,
-    /// How long clients ask (s).
+    /// How long clients send queries (s).
     pub seconds: f64,
-    /// What is injected.
+    /// The families of faults that are injected.
     pub families: Vec<FaultFamily>,
-    /// Runs at a time.
+    /// Number of concurrent runs.
     pub jobs: usize,
-    /// Where the records and logs of runs that failed are kept.
+    /// The folder for the records and logs of failed runs.
     pub keep: PathBuf,
-    /// Plays a run that failed again with one fault less each time, as long as it fails.
+    /// Whether a failed run is repeated with one fault less each time, as long as it still fails.
     pub shrinks: bool,
 }
 
-/// How a seed was played.
+/// The outcome of one run.
 #[derive(Debug)]
 pub struct SoakOutcome {
     /// Its plan.
     pub plan: SoakPlan,
-    /// What was seen.
+    /// The run's record.
     pub entries: Vec<Entry>,
-    /// What broke.
+    /// The violations of the rules.
     pub violations: Vec<Violation>,
     /// Queries by what became of them.
     pub counts: SoakCounts,
-    /// The longest that the machine woke a thread late (ms).
+    /// The longest delay with which the machine woke a thread (ms).
     pub max_lag_ms: f64,
 }
 
 /// What became of a run's queries.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct SoakCounts {
-    /// Queries that were sent whole.
+    /// Queries that were sent completely.
     pub asked: usize,
     /// Those answered with a result.
     pub completed: usize,
@@ -80,7 +80,7 @@
     pub rejected: usize,
     /// Those failed.
     pub failed: usize,
-    /// Those whose client left, or that nothing is owed for.
+    /// Those whose client disconnected, or for which no answer is owed.
     pub left: usize,
     /// Attempts that reached engines.
     pub attempts: usize,
@@ -88,16 +88,16 @@
     pub failed_calls: u64,
 }
 
-/// All seeds.
+/// The outcome of all seeds.
 #[derive(Debug)]
 pub struct SoakReport {
-    /// For people: a line for each seed, and the sums.
+    /// A line for each seed and the sums, for people.
     pub table: String,
     /// Seeds with violations.
     pub failed_seeds: usize,
 }
 
-/// Plays all seeds.
+/// Runs all seeds.
 pub fn run(options: &SoakOptions) -> SoakReport {
     let next = AtomicUsize::new(0);
     let seeds: Vec<u64> = options.seeds.clone().collect();
@@ -109,7 +109,7 @@
                 let Some(seed) = seeds.get(nth) else {
                     return;
                 };
-                let outcome = play_seed(*seed, options);
+                let outcome = run_seed(*seed, options);
                 let line = line_of(&outcome, options);
                 println!("{line}");
                 let has_failed = !outcome.violations.is_empty();
@@ -122,19 +122,19 @@
     summary(&lines)
 }
 
-fn play_seed(seed: u64, options: &SoakOptions) -> SoakOutcome {
+fn run_seed(seed: u64, options: &SoakOptions) -> SoakOutcome {
     let plan = SoakPlan::draw(seed, &options.processes, options.seconds, &options.families);
-    let mut outcome = world::play(plan, options);
+    let mut outcome = environment::run(plan, options);
     for _ in 0..MAX_REPLAYS {
         if outcome.violations.is_empty() || outcome.max_lag_ms < BUSY_LAG_MS {
             break;
         }
         println!(
-            "seed {seed}: the machine was busy (woke a thread {:.0} ms late), {} violations not judged, played again",
+            "seed {seed}: the machine was busy (woke a thread {:.0} ms late), {} violations not evaluated, run repeated",
             outcome.max_lag_ms,
             outcome.violations.len()
         );
-        outcome = world::play(outcome.plan, options);
+        outcome = environment::run(outcome.plan, options);
     }
     if outcome.violations.is_empty() {
         return outcome;
@@ -146,11 +146,11 @@
     outcome
 }
 
-/// The smallest plan that still fails, by leaving out one fault after the other.
+/// Returns the run of the smallest plan that still fails, found by leaving out one fault after the other.
 fn shrink(mut failed: SoakOutcome, options: &SoakOptions) -> SoakOutcome {
     let mut nth = 0;
     while nth < failed.plan.faults.len() {
-        let smaller = world::play(failed.plan.without(nth), options);
+        let smaller = environment::run(failed.plan.without(nth), options);
         if smaller.violations.is_empty() {
             nth += 1;
         } else {
@@ -160,7 +160,7 @@
     failed
 }
 
-/// Writes down what a failed run did and saw.
+/// Writes the plan, the violations and the record of a failed run to files.
 fn keep(outcome: &SoakOutcome, folder: &Path) {
     let _ = std::fs::create_dir_all(folder);
     let seed = outcome.plan.seed;
