--- a/crates/testbed/src/soak/names.rs
+++ b/crates/testbed/src/soak/names.rs
@@ -6,9 +6,9 @@
 use std::thread;
 use std::time::Duration;
 
-/// A name service that does not answer for so long is asked no more for this question.
+/// How long the proxy waits for the name service's answer to a question.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
-/// Largest datagram.
+/// The largest datagram (bytes).
 const MAX_BYTES: usize = 64 * 1024;
 
 #[derive(Debug, Default)]
@@ -21,7 +21,7 @@
 /// A proxy before the name service, until it is dropped.
 #[derive(Debug)]
 pub struct NamesLink {
-    /// Where dispatchers ask.
+    /// The address to which dispatchers send questions.
     pub address: SocketAddr,
     shared: Arc<Shared>,
 }
@@ -41,12 +41,12 @@
         NamesLink { address, shared }
     }
 
-    /// Whether questions go unanswered.
+    /// Sets whether questions remain unanswered.
     pub fn set_silent(&self, is_silent: bool) {
         self.shared.is_silent.store(is_silent, Ordering::SeqCst);
     }
 
-    /// How late answers come.
+    /// Sets the delay of answers (ms).
     pub fn set_delay_ms(&self, delay_ms: u64) {
         self.shared.delay_ms.store(delay_ms, Ordering::SeqCst);
     }
@@ -78,7 +78,7 @@
     }
 }
 
-/// Asks the name service, and passes its answers on when it is time.
+/// Forwards a question to the name service, and its answers to the dispatcher after the delay.
 fn answer(back: &UdpSocket, to: SocketAddr, target: SocketAddr, question: &[u8], shared: &Shared) {
     let Ok(ask) = UdpSocket::bind("127.0.0.1:0") else {
         return;
--- a/crates/testbed/src/soak/peers.rs
+++ b/crates/testbed/src/soak/peers.rs
@@ -1,5 +1,5 @@
-//! The relay between dispatchers: each one is known to the others by an address of the relay's, and a further address
-//! reaches all. It loses and doubles some of what passes.
+//! The relay between dispatchers: the others know each dispatcher by an address of the relay, and one more address reaches
+//! all of them. The relay loses and duplicates some of the datagrams.
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
@@ -9,18 +9,19 @@
 use std::thread;
 use std::time::Duration;
 
-/// Fractions of datagrams that are lost and doubled.
+/// Fraction of datagrams that are lost.
 const LOSS: f64 = 0.1;
+/// Fraction of datagrams that are delivered twice.
 const DOUBLED: f64 = 0.05;
-/// How often a thread looks whether the relay was dropped.
+/// Interval at which a receiving thread checks whether the relay was dropped.
 const POLL: Duration = Duration::from_millis(100);
 
 /// The relay, until it is dropped.
 #[derive(Debug)]
 pub struct PeerRelay {
-    /// By which each dispatcher is known.
+    /// For each dispatcher, the address by which the others know it.
     pub each: Vec<SocketAddr>,
-    /// Reaches all but the sender.
+    /// The address that reaches all dispatchers but the sender.
     pub all: SocketAddr,
     is_closed: Arc<AtomicBool>,
 }
@@ -37,41 +38,52 @@
             socket
         };
         let address = |socket: &UdpSocket| socket.local_addr().expect("a bound socket has one");
-        let sockets: Arc<Vec<UdpSocket>> = Arc::new(listen.iter().map(|_| bind()).collect());
+        let sockets: Vec<UdpSocket> = listen.iter().map(|_| bind()).collect();
         let broadcast = bind();
         let relay = PeerRelay {
             each: sockets.iter().map(address).collect(),
             all: address(&broadcast),
             is_closed: Arc::default(),
         };
-        let listen: Arc<Vec<SocketAddr>> = Arc::new(listen.to_vec());
+        let peers = Arc::new(Peers {
+            listen: listen.to_vec(),
+            sockets,
+        });
         for to in 0..listen.len() {
-            let (sockets, listen) = (sockets.clone(), listen.clone());
-            let is_closed = relay.is_closed.clone();
-            let mut rng = Pcg32::seed_from_u64(seed ^ to as u64);
-            thread::spawn(move || {
-                receive(&sockets[to], &is_closed, |from, bytes| {
-                    if let Some(from) = listen.iter().position(|address| *address == from) {
-                        pass_on(&sockets[from], listen[to], bytes, &mut rng);
-                    }
-                });
-            });
+            let rng = Pcg32::seed_from_u64(seed ^ to as u64);
+            relay.spawn_unicast(peers.clone(), to, rng);
         }
-        let is_closed = relay.is_closed.clone();
-        let mut rng = Pcg32::seed_from_u64(!seed);
+        relay.spawn_broadcast(peers, broadcast, Pcg32::seed_from_u64(!seed));
+        relay
+    }
+
+    /// Forwards what others send to one dispatcher.
+    fn spawn_unicast(&self, peers: Arc<Peers>, to: usize, mut rng: Pcg32) {
+        let is_closed = self.is_closed.clone();
+        thread::spawn(move || {
+            receive(&peers.sockets[to], &is_closed, |source, bytes| {
+                if let Some(from) = peers.sender(source) {
+                    peers.forward(from, to, bytes, &mut rng);
+                }
+            });
+        });
+    }
+
+    /// Forwards what a dispatcher sends to all others.
+    fn spawn_broadcast(&self, peers: Arc<Peers>, socket: UdpSocket, mut rng: Pcg32) {
+        let is_closed = self.is_closed.clone();
         thread::spawn(move || {
-            receive(&broadcast, &is_closed, |from, bytes| {
-                let Some(from) = listen.iter().position(|address| *address == from) else {
+            receive(&socket, &is_closed, |source, bytes| {
+                let Some(from) = peers.sender(source) else {
                     return;
                 };
-                for (to, address) in listen.iter().enumerate() {
+                for to in 0..peers.listen.len() {
                     if to != from {
-                        pass_on(&sockets[from], *address, bytes, &mut rng);
+                        peers.forward(from, to, bytes, &mut rng);
                     }
                 }
             });
         });
-        relay
     }
 }
 
@@ -81,21 +93,38 @@
     }
 }
 
-fn receive(socket: &UdpSocket, is_closed: &AtomicBool, mut take: impl FnMut(SocketAddr, &[u8])) {
+fn receive(socket: &UdpSocket, is_closed: &AtomicBool, mut handle: impl FnMut(SocketAddr, &[u8])) {
     let mut buffer = [0; 2048];
     while !is_closed.load(Ordering::SeqCst) {
         if let Ok((count, from)) = socket.recv_from(&mut buffer) {
-            take(from, &buffer[..count]);
+            handle(from, &buffer[..count]);
         }
     }
 }
 
-fn pass_on(socket: &UdpSocket, to: SocketAddr, bytes: &[u8], rng: &mut Pcg32) {
-    if rng.random_bool(LOSS) {
-        return;
+/// The dispatchers between which a relay forwards datagrams.
+struct Peers {
+    /// Where each dispatcher listens, which is also the address from which it sends.
+    listen: Vec<SocketAddr>,
+    /// The sockets by whose addresses the others know each dispatcher.
+    sockets: Vec<UdpSocket>,
+}
+
+impl Peers {
+    /// The dispatcher that sends from this address.
+    fn sender(&self, source: SocketAddr) -> Option<usize> {
+        self.listen.iter().position(|address| *address == source)
     }
-    let _ = socket.send_to(bytes, to);
-    if rng.random_bool(DOUBLED) {
-        let _ = socket.send_to(bytes, to);
+
+    /// Forwards a datagram from the address by which its sender is known; some are lost and some sent twice.
+    fn forward(&self, from: usize, to: usize, bytes: &[u8], rng: &mut Pcg32) {
+        if rng.random_bool(LOSS) {
+            return;
+        }
+        let socket = &self.sockets[from];
+        let _ = socket.send_to(bytes, self.listen[to]);
+        if rng.random_bool(DOUBLED) {
+            let _ = socket.send_to(bytes, self.listen[to]);
+        }
     }
 }
--- a/crates/testbed/src/soak/plan.rs
+++ b/crates/testbed/src/soak/plan.rs
@@ -1,11 +1,12 @@
-//! What a soak plays: how many processes and engines, and which faults when, all drawn from a seed.
+//! The plan of a soak's run: how many processes and engines there are, and when which faults are injected. All of it is
+//! drawn from a seed.
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 use std::fmt;
 use std::ops::RangeInclusive;
 
-/// What a run may inject; `--faults` chooses among them.
+/// A family of faults; `--faults` selects some of them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, clap::ValueEnum)]
 pub enum FaultFamily {
     /// Engines that slow down, fail, fall silent, reset or answer noise.
@@ -14,7 +15,7 @@
     Endpoints,
     /// Links to engines that are cut, reset, split, forget or come up late.
     Links,
-    /// A name service that is silent, slow or old.
+    /// A name service that is silent, slow or out of date.
     Names,
     /// SIGTERM, SIGKILL, SIGSTOP and SIGCONT, SIGHUP.
     Signals,
@@ -26,10 +27,10 @@
     Clients,
 }
 
-/// A fault, and whom it hits. Numbers are taken modulo what is there.
+/// A fault, and the index of the engine or dispatcher that it affects.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum SoakFault {
-    /// An engine runs so many times slower.
+    /// An engine runs slower by this factor.
     SlowEngine(usize, f64),
     /// A fraction of an engine's queries ends with an error.
     FailingEngine(usize, f64),
@@ -45,31 +46,31 @@
     DrainEngine(usize),
     /// Another engine starts under an engine's address, cold.
     ReplaceEngine(usize),
-    /// A further engine joins, cold.
+    /// Another engine joins, cold.
     JoinEngine,
-    /// What dispatchers send to an engine is swallowed.
+    /// Bytes from dispatchers to an engine are lost.
     CutToEngine(usize),
-    /// What an engine answers is swallowed.
+    /// Bytes from an engine to dispatchers are lost.
     CutFromEngine(usize),
-    /// All connections to an engine are reset, and then as they come for a while.
+    /// All connections to an engine are reset, and for a while also new ones.
     ResetLink(usize),
-    /// Bytes come in small pieces.
+    /// Bytes are forwarded in small pieces.
     SplitLink(usize),
-    /// Connections that idle are forgotten without a sign.
+    /// Idle connections are dropped silently.
     ForgetIdle(usize),
-    /// Connections come up late.
+    /// Connections are established late.
     LateConnects(usize),
     /// The name service is silent.
     SilentNames,
-    /// It answers late (ms).
+    /// The name service answers with a delay (ms).
     SlowNames(u64),
-    /// A dispatcher is told to end and another takes its place at once.
+    /// A dispatcher is terminated and replaced by another at once.
     Restart(usize),
     /// A dispatcher ends by SIGKILL and is started again.
     Crash(usize),
     /// A dispatcher is stopped for this time (ms).
     Stall(usize, u64),
-    /// A dispatcher gets so many SIGHUPs in a row, some with half a file.
+    /// A dispatcher gets this many SIGHUPs in a row, some of them with half a configuration.
     Reload(usize, u32),
     /// A dispatcher's wall clock is stepped (s).
     StepClock(usize, i64),
@@ -96,7 +97,7 @@
 pub struct PlannedFault {
     /// When it begins (ms).
     pub at_ms: f64,
-    /// How long it lasts (ms), where it lasts.
+    /// How long it lasts, for faults that have a duration (ms).
     pub for_ms: f64,
     /// What it is.
     pub fault: SoakFault,
@@ -111,29 +112,48 @@
     pub dispatchers: usize,
     /// Engines at the start.
     pub engines: usize,
-    /// How long clients ask (s).
+    /// How long clients send queries (s).
     pub seconds: f64,
-    /// Whether engines send notes, clients tell estimates, and attempts can be cancelled.
+    /// What engines and clients of the run support.
     pub settings: SoakSettings,
     /// The faults, by their begin.
     pub faults: Vec<PlannedFault>,
 }
 
-/// What differs between runs in the settings.
+/// The settings that differ between runs.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SoakSettings {
-    /// Engines send notes on running queries.
+    /// Whether engines send progress notes.
     pub has_notes: bool,
-    /// Clients tell the cost.
+    /// Whether clients declare the cost of their queries.
     pub has_estimates: bool,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     pub allows_cancels: bool,
-    /// Engines may be health-checked.
+    /// Whether engines answer health checks.
     pub allows_probes: bool,
 }
 
-/// Longest outage (s); played where a run is long enough.
+impl SoakSettings {
+    fn draw(rng: &mut Pcg64) -> Self {
+        SoakSettings {
+            has_notes: rng.random_bool(0.6),
+            has_estimates: rng.random_bool(0.7),
+            allows_cancels: rng.random_bool(0.8),
+            allows_probes: rng.random_bool(0.6),
+        }
+    }
+}
+
+/// Steps of a dispatcher's wall clock (s).
+const CLOCK_STEPS_S: [i64; 6] = [-3600, -40, -3, 3, 40, 3600];
+/// Duration of the long outage of the name service, which is part of runs that are long enough (s).
 const LONG_OUTAGE_S: f64 = 30.0;
+/// The long outage of the name service.
+const LONG_OUTAGE: PlannedFault = PlannedFault {
+    at_ms: 2000.0,
+    for_ms: LONG_OUTAGE_S * 1000.0,
+    fault: SoakFault::SilentNames,
+};
 
 impl SoakPlan {
     /// The plan of a seed.
@@ -146,14 +166,9 @@
         let mut rng = Pcg64::seed_from_u64(seed);
         let dispatchers = rng.random_range(processes.clone());
         let engines = rng.random_range(5..9);
-        let settings = SoakSettings {
-            has_notes: rng.random_bool(0.6),
-            has_estimates: rng.random_bool(0.7),
-            allows_cancels: rng.random_bool(0.8),
-            allows_probes: rng.random_bool(0.6),
-        };
+        let settings = SoakSettings::draw(&mut rng);
         let mut faults = Vec::new();
-        // Between two and three overlap at any time, on average; some runs begin with a quiet time.
+        // On average two to three faults overlap; some runs begin with a time without faults.
         let quiet_ms = if rng.random_bool(0.2) {
             0.35 * seconds * 1000.0
         } else {
@@ -162,21 +177,15 @@
         let count = (seconds * 1.6) as usize + 3;
         for _ in 0..count {
             let family = families[rng.random_range(0..families.len())];
-            let at_ms = rng.random_range(quiet_ms..(seconds * 1000.0 - 300.0).max(quiet_ms + 1.0));
-            let for_ms = rng.random_range(300.0..2600.0);
-            let fault = draw_fault(family, dispatchers, engines, &mut rng);
+            let begin_ms = quiet_ms..(seconds * 1000.0 - 300.0).max(quiet_ms + 1.0);
             faults.push(PlannedFault {
-                at_ms,
-                for_ms,
-                fault,
+                at_ms: rng.random_range(begin_ms),
+                for_ms: rng.random_range(300.0..2600.0),
+                fault: draw_fault(family, dispatchers, engines, &mut rng),
             });
         }
         if seconds > 1.3 * LONG_OUTAGE_S && families.contains(&FaultFamily::Names) {
-            faults.push(PlannedFault {
-                at_ms: 2000.0,
-                for_ms: LONG_OUTAGE_S * 1000.0,
-                fault: SoakFault::SilentNames,
-            });
+            faults.push(LONG_OUTAGE);
         }
         faults.sort_by(|a, b| a.at_ms.total_cmp(&b.at_ms));
         SoakPlan {
@@ -197,57 +206,67 @@
     }
 }
 
+/// Draws a fault of a family. Engine, dispatcher and fraction are drawn for every family, so that a run's later draws do
+/// not depend on the family.
 fn draw_fault(
     family: FaultFamily,
     dispatchers: usize,
     engines: usize,
     rng: &mut Pcg64,
 ) -> SoakFault {
-    let d = rng.random_range(0..dispatchers);
-    let e = rng.random_range(0..engines);
+    let dispatcher = rng.random_range(0..dispatchers);
+    let engine = rng.random_range(0..engines);
     let fraction = rng.random_range(0.2..0.8);
     match family {
-        FaultFamily::Engines => match rng.random_range(0..6) {
-            0 => SoakFault::SlowEngine(e, rng.random_range(3.0..10.0)),
-            1 => SoakFault::FailingEngine(e, fraction),
-            2 => SoakFault::SilentEngine(e),
-            3 => SoakFault::ResettingEngine(e, fraction),
-            4 => SoakFault::SpoilingEngine(e, fraction),
-            _ => SoakFault::FullEngine(e, fraction),
-        },
+        FaultFamily::Engines => draw_engine_fault(engine, fraction, rng),
         FaultFamily::Endpoints => match rng.random_range(0..3) {
-            0 => SoakFault::DrainEngine(e),
-            1 => SoakFault::ReplaceEngine(e),
+            0 => SoakFault::DrainEngine(engine),
+            1 => SoakFault::ReplaceEngine(engine),
             _ => SoakFault::JoinEngine,
         },
-        FaultFamily::Links => match rng.random_range(0..6) {
-            0 => SoakFault::CutToEngine(e),
-            1 => SoakFault::CutFromEngine(e),
-            2 => SoakFault::ResetLink(e),
-            3 => SoakFault::SplitLink(e),
-            4 => SoakFault::ForgetIdle(e),
-            _ => SoakFault::LateConnects(e),
-        },
+        FaultFamily::Links => draw_link_fault(engine, rng),
         FaultFamily::Names => match rng.random_range(0..2) {
             0 => SoakFault::SilentNames,
             _ => SoakFault::SlowNames(rng.random_range(100..2500)),
         },
         FaultFamily::Signals => match rng.random_range(0..5) {
-            0 | 1 => SoakFault::Restart(d),
-            2 => SoakFault::Crash(d),
-            3 => SoakFault::Stall(d, rng.random_range(50..350)),
-            _ => SoakFault::Reload(d, rng.random_range(1..12)),
+            0 | 1 => SoakFault::Restart(dispatcher),
+            2 => SoakFault::Crash(dispatcher),
+            3 => SoakFault::Stall(dispatcher, rng.random_range(50..350)),
+            _ => SoakFault::Reload(dispatcher, rng.random_range(1..12)),
         },
         FaultFamily::Clock => {
-            let steps = [-3600, -40, -3, 3, 40, 3600];
-            SoakFault::StepClock(d, steps[rng.random_range(0..steps.len())])
+            let step_s = CLOCK_STEPS_S[rng.random_range(0..CLOCK_STEPS_S.len())];
+            SoakFault::StepClock(dispatcher, step_s)
         }
         FaultFamily::Calls => match rng.random_range(0..4) {
-            0 => SoakFault::Interrupt(d),
-            1 => SoakFault::NoBuffers(d),
-            2 => SoakFault::ShortCalls(d),
-            _ => SoakFault::FailAccepts(d),
+            0 => SoakFault::Interrupt(dispatcher),
+            1 => SoakFault::NoBuffers(dispatcher),
+            2 => SoakFault::ShortCalls(dispatcher),
+            _ => SoakFault::FailAccepts(dispatcher),
         },
-        FaultFamily::Clients => SoakFault::ClientsLeave(d),
+        FaultFamily::Clients => SoakFault::ClientsLeave(dispatcher),
+    }
+}
+
+fn draw_engine_fault(engine: usize, fraction: f64, rng: &mut Pcg64) -> SoakFault {
+    match rng.random_range(0..6) {
+        0 => SoakFault::SlowEngine(engine, rng.random_range(3.0..10.0)),
+        1 => SoakFault::FailingEngine(engine, fraction),
+        2 => SoakFault::SilentEngine(engine),
+        3 => SoakFault::ResettingEngine(engine, fraction),
+        4 => SoakFault::SpoilingEngine(engine, fraction),
+        _ => SoakFault::FullEngine(engine, fraction),
+    }
+}
+
+fn draw_link_fault(engine: usize, rng: &mut Pcg64) -> SoakFault {
+    match rng.random_range(0..6) {
+        0 => SoakFault::CutToEngine(engine),
+        1 => SoakFault::CutFromEngine(engine),
+        2 => SoakFault::ResetLink(engine),
+        3 => SoakFault::SplitLink(engine),
+        4 => SoakFault::ForgetIdle(engine),
+        _ => SoakFault::LateConnects(engine),
     }
 }
--- a/crates/testbed/src/soak/site.rs
+++ b/crates/testbed/src/soak/site.rs
@@ -1,44 +1,60 @@
-//! The deployment that a soak plays: the figures of its rules, and the configuration of each dispatcher.
+//! The deployment of a soak: the parameters of its rules, and the configuration of each dispatcher.
 
 use super::clients::{SoakClass, CLASSES};
 use super::names::NamesLink;
 use super::peers::PeerRelay;
 use super::plan::{SoakPlan, SoakSettings};
+use crate::invariants::{RetryBudget, WarmUpRule};
 use crate::program::{class, Config};
+use crate::setup::effect_value;
 use serde_json::{json, Value};
 use std::net::{Ipv4Addr, SocketAddr};
+use tansymux::settings::keys;
 
 /// Cores of an engine.
 pub(super) const CORES: f64 = 8.0;
-/// Rule 4: the span (ms), how long an engine warms up (ms), the fraction that it starts with and how many times that it bears.
-pub(super) const SPAN_MS: f64 = 1000.0;
-pub(super) const WARM_AFTER_MS: f64 = 4000.0;
-pub(super) const COLD_FROM: f64 = 0.02;
-pub(super) const MULTIPLE: f64 = 3.0;
-/// Rule 7: the span (ms), the free retries and those for each query.
-pub(super) const RETRY_SPAN_MS: f64 = 10_000.0;
-pub(super) const RETRY_FREE: f64 = 5.0;
-pub(super) const RETRY_RATIO: f64 = 0.2;
-/// Rule 2: for how long a repeat by its key is recognised (ms).
+/// Rule 4: what an engine that warms up may be sent.
+pub(super) const WARM_UP: WarmUpRule = WarmUpRule {
+    multiple: 3.0,
+    initial_fraction: 0.02,
+    span_ms: 1000.0,
+    warm_after_ms: 4000.0,
+};
+/// Rule 7: how many retries are allowed.
+pub(super) const RETRY_BUDGET: RetryBudget = RetryBudget {
+    span_ms: 10_000.0,
+    free: 5.0,
+    query_fraction: 0.2,
+};
+/// Rule 2: for how long a retry is recognised by its idempotency key (ms).
 pub(super) const DEDUP_WINDOW_MS: f64 = 1500.0;
-/// Rule 3: the grace (ms).
+/// Rule 3: how long an engine may still be sent to after its announcement as draining or gone (ms).
 pub(super) const DRAIN_GRACE_MS: f64 = 1000.0;
-/// Ports of dispatchers.
+/// Rule 3's key of the settings, which the program does not read (us).
+const DRAIN_GRACE_US: &str = "rules.drain-grace-us";
+/// The port on which a dispatcher accepts clients.
 const CLIENT_PORT: u16 = 10080;
+/// The port on which a dispatcher receives datagrams of its peers.
 pub(super) const PEER_PORT: u16 = 7946;
 
-/// The address of a dispatcher, on an address of its own in 127.0.0.0/8 and below the ports that the system hands out: no
-/// other socket takes it while it restarts.
+/// The address of a dispatcher. Each has its own address in 127.0.0.0/8, and its port is below those that the system
+/// assigns, so that no other socket takes it during a restart.
 pub(super) fn own_address(seed: u64, nth: usize, port: u16) -> SocketAddr {
     let run = (std::process::id() % 200) as u8 + 16;
     let address = Ipv4Addr::new(127, run, (seed % 250) as u8, nth as u8 + 1);
     SocketAddr::from((address, port))
 }
+
 fn services() -> Vec<Value> {
     let service = |soak: &SoakClass| {
-        let mut value = class(soak.name, soak.objective_ms, soak.deadline_ms, soak.effect);
-        value["repeat-window-us"] = json!(DEDUP_WINDOW_MS * 1e3);
-        value["dedup-scope"] = json!("all");
+        let mut value = class(
+            soak.name,
+            soak.objective_ms,
+            soak.deadline_ms,
+            effect_value(soak.effect),
+        );
+        value[keys::group::DEDUP_WINDOW_US] = json!(DEDUP_WINDOW_MS * 1e3);
+        value[keys::group::DEDUP_SCOPE] = json!(keys::dedup_scope::ALL);
         value
     };
     CLASSES.iter().map(service).collect()
@@ -69,16 +85,18 @@
         .with("peer_listen", peer_listen.to_string())
         .with("peers", json!(each))
         .with("peers_all", peers.all.to_string())
-        .with("settings.balancers", plan.dispatchers)
-        .with("settings.me", nth)
-        .with("settings.limits.peers", true)
-        .with("settings.limits.probes", allows_probes)
-        .with("settings.limits.cancelling", allows_cancels)
-        .with("settings.family-info.tells-every-us", notes_us)
-        .with(
-            "settings.rules",
-            json!({"cold-from": COLD_FROM, "warm-after-us": WARM_AFTER_MS * 1e3, "fall-multiple": MULTIPLE,
-                "overload-for-us": SPAN_MS * 1e3, "drain-grace-us": DRAIN_GRACE_MS * 1e3,
-                "ratio-span-us": RETRY_SPAN_MS * 1e3, "extra-free": RETRY_FREE, "repeat-ratio": RETRY_RATIO}),
-        )
+        .with_setting(keys::DISPATCHERS, plan.dispatchers)
+        .with_setting(keys::DISPATCHER_INDEX, nth)
+        .with_setting(keys::PEER_MESSAGES, true)
+        .with_setting(keys::HEALTH_CHECKS, allows_probes)
+        .with_setting(keys::CANCELLATION, allows_cancels)
+        .with_setting(keys::PROGRESS_INTERVAL_US, notes_us)
+        .with_setting(keys::WARM_UP_INITIAL_CAPACITY, WARM_UP.initial_fraction)
+        .with_setting(keys::WARM_AFTER_US, WARM_UP.warm_after_ms * 1e3)
+        .with_setting(keys::WARM_UP_MULTIPLE, WARM_UP.multiple)
+        .with_setting(keys::WARM_UP_SPAN_US, WARM_UP.span_ms * 1e3)
+        .with_setting(DRAIN_GRACE_US, DRAIN_GRACE_MS * 1e3)
+        .with_setting(keys::RETRY_BUDGET_SPAN_US, RETRY_BUDGET.span_ms * 1e3)
+        .with_setting(keys::RETRY_BUDGET_FREE, RETRY_BUDGET.free)
+        .with_setting(keys::RETRY_BUDGET_RATIO, RETRY_BUDGET.query_fraction)
 }
--- a/crates/testbed/src/wire.rs
+++ b/crates/testbed/src/wire.rs
@@ -2,7 +2,7 @@
 
 use std::io::{BufRead, Write};
 
-/// An HTTP response, whole.
+/// A complete HTTP response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HttpResponse {
     /// The status code.
@@ -13,7 +13,7 @@
     pub body: String,
 }
 
-/// Reads an HTTP response; none if the connection ends before it is whole.
+/// Reads an HTTP response; returns none if the connection ends before the response is complete.
 pub fn read_response(from: &mut impl BufRead) -> Option<HttpResponse> {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
@@ -30,7 +30,7 @@
     })
 }
 
-/// A field of a head, by its name in any case.
+/// The value of a header field, whose name matches in any case.
 pub fn field<'a>(head: &'a str, name: &str) -> Option<&'a str> {
     head.lines()
         .find_map(|line| {
@@ -40,7 +40,7 @@
         .map(|(_, v)| v.trim())
 }
 
-/// Reads an array of bulk strings; none at the end, or where there is no such array.
+/// Reads an array of bulk strings; returns none at the end of the stream, or where there is no such array.
 pub fn read_frame(from: &mut impl BufRead) -> Option<Vec<String>> {
     let mut number = |mark: &str| {
         let mut line = String::new();
@@ -60,7 +60,7 @@
     Some(parts)
 }
 
-/// Writes an array of bulk strings; whether that was possible.
+/// Writes an array of bulk strings. Returns whether that was possible.
 pub fn write_frame(to: &mut impl Write, parts: &[&str]) -> bool {
     let bulk = |part: &&str| format!("${}\r\n{part}\r\n", part.len());
     let text = format!("*{}\r\n", parts.len()) + &parts.iter().map(bulk).collect::<String>();
--- a/crates/testbed/src/zone_routing.rs
+++ b/crates/testbed/src/zone_routing.rs
@@ -1,11 +1,11 @@
-//! Two zones of stand-in engines and several real dispatchers: one zone falls silent and comes back cold, with tiers
+//! Two zones of stand-in engines and several real dispatchers: one zone is silent for a while and returns cold, with tiers
 //! and without, on the same seeds.
 //!
 //! Start reading at [`run`].
 
 use crate::client::{send_query, ClientQuery, ClientResponse};
 use crate::engine::{Engine, EngineSpec, Fault, RunContext};
-use crate::invariants::{find_violations, Violation};
+use crate::invariants::{find_violations, Rules, Violation};
 use crate::plot::{plot, Line};
 use crate::program::{free_address, free_udp_address, Config, Program, TempFile};
 use crate::setup::{self, TrafficClass};
@@ -16,7 +16,6 @@
 use std::fmt::Write as _;
 use std::net::SocketAddr;
 use std::path::Path;
-use std::process::Stdio;
 use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::{Duration, Instant};
@@ -40,7 +39,7 @@
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(250);
 /// Spread (log) of works about their median.
 const WORK_SPREAD: f64 = 0.4;
-/// Clients come so long after the begin (s): engines have been warm for long then.
+/// Clients start this long after the begin (s).
 const CLIENTS_START_S: f64 = 0.2;
 /// Violations that a table shows of each run.
 const SHOWN_VIOLATIONS: usize = 3;
@@ -91,14 +90,14 @@
     },
 ];
 
-/// Value of answers, and what it could have been.
+/// The value of answers, and its maximum.
 #[derive(Debug, Default, Clone, Copy)]
 struct Value {
     got: f64,
     max: f64,
 }
 
-/// A quarter of a second.
+/// The state of a run at one moment, with the counts since the sample before.
 #[derive(Debug, Clone)]
 struct Sample {
     at_s: f64,
@@ -108,7 +107,7 @@
     rejected: f64,
 }
 
-/// What came of a run.
+/// The results of a run.
 #[derive(Debug, Default, Clone)]
 pub struct Outcome {
     /// Before the cut, during it and after it.
@@ -164,70 +163,74 @@
 
 fn start_dispatchers(exe: &Path, engines: &[Engine], operator: &TempFile) -> Vec<Program> {
     let peers: Vec<SocketAddr> = (0..DISPATCHERS).map(|_| free_udp_address()).collect();
-    let path = operator.0.display().to_string();
-    let arguments = ["--operator", path.as_str(), "--log-level", "error"];
     let programs: Vec<Program> = (0..DISPATCHERS)
         .map(|dispatcher| {
             let config = configuration(dispatcher, engines, &peers);
-            Program::launch(exe, &config, &arguments, Stdio::piped())
+            setup::launch_with_operator(exe, &config, operator)
         })
         .collect();
     programs.iter().for_each(Program::wait_until_healthy);
     programs
 }
 
-/// Plays one run: the east zone is cut from a quarter of it to the half.
-pub fn play(exe: &Path, seconds: f64, seed: u64, tiers: bool) -> Outcome {
-    let context = Arc::new(RunContext::default());
-    let spec = EngineSpec {
+/// What each engine can do.
+fn engine_spec() -> EngineSpec {
+    EngineSpec {
         cores: CORES,
         cold_from: 0.25,
         warm_after_ms: 8000.0,
         ..EngineSpec::default()
-    };
-    let engines = setup::start_engines(ZONES.len() * ENGINES_PER_ZONE, spec, seed, &context);
+    }
+}
+
+/// Runs once; the east zone is cut from a quarter of the run to its half.
+pub fn run_once(exe: &Path, seconds: f64, seed: u64, tiers: bool) -> Outcome {
+    let context = Arc::new(RunContext::default());
+    let engine_count = ZONES.len() * ENGINES_PER_ZONE;
+    let engines = setup::start_engines(engine_count, engine_spec(), seed, &context);
     let operator = TempFile::new("operator.textproto", if tiers { OPERATOR } else { "" });
     let mut programs = start_dispatchers(exe, &engines, &operator);
     let outcome: Arc<Mutex<Outcome>> = Arc::default();
     let start = Instant::now();
     thread::sleep(Duration::from_secs_f64(CLIENTS_START_S));
     let dispatchers: Vec<SocketAddr> = programs.iter().map(|program| program.listen).collect();
+    let traffic_of = |number| ClassTraffic {
+        number,
+        dispatchers: dispatchers.clone(),
+        seconds,
+        start,
+        context: context.clone(),
+        outcome: outcome.clone(),
+    };
     let clients: Vec<_> = (0..CLASSES.len())
-        .map(|number| {
-            let traffic = ClassTraffic {
-                number,
-                dispatchers: dispatchers.clone(),
-                seconds,
-                start,
-                context: context.clone(),
-                outcome: outcome.clone(),
-            };
-            thread::spawn(move || traffic.run(seed))
-        })
+        .map(traffic_of)
+        .map(|traffic| thread::spawn(move || traffic.run(seed)))
         .collect();
     let mut watch = Watch::default();
     while start.elapsed().as_secs_f64() < seconds {
         thread::sleep(SAMPLE_INTERVAL);
         let at_s = start.elapsed().as_secs_f64();
         watch.cut_zone(at_s / seconds, &engines[..ENGINES_PER_ZONE]);
-        watch.sample(
-            at_s,
-            &engines,
-            &mut outcome.lock().expect("no holder panics"),
-        );
+        let mut outcome = outcome.lock().expect("no holder panics");
+        watch.sample(at_s, &engines, &mut outcome);
     }
     setup::join_all(clients);
     programs.iter().for_each(Program::terminate);
     for program in &mut programs {
         let _ = program.end();
     }
-    let mut outcome = outcome.lock().expect("no holder panics").clone();
-    let rules = setup::rules(&traffic_classes(), None);
-    outcome.violations = find_violations(&context.record.entries(), &rules);
-    outcome
+    let outcome = outcome.lock().expect("no holder panics").clone();
+    Outcome {
+        violations: find_violations(&context.record.entries(), &rules()),
+        ..outcome
+    }
+}
+
+fn rules() -> Rules {
+    setup::rules(&traffic_classes(), None)
 }
 
-/// What was done and sampled so far.
+/// Cuts and restores the zone, and samples the run.
 #[derive(Default)]
 struct Watch {
     cut: bool,
@@ -237,7 +240,7 @@
 }
 
 impl Watch {
-    /// Silences the zone's engines at the cut's begin, and returns them cold at its end.
+    /// Silences the zone's engines at the cut's begin, and restarts them cold at its end.
     fn cut_zone(&mut self, fraction: f64, engines: &[Engine]) {
         if fraction >= CUT_BEGIN && !self.cut {
             self.cut = true;
@@ -339,7 +342,8 @@
     }
 }
 
-/// All seeds with tiers and without; a table, and whether a rule broke. `svg`: where the plot of the first seed goes.
+/// Runs all seeds with tiers and without. Returns a table, and whether a rule was broken. `svg`: the file for the plot of
+/// the first seed.
 pub fn run(exe: &Path, seconds: f64, seeds: u64, svg: Option<&Path>) -> (String, bool) {
     let mut table = format!(
         "{:<7} {:>5} {:>7} {:>9} {:>7} {:>11} {:>8} {:>8} {:>8} {:>7}\n",
@@ -357,7 +361,7 @@
     let mut any_violation = false;
     for seed in 1..=seeds {
         for tiers in [false, true] {
-            let outcome = play(exe, seconds, seed, tiers);
+            let outcome = run_once(exe, seconds, seed, tiers);
             let [before, cut, after] = outcome.value.map(|value| value.got / value.max.max(1e-9));
             let _ = writeln!(
                 table,
--- a/crates/testbed/tests/fleet.rs
+++ b/crates/testbed/tests/fleet.rs
@@ -6,10 +6,10 @@
 use tansymux_rollout::message::Answer;
 use tansymux_testbed::fleet::scenario::{Event, Fault, LinkConditions, Scenario, NAMES};
 use tansymux_testbed::fleet::virtual_fleet::{fleet_definition, VersionQuality, VirtualFleet};
-use tansymux_testbed::fleet::{run_seeds, PlayOptions, RunsOutcome};
+use tansymux_testbed::fleet::{run_seeds, RunOptions, RunsOutcome};
 
 fn holds(seeds: std::ops::Range<u64>, scenario: impl Fn(u64) -> Scenario + Sync) {
-    let outcome = run_seeds(seeds, scenario, PlayOptions::default());
+    let outcome = run_seeds(seeds, scenario, RunOptions::default());
     assert!(!outcome.failed, "{}", outcome.table);
 }
 
@@ -52,9 +52,9 @@
 #[test]
 fn without_coordination_the_same_scenario_exceeds_the_limit() {
     // That the check above can fail.
-    let uncoordinated = PlayOptions {
+    let uncoordinated = RunOptions {
         uncoordinated: true,
-        ..PlayOptions::default()
+        ..RunOptions::default()
     };
     let RunsOutcome { table, failed } =
         run_seeds(0..10, |seed| Scenario::calm(seed, 12), uncoordinated);
