--- a/crates/simulator/src/compare.rs
+++ b/crates/simulator/src/compare.rs
@@ -1,4 +1,4 @@
-//! Many seeds side by side, and variants compared seed by seed.
+//! Runs of many seeds at the same time, and comparisons of variants seed by seed.
 
 use crate::schema::Experiment;
 use crate::simulation::{run, Outcomes};
@@ -18,19 +18,19 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Job {
     variant: usize,
-    /// Which seed, counted from the experiment's first one.
+    /// The seed's distance from the experiment's first one.
     seed_index: usize,
 }
 
-/// All runs of an experiment, by variant and seed; the same whatever order they were played in. Progress goes to
-/// standard error unless `quiet`.
+/// Runs all seeds of all variants. Returns the outcomes by variant and seed, which do not depend on the order of the runs.
+/// Progress goes to standard error unless `quiet`.
 pub fn run_all(experiment: &Experiment, threads: usize, quiet: bool) -> Vec<Vec<Outcomes>> {
     let seed_count = experiment.seeds() as usize;
     let variant_count = experiment.arm.len();
     let jobs: Vec<Job> = (0..seed_count * variant_count)
-        .map(|n| Job {
-            variant: n % variant_count,
-            seed_index: n / variant_count,
+        .map(|index| Job {
+            variant: index % variant_count,
+            seed_index: index / variant_count,
         })
         .collect();
     let progress = progress_bar(jobs.len(), quiet);
@@ -78,7 +78,7 @@
     /// Half of the interval that holds the true mean in 95 of 100 cases; not a number for fewer than two values.
     #[serde(rename = "half")]
     pub half_width: f64,
-    /// How many values there were.
+    /// Number of values.
     pub count: usize,
 }
 
@@ -97,16 +97,16 @@
     let freedom = (count - 1) as f64;
     let squares: f64 = values.iter().map(|value| (value - mean).powi(2)).sum();
     let variance = squares / freedom;
-    let t = StudentsT::new(0.0, 1.0, freedom)
+    let quantile = StudentsT::new(0.0, 1.0, freedom)
         .map_or(f64::NAN, |student| student.inverse_cdf(UPPER_QUANTILE));
     Mean {
         mean,
-        half_width: t * (variance / count as f64).sqrt(),
+        half_width: quantile * (variance / count as f64).sqrt(),
         count,
     }
 }
 
-/// How a variant differs from the first one, seed by seed.
+/// The mean difference of a variant from the first one, seed by seed.
 pub fn paired(base: &[Outcomes], variant: &[Outcomes], figure: impl Fn(&Outcomes) -> f64) -> Mean {
     let pairs = base.iter().zip(variant);
     mean(pairs.map(|(base, variant)| figure(variant) - figure(base)))
--- a/crates/simulator/src/engine.rs
+++ b/crates/simulator/src/engine.rs
@@ -1,5 +1,5 @@
-//! An engine that shares its cores evenly: every thread runs at the same speed, so that a job ends when the service that
-//! a thread has attained reaches the job's own mark (processor sharing in virtual service time).
+//! An engine that shares its cores evenly (processor sharing in virtual service time): every thread runs at the same speed,
+//! so that a job ends when the service attained by a thread reaches the service that the job needs.
 
 use std::cmp::Ordering;
 use std::collections::{BinaryHeap, HashMap};
@@ -7,11 +7,11 @@
 #[cfg(test)]
 mod tests;
 
-/// While it warms up, an engine's speed is taken for constant over this time (ms).
+/// The time over which the speed of an engine that warms up is assumed to be constant (ms).
 const WARM_UP_STEP_MS: f64 = 50.0;
-/// A job within this much of its mark has ended (ms of service): sums of floats do not meet it exactly.
+/// Tolerance with which a job has attained its service (ms): sums of floats do not reach it exactly.
 const SERVICE_TOLERANCE_MS: f64 = 1e-6;
-/// Stands in for no threads and no speed where it is divided by them.
+/// Replaces 0 threads and speed 0 in divisions.
 const SMALLEST: f64 = 1e-9;
 
 /// When a job ends, in service attained by a thread (ms).
@@ -25,7 +25,7 @@
 
 impl Ord for Completion {
     fn cmp(&self, other: &Self) -> Ordering {
-        // The earliest is the greatest, as the heap gives the greatest first.
+        // Reversed, because the heap returns the greatest element first.
         other
             .at_service_ms
             .total_cmp(&self.at_service_ms)
@@ -58,11 +58,11 @@
     pub cores: f64,
     /// When it started (ms); from then on it warms up.
     pub started_ms: f64,
-    /// Counts changes, so that a completion that was scheduled before one can be told apart.
+    /// Counts changes, by which a completion that was scheduled before a change is recognised.
     pub generation: u64,
     slowdown: f64,
     warm_up_ms: f64,
-    /// The fraction of its speed that it starts with.
+    /// The initial speed as a fraction of the full speed.
     initial_speed: f64,
     service_ms: f64,
     advanced_to_ms: f64,
@@ -72,8 +72,8 @@
 }
 
 impl Engine {
-    /// An engine that has been warm for ever. After a start it takes `warm_up_ms` to rise from `initial_speed`, a fraction,
-    /// to its full speed.
+    /// An engine that is warm. After a start it takes `warm_up_ms` to reach its full speed from `initial_speed`, a fraction of
+    /// it.
     pub fn new(cores: f64, warm_up_ms: f64, initial_speed: f64) -> Self {
         Engine {
             cores,
@@ -115,7 +115,7 @@
         self.advanced_to_ms = self.advanced_to_ms.max(now_ms);
     }
 
-    /// From now on all takes so many times as long.
+    /// From now on all jobs take `slowdown` times as long.
     pub fn set_slowdown(&mut self, now_ms: f64, slowdown: f64) {
         self.advance(now_ms);
         self.slowdown = slowdown;
@@ -143,7 +143,7 @@
         self.generation += 1;
     }
 
-    /// Takes a job away; none if it does not run.
+    /// Removes a job; returns none if it does not run.
     pub fn remove(&mut self, now_ms: f64, job: u64) -> Option<Job> {
         self.advance(now_ms);
         let removed = self.jobs.remove(&job)?;
@@ -163,8 +163,8 @@
         Some((attained_ms / job.service_ms).clamp(0.0, 1.0))
     }
 
-    /// When the next job ends if nothing changes. While it warms up, a nearer time at which to ask again, before it has
-    /// sped up much.
+    /// When the next job ends if nothing changes. For an engine that warms up, at most [`WARM_UP_STEP_MS`] from now: a time
+    /// at which the completion must be computed again, because the engine has become faster.
     pub fn next_completion_ms(&mut self, now_ms: f64) -> Option<f64> {
         while self
             .completions
@@ -187,7 +187,7 @@
         )
     }
 
-    /// Jobs that have ended by now. They still run until they are removed.
+    /// The jobs that have ended by now. They count as running until they are removed.
     pub fn take_completed(&mut self, now_ms: f64) -> Vec<u64> {
         self.advance(now_ms);
         let mut completed = Vec::new();
@@ -203,7 +203,7 @@
         completed
     }
 
-    /// Ends all jobs without a result; their ids in rising order.
+    /// Ends all jobs without a result, and returns their ids in ascending order.
     pub fn drop_all(&mut self, now_ms: f64) -> Vec<u64> {
         self.advance(now_ms);
         let mut lost: Vec<u64> = self.jobs.drain().map(|(job, _)| job).collect();
--- a/crates/simulator/src/experiment.rs
+++ b/crates/simulator/src/experiment.rs
@@ -12,22 +12,22 @@
 /// The longest run (s).
 const MAX_SECONDS: f64 = 7200.0;
 
-/// What is wrong with an experiment.
+/// An error in an experiment's file.
 #[derive(Debug, thiserror::Error)]
 pub enum ExperimentError {
     /// The schema that was built in can't be used.
     #[error("the schema can't be used: {0}")]
     Schema(String),
-    /// The text is not of the schema's form; the message names the place.
+    /// The text does not conform to the schema; the message names the place.
     #[error("{0}")]
     Text(String),
-    /// Something that every experiment has is not there.
+    /// A required part of the experiment is missing.
     #[error("an experiment has a hall, a class and an arm at the least")]
     Incomplete,
     /// A fault names a zone that the experiment does not have.
     #[error("fault.{0} names a hall that is not there")]
     FaultZone(usize),
-    /// A fault has no length.
+    /// A fault does not end after its begin.
     #[error("fault.{0} ends before it begins")]
     FaultTimes(usize),
     /// A class is bound to a zone that the experiment does not have.
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -1,10 +1,10 @@
 //! A discrete-event simulator: a pool of engines, its network, clients and endpoint list in virtual time, around the
 //! real decision packages.
 //!
-//! Owns: the simulation, small enough to read in an hour ([`simulation`]), engines that share their cores evenly
-//! ([`engine`]), experiments as files ([`experiment`]), many seeds side by side and paired comparisons ([`compare`]), and
-//! what is shown of them ([`report`]). It holds no decision: `tansymux::control` and `tansymux_zone_routing` are what is
-//! tried. Its figures are figures of this simulator, and are named so.
+//! Owns: the simulation ([`simulation`]), engines that share their cores evenly ([`engine`]), experiments as files
+//! ([`experiment`]), concurrent runs of many seeds with paired comparisons ([`compare`]), and reports on them ([`report`]).
+//! It makes no decisions: `tansymux::control` and `tansymux_zone_routing` are under test. Its figures are those of a
+//! simulation, and are labelled so.
 //!
 //! Start reading at [`simulation::run`].
 
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -18,14 +18,14 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Plays all arms and seeds of an experiment; exit 1 if a rule broke
+    /// Runs all arms and seeds of an experiment; exit 1 if a rule was broken
     Run {
         /// The experiment
         file: PathBuf,
         /// The folder for table, JSON lines, plots and page
         #[arg(long)]
         to: Option<PathBuf>,
-        /// Runs at a time
+        /// Number of concurrent runs
         #[arg(long, default_value_t = 4)]
         threads: usize,
         /// Another number of seeds than the file's
@@ -35,7 +35,7 @@
         #[arg(long)]
         dispatchers: Option<u32>,
     },
-    /// Compares the arms of runs that were kept as JSON lines
+    /// Compares the arms of runs that were written as JSON lines
     Compare {
         /// The JSON lines
         file: PathBuf,
@@ -55,7 +55,7 @@
         #[arg(long)]
         svg: PathBuf,
     },
-    /// Plays one seed of one arm again and prints all of it
+    /// Repeats one seed of one arm and prints all of its figures
     Replay {
         /// The experiment
         file: PathBuf,
@@ -76,7 +76,7 @@
 /// `replay` shows one sample a second.
 const REPLAY_SAMPLE_STEP: usize = 4;
 
-/// Why a command could not do its work.
+/// Why a command failed.
 #[derive(Debug, thiserror::Error)]
 enum CommandError {
     #[error("{}: {source}", path.display())]
@@ -148,7 +148,7 @@
     }
 }
 
-/// Whether no rule was broken.
+/// Executes a command. Returns whether no rule was broken.
 fn execute(command: Command) -> Result<bool, CommandError> {
     match command {
         Command::Run {
@@ -161,13 +161,7 @@
             let mut file = read_experiment(&file)?;
             file.experiment.seeds = seeds.or(file.experiment.seeds);
             file.experiment.dispatchers = dispatchers.or(file.experiment.dispatchers);
-            let runs = compare::run_all(&file.experiment, threads, false);
-            let table = report::table(&file.experiment, &runs);
-            print!("{table}");
-            if let Some(directory) = to {
-                write_results(&directory, &file, &runs, &table)?;
-            }
-            Ok(runs.iter().flatten().all(|run| run.violations == 0))
+            run_experiment(&file, threads, to.as_deref())
         }
         Command::Compare { file } => {
             compare_lines(&read_file(&file)?)?;
@@ -195,6 +189,21 @@
     }
 }
 
+/// Runs an experiment, prints its table and writes its results to a folder. Returns whether no rule was broken.
+fn run_experiment(
+    file: &ExperimentFile,
+    threads: usize,
+    to: Option<&Path>,
+) -> Result<bool, CommandError> {
+    let runs = compare::run_all(&file.experiment, threads, false);
+    let table = report::table(&file.experiment, &runs);
+    print!("{table}");
+    if let Some(directory) = to {
+        write_results(directory, file, &runs, &table)?;
+    }
+    Ok(runs.iter().flatten().all(|run| run.violations == 0))
+}
+
 fn check_variant(experiment: &Experiment, arm: usize) -> Result<usize, CommandError> {
     let arms = experiment.arm.len();
     if arm < arms {
@@ -230,7 +239,7 @@
     write_file(&directory.join(format!("{name}.html")), &page)
 }
 
-/// Prints the means of the arms' runs that were kept as JSON lines, arms in the order in which they come.
+/// Prints the means of the arms' runs in JSON lines, arms in the order of their first line.
 fn compare_lines(text: &str) -> Result<(), CommandError> {
     let mut arms: Vec<(String, Vec<serde_json::Value>)> = Vec::new();
     for line in text.lines() {
--- a/crates/simulator/src/report.rs
+++ b/crates/simulator/src/report.rs
@@ -1,4 +1,4 @@
-//! What is shown of an experiment: tables, JSON lines, plots and a page.
+//! Reports on an experiment: tables, JSON lines, plots and a page.
 
 use crate::compare::{mean, paired, Mean};
 use crate::schema::Experiment;
@@ -10,11 +10,15 @@
 
 /// Violations that a table shows.
 const SHOWN_VIOLATIONS: usize = 5;
-/// Samples over which a plot's lines are smoothed, and how many there are a second.
+/// Number of samples over which a plot's lines are smoothed.
 const SMOOTHED_SAMPLES: usize = 4;
+/// Samples a second in a run.
 const SAMPLES_PER_S: f64 = 4.0;
 
-/// A row of the table: a name, and how it is read from a run.
+/// The points of a plot's line: time (s) and value.
+type Points = Vec<(f64, f64)>;
+
+/// A row of the table: its name, and its value in a run's outcomes.
 pub type Figure = (&'static str, fn(&Outcomes) -> f64);
 
 fn fraction_of_asked(outcomes: &Outcomes, count: u64) -> f64 {
@@ -80,6 +84,13 @@
         "virtual seconds played in a real one, each on one core: {}",
         format_mean(pace)
     );
+    text += &violations(runs);
+    text
+}
+
+/// A line for each of the first violations.
+fn violations(runs: &[Vec<Outcomes>]) -> String {
+    let mut text = String::new();
     let mut shown = 0;
     for run in runs.iter().flatten() {
         if let Some(violation) = run
@@ -98,7 +109,7 @@
     text
 }
 
-/// What was played, and the names of the columns.
+/// The experiment's parameters, and the names of the columns.
 fn heading(experiment: &Experiment) -> String {
     let mut text = format!(
         "{}: {} dispatchers, {} halls, {} engines, {} s, {} seeds (the lab's emulator)\n{:<46}",
@@ -133,18 +144,18 @@
         .collect()
 }
 
-/// A figure of each sample, as its mean over this sample and the ones just before.
-fn smoothed(samples: &[Sample], figure: impl Fn(&Sample) -> f64) -> Vec<(f64, f64)> {
+/// For each sample, its time and the mean of a figure over this sample and those just before.
+fn smoothed(samples: &[Sample], figure: impl Fn(&Sample) -> f64) -> Points {
     (0..samples.len())
-        .map(|n| {
-            let window = &samples[n.saturating_sub(SMOOTHED_SAMPLES - 1)..=n];
+        .map(|last| {
+            let window = &samples[last.saturating_sub(SMOOTHED_SAMPLES - 1)..=last];
             let sum: f64 = window.iter().map(&figure).sum();
-            (samples[n].at_s, sum / window.len() as f64)
+            (samples[last].at_s, sum / window.len() as f64)
         })
         .collect()
 }
 
-/// Plots one run: served value, rejections, threads of each zone and what spilled.
+/// Plots one run: the value of answers, rejections, and threads and spilled threads of each zone.
 ///
 /// # Errors
 /// The file can't be written.
@@ -153,12 +164,30 @@
     run: &Outcomes,
     to: &Path,
 ) -> Result<(), Box<dyn std::error::Error>> {
-    let samples = &run.samples;
+    let named = plotted_figures(experiment, &run.samples);
+    let lines: Vec<Line> = named
+        .iter()
+        .map(|(name, points)| Line {
+            name,
+            points: points.clone(),
+        })
+        .collect();
+    let title = format!(
+        "{}, arm {}, seed {} (the lab's emulator)",
+        experiment.name(),
+        run.variant,
+        run.seed
+    );
+    plot(to, &title, "s", &lines)
+}
+
+/// The lines of a run's plot, by their names.
+fn plotted_figures(experiment: &Experiment, samples: &[Sample]) -> Vec<(String, Points)> {
     let max_threads = samples
         .iter()
         .flat_map(|sample| sample.threads.iter().copied())
         .fold(1.0, f64::max);
-    let mut named: Vec<(String, Vec<(f64, f64)>)> = vec![
+    let mut named: Vec<(String, Points)> = vec![
         (
             "value (part of the worth asked)".into(),
             smoothed(samples, |sample| sample.value / sample.max_value.max(1e-9)),
@@ -170,32 +199,20 @@
             }),
         ),
     ];
-    for (n, zone) in experiment.hall.iter().enumerate() {
+    for (index, zone) in experiment.hall.iter().enumerate() {
         named.push((
             format!("threads in {} / {max_threads:.0}", zone.name()),
-            smoothed(samples, |sample| sample.threads[n] / max_threads),
+            smoothed(samples, |sample| sample.threads[index] / max_threads),
         ));
         named.push((
             format!("spilled into {} / {max_threads:.0}", zone.name()),
-            smoothed(samples, |sample| sample.spilled[n] / max_threads),
+            smoothed(samples, |sample| sample.spilled[index] / max_threads),
         ));
     }
-    let lines: Vec<Line> = named
-        .iter()
-        .map(|(name, points)| Line {
-            name,
-            points: points.clone(),
-        })
-        .collect();
-    let title = format!(
-        "{}, arm {}, seed {} (the lab's emulator)",
-        experiment.name(),
-        run.variant,
-        run.seed
-    );
-    plot(to, &title, "s", &lines)
+    named
 }
 
+/// The template of the page with an experiment's results.
 const PAGE: &str = "<!doctype html><html lang=en><meta charset=utf-8><title>{{ name }}</title>\
 <style>body{font:15px sans-serif;max-width:70em;margin:2em auto}pre{background:#f4f4f4;padding:1em;overflow:auto}</style>\
 <h1>{{ name }}</h1><p>Figures of the lab's emulator round the real decisions. Intervals hold the mean in 95 of 100 \
--- a/crates/simulator/src/simulation/attempts.rs
+++ b/crates/simulator/src/simulation/attempts.rs
@@ -1,8 +1,9 @@
-//! Attempts: on their way to an engine, cancelled or past their deadline, and on their way back.
+//! Attempts: on their way to an engine, running, cancelled or past their deadline, and on their way back.
 
+use super::engines::{engine_id, engine_name, OUTAGE_MS};
 use super::events::Event;
 use super::inbox::Incoming;
-use super::{engine_id, engine_name, Attempt, Simulation, NOTE_INTERVAL_MS};
+use super::{Attempt, Simulation, NOTE_INTERVAL_MS};
 use tansymux::events::{AttemptEnded, NoteKind, Outcome, ProgressNote};
 use tansymux_testbed::record::EventKind;
 
@@ -10,7 +11,7 @@
 const MAX_REPORTED_PROGRESS: f64 = 0.9999;
 
 impl Simulation<'_> {
-    /// A dispatcher sends an attempt. What is written to a connection that nobody knows to be dead gets no answer.
+    /// A dispatcher sends an attempt. An attempt on a dead connection that is not known to be dead gets no answer.
     pub(super) fn submit(
         &mut self,
         dispatcher: usize,
@@ -18,42 +19,47 @@
         engine: usize,
         deadline_ms: f64,
     ) {
-        let Some(query) = self.queries.get_mut(&query_id) else {
+        let Some(attempt) = self.add_attempt(query_id, engine) else {
             return;
         };
-        let number = query.attempts;
-        query.attempts += 1;
-        let attempt = self.next_attempt_id;
-        self.next_attempt_id += 1;
-        self.attempts.insert(
-            attempt,
-            Attempt {
-                query_id,
-                number,
-                engine,
-                sent_ms: self.now_ms,
-                running: false,
-                cancelled: false,
-            },
-        );
         let refused = Event::AttemptEnd {
             attempt,
             outcome: Outcome::NoConnection,
         };
         let is_down = self.is_down(engine);
         if !is_down && !self.is_cut(dispatcher, engine) {
-            self.dispatchers[dispatcher].known_dead[engine] = false;
-            let latency_ms = self.draw_latency_ms();
-            self.schedule(self.now_ms + latency_ms, Event::AttemptArrival { attempt });
+            self.dispatchers[dispatcher].set_known_dead(engine, false);
+            let latency_ms = self.environment.draw_latency_ms();
+            self.schedule_in(latency_ms, Event::AttemptArrival { attempt });
         } else if is_down {
-            let latency_ms = self.draw_latency_ms();
-            self.schedule(self.now_ms + latency_ms, refused);
-        } else if self.dispatchers[dispatcher].known_dead[engine] {
-            // Its connections were found dead, and new ones do not come up.
-            let network = self.experiment.network.unwrap_or_default();
-            self.schedule(self.now_ms + network.connect_timeout_ms(), refused);
+            let latency_ms = self.environment.draw_latency_ms();
+            self.schedule_in(latency_ms, refused);
+        } else if self.dispatchers[dispatcher].knows_dead(engine) {
+            // The dead connections were closed, and no new one can be established.
+            let timeout_ms = self.environment.network().connect_timeout_ms();
+            self.schedule_in(timeout_ms, refused);
         }
-        self.schedule(deadline_ms, Event::AttemptDeadline { attempt });
+        self.environment
+            .schedule(deadline_ms, Event::AttemptDeadline { attempt });
+    }
+
+    /// Adds the next attempt of a query. Returns its id; none if the query is over.
+    fn add_attempt(&mut self, query_id: u64, engine: usize) -> Option<u64> {
+        let query = self.queries.get_mut(&query_id)?;
+        let number = query.attempts;
+        query.attempts += 1;
+        let attempt_id = self.next_attempt_id;
+        self.next_attempt_id += 1;
+        let attempt = Attempt {
+            query_id,
+            number,
+            engine,
+            sent_ms: self.environment.now_ms,
+            running: false,
+            cancelled: false,
+        };
+        self.attempts.insert(attempt_id, attempt);
+        Some(attempt_id)
     }
 
     pub(super) fn on_attempt_deadline(&mut self, attempt: u64) {
@@ -66,7 +72,7 @@
         }
     }
 
-    /// A dispatcher stops waiting for an attempt; the decisions learn of it after `delay_ms`.
+    /// A dispatcher stops waiting for an attempt; its decisions get the outcome after `delay_ms`.
     pub(super) fn end_attempt(&mut self, attempt_id: u64, outcome: Outcome, delay_ms: f64) {
         let Some(attempt) = self.attempts.get_mut(&attempt_id) else {
             return;
@@ -75,27 +81,26 @@
         let engine = attempt.engine;
         let running = attempt.running;
         let query_id = attempt.query_id;
-        if running
-            && self.engines[engine]
-                .remove(self.now_ms, attempt_id)
-                .is_some()
-        {
-            self.schedule_completion(engine);
-            self.record(|| EventKind::GivenUp {
+        let now_ms = self.environment.now_ms;
+        if running && self.engines.remove(engine, attempt_id, now_ms) {
+            self.engines
+                .schedule_completion(engine, &mut self.environment);
+            self.environment.record(|| EventKind::GivenUp {
                 engine: engine_name(engine),
                 id: query_id.to_string(),
             });
         } else if !running {
             let query = self.queries.get(&query_id);
             let dispatcher = query.map_or(0, |query| query.dispatcher);
-            let is_cut = self.is_cut(dispatcher, engine);
-            self.dispatchers[dispatcher].known_dead[engine] |= is_cut;
+            if self.is_cut(dispatcher, engine) {
+                self.dispatchers[dispatcher].set_known_dead(engine, true);
+            }
         }
         let end = Event::AttemptEnd {
             attempt: attempt_id,
             outcome,
         };
-        self.schedule(self.now_ms + delay_ms, end);
+        self.schedule_in(delay_ms, end);
     }
 
     /// An attempt's end reaches its dispatcher.
@@ -111,18 +116,20 @@
         if outcome == Outcome::Completed {
             self.answer(query_id, 200, None);
         }
-        self.observe_engine(dispatcher, attempt.engine, outcome);
-        self.inboxes[dispatcher].push(Incoming::AttemptEnded(AttemptEnded {
+        let clock_ms = self.environment.decision_clock_ms();
+        let observer = &mut self.dispatchers[dispatcher];
+        observer.observe_engine(attempt.engine, outcome, clock_ms);
+        observer.push(Incoming::AttemptEnded(AttemptEnded {
             query_id,
             attempt: attempt.number,
             outcome,
             engine_id: engine_id(attempt.engine),
             answer_delivered: outcome == Outcome::Completed,
-            latency_ms: self.now_ms - attempt.sent_ms,
+            latency_ms: self.environment.now_ms - attempt.sent_ms,
             used: None,
         }));
         self.run_round(dispatcher);
-        // Nothing refers to it any more once it is answered and this was its last attempt.
+        // Nothing refers to a query any more once it is answered and this was its last attempt.
         let is_over = self
             .queries
             .get(&query_id)
@@ -132,7 +139,7 @@
         }
     }
 
-    /// An attempt reaches its engine, which may have fallen or been cut off while it was under way.
+    /// An attempt reaches its engine, which may have failed or been cut off in the meantime.
     pub(super) fn on_attempt_arrival(&mut self, attempt_id: u64) {
         let attempt = self.attempts.get(&attempt_id);
         let Some(attempt) = attempt.filter(|attempt| !attempt.cancelled) else {
@@ -144,14 +151,14 @@
             return;
         };
         let work_ms = query.work_ms;
-        let threads = self.experiment.class[query.class].threads();
+        let threads = self.environment.experiment.class[query.class].threads();
         let is_cut = self.is_cut(query.dispatcher, engine);
         if self.is_down(engine) {
             let refused = Event::AttemptEnd {
                 attempt: attempt_id,
                 outcome: Outcome::NoConnection,
             };
-            return self.schedule(self.now_ms, refused);
+            return self.schedule_in(0.0, refused);
         }
         if is_cut {
             return;
@@ -159,21 +166,25 @@
         if let Some(attempt) = self.attempts.get_mut(&attempt_id) {
             attempt.running = true;
         }
-        self.record(|| EventKind::Arrived {
+        self.environment.record(|| EventKind::Arrived {
             engine: engine_name(engine),
             id: query_id.to_string(),
             work_ms,
         });
-        self.engines[engine].add(self.now_ms, attempt_id, work_ms, threads);
-        let note = Event::ProgressNote {
-            attempt: attempt_id,
-        };
-        self.schedule(self.now_ms + NOTE_INTERVAL_MS, note);
-        self.schedule_completion(engine);
+        let now_ms = self.environment.now_ms;
+        self.engines
+            .add(engine, attempt_id, work_ms, threads, now_ms);
+        self.schedule_note(attempt_id);
+        self.engines
+            .schedule_completion(engine, &mut self.environment);
         self.check_cold_load(engine, work_ms);
     }
 
-    /// An engine reports an attempt's progress, and will report it again.
+    fn schedule_note(&mut self, attempt: u64) {
+        self.schedule_in(NOTE_INTERVAL_MS, Event::ProgressNote { attempt });
+    }
+
+    /// An engine reports an attempt's progress, and schedules its next report.
     pub(super) fn on_progress_note(&mut self, attempt_id: u64) {
         let attempt = self.attempts.get(&attempt_id);
         let Some(attempt) = attempt.filter(|attempt| attempt.running && !attempt.cancelled) else {
@@ -182,26 +193,102 @@
         let engine = attempt.engine;
         let number = attempt.number;
         let query_id = attempt.query_id;
-        self.engines[engine].advance(self.now_ms);
-        let Some(fraction) = self.engines[engine].done_fraction(attempt_id) else {
+        let now_ms = self.environment.now_ms;
+        let Some(fraction) = self.engines.done_fraction(engine, attempt_id, now_ms) else {
             return;
         };
-        let note = Event::ProgressNote {
-            attempt: attempt_id,
-        };
-        self.schedule(self.now_ms + NOTE_INTERVAL_MS, note);
+        self.schedule_note(attempt_id);
         let Some(dispatcher) = self.queries.get(&query_id).map(|query| query.dispatcher) else {
             return;
         };
+        if self.is_cut(dispatcher, engine) {
+            return;
+        }
+        let clock_ms = self.environment.decision_clock_ms();
+        let observer = &mut self.dispatchers[dispatcher];
+        observer.observe_engine(engine, Outcome::Completed, clock_ms);
+        observer.push(Incoming::Progress(ProgressNote {
+            query_id,
+            attempt: number,
+            kind: NoteKind::Progress,
+            amount: fraction.min(MAX_REPORTED_PROGRESS),
+        }));
+        self.run_round(dispatcher);
+    }
+
+    /// Attempts on an engine have run to their end.
+    pub(super) fn on_engine_completion(&mut self, engine: usize) {
+        let now_ms = self.environment.now_ms;
+        for attempt_id in self.engines.take_completed(engine, now_ms) {
+            self.complete_attempt(engine, attempt_id);
+        }
+        self.engines
+            .schedule_completion(engine, &mut self.environment);
+    }
+
+    fn complete_attempt(&mut self, engine: usize, attempt_id: u64) {
+        let Some(attempt) = self.attempts.get(&attempt_id) else {
+            return;
+        };
+        let query_id = attempt.query_id;
+        let Some(query) = self.queries.get(&query_id) else {
+            return;
+        };
+        let dispatcher = query.dispatcher;
+        if self.environment.experiment.class[query.class].changes() {
+            self.environment.record(|| EventKind::Applied {
+                engine: engine_name(engine),
+                id: query_id.to_string(),
+            });
+        }
+        self.environment.record(|| EventKind::Ended {
+            engine: engine_name(engine),
+            id: query_id.to_string(),
+            reply: "DONE".into(),
+            ran: true,
+        });
         if !self.is_cut(dispatcher, engine) {
-            self.observe_engine(dispatcher, engine, Outcome::Completed);
-            self.inboxes[dispatcher].push(Incoming::Progress(ProgressNote {
-                query_id,
-                attempt: number,
-                kind: NoteKind::Progress,
-                amount: fraction.min(MAX_REPORTED_PROGRESS),
-            }));
-            self.run_round(dispatcher);
+            let latency_ms = self.environment.draw_latency_ms();
+            let end = Event::AttemptEnd {
+                attempt: attempt_id,
+                outcome: Outcome::Completed,
+            };
+            self.schedule_in(latency_ms, end);
+        }
+    }
+
+    /// Lets an engine that warms up fail if it was sent more than it sustains.
+    fn check_cold_load(&mut self, engine: usize, work_ms: f64) {
+        let load = self
+            .engines
+            .record_arrival(engine, work_ms, &self.environment);
+        if let Some(load) = load {
+            self.results.record_cold_load(load);
+            if load > 1.0 {
+                self.fail_engine(engine);
+            }
+        }
+    }
+
+    /// An engine fails under its load, and restarts cold.
+    fn fail_engine(&mut self, engine: usize) {
+        self.results.record_engine_failure();
+        let now_ms = self.environment.now_ms;
+        for attempt_id in self.engines.fail(engine, now_ms) {
+            let latency_ms = self.environment.draw_latency_ms();
+            let attempt = self.attempts.get(&attempt_id);
+            let query_id = attempt.map_or(0, |attempt| attempt.query_id);
+            self.environment.record(|| EventKind::GivenUp {
+                engine: engine_name(engine),
+                id: query_id.to_string(),
+            });
+            let reset = Event::AttemptEnd {
+                attempt: attempt_id,
+                outcome: Outcome::Reset,
+            };
+            self.schedule_in(latency_ms, reset);
         }
+        let restart_ms = self.environment.decision_clock_ms() + OUTAGE_MS;
+        self.announce_start(engine, restart_ms);
     }
 }
--- a/crates/simulator/src/simulation/dispatchers.rs
+++ b/crates/simulator/src/simulation/dispatchers.rs
@@ -1,107 +1,31 @@
-//! Dispatchers: the rounds of their decisions, their view of zones, and the endpoint list that they get.
+//! The rounds of dispatchers: their decisions are applied to attempts, answers, health checks and timers.
 
+use super::engines::{engine_id, engine_of};
+use super::environment::simulation_time_ms;
 use super::events::Event;
-use super::inbox::{Decision, Decisions, Inbox, Incoming};
-use super::settings::dispatcher_settings;
-use super::{engine_id, engine_of, Simulation, EPOCH_MS};
-use crate::schema::{Arm, Experiment};
-use tansymux::control::Control;
+use super::inbox::{Decision, Incoming};
+use super::Simulation;
 use tansymux::events::{EndpointState, HealthCheckEnded, Outcome};
-use tansymux::zone_plan::{ZoneLimits, ZonePlan};
-use tansymux_zone_routing::{
-    Event as ZoneEvent, Observation, ObservationKind, RoutingPlan, ZoneHealthDetector,
-};
 
-/// A cancelled attempt's end is reported to the decisions so much later, as in the program (ms).
+/// How much later than its cancellation an attempt's end is reported to the decisions, as in the program (ms).
 const CANCEL_DELAY_MS: f64 = 40.0;
-/// Timers are never shorter (ms).
+/// The shortest delay of a timer (ms).
 const MIN_TIMER_MS: f64 = 1.0;
 
-/// A dispatcher.
-pub(super) struct Dispatcher {
-    pub control: Control,
-    /// None where the variant's operators' file defines no zones.
-    pub zone_health: Option<ZoneHealthDetector>,
-    pub zone: usize,
-    timer_ms: f64,
-    /// Engines whose connections are known to be dead.
-    pub known_dead: Vec<bool>,
-}
-
-/// The dispatchers of a variant, spread over zones in turn.
-pub(super) fn start(
-    experiment: &Experiment,
-    variant: &Arm,
-    zones: &[String],
-    engine_count: usize,
-    seed: u64,
-) -> Vec<Dispatcher> {
-    let operator = tansymux_operator_config::parse(variant.operator()).unwrap_or_default();
-    let zone_config = operator
-        .halls
-        .as_ref()
-        .map(tansymux_operator_config::zone_routing_config);
-    (0..experiment.dispatchers() as usize)
-        .map(|n| {
-            let zone = n % zones.len();
-            let settings = dispatcher_settings(experiment, &zones[zone]);
-            Dispatcher {
-                control: Control::new(seed.wrapping_mul(1000) + n as u64, &settings)
-                    .expect("the simulator's own settings are whole"),
-                zone_health: zone_config.clone().map(|config| {
-                    ZoneHealthDetector::new(config, f64::from(experiment.dispatchers()))
-                }),
-                zone,
-                timer_ms: f64::INFINITY,
-                known_dead: vec![false; engine_count],
-            }
-        })
-        .collect()
-}
-
-/// The zones' plan in the form that the decisions take.
-fn zone_plan(plan: &RoutingPlan) -> ZonePlan {
-    let limits = |zone: &tansymux_zone_routing::ZonePlan| ZoneLimits {
-        name: zone.name.clone(),
-        tiers: zone.ranks.clone(),
-        max_spill_threads: zone.spill_threads,
-        max_spill_threads_by_group: zone.spill_threads_by_class.clone(),
-    };
-    ZonePlan {
-        zones: plan.zones.iter().map(limits).collect(),
-        engines: plan
-            .engines
-            .iter()
-            .map(|engine| (engine.engine_id, engine.threads))
-            .collect(),
-        cross_zone_retry_ratio: plan.cross_zone_retry_fraction,
-        isolated: plan.is_isolated,
-    }
-}
-
 impl Simulation<'_> {
     pub(super) fn on_timer(&mut self, dispatcher: usize) {
-        if self.now_ms >= self.dispatchers[dispatcher].timer_ms {
-            self.dispatchers[dispatcher].timer_ms = f64::INFINITY;
+        let now_ms = self.environment.now_ms;
+        if self.dispatchers[dispatcher].take_due_timer(now_ms) {
             self.run_round(dispatcher);
         }
     }
 
-    /// Gives a dispatcher's decisions all that came in, and does what they decide.
+    /// Runs a round of a dispatcher and applies its decisions.
     pub(super) fn run_round(&mut self, dispatcher: usize) {
-        let mut inbox = Inbox {
-            events: std::mem::take(&mut self.inboxes[dispatcher]),
-            groups: &self.groups,
-            endpoints: &self.endpoints,
-        };
-        let mut decisions = Decisions::default();
-        self.dispatchers[dispatcher].control.run_round(
-            EPOCH_MS + self.now_ms,
-            &mut inbox,
-            &mut decisions,
-        );
-        self.inboxes[dispatcher] = inbox.events;
-        for decision in decisions.0 {
+        let clock_ms = self.environment.decision_clock_ms();
+        let decisions =
+            self.dispatchers[dispatcher].run_round(clock_ms, &self.groups, &self.endpoints);
+        for decision in decisions {
             self.apply(dispatcher, &decision);
         }
     }
@@ -114,7 +38,8 @@
                 deadline_ms,
             } => {
                 let engine = engine_of(engine_id);
-                self.submit(dispatcher, query_id, engine, deadline_ms - EPOCH_MS);
+                let deadline_ms = simulation_time_ms(deadline_ms);
+                self.submit(dispatcher, query_id, engine, deadline_ms);
             }
             Decision::Reject {
                 query_id,
@@ -126,10 +51,10 @@
                 self.check_health(dispatcher, engine_of(engine_id));
             }
             Decision::SetTimer { delay_ms } => {
-                let at_ms = self.now_ms + delay_ms.max(MIN_TIMER_MS);
-                if at_ms < self.dispatchers[dispatcher].timer_ms {
-                    self.dispatchers[dispatcher].timer_ms = at_ms;
-                    self.schedule(at_ms, Event::DispatcherTimer { dispatcher });
+                let at_ms = self.environment.now_ms + delay_ms.max(MIN_TIMER_MS);
+                if self.dispatchers[dispatcher].set_timer(at_ms) {
+                    self.environment
+                        .schedule(at_ms, Event::DispatcherTimer { dispatcher });
                 }
             }
         }
@@ -145,19 +70,20 @@
     }
 
     fn check_health(&mut self, dispatcher: usize, engine: usize) {
-        let lost = self.is_cut(dispatcher, engine) || self.is_down(engine);
-        let network = self.experiment.network.unwrap_or_default();
-        let (after_ms, outcome) = if lost {
-            (network.connect_timeout_ms(), Outcome::Timeout)
+        let is_lost = self.is_cut(dispatcher, engine) || self.is_down(engine);
+        let (after_ms, outcome) = if is_lost {
+            let timeout_ms = self.environment.network().connect_timeout_ms();
+            (timeout_ms, Outcome::Timeout)
         } else {
-            (2.0 * self.draw_latency_ms(), Outcome::Completed)
+            let round_trip_ms = 2.0 * self.environment.draw_latency_ms();
+            (round_trip_ms, Outcome::Completed)
         };
         let end = Event::HealthCheckEnd {
             dispatcher,
             engine,
             outcome,
         };
-        self.schedule(self.now_ms + after_ms, end);
+        self.schedule_in(after_ms, end);
     }
 
     pub(super) fn on_health_check_end(
@@ -166,64 +92,43 @@
         engine: usize,
         outcome: Outcome,
     ) {
-        self.observe_engine(dispatcher, engine, outcome);
-        self.inboxes[dispatcher].push(Incoming::HealthCheckEnded(HealthCheckEnded {
+        let clock_ms = self.environment.decision_clock_ms();
+        let observer = &mut self.dispatchers[dispatcher];
+        observer.observe_engine(engine, outcome, clock_ms);
+        observer.push(Incoming::HealthCheckEnded(HealthCheckEnded {
             engine_id: engine_id(engine),
             outcome,
         }));
         self.run_round(dispatcher);
     }
 
-    /// What an outcome says about an engine's zone.
-    pub(super) fn observe_engine(&mut self, dispatcher: usize, engine: usize, outcome: Outcome) {
-        let kind = match outcome {
-            Outcome::Completed | Outcome::Error | Outcome::Full => ObservationKind::Answered,
-            Outcome::NoConnection | Outcome::Reset | Outcome::Timeout => ObservationKind::NoAnswer,
-            Outcome::Cancelled | Outcome::NotSent | Outcome::Withdrawn => return,
-        };
-        if let Some(zone_health) = &mut self.dispatchers[dispatcher].zone_health {
-            let observation = Observation {
-                engine_id: engine_id(engine),
-                kind,
-            };
-            let now_ms = EPOCH_MS + self.now_ms;
-            zone_health.handle(ZoneEvent::EngineObserved(observation), now_ms);
-        }
-    }
-
-    /// A dispatcher evaluates the zones' health and plans by it.
-    pub(super) fn evaluate_zones(&mut self, dispatcher_number: usize) {
-        let now_ms = EPOCH_MS + self.now_ms;
-        let dispatcher = &mut self.dispatchers[dispatcher_number];
-        let Some(zone_health) = &mut dispatcher.zone_health else {
-            return;
-        };
-        zone_health.evaluate(now_ms);
-        let plan = zone_health.routing_plan(&self.zones[dispatcher.zone], &self.groups);
-        dispatcher.control.set_zone_plan(Some(&zone_plan(&plan)));
-        if let Some(engine_id) = zone_health.poll_health_check(now_ms) {
-            self.check_health(dispatcher_number, engine_of(engine_id));
+    /// All dispatchers evaluate the health of zones.
+    pub(super) fn evaluate_zones(&mut self) {
+        let clock_ms = self.environment.decision_clock_ms();
+        for dispatcher in 0..self.dispatchers.len() {
+            let engine_to_check =
+                self.dispatchers[dispatcher].evaluate_zones(&self.zones, &self.groups, clock_ms);
+            if let Some(engine_id) = engine_to_check {
+                self.check_health(dispatcher, engine_of(engine_id));
+            }
         }
     }
 
-    /// A dispatcher gets the endpoint list as it is now.
+    /// A dispatcher gets the current endpoint list.
     pub(super) fn announce_endpoints(&mut self, dispatcher: usize) {
         let engines: Vec<tansymux_zone_routing::Engine> = self
             .endpoints
             .iter()
-            .zip(&self.engines)
-            .map(|(endpoint, engine)| tansymux_zone_routing::Engine {
+            .enumerate()
+            .map(|(engine, endpoint)| tansymux_zone_routing::Engine {
                 engine_id: endpoint.engine_id,
                 zone: endpoint.zone.clone(),
-                cores: engine.cores,
+                cores: self.engines.cores(engine),
                 ready: endpoint.state == EndpointState::Ready,
             })
             .collect();
-        if let Some(zone_health) = &mut self.dispatchers[dispatcher].zone_health {
-            let now_ms = EPOCH_MS + self.now_ms;
-            zone_health.handle(ZoneEvent::EnginesListed(&engines), now_ms);
-        }
-        self.inboxes[dispatcher].push(Incoming::EndpointList);
+        let clock_ms = self.environment.decision_clock_ms();
+        self.dispatchers[dispatcher].update_endpoints(&engines, clock_ms);
         self.run_round(dispatcher);
     }
 }
--- a/crates/simulator/src/simulation/engines.rs
+++ b/crates/simulator/src/simulation/engines.rs
@@ -1,113 +1,195 @@
-//! Engines: completions, and what happens to one that is sent too much while it warms up.
+//! The pool's engines: their zones and outages, and the limit of work for engines that warm up.
 
+use super::environment::Environment;
 use super::events::Event;
-use super::{engine_name, ColdArrival, Simulation, EPOCH_MS};
-use tansymux::events::Outcome;
-use tansymux_testbed::record::EventKind;
+use crate::engine::Engine;
+use crate::schema::Experiment;
 
-/// How long an engine that fell is down (ms).
-const FALL_MS: f64 = 3000.0;
+/// How long an engine is down after it failed under its load (ms).
+pub(super) const OUTAGE_MS: f64 = 3000.0;
 
-impl Simulation<'_> {
-    pub(super) fn is_down(&self, engine: usize) -> bool {
-        self.now_ms < self.down_until_ms[engine]
-    }
+/// The id by which decisions know an engine.
+pub(super) fn engine_id(engine: usize) -> u64 {
+    engine as u64 + 1
+}
+
+/// The engine of an id.
+pub(super) fn engine_of(engine_id: u64) -> usize {
+    engine_id as usize - 1
+}
+
+/// The name of an engine in the record.
+pub(super) fn engine_name(engine: usize) -> String {
+    format!("s-{engine}")
+}
+
+/// Work that reached an engine which warms up.
+struct ColdArrival {
+    at_ms: f64,
+    work_ms: f64,
+}
+
+/// An engine of the pool.
+struct PooledEngine {
+    engine: Engine,
+    /// Index of its zone.
+    zone: usize,
+    down_until_ms: f64,
+    /// Arrivals within the span of the limit.
+    cold_arrivals: Vec<ColdArrival>,
+}
+
+/// All engines of an experiment, by their indices.
+pub(super) struct EnginePool {
+    engines: Vec<PooledEngine>,
+}
 
-    /// Schedules an engine's next completion; one that was scheduled before no longer counts.
-    pub(super) fn schedule_completion(&mut self, engine: usize) {
-        let now_ms = self.now_ms;
-        if let Some(next_ms) = self.engines[engine].next_completion_ms(now_ms) {
-            let generation = self.engines[engine].generation;
-            let completion = Event::EngineCompletion { engine, generation };
-            self.schedule(next_ms.max(now_ms), completion);
+impl EnginePool {
+    /// The engines of an experiment, all warm and idle, in the order of their zones.
+    pub fn new(experiment: &Experiment) -> Self {
+        let cold = experiment.cold.unwrap_or_default();
+        let warm_up_ms = cold.warm_s() * 1000.0;
+        let mut engines = Vec::new();
+        for (zone, definition) in experiment.hall.iter().enumerate() {
+            for _ in 0..definition.engines() {
+                engines.push(PooledEngine {
+                    engine: Engine::new(definition.cores(), warm_up_ms, cold.from()),
+                    zone,
+                    down_until_ms: 0.0,
+                    cold_arrivals: Vec::new(),
+                });
+            }
         }
+        EnginePool { engines }
+    }
+
+    /// Number of engines.
+    pub fn len(&self) -> usize {
+        self.engines.len()
     }
 
-    pub(super) fn on_engine_completion(&mut self, engine: usize) {
-        for attempt_id in self.engines[engine].take_completed(self.now_ms) {
-            self.engines[engine].remove(self.now_ms, attempt_id);
-            self.complete_attempt(engine, attempt_id);
+    /// The index of an engine's zone.
+    pub fn zone(&self, engine: usize) -> usize {
+        self.engines[engine].zone
+    }
+
+    /// An engine's cores.
+    pub fn cores(&self, engine: usize) -> f64 {
+        self.engines[engine].engine.cores
+    }
+
+    /// The cores of all engines of a zone.
+    pub fn zone_cores(&self, zone: usize) -> f64 {
+        self.engines
+            .iter()
+            .filter(|pooled| pooled.zone == zone)
+            .map(|pooled| pooled.engine.cores)
+            .sum()
+    }
+
+    /// Threads that run, by zone.
+    pub fn threads_by_zone(&self, zones: usize) -> Vec<f64> {
+        let mut threads = vec![0.0; zones];
+        for pooled in &self.engines {
+            threads[pooled.zone] += pooled.engine.threads();
         }
-        self.schedule_completion(engine);
-    }
-
-    fn complete_attempt(&mut self, engine: usize, attempt_id: u64) {
-        let Some(attempt) = self.attempts.get(&attempt_id) else {
-            return;
-        };
-        let query_id = attempt.query_id;
-        let Some(query) = self.queries.get(&query_id) else {
-            return;
-        };
-        let dispatcher = query.dispatcher;
-        if self.experiment.class[query.class].changes() {
-            self.record(|| EventKind::Applied {
-                engine: engine_name(engine),
-                id: query_id.to_string(),
-            });
+        threads
+    }
+
+    /// Whether an engine is down after a failure.
+    pub fn is_down(&self, engine: usize, now_ms: f64) -> bool {
+        now_ms < self.engines[engine].down_until_ms
+    }
+
+    /// Whether nothing changed on an engine since a completion of this generation was scheduled.
+    pub fn is_current(&self, engine: usize, generation: u64) -> bool {
+        self.engines[engine].engine.generation == generation
+    }
+
+    /// Starts a job on an engine.
+    pub fn add(&mut self, engine: usize, job: u64, work_ms: f64, threads: f64, now_ms: f64) {
+        self.engines[engine]
+            .engine
+            .add(now_ms, job, work_ms, threads);
+    }
+
+    /// Removes a job from an engine. Returns whether it ran there.
+    pub fn remove(&mut self, engine: usize, job: u64, now_ms: f64) -> bool {
+        self.engines[engine].engine.remove(now_ms, job).is_some()
+    }
+
+    /// Removes the jobs of an engine that have ended by now, and returns their ids.
+    pub fn take_completed(&mut self, engine: usize, now_ms: f64) -> Vec<u64> {
+        let engine = &mut self.engines[engine].engine;
+        let completed = engine.take_completed(now_ms);
+        for job in &completed {
+            engine.remove(now_ms, *job);
         }
-        self.record(|| EventKind::Ended {
-            engine: engine_name(engine),
-            id: query_id.to_string(),
-            reply: "DONE".into(),
-            ran: true,
-        });
-        if !self.is_cut(dispatcher, engine) {
-            let latency_ms = self.draw_latency_ms();
-            let end = Event::AttemptEnd {
-                attempt: attempt_id,
-                outcome: Outcome::Completed,
+        completed
+    }
+
+    /// The fraction of a job that is done by now.
+    pub fn done_fraction(&mut self, engine: usize, job: u64, now_ms: f64) -> Option<f64> {
+        let engine = &mut self.engines[engine].engine;
+        engine.advance(now_ms);
+        engine.done_fraction(job)
+    }
+
+    /// From now on all jobs of an engine take `slowdown` times as long.
+    pub fn set_slowdown(&mut self, engine: usize, slowdown: f64, now_ms: f64) {
+        self.engines[engine].engine.set_slowdown(now_ms, slowdown);
+    }
+
+    /// An engine restarts and warms up from now on.
+    pub fn restart_cold(&mut self, engine: usize, now_ms: f64) {
+        self.engines[engine].engine.started_ms = now_ms;
+    }
+
+    /// Schedules an engine's next completion; a completion that was scheduled before is no longer current.
+    pub fn schedule_completion(&mut self, engine: usize, environment: &mut Environment) {
+        let now_ms = environment.now_ms;
+        let index = engine;
+        let engine = &mut self.engines[index].engine;
+        if let Some(next_ms) = engine.next_completion_ms(now_ms) {
+            let completion = Event::EngineCompletion {
+                engine: index,
+                generation: engine.generation,
             };
-            self.schedule(self.now_ms + latency_ms, end);
+            environment.schedule(next_ms.max(now_ms), completion);
         }
     }
 
-    /// What an engine that warms up was sent in a span, against what makes it fall. One query alone never does.
-    pub(super) fn check_cold_load(&mut self, engine: usize, work_ms: f64) {
-        let cold = self.experiment.cold.unwrap_or_default();
-        let now_ms = self.now_ms;
-        if now_ms - self.engines[engine].started_ms >= cold.warm_s() * 1000.0 {
-            return;
+    /// Records work that reached an engine. Returns the work within the limit's span as a fraction of what the engine
+    /// sustains, while it warms up. A single query never exceeds the limit.
+    pub fn record_arrival(
+        &mut self,
+        engine: usize,
+        work_ms: f64,
+        environment: &Environment,
+    ) -> Option<f64> {
+        let cold = environment.warm_up();
+        let now_ms = environment.now_ms;
+        let pooled = &mut self.engines[engine];
+        if now_ms - pooled.engine.started_ms >= cold.warm_s() * 1000.0 {
+            return None;
         }
-        let arrivals = &mut self.cold_arrivals[engine];
+        let arrivals = &mut pooled.cold_arrivals;
         arrivals.push(ColdArrival {
             at_ms: now_ms,
             work_ms,
         });
         arrivals.retain(|arrival| now_ms - arrival.at_ms < cold.span_ms());
         let sent_ms: f64 = arrivals.iter().map(|arrival| arrival.work_ms).sum();
-        let bearable_ms =
-            cold.multiple() * cold.from() * self.engines[engine].cores * cold.span_ms();
-        if arrivals.len() < 2 {
-            return;
-        }
-        self.outcomes.max_cold_load = self.outcomes.max_cold_load.max(sent_ms / bearable_ms);
-        if sent_ms > bearable_ms {
-            self.fall(engine);
-        }
+        let sustained_ms = cold.multiple() * cold.from() * pooled.engine.cores * cold.span_ms();
+        (arrivals.len() >= 2).then_some(sent_ms / sustained_ms)
     }
 
-    /// An engine ends under its load, and comes back cold.
-    fn fall(&mut self, engine: usize) {
-        self.outcomes.engines_fallen += 1;
-        let back_ms = self.now_ms + FALL_MS;
-        self.down_until_ms[engine] = back_ms;
-        self.engines[engine].started_ms = back_ms;
-        self.cold_arrivals[engine].clear();
-        for attempt_id in self.engines[engine].drop_all(self.now_ms) {
-            let latency_ms = self.draw_latency_ms();
-            let attempt = self.attempts.get(&attempt_id);
-            let query_id = attempt.map_or(0, |attempt| attempt.query_id);
-            self.record(|| EventKind::GivenUp {
-                engine: engine_name(engine),
-                id: query_id.to_string(),
-            });
-            let reset = Event::AttemptEnd {
-                attempt: attempt_id,
-                outcome: Outcome::Reset,
-            };
-            self.schedule(self.now_ms + latency_ms, reset);
-        }
-        self.announce_start(engine, EPOCH_MS + self.now_ms + FALL_MS);
+    /// Ends an engine for [`OUTAGE_MS`], after which it is cold. Returns the jobs that ran on it.
+    pub fn fail(&mut self, engine: usize, now_ms: f64) -> Vec<u64> {
+        let pooled = &mut self.engines[engine];
+        pooled.down_until_ms = now_ms + OUTAGE_MS;
+        pooled.engine.started_ms = now_ms + OUTAGE_MS;
+        pooled.cold_arrivals.clear();
+        pooled.engine.drop_all(now_ms)
     }
 }
--- a/crates/simulator/src/simulation/events.rs
+++ b/crates/simulator/src/simulation/events.rs
@@ -4,13 +4,21 @@
 use std::collections::BinaryHeap;
 use tansymux::events::Outcome;
 
-#[derive(Debug, Clone)]
+/// Whether a fault begins or ends.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum FaultEdge {
+    Begin,
+    End,
+}
+
+/// Something that happens at a time of the simulation.
+#[derive(Debug, Clone, Copy)]
 pub(super) enum Event {
-    /// A client's query comes to a dispatcher, and the class's next one is drawn.
+    /// A client's query arrives at a dispatcher, and the next arrival of its class is scheduled.
     QueryArrival {
         class: usize,
     },
-    /// A dispatcher's decisions asked for a round at this time.
+    /// The time of a round that a dispatcher's decisions requested.
     DispatcherTimer {
         dispatcher: usize,
     },
@@ -23,7 +31,7 @@
         attempt: u64,
         outcome: Outcome,
     },
-    /// An attempt's time is over.
+    /// An attempt's deadline has passed.
     AttemptDeadline {
         attempt: u64,
     },
@@ -31,7 +39,7 @@
     ProgressNote {
         attempt: u64,
     },
-    /// An engine's next job ends, if nothing changed since this was scheduled.
+    /// An engine's next job ends, unless the engine has changed since this was scheduled.
     EngineCompletion {
         engine: usize,
         generation: u64,
@@ -45,7 +53,7 @@
     /// A fault begins or ends.
     Fault {
         fault: usize,
-        begins: bool,
+        edge: FaultEdge,
     },
     /// A dispatcher gets the endpoint list.
     EndpointUpdate {
@@ -72,7 +80,7 @@
 
 impl Ord for Scheduled {
     fn cmp(&self, other: &Self) -> Ordering {
-        // The earliest is the greatest, as the heap gives the greatest first.
+        // Reversed, because the heap returns the greatest element first.
         other
             .at_ms
             .total_cmp(&self.at_ms)
--- a/crates/simulator/src/simulation/inbox.rs
+++ b/crates/simulator/src/simulation/inbox.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher's decisions are given in a round, and what they decide.
+//! The events that a round delivers to a dispatcher's decisions, and the decisions of the round.
 
 use tansymux::control::{Control, EventSource};
 use tansymux::events::{
@@ -6,7 +6,7 @@
     HealthCheckEnded, ProgressNote, QueryArrived, StatementTraits,
 };
 
-/// Memory that each query is said to need (MB).
+/// The declared memory of each query (MB).
 const QUERY_MEMORY_MB: f64 = 10.0;
 /// Groups of tables, over which queries are spread in turn.
 const TABLE_GROUPS: u32 = 24;
@@ -16,7 +16,7 @@
     pub engine_id: u64,
     pub zone: String,
     pub state: EndpointState,
-    /// When it started, where it did so late (decisions' clock).
+    /// When the engine started; none for an engine that was there at the begin (decisions' clock, ms).
     pub started_ms: Option<f64>,
 }
 
@@ -26,7 +26,7 @@
     /// Index of its class, and so of its group.
     pub class: usize,
     pub estimated_cost_ms: f64,
-    /// Decisions' clock.
+    /// On the decisions' clock.
     pub deadline_ms: f64,
 }
 
@@ -44,7 +44,7 @@
     Submit {
         query_id: u64,
         engine_id: u64,
-        /// Decisions' clock.
+        /// On the decisions' clock.
         deadline_ms: f64,
     },
     Reject {
--- a/crates/simulator/src/simulation/mod.rs
+++ b/crates/simulator/src/simulation/mod.rs
@@ -5,8 +5,10 @@
 
 mod attempts;
 mod clients;
+mod dispatcher;
 mod dispatchers;
 mod engines;
+mod environment;
 mod events;
 mod faults;
 mod inbox;
@@ -15,32 +17,28 @@
 
 pub use results::{Outcomes, Sample};
 
-use crate::engine::Engine;
-use crate::schema::Experiment;
-use dispatchers::Dispatcher;
-use events::{Event, EventQueue};
-use hdrhistogram::Histogram;
-use inbox::{Endpoint, Incoming};
-use rand::{RngExt, SeedableRng};
-use rand_pcg::Pcg64;
-use results::Value;
+use crate::schema::{fault, Experiment};
+use dispatcher::Dispatcher;
+use engines::{engine_id, engine_name, EnginePool};
+use environment::Environment;
+use events::{Event, FaultEdge};
+use faults::ActiveFaults;
+use inbox::Endpoint;
+use rand::RngExt;
+use results::Results;
 use std::collections::HashMap;
 use std::time::Instant;
 use tansymux::events::EndpointState;
-use tansymux_testbed::record::{Entry, EventKind, Status};
+use tansymux_testbed::record::{EventKind, Status};
 
-/// The decisions' clock begins here (ms), so that none of their times lies before 0.
-const EPOCH_MS: f64 = 1e6;
 /// Time between two progress notes of an attempt (ms).
 const NOTE_INTERVAL_MS: f64 = 100.0;
 /// Time between two evaluations of the zones' health (ms).
 const ZONE_CHECK_INTERVAL_MS: f64 = 100.0;
 /// Time between two samples (ms).
 const SAMPLE_INTERVAL_MS: f64 = 250.0;
-/// How long after its end a run is played on, so that all queries get their answer (ms).
+/// How long a run continues after its last arrival, so that all queries get their answer (ms).
 const DRAIN_MS: f64 = 6000.0;
-/// A run of more queries than this keeps no record for the checker, which would not fit into memory.
-const MAX_RECORDED_QUERIES: f64 = 400_000.0;
 
 /// A query, from its arrival until nothing refers to it.
 struct Query {
@@ -52,7 +50,7 @@
     answered: bool,
 }
 
-/// An attempt that is out.
+/// An attempt in flight.
 struct Attempt {
     query_id: u64,
     number: usize,
@@ -62,83 +60,45 @@
     cancelled: bool,
 }
 
-/// Work that reached an engine which warms up.
-struct ColdArrival {
-    at_ms: f64,
-    work_ms: f64,
-}
-
+/// A run of one variant with one seed.
 struct Simulation<'a> {
-    experiment: &'a Experiment,
+    environment: Environment<'a>,
     /// The endpoint list follows faults at once.
     ideal: bool,
-    now_ms: f64,
-    events: EventQueue,
-    rng: Pcg64,
     zones: Vec<String>,
     groups: Vec<String>,
-    /// The zone of each engine.
-    engine_zones: Vec<usize>,
-    engines: Vec<Engine>,
-    /// Until when each engine is down.
-    down_until_ms: Vec<f64>,
-    cold_arrivals: Vec<Vec<ColdArrival>>,
+    engines: EnginePool,
     dispatchers: Vec<Dispatcher>,
-    inboxes: Vec<Vec<Incoming>>,
     queries: HashMap<u64, Query>,
     attempts: HashMap<u64, Attempt>,
     next_query_id: u64,
     next_attempt_id: u64,
-    /// Whether each fault is in force.
-    active_faults: Vec<bool>,
+    faults: ActiveFaults<'a>,
+    /// The endpoint list, in the order of the engines.
     endpoints: Vec<Endpoint>,
-    record: Option<Vec<Entry>>,
-    outcomes: Outcomes,
-    fast_latencies_ms: Histogram<u64>,
-    sample: Sample,
-    /// By phase.
-    values: [Value; 4],
+    results: Results,
 }
 
-/// Plays one seed of one variant.
+/// Runs one seed of one variant.
 pub fn run(experiment: &Experiment, variant: usize, seed: u64) -> Outcomes {
     let from = Instant::now();
     let mut simulation = Simulation::new(experiment, variant, seed);
     simulation.begin();
     let end_ms = experiment.seconds() * 1000.0;
-    while let Some((at_ms, event)) = simulation.events.pop() {
-        if at_ms > end_ms + DRAIN_MS {
-            break;
-        }
-        simulation.now_ms = at_ms;
+    while let Some(event) = simulation.environment.next_event(end_ms + DRAIN_MS) {
         simulation.handle(event, end_ms);
     }
-    simulation.finish(from.elapsed().as_secs_f64())
-}
-
-/// The id by which decisions know an engine.
-fn engine_id(engine: usize) -> u64 {
-    engine as u64 + 1
-}
-
-/// The engine of an id.
-fn engine_of(engine_id: u64) -> usize {
-    engine_id as usize - 1
-}
-
-/// The name of an engine in the record.
-fn engine_name(engine: usize) -> String {
-    format!("s-{engine}")
+    let record = simulation.environment.take_record();
+    let real_s = from.elapsed().as_secs_f64();
+    simulation.results.finish(experiment, record, real_s)
 }
 
 /// The endpoint list at the begin: all engines are ready, and none started late.
-fn initial_endpoints(zones: &[String], engine_zones: &[usize]) -> Vec<Endpoint> {
-    engine_zones
-        .iter()
-        .enumerate()
-        .map(|(engine, zone)| Endpoint {
+fn initial_endpoints(zones: &[String], engines: &EnginePool) -> Vec<Endpoint> {
+    (0..engines.len())
+        .map(|engine| Endpoint {
             engine_id: engine_id(engine),
-            zone: zones[*zone].clone(),
+            zone: zones[engines.zone(engine)].clone(),
             state: EndpointState::Ready,
             started_ms: None,
         })
@@ -147,80 +107,46 @@
 
 impl<'a> Simulation<'a> {
     fn new(experiment: &'a Experiment, variant: usize, seed: u64) -> Self {
-        let cold = experiment.cold.unwrap_or_default();
         let zones: Vec<String> = experiment
             .hall
             .iter()
             .map(|zone| zone.name().to_owned())
             .collect();
-        let mut engines = Vec::new();
-        let mut engine_zones = Vec::new();
-        for (n, zone) in experiment.hall.iter().enumerate() {
-            for _ in 0..zone.engines() {
-                let warm_up_ms = cold.warm_s() * 1000.0;
-                engines.push(Engine::new(zone.cores(), warm_up_ms, cold.from()));
-                engine_zones.push(n);
-            }
-        }
+        let groups = experiment
+            .class
+            .iter()
+            .map(|class| class.name().to_owned())
+            .collect();
+        let engines = EnginePool::new(experiment);
         let arm = &experiment.arm[variant];
-        let dispatchers = dispatchers::start(experiment, arm, &zones, engines.len(), seed);
-        let queries_per_s: f64 = experiment.class.iter().map(|class| class.rate()).sum();
-        let is_recorded = queries_per_s * experiment.seconds() <= MAX_RECORDED_QUERIES;
         Simulation {
-            experiment,
+            environment: Environment::new(experiment, seed),
             ideal: arm.ideal(),
-            now_ms: 0.0,
-            events: EventQueue::default(),
-            rng: Pcg64::seed_from_u64(seed),
-            groups: experiment
-                .class
-                .iter()
-                .map(|class| class.name().to_owned())
-                .collect(),
-            down_until_ms: vec![0.0; engines.len()],
-            cold_arrivals: engines.iter().map(|_| Vec::new()).collect(),
-            inboxes: dispatchers.iter().map(|_| Vec::new()).collect(),
-            endpoints: initial_endpoints(&zones, &engine_zones),
+            dispatchers: dispatcher::start(experiment, arm, &zones, engines.len(), seed),
+            endpoints: initial_endpoints(&zones, &engines),
             zones,
-            engine_zones,
+            groups,
             engines,
-            dispatchers,
             queries: HashMap::new(),
             attempts: HashMap::new(),
             next_query_id: 1,
             next_attempt_id: 1,
-            active_faults: vec![false; experiment.fault.len()],
-            record: is_recorded.then(Vec::new),
-            outcomes: Outcomes {
-                seed,
-                variant: arm.name().to_owned(),
-                ..Outcomes::default()
-            },
-            fast_latencies_ms: Histogram::new_with_bounds(1, 600_000, 3).expect("bounds in order"),
-            sample: Sample::default(),
-            values: [Value::default(); 4],
+            faults: ActiveFaults::new(experiment),
+            results: Results::new(arm.name(), seed),
         }
     }
 
-    fn schedule(&mut self, at_ms: f64, event: Event) {
-        self.events.push(at_ms, event);
-    }
-
-    /// Adds to the record, where one is kept.
-    fn record(&mut self, event: impl FnOnce() -> EventKind) {
-        if let Some(record) = &mut self.record {
-            record.push(Entry {
-                at_ms: self.now_ms,
-                event: event(),
-            });
-        }
+    /// Schedules an event after a delay.
+    fn schedule_in(&mut self, delay_ms: f64, event: Event) {
+        let at_ms = self.environment.now_ms + delay_ms;
+        self.environment.schedule(at_ms, event);
     }
 
     /// Announces all engines, and schedules the first event of each kind.
     fn begin(&mut self) {
         for engine in 0..self.engines.len() {
-            let zone = self.zones[self.engine_zones[engine]].clone();
-            self.record(|| EventKind::Listed {
+            let zone = self.zones[self.engines.zone(engine)].clone();
+            self.environment.record(|| EventKind::Listed {
                 engine: engine_name(engine),
                 status: Status::Ready,
                 zone,
@@ -231,35 +157,31 @@
         for dispatcher in 0..self.dispatchers.len() {
             self.announce_endpoints(dispatcher);
         }
-        for class in 0..self.experiment.class.len() {
-            self.schedule(0.0, Event::QueryArrival { class });
+        let experiment = self.environment.experiment;
+        for class in 0..experiment.class.len() {
+            self.environment
+                .schedule(0.0, Event::QueryArrival { class });
         }
-        let experiment = self.experiment;
         for (fault, times) in experiment.fault.iter().enumerate() {
-            let begins = true;
-            self.schedule(times.begins_s() * 1000.0, Event::Fault { fault, begins });
-            let begins = false;
-            self.schedule(times.ends_s() * 1000.0, Event::Fault { fault, begins });
+            for (at_s, edge) in [
+                (times.begins_s(), FaultEdge::Begin),
+                (times.ends_s(), FaultEdge::End),
+            ] {
+                self.environment
+                    .schedule(at_s * 1000.0, Event::Fault { fault, edge });
+            }
         }
-        self.schedule(ZONE_CHECK_INTERVAL_MS, Event::ZoneCheck);
-        self.schedule(SAMPLE_INTERVAL_MS, Event::Sample);
-    }
-
-    /// A one-way delay of the network, drawn around its usual one (ms).
-    fn draw_latency_ms(&mut self) -> f64 {
-        let usual_ms = self.experiment.network.unwrap_or_default().latency_ms();
-        usual_ms * (0.7 + 0.6 * self.rng.random::<f64>())
+        self.environment
+            .schedule(ZONE_CHECK_INTERVAL_MS, Event::ZoneCheck);
+        self.environment.schedule(SAMPLE_INTERVAL_MS, Event::Sample);
     }
 
     /// Handles an event. No query arrives, and nothing recurs, after `end_ms`.
-    #[expect(
-        clippy::needless_pass_by_value,
-        reason = "an event taken from the queue is handled once"
-    )]
     fn handle(&mut self, event: Event, end_ms: f64) {
+        let is_before_end = self.environment.now_ms < end_ms;
         match event {
             Event::QueryArrival { class } => {
-                if self.now_ms < end_ms {
+                if is_before_end {
                     self.on_query_arrival(class);
                 }
             }
@@ -269,7 +191,7 @@
             Event::AttemptDeadline { attempt } => self.on_attempt_deadline(attempt),
             Event::ProgressNote { attempt } => self.on_progress_note(attempt),
             Event::EngineCompletion { engine, generation } => {
-                if self.engines[engine].generation == generation {
+                if self.engines.is_current(engine, generation) {
                     self.on_engine_completion(engine);
                 }
             }
@@ -278,21 +200,122 @@
                 engine,
                 outcome,
             } => self.on_health_check_end(dispatcher, engine, outcome),
-            Event::Fault { fault, begins } => self.on_fault(fault, begins),
+            Event::Fault { fault, edge } => self.on_fault(fault, edge),
             Event::EndpointUpdate { dispatcher } => self.announce_endpoints(dispatcher),
             Event::ZoneCheck => {
-                for dispatcher in 0..self.dispatchers.len() {
-                    self.evaluate_zones(dispatcher);
-                }
-                if self.now_ms < end_ms {
-                    self.schedule(self.now_ms + ZONE_CHECK_INTERVAL_MS, Event::ZoneCheck);
+                self.evaluate_zones();
+                if is_before_end {
+                    self.schedule_in(ZONE_CHECK_INTERVAL_MS, Event::ZoneCheck);
                 }
             }
             Event::Sample => {
                 self.take_sample();
-                if self.now_ms < end_ms {
-                    self.schedule(self.now_ms + SAMPLE_INTERVAL_MS, Event::Sample);
+                if is_before_end {
+                    self.schedule_in(SAMPLE_INTERVAL_MS, Event::Sample);
+                }
+            }
+        }
+    }
+
+    /// Whether an engine is down after a failure.
+    fn is_down(&self, engine: usize) -> bool {
+        self.engines.is_down(engine, self.environment.now_ms)
+    }
+
+    /// Whether nothing gets through between a dispatcher and an engine.
+    fn is_cut(&self, dispatcher: usize, engine: usize) -> bool {
+        let dispatcher_zone = &self.zones[self.dispatchers[dispatcher].zone()];
+        let engine_zone = &self.zones[self.engines.zone(engine)];
+        self.faults.is_cut(dispatcher_zone, engine_zone)
+    }
+
+    /// A fault begins or ends.
+    fn on_fault(&mut self, number: usize, edge: FaultEdge) {
+        self.faults.apply(number, edge);
+        let fault = &self.environment.experiment.fault[number];
+        if self.ideal && fault.kind() == fault::Kind::Cut {
+            self.announce_reachable_engines();
+        }
+        let now_ms = self.environment.now_ms;
+        for engine in 0..self.engines.len() {
+            if self.zones[self.engines.zone(engine)] != fault.hall() {
+                continue;
+            }
+            match (fault.kind(), edge) {
+                (fault::Kind::Slow, edge) => {
+                    let slowdown = match edge {
+                        FaultEdge::Begin => fault.factor(),
+                        FaultEdge::End => 1.0,
+                    };
+                    self.engines.set_slowdown(engine, slowdown, now_ms);
+                    self.engines
+                        .schedule_completion(engine, &mut self.environment);
                 }
+                (fault::Kind::Cut, FaultEdge::End) if fault.cold() => self.restart_cold(engine),
+                (fault::Kind::Cut, _) => {}
+            }
+        }
+    }
+
+    fn restart_cold(&mut self, engine: usize) {
+        self.engines.restart_cold(engine, self.environment.now_ms);
+        let cores = self.engines.cores(engine);
+        self.environment.record(|| EventKind::Started {
+            engine: engine_name(engine),
+            cores,
+        });
+        let started_ms = self.environment.decision_clock_ms();
+        self.announce_start(engine, started_ms);
+    }
+
+    /// Enters an engine's new start (decisions' clock) into the endpoint list, which each dispatcher gets after a delay.
+    fn announce_start(&mut self, engine: usize, started_ms: f64) {
+        self.endpoints[engine].started_ms = Some(started_ms);
+        let max_delay_ms = self.environment.network().list_ms();
+        for dispatcher in 0..self.dispatchers.len() {
+            let delay_ms = max_delay_ms * self.environment.rng.random::<f64>();
+            self.schedule_in(delay_ms, Event::EndpointUpdate { dispatcher });
+        }
+    }
+
+    /// Enters into the endpoint list that engines which no dispatcher reaches are gone. All dispatchers get it at once.
+    fn announce_reachable_engines(&mut self) {
+        for engine in 0..self.engines.len() {
+            let is_reached =
+                (0..self.dispatchers.len()).any(|dispatcher| !self.is_cut(dispatcher, engine));
+            self.endpoints[engine].state = if is_reached {
+                EndpointState::Ready
+            } else {
+                EndpointState::Gone
+            };
+        }
+        for dispatcher in 0..self.dispatchers.len() {
+            self.schedule_in(0.0, Event::EndpointUpdate { dispatcher });
+        }
+    }
+
+    fn take_sample(&mut self) {
+        let mut spilled = vec![0.0; self.zones.len()];
+        for dispatcher in &self.dispatchers {
+            for (threads, zone) in spilled.iter_mut().zip(&self.zones) {
+                *threads += dispatcher.spilled_threads(zone);
+            }
+        }
+        self.record_spill(&spilled);
+        let threads = self.engines.threads_by_zone(self.zones.len());
+        self.results
+            .take_sample(self.environment.now_ms, threads, spilled);
+    }
+
+    /// Records how near spilled threads are to the limit of each zone.
+    fn record_spill(&mut self, spilled: &[f64]) {
+        for (index, zone) in self.zones.iter().enumerate() {
+            let Some(limit_fraction) = self.dispatchers[0].spill_limit(zone) else {
+                return;
+            };
+            let limit = limit_fraction * self.engines.zone_cores(index);
+            if limit.is_finite() && limit > 0.0 {
+                self.results.record_spill(spilled[index] / limit);
             }
         }
     }
--- a/crates/simulator/src/simulation/results.rs
+++ b/crates/simulator/src/simulation/results.rs
@@ -1,24 +1,34 @@
-//! What came of a run: samples, figures and violations. Outcomes are written as JSON, whose keys must stay.
+//! The results of a run: samples, figures and violations. Outcomes are written as JSON, whose keys must stay.
 
-use super::Simulation;
-use crate::schema::{Class, Cold};
+use crate::schema::{Class, Cold, Experiment};
+use hdrhistogram::Histogram;
 use serde::Serialize;
 use tansymux_testbed::invariants::{
     find_violations, ClassRules, Effect, Rules, Violation, WarmUpRule,
 };
+use tansymux_testbed::record::Entry;
 
-/// Full service: over this many samples in a row, at least this fraction of the value served before the faults.
+/// Number of consecutive samples over which full service is determined.
 const FULL_SERVICE_SAMPLES: usize = 8;
+/// Full service is at least this fraction of the value served before the faults.
 const FULL_SERVICE_FRACTION: f64 = 0.95;
+/// An answer in time has this many times the value of a late one.
+const LATE_VALUE_DIVISOR: f64 = 3.0;
+/// Phases of a run: before the first fault, during faults, a minute after the last one, later.
+const PHASES: usize = 4;
+/// How much later than its limit an event may be for the checker (ms).
+const SLACK_MS: f64 = 50.0;
+/// How long after its announcement as gone an engine may still be sent to, for the checker (ms).
+const CLOSED_GRACE_MS: f64 = 1000.0;
 
-/// Value of answers, and what it could have been.
+/// The value of answers, and its maximum.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct Value {
-    pub got: f64,
-    pub max: f64,
+struct Value {
+    got: f64,
+    max: f64,
 }
 
-/// A quarter of a second.
+/// The state of a run at one moment, with the counts since the sample before.
 #[derive(Debug, Clone, Serialize, Default)]
 pub struct Sample {
     /// Seconds since the run's begin.
@@ -26,7 +36,7 @@
     pub at_s: f64,
     /// Value of answers.
     pub value: f64,
-    /// Value if all queries that came had been answered in time.
+    /// Value if all queries that arrived had been answered in time.
     #[serde(rename = "most")]
     pub max_value: f64,
     /// Rejections.
@@ -34,19 +44,19 @@
     pub rejected: u64,
     /// Threads by zone.
     pub threads: Vec<f64>,
-    /// Threads of the low lane that come from other zones, by zone.
+    /// Threads of the low lane from other zones, by zone.
     pub spilled: Vec<f64>,
 }
 
-/// What came of a run.
+/// The results of a run.
 #[derive(Debug, Clone, Serialize, Default)]
 pub struct Outcomes {
-    /// The seed that plays it again.
+    /// The seed that reproduces the run.
     pub seed: u64,
     /// The name of the variant.
     #[serde(rename = "arm")]
     pub variant: String,
-    /// Queries asked.
+    /// Queries sent.
     pub asked: u64,
     /// Answers in time.
     pub in_time: u64,
@@ -58,31 +68,30 @@
     /// Final errors.
     #[serde(rename = "killed")]
     pub failed: u64,
-    /// Value as a fraction of what it could have been, by phase: before the first fault, during faults, a minute after,
-    /// later.
-    pub value: [f64; 4],
+    /// Value as a fraction of its maximum, by phase: before the first fault, during faults, a minute after, later.
+    pub value: [f64; PHASES],
     /// The 99th percentile of the latencies of fast queries (ms).
     #[serde(rename = "p99_fast")]
     pub fast_p99_ms: u64,
-    /// Most spilled threads as a fraction of the limit, where there is one.
+    /// The most spilled threads as a fraction of the limit, where there is one.
     #[serde(rename = "spill")]
     pub max_spill: f64,
-    /// Most work sent to an engine that warms up, as a fraction of what makes it fall.
+    /// The most work sent to an engine that warms up, as a fraction of what it sustains.
     #[serde(rename = "cold")]
     pub max_cold_load: f64,
-    /// How often an engine fell.
+    /// How often an engine failed under its load.
     #[serde(rename = "fell")]
     pub engines_fallen: u64,
-    /// From the end of the last fault to full service (ms), if it came.
+    /// Time from the end of the last fault to full service (ms), if it was reached.
     #[serde(rename = "full_after")]
     pub full_service_after_ms: Option<f64>,
-    /// How many violations of the rules the checker found.
+    /// Number of violations of the rules.
     #[serde(rename = "broken")]
     pub violations: usize,
-    /// The first of them.
+    /// The first violation.
     #[serde(rename = "first_broken")]
     pub first_violation: Option<String>,
-    /// Virtual seconds played in a real one.
+    /// Virtual seconds simulated in a real second.
     #[serde(rename = "pace")]
     pub virtual_s_per_s: f64,
     /// Samples, in the order of their times.
@@ -90,53 +99,94 @@
     pub samples: Vec<Sample>,
 }
 
-impl Simulation<'_> {
-    pub(super) fn take_sample(&mut self) {
-        let mut threads = vec![0.0; self.zones.len()];
-        for (engine, zone) in self.engines.iter().zip(&self.engine_zones) {
-            threads[*zone] += engine.threads();
+/// Accumulates the results of a run.
+pub(super) struct Results {
+    outcomes: Outcomes,
+    fast_latencies_ms: Histogram<u64>,
+    /// The counts since the last sample.
+    sample: Sample,
+    values: [Value; PHASES],
+}
+
+impl Results {
+    /// No results yet of a variant's run.
+    pub fn new(variant: &str, seed: u64) -> Self {
+        Results {
+            outcomes: Outcomes {
+                seed,
+                variant: variant.to_owned(),
+                ..Outcomes::default()
+            },
+            fast_latencies_ms: Histogram::new_with_bounds(1, 600_000, 3).expect("bounds in order"),
+            sample: Sample::default(),
+            values: [Value::default(); PHASES],
         }
-        let mut spilled = vec![0.0; self.zones.len()];
-        for dispatcher in &self.dispatchers {
-            for (n, zone) in self.zones.iter().enumerate() {
-                spilled[n] += dispatcher.control.spilled_threads(zone);
+    }
+
+    /// A query of a class arrived.
+    pub fn record_query(&mut self, class: &Class, phase: usize) {
+        self.outcomes.asked += 1;
+        self.values[phase].max += class.worth();
+        self.sample.max_value += class.worth();
+    }
+
+    /// A query of a class got its answer.
+    pub fn record_answer(&mut self, class: &Class, status: u16, latency_ms: f64, phase: usize) {
+        match status {
+            200 if latency_ms <= class.target_ms() => self.outcomes.in_time += 1,
+            200 => self.outcomes.late += 1,
+            429 => {
+                self.outcomes.rejected += 1;
+                self.sample.rejected += 1;
             }
+            _ => self.outcomes.failed += 1,
+        }
+        if status != 200 {
+            return;
+        }
+        let value = value_of(class, latency_ms);
+        self.values[phase].got += value;
+        self.sample.value += value;
+        let is_fast = class.threads() <= 1.0 && !class.changes();
+        if is_fast {
+            let _ = self.fast_latencies_ms.record(latency_ms.max(1.0) as u64);
         }
-        self.note_spill(&spilled);
+    }
+
+    /// Work reached an engine that warms up: a fraction of what it sustains.
+    pub fn record_cold_load(&mut self, fraction: f64) {
+        self.outcomes.max_cold_load = self.outcomes.max_cold_load.max(fraction);
+    }
+
+    /// An engine failed under its load.
+    pub fn record_engine_failure(&mut self) {
+        self.outcomes.engines_fallen += 1;
+    }
+
+    /// Threads spilled into a zone: a fraction of the limit.
+    pub fn record_spill(&mut self, fraction: f64) {
+        self.outcomes.max_spill = self.outcomes.max_spill.max(fraction);
+    }
+
+    /// Adds a sample with the counts since the last one. `threads` and `spilled` are by zone.
+    pub fn take_sample(&mut self, now_ms: f64, threads: Vec<f64>, spilled: Vec<f64>) {
         let sample = std::mem::take(&mut self.sample);
         self.outcomes.samples.push(Sample {
-            at_s: self.now_ms / 1000.0,
+            at_s: now_ms / 1000.0,
             threads,
             spilled,
             ..sample
         });
     }
 
-    /// Takes down how near spilled threads come to the limit of each zone.
-    fn note_spill(&mut self, spilled: &[f64]) {
-        let Some(zone_health) = &self.dispatchers[0].zone_health else {
-            return;
-        };
-        for (n, zone) in self.zones.iter().enumerate() {
-            let limit = zone_health.config().spill_limit(zone, None) * self.zone_cores(n);
-            if limit.is_finite() && limit > 0.0 {
-                self.outcomes.max_spill = self.outcomes.max_spill.max(spilled[n] / limit);
-            }
-        }
-    }
-
-    fn zone_cores(&self, zone: usize) -> f64 {
-        self.engines
-            .iter()
-            .zip(&self.engine_zones)
-            .filter(|(_, engine_zone)| **engine_zone == zone)
-            .map(|(engine, _)| engine.cores)
-            .sum()
-    }
-
-    /// The outcomes, with what follows from the whole run. `real_s`: how long it took to play.
-    pub(super) fn finish(mut self, real_s: f64) -> Outcomes {
-        self.outcomes.virtual_s_per_s = self.experiment.seconds() / real_s.max(1e-9);
+    /// The outcomes, with the figures over all queries. `real_s`: how long the simulation took.
+    pub fn finish(
+        mut self,
+        experiment: &Experiment,
+        record: Option<Vec<Entry>>,
+        real_s: f64,
+    ) -> Outcomes {
+        self.outcomes.virtual_s_per_s = experiment.seconds() / real_s.max(1e-9);
         self.outcomes.fast_p99_ms = self.fast_latencies_ms.value_at_quantile(0.99);
         self.outcomes.value = self.values.map(|value| {
             if value.max > 0.0 {
@@ -145,19 +195,19 @@
                 f64::NAN
             }
         });
-        self.outcomes.full_service_after_ms = self.full_service_after_ms();
-        if let Some(record) = self.record.take() {
-            let violations = find_violations(&record, &self.rules());
+        self.outcomes.full_service_after_ms = self.full_service_after_ms(experiment);
+        if let Some(record) = record {
+            let violations = find_violations(&record, &rules(experiment));
             self.outcomes.violations = violations.len();
             self.outcomes.first_violation = violations.first().map(Violation::to_string);
         }
         self.outcomes
     }
 
-    /// From the end of the last fault to the first samples with full service.
-    fn full_service_after_ms(&self) -> Option<f64> {
-        let faults = &self.experiment.fault;
-        let last_s = faults
+    /// Time from the end of the last fault to the first samples with full service.
+    fn full_service_after_ms(&self, experiment: &Experiment) -> Option<f64> {
+        let last_s = experiment
+            .fault
             .iter()
             .map(|fault| fault.ends_s())
             .fold(0.0, f64::max);
@@ -167,32 +217,41 @@
             .map(|sample| sample.value / sample.max_value.max(1e-9))
             .collect();
         let before = self.outcomes.value[0];
-        let is_full = |n: usize| {
-            let window = fractions[n..].iter().take(FULL_SERVICE_SAMPLES);
+        let is_full = |first: usize| {
+            let window = fractions[first..].iter().take(FULL_SERVICE_SAMPLES);
             window.sum::<f64>() / FULL_SERVICE_SAMPLES as f64 >= FULL_SERVICE_FRACTION * before
         };
         (0..samples.len().saturating_sub(FULL_SERVICE_SAMPLES))
-            .find(|n| samples[*n].at_s >= last_s && is_full(*n))
-            .map(|n| (samples[n].at_s - last_s) * 1000.0)
+            .find(|first| samples[*first].at_s >= last_s && is_full(*first))
+            .map(|first| (samples[first].at_s - last_s) * 1000.0)
             .filter(|_| before.is_finite() && last_s > 0.0)
     }
+}
 
-    fn rules(&self) -> Rules {
-        let cold = self.experiment.cold.unwrap_or_default();
-        Rules {
-            slack_ms: 50.0,
-            late_answer_ms: 0.0,
-            grace_ms: 1000.0,
-            warm_up: Some(warm_up_rule(&cold)),
-            cooldown_ms: 0.0,
-            retry_budget: None,
-            classes: self
-                .experiment
-                .class
-                .iter()
-                .map(|class| (class.name().to_owned(), class_rules(class)))
-                .collect(),
-        }
+/// The value of an answer: all of the class's worth in time, a third of it later.
+fn value_of(class: &Class, latency_ms: f64) -> f64 {
+    if latency_ms <= class.target_ms() {
+        class.worth()
+    } else {
+        class.worth() / LATE_VALUE_DIVISOR
+    }
+}
+
+/// The rules that the checker applies to an experiment's runs.
+fn rules(experiment: &Experiment) -> Rules {
+    let cold = experiment.cold.unwrap_or_default();
+    Rules {
+        slack_ms: SLACK_MS,
+        late_answer_ms: 0.0,
+        grace_ms: CLOSED_GRACE_MS,
+        warm_up: Some(warm_up_rule(&cold)),
+        cooldown_ms: 0.0,
+        retry_budget: None,
+        classes: experiment
+            .class
+            .iter()
+            .map(|class| (class.name().to_owned(), class_rules(class)))
+            .collect(),
     }
 }
 
--- a/crates/simulator/src/simulation/settings.rs
+++ b/crates/simulator/src/simulation/settings.rs
@@ -2,73 +2,87 @@
 
 use super::NOTE_INTERVAL_MS;
 use crate::schema::{Class, Experiment};
-use tansymux::settings::SettingsMap;
+use tansymux::settings::{keys, SettingsMap};
+
+/// Memory of an engine (MB), ample for all queries.
+const ENGINE_MEMORY_MB: &str = "100000";
+/// Attempts of a query, the first one included.
+const MAX_ATTEMPTS: &str = "3";
+/// The longest time to come back that clients follow (us).
+const MAX_RETRY_AFTER_US: &str = "4000000";
+/// The span of the retry budget (us).
+const RETRY_BUDGET_SPAN_US: &str = "10000000";
+/// Retries that are always allowed.
+const RETRY_BUDGET_FREE: &str = "10";
+/// Retries for each query that arrived within the span.
+const RETRY_BUDGET_RATIO: &str = "0.2";
+/// The value of a setting that is on.
+const ON: &str = "1";
 
 /// The settings of a dispatcher in a zone.
 pub(super) fn dispatcher_settings(experiment: &Experiment, zone: &str) -> SettingsMap {
     let mut map = SettingsMap::new();
-    let mut put = |name: &str, value: String| drop(map.insert(name.to_owned(), value));
+    let mut put = |key: &str, value: String| drop(map.insert(key.to_owned(), value));
     let by_class = |value: fn(&Class) -> String| {
         let values: Vec<String> = experiment.class.iter().map(value).collect();
         values.join(",")
     };
-    put("balancers", experiment.dispatchers().to_string());
-    put("zone", zone.to_owned());
-    put("kinds", "std".into());
-    put(
-        "family-info.cores-by-kind",
-        experiment.hall[0].cores().to_string(),
-    );
-    put("family-info.kind-memory-mb", "100000".into());
-    put(
-        "family-info.dop",
-        by_class(|class| class.threads().to_string()),
-    );
-    put(
-        "family-info.class-load",
-        by_class(|class| u8::from(class.changes()).to_string()),
-    );
-    put(
-        "family-info.tells-every-us",
-        (NOTE_INTERVAL_MS * 1000.0).to_string(),
-    );
-    put("limits.max-attempts", "3".into());
-    put("limits.cancelling", "1".into());
-    put("limits.probes", "1".into());
-    put("limits.max-retry-after-us", "4000000".into());
-    put("rules.ratio-span-us", "10000000".into());
-    put("rules.extra-free", "10".into());
-    put("rules.repeat-ratio", "0.2".into());
-    put("services.count", experiment.class.len().to_string());
+    let cores = experiment.hall[0].cores().to_string();
+    let threads = by_class(|class| class.threads().to_string());
+    let loads = by_class(|class| u8::from(class.changes()).to_string());
+    let note_interval_us = (NOTE_INTERVAL_MS * 1000.0).to_string();
+    put(keys::DISPATCHERS, experiment.dispatchers().to_string());
+    put(keys::LOCAL_ZONE, zone.to_owned());
+    put(keys::ENGINE_KINDS, "std".into());
+    put(keys::CORES_BY_KIND, cores);
+    put(keys::MEMORY_MB_BY_KIND, ENGINE_MEMORY_MB.into());
+    put(keys::THREADS_BY_GROUP, threads);
+    put(keys::IS_LOAD_BY_GROUP, loads);
+    put(keys::PROGRESS_INTERVAL_US, note_interval_us);
+    put(keys::MAX_ATTEMPTS, MAX_ATTEMPTS.into());
+    put(keys::CANCELLATION, ON.into());
+    put(keys::HEALTH_CHECKS, ON.into());
+    put(keys::MAX_RETRY_AFTER_US, MAX_RETRY_AFTER_US.into());
+    put(keys::RETRY_BUDGET_SPAN_US, RETRY_BUDGET_SPAN_US.into());
+    put(keys::RETRY_BUDGET_FREE, RETRY_BUDGET_FREE.into());
+    put(keys::RETRY_BUDGET_RATIO, RETRY_BUDGET_RATIO.into());
     add_warm_up_settings(&mut map, experiment);
-    for (n, class) in experiment.class.iter().enumerate() {
-        add_class_settings(&mut map, n, class);
-    }
+    add_groups(&mut map, &experiment.class);
     map
 }
 
 fn add_warm_up_settings(map: &mut SettingsMap, experiment: &Experiment) {
     let cold = experiment.cold.unwrap_or_default();
-    let mut put = |name: &str, value: f64| drop(map.insert(name.to_owned(), value.to_string()));
-    put("rules.fall-multiple", cold.multiple());
-    put("rules.cold-from", cold.from());
-    put("rules.overload-for-us", cold.span_ms() * 1000.0);
-    put("rules.warm-after-us", cold.warm_s() * 1e6);
+    let mut put = |key: &str, value: f64| drop(map.insert(key.to_owned(), value.to_string()));
+    put(keys::WARM_UP_MULTIPLE, cold.multiple());
+    put(keys::WARM_UP_INITIAL_CAPACITY, cold.from());
+    put(keys::WARM_UP_SPAN_US, cold.span_ms() * 1000.0);
+    put(keys::WARM_AFTER_US, cold.warm_s() * 1e6);
+}
+
+/// Each class of the experiment is a resource group.
+fn add_groups(map: &mut SettingsMap, classes: &[Class]) {
+    let count = classes.len().to_string();
+    map.insert(format!("{}.count", keys::GROUPS), count);
+    for (index, class) in classes.iter().enumerate() {
+        add_group(map, index, class);
+    }
 }
 
-fn add_class_settings(map: &mut SettingsMap, number: usize, class: &Class) {
-    let mut put = |name: &str, value: String| {
-        drop(map.insert(format!("services.{number}.{name}"), value));
+fn add_group(map: &mut SettingsMap, index: usize, class: &Class) {
+    let mut put = |key: &str, value: String| {
+        drop(map.insert(format!("{}.{index}.{key}", keys::GROUPS), value));
     };
     let effect = if class.changes() {
-        "non_idempotent"
+        keys::effect::NON_IDEMPOTENT
     } else {
-        "read_like"
+        keys::effect::READ_ONLY
     };
-    put("name", class.name().to_owned());
-    put("effect", effect.into());
-    put("aim-us", (class.target_ms() * 1000.0).to_string());
+    put(keys::group::NAME, class.name().to_owned());
+    put(keys::group::EFFECT, effect.into());
+    let objective_us = class.target_ms() * 1000.0;
+    put(keys::group::OBJECTIVE_US, objective_us.to_string());
     if let Some(zone) = &class.bound_to {
-        put("confined-to", zone.clone());
+        put(keys::group::ZONES, zone.clone());
     }
 }
