--- a/src/control/periodic.rs
+++ b/src/control/periodic.rs
@@ -112,7 +112,7 @@
         let health = &self.engines[attempt.engine].health;
         let is_silent = health.is_ejected_for_silence() && !attempt.is_trial;
         let progress = &attempt.progress;
-        let mut remaining_ms = progress.time_left_ms(self.now_ms).unwrap_or(new_run_ms);
+        let mut remaining_ms = progress.remaining_ms(self.now_ms).unwrap_or(new_run_ms);
         if is_silent || is_overdue {
             remaining_ms = f64::INFINITY;
         }
--- a/src/control/tests/outlier.rs
+++ b/src/control/tests/outlier.rs
@@ -178,7 +178,7 @@
             2,
         ))
     });
-    let mut went = |group: &str, from: u64, at: f64| -> Vec<u64> {
+    let mut engines_used = |group: &str, from: u64, at: f64| -> Vec<u64> {
         let one = |id| {
             send_query(&mut control, at, id, group, 10.0);
             let engine_id = on(&control, id);
@@ -194,10 +194,10 @@
         };
         (from..from + 12).map(one).collect()
     };
-    assert_eq!(went("rep", 20, 1200.0), [2; 12]);
-    assert!(went("look", 40, 1400.0).contains(&1));
+    assert_eq!(engines_used("rep", 20, 1200.0), [2; 12]);
+    assert!(engines_used("look", 40, 1400.0).contains(&1));
     // It is used again after a while.
-    assert!(went("rep", 60, 9000.0).contains(&1));
+    assert!(engines_used("rep", 60, 9000.0).contains(&1));
 }
 
 #[test]
@@ -215,12 +215,12 @@
 
 #[test]
 fn engine_without_notes_is_checked_only_after_the_shortest_objective() {
-    let asks = |more: &str, at: f64| {
+    let is_checked = |more: &str, at: f64| {
         let mut control = dispatcher(&format!("limits.probes=1 {more}"), ONE);
         send_query(&mut control, 1.0, 1, "look", 100.0);
         has_decision(&round(&mut control, at, |_, _| ()), "probe")
     };
     // The shortest objective is 500 ms; with notes every 100 ms silence shows sooner.
-    assert!(!asks("", 700.0) && asks("", 900.0));
-    assert!(asks("family-info.tells-every-us=100000", 500.0));
+    assert!(!is_checked("", 700.0) && is_checked("", 900.0));
+    assert!(is_checked("family-info.tells-every-us=100000", 500.0));
 }
--- a/src/interner.rs
+++ b/src/interner.rs
@@ -7,7 +7,7 @@
 pub struct NameInterner(FxHashMap<String, u32>);
 
 impl NameInterner {
-    /// The index of a name; a new one where it is not known yet.
+    /// The index of a name, which is added if it is unknown.
     pub fn index(&mut self, name: &str) -> u32 {
         if let Some(&index) = self.0.get(name) {
             return index;
@@ -17,7 +17,7 @@
         index
     }
 
-    /// The index of a name that is known.
+    /// The index of a name, if it is known.
     pub fn find(&self, name: &str) -> Option<u32> {
         self.0.get(name).copied()
     }
--- a/src/model/attempt.rs
+++ b/src/model/attempt.rs
@@ -7,12 +7,17 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct Attempt {
     pub(crate) engine: EngineIndex,
+    /// When the attempt was sent (ms).
     pub(crate) sent_ms: f64,
+    /// Estimated work (ms).
     pub(crate) work_ms: f64,
+    /// Estimated memory (MB).
     pub(crate) memory_mb: f64,
+    /// The attempt has not ended.
     pub(crate) in_flight: bool,
     /// The engine may have started to run the attempt.
     pub(crate) may_have_run: bool,
+    /// The attempt was cancelled; it is in flight until its end arrives.
     pub(crate) cancelled: bool,
     /// The attempt is the half-open trial of an ejected engine.
     pub(crate) is_trial: bool,
@@ -33,12 +38,13 @@
     /// From when progress counts (ms): the time of a wait is not part of the run time.
     start_ms: f64,
     /// The fraction that was done at `start_ms`.
-    start: f64,
+    start_done: f64,
     /// A wait was reported, and no progress since.
     is_waiting: bool,
 }
 
 impl Attempt {
+    /// An attempt that is about to be sent.
     pub(crate) fn new(engine: EngineIndex, sent_ms: f64, work_ms: f64, memory_mb: f64) -> Self {
         Attempt {
             engine,
@@ -84,7 +90,7 @@
         if self.is_waiting {
             self.is_waiting = false;
             self.start_ms = now_ms;
-            self.start = done;
+            self.start_done = done;
         }
         self.done_ms = now_ms;
         self.done = done;
@@ -92,15 +98,15 @@
 
     /// The run time that the notes predict (ms); none before they show progress.
     pub(crate) fn run_time_ms(&self) -> Option<f64> {
-        if self.done > self.start && self.done_ms > self.start_ms {
-            Some((self.done_ms - self.start_ms) / (self.done - self.start))
+        if self.done > self.start_done && self.done_ms > self.start_ms {
+            Some((self.done_ms - self.start_ms) / (self.done - self.start_done))
         } else {
             None
         }
     }
 
     /// The remaining time that the notes predict (ms); none before they show progress.
-    pub(crate) fn time_left_ms(&self, now_ms: f64) -> Option<f64> {
+    pub(crate) fn remaining_ms(&self, now_ms: f64) -> Option<f64> {
         let run_time_ms = self.run_time_ms()?;
         Some(run_time_ms * (1.0 - self.done) - (now_ms - self.done_ms))
     }
--- a/src/model/engine_health.rs
+++ b/src/model/engine_health.rs
@@ -51,6 +51,13 @@
     Silence,
 }
 
+/// What the end of an attempt shows of its engine.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum HealthSignal {
+    Success,
+    Failure,
+}
+
 impl Default for EngineHealth {
     fn default() -> Self {
         EngineHealth {
@@ -114,10 +121,10 @@
 
     /// Records the end of an attempt, and ejects or reinstates the engine where it shows that.
     pub(crate) fn record_end(&mut self, event: &AttemptEnded, is_trial: bool, now_ms: f64) {
-        let Some(is_failure) = self.classify_end(event, now_ms) else {
+        let Some(signal) = self.classify_end(event, now_ms) else {
             return;
         };
-        self.record_outcome(event.outcome, is_failure, now_ms);
+        self.record_outcome(event.outcome, signal, now_ms);
         match &mut self.ejection {
             None if self.error_rate > EJECTION_LEVEL => {
                 let cause = match event.outcome {
@@ -127,33 +134,36 @@
                 self.eject(cause, now_ms);
             }
             None => {}
-            Some(_) if !is_failure => self.reinstate(),
+            Some(_) if signal == HealthSignal::Success => self.reinstate(),
             Some(ejection) if is_trial => ejection.back_off(now_ms),
             Some(_) => {}
         }
     }
 
-    /// Whether the end of an attempt is a failure of the engine; none where it shows nothing.
-    fn classify_end(&self, event: &AttemptEnded, now_ms: f64) -> Option<bool> {
+    /// What the end of an attempt shows of the engine; none where it shows nothing.
+    fn classify_end(&self, event: &AttemptEnded, now_ms: f64) -> Option<HealthSignal> {
         match event.outcome {
-            Outcome::Completed => Some(false),
+            Outcome::Completed => Some(HealthSignal::Success),
             // All attempts that waited for one connection fail at once and count once.
             Outcome::NoConnection if self.unreachable_ms == Some(now_ms) => None,
             // The query failed elsewhere before: the cause may be the query.
             Outcome::Error if event.attempt > 0 => None,
             Outcome::Error | Outcome::Reset | Outcome::NoConnection | Outcome::Timeout => {
-                Some(true)
+                Some(HealthSignal::Failure)
             }
             Outcome::Full | Outcome::Cancelled | Outcome::NotSent | Outcome::Withdrawn => None,
         }
     }
 
-    fn record_outcome(&mut self, outcome: Outcome, is_failure: bool, now_ms: f64) {
+    fn record_outcome(&mut self, outcome: Outcome, signal: HealthSignal, now_ms: f64) {
         if matches!(outcome, Outcome::Completed | Outcome::Error) {
             self.last_signal_ms = now_ms;
         }
         self.unreachable_ms = (outcome == Outcome::NoConnection).then_some(now_ms);
-        let failure = f64::from(u8::from(is_failure));
+        let failure = match signal {
+            HealthSignal::Success => 0.0,
+            HealthSignal::Failure => 1.0,
+        };
         self.error_rate += ERROR_STEP * (failure - self.error_rate);
     }
 
--- a/src/model/resource_group.rs
+++ b/src/model/resource_group.rs
@@ -144,7 +144,7 @@
 
     /// Learns from the run time of an answer, and returns how far it lies above the group's best (log ratio).
     ///
-    /// Without an estimate the mean of earlier answers stands in; the first answer shows nothing.
+    /// Without an estimate the mean of earlier answers takes its place; there is none for the first answer.
     pub(crate) fn learn_run_time(&mut self, cost: QueryCost, latency_ms: f64) -> Option<f64> {
         let mut cost_ms = cost.estimate_ms;
         if cost.is_guess {
--- a/src/model/tests/attempt.rs
+++ b/src/model/tests/attempt.rs
@@ -10,7 +10,7 @@
     assert!(progress.has_not_begun());
     progress.record(START_MS + 100.0, 0.25);
     assert_eq!(progress.run_time_ms(), Some(400.0));
-    assert_eq!(progress.time_left_ms(START_MS + 150.0), Some(250.0));
+    assert_eq!(progress.remaining_ms(START_MS + 150.0), Some(250.0));
 }
 
 #[test]
--- a/src/settings/raw.rs
+++ b/src/settings/raw.rs
@@ -6,10 +6,10 @@
 /// Settings as they arrive: path and value.
 pub type SettingsMap = BTreeMap<String, String>;
 
-/// A setting that is needed is missing or has no usable value.
+/// A required setting is missing or has a value that is not allowed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
-    /// The key is not there.
+    /// The key is missing.
     #[error("setting {key} is missing")]
     Missing {
         /// Path of the setting.
@@ -20,7 +20,7 @@
     Invalid {
         /// Path of the setting.
         key: String,
-        /// The value as it came.
+        /// The value as given.
         value: String,
         /// What is allowed.
         expected: &'static str,
@@ -28,7 +28,7 @@
     /// A pair has no `=`.
     #[error("setting {text:?} has no value")]
     NoValue {
-        /// The pair as it came.
+        /// The pair as given.
         text: String,
     },
 }
@@ -39,13 +39,13 @@
     fn number(&self, name: &str) -> Option<f64>;
     /// A time that is given in microseconds, as milliseconds.
     fn millis(&self, name: &str) -> Option<f64>;
-    /// A number that must be there.
+    /// A number that is required.
     fn required(&self, name: &str) -> Result<f64, SettingsError>;
-    /// Whether it is `true` or `1`.
+    /// Whether a flag is `true` or `1`.
     fn is_on(&self, name: &str) -> bool;
-    /// The values of a comma-separated list; empty ones are left out.
+    /// The values of a comma-separated list, without empty ones.
     fn list(&self, name: &str) -> Vec<&str>;
-    /// A number of the list `name`, which holds one for each engine kind.
+    /// The number for an engine kind in the list `name`, which has one for each kind.
     fn for_kind(&self, kind: &str, name: &str) -> Option<f64>;
 }
 
