--- a/src/control/dispatch.rs
+++ b/src/control/dispatch.rs
@@ -9,7 +9,7 @@
 
 /// Multiple of the needed memory that is granted, where unused grants cost nothing.
 const AMPLE_GRANT_FACTOR: f64 = 2.0;
-/// Priority of the fast lane (the platform's scale), where engines heed priorities.
+/// Priority of the fast lane (the platform's scale), where engines support priorities.
 const FAST_PRIORITY: u8 = 3;
 /// Priority of the low lane.
 const LOW_PRIORITY: u8 = 1;
@@ -167,7 +167,7 @@
         memory_mb
     }
 
-    /// Sets priority and memory grant of the attempt that follows, where engines heed them.
+    /// Sets priority and memory grant of the attempt that follows, where engines support them.
     fn grant(&self, query: QueryIndex, memory_mb: f64, out: &mut dyn DecisionSink) {
         let features = self.settings.engine_features;
         let query = &self.queries[query];
--- a/src/settings/keys.rs
+++ b/src/settings/keys.rs
@@ -27,7 +27,7 @@
 pub const IS_LOAD_BY_GROUP: &str = "family-info.class-load";
 /// Whether a resource group waits for tables that a load locks, a list in the order of [`GROUPS`].
 pub const WAITS_FOR_LOADS_BY_GROUP: &str = "family-info.class-waits";
-/// Whether engines heed priorities: how many they have.
+/// Whether engines support priorities: `true` or `1`.
 pub const PRIORITY_COUNT: &str = "family-info.lanes-count";
 /// What engines do when memory is short.
 pub const MEMORY_SHORTAGE: &str = "family-info.memory-short";
--- a/src/settings/types.rs
+++ b/src/settings/types.rs
@@ -123,7 +123,7 @@
 /// What engines are able to do.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct EngineFeatures {
-    /// They heed priorities.
+    /// They support priorities.
     pub priorities: bool,
     /// They page when granted memory exceeds what they have, so a grant above need costs nothing.
     pub pages_memory: bool,
