--- a/crates/dispatcher/src/client/answer_writer.rs
+++ b/crates/dispatcher/src/client/answer_writer.rs
@@ -1,6 +1,6 @@
 //! Writes answers to a client's connection.
 
-use super::http::answer_head;
+use super::http::AnswerHead;
 use super::protocol::{Status, QUERY_FAILED, TRY_LATER};
 use super::request_error::RequestError;
 use crate::counters::Counters;
@@ -37,12 +37,13 @@
             Answer::Rejected { retry_after_ms } => {
                 let body = error_body(TRY_LATER);
                 let retry_after_ms = retry_after_ms.max(0.0).ceil() as u64;
-                let head = answer_head(
-                    Status::TooManyRequests,
-                    body.len(),
+                let head = AnswerHead {
+                    status: Status::TooManyRequests,
+                    body_len: body.len(),
                     keep_alive,
-                    Some(retry_after_ms),
-                );
+                    retry_after_ms: Some(retry_after_ms),
+                }
+                .encode();
                 self.write(permit, &[&head, body.as_bytes()]).await
             }
             Answer::Failed => {
@@ -69,7 +70,13 @@
         }
         body.push(b"]}");
         let body_len = body.iter().map(|part| part.len()).sum();
-        let head = answer_head(Status::Ok, body_len, keep_alive, None);
+        let head = AnswerHead {
+            status: Status::Ok,
+            body_len,
+            keep_alive,
+            retry_after_ms: None,
+        }
+        .encode();
         body.insert(0, &head);
         self.write(permit, &body).await
     }
@@ -82,7 +89,13 @@
         body: &str,
         keep_alive: bool,
     ) -> io::Result<()> {
-        let head = answer_head(status, body.len(), keep_alive, None);
+        let head = AnswerHead {
+            status,
+            body_len: body.len(),
+            keep_alive,
+            retry_after_ms: None,
+        }
+        .encode();
         self.write(permit, &[&head, body.as_bytes()]).await
     }
 
@@ -106,7 +119,13 @@
         let retry_after_ms = retry_after_ms
             .filter(|_| status == Status::ServiceUnavailable)
             .map(|ms| ms.ceil() as u64);
-        let head = answer_head(status, body.len(), false, retry_after_ms);
+        let head = AnswerHead {
+            status,
+            body_len: body.len(),
+            keep_alive: false,
+            retry_after_ms,
+        }
+        .encode();
         self.write(permit, &[&head, body.as_bytes()]).await
     }
 
--- a/crates/dispatcher/src/client/http.rs
+++ b/crates/dispatcher/src/client/http.rs
@@ -204,27 +204,36 @@
         .any(|word| word.trim().eq_ignore_ascii_case(token))
 }
 
-/// The head of an answer with a body of `body_len` bytes. `retry_after_ms` is the time that the client is to wait before
-/// it retries.
-pub fn answer_head(
-    status: Status,
-    body_len: usize,
-    keep_alive: bool,
-    retry_after_ms: Option<u64>,
-) -> Vec<u8> {
-    let mut head = format!(
-        "HTTP/1.1 {} {}\r\nContent-Type: application/json\r\nContent-Length: {body_len}\r\n",
-        status.code(),
-        status.reason_phrase()
-    );
-    if let Some(retry_after_ms) = retry_after_ms {
-        head += &format!("{RETRY_AFTER_FIELD}: {retry_after_ms}\r\n");
-    }
-    if !keep_alive {
-        head += "Connection: close\r\n";
+/// The head of an answer.
+pub struct AnswerHead {
+    /// The status.
+    pub status: Status,
+    /// Size of the body (bytes).
+    pub body_len: usize,
+    /// Whether the connection stays open after the answer.
+    pub keep_alive: bool,
+    /// How long (ms) the client is to wait before it retries.
+    pub retry_after_ms: Option<u64>,
+}
+
+impl AnswerHead {
+    /// The head as it is sent.
+    pub fn encode(&self) -> Vec<u8> {
+        let mut head = format!(
+            "HTTP/1.1 {} {}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n",
+            self.status.code(),
+            self.status.reason_phrase(),
+            self.body_len
+        );
+        if let Some(retry_after_ms) = self.retry_after_ms {
+            head += &format!("{RETRY_AFTER_FIELD}: {retry_after_ms}\r\n");
+        }
+        if !self.keep_alive {
+            head += "Connection: close\r\n";
+        }
+        head += "\r\n";
+        head.into_bytes()
     }
-    head += "\r\n";
-    head.into_bytes()
 }
 
 #[cfg(test)]
--- a/crates/dispatcher/src/client/http/tests.rs
+++ b/crates/dispatcher/src/client/http/tests.rs
@@ -93,8 +93,13 @@
 
 #[test]
 fn answer_head_has_length_and_retry_time() {
-    let head =
-        String::from_utf8(answer_head(Status::TooManyRequests, 20, false, Some(250))).unwrap();
+    let head = AnswerHead {
+        status: Status::TooManyRequests,
+        body_len: 20,
+        keep_alive: false,
+        retry_after_ms: Some(250),
+    };
+    let head = String::from_utf8(head.encode()).unwrap();
     assert!(head.starts_with("HTTP/1.1 429 Too Many Requests\r\n") && head.ends_with("\r\n\r\n"));
     assert!(head.contains("Content-Length: 20\r\n") && head.contains("Srv-Wait-Ms: 250\r\n"));
     assert!(head.contains("Connection: close\r\n"));
--- a/crates/dispatcher/src/discovery/directory/tests.rs
+++ b/crates/dispatcher/src/discovery/directory/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::dns::Srv;
+use crate::dns::{Address, Srv, Text};
 use std::net::{Ipv4Addr, SocketAddr};
 
 /// An answer that lists these engines: id, whether it drains, when it started.
@@ -15,17 +15,18 @@
             port: 10080,
             target: target.clone(),
         });
-        answer
-            .addresses
-            .push((target.clone(), Ipv4Addr::new(10, 1, 0, 9 + nth as u8)));
-        answer.texts.push((
-            target,
-            vec![
+        answer.addresses.push(Address {
+            name: target.clone(),
+            ip: Ipv4Addr::new(10, 1, 0, 9 + nth as u8),
+        });
+        answer.texts.push(Text {
+            name: target,
+            strings: vec![
                 "kind=std".into(),
                 "cell=2".into(),
                 format!("started={started}"),
             ],
-        ));
+        });
     }
     answer
 }
@@ -271,7 +272,7 @@
             ("s-3", false, 9.0),
         ],
     );
-    both.addresses[2].1 = both.addresses[0].1;
+    both.addresses[2].ip = both.addresses[0].ip;
     let AnswerOutcome::Updated(listed) = directory.apply_answer(&both, 11) else {
         panic!()
     };
--- a/crates/dispatcher/src/discovery/records.rs
+++ b/crates/dispatcher/src/discovery/records.rs
@@ -35,26 +35,21 @@
     zone: &str,
     known: Option<&EndpointEntry>,
 ) -> EndpointEntry {
-    let is_target = |name: &String| *name == srv.target;
     let mut addresses = answer.addresses.iter();
-    let ip = addresses
-        .find(|(name, _)| is_target(name))
-        .map(|(_, ip)| *ip);
+    let address = addresses.find(|address| address.name == srv.target);
     let mut texts = answer.texts.iter();
-    let texts = texts
-        .find(|(name, _)| is_target(name))
-        .map(|(_, texts)| texts);
-    let texts = texts.map_or([].as_slice(), Vec::as_slice);
+    let text = texts.find(|text| text.name == srv.target);
+    let attributes = text.map_or([].as_slice(), |text| text.strings.as_slice());
     let kind = EngineAttribute::Kind
-        .find(texts)
+        .find(attributes)
         .or(known.map(|entry| entry.kind.as_str()));
     let cell = EngineAttribute::Cell
-        .find(texts)
+        .find(attributes)
         .and_then(|cell| cell.parse().ok());
     let started = EngineAttribute::Started
-        .find(texts)
+        .find(attributes)
         .and_then(|ms| ms.parse().ok());
-    let address = ip.map(|ip| SocketAddr::from((ip, srv.port)));
+    let address = address.map(|address| SocketAddr::from((address.ip, srv.port)));
     EndpointEntry {
         engine_id,
         address: address.or(known.and_then(|entry| entry.address)),
--- a/crates/dispatcher/src/dns.rs
+++ b/crates/dispatcher/src/dns.rs
@@ -44,6 +44,24 @@
     pub target: String,
 }
 
+/// An A record.
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+pub struct Address {
+    /// The host's name, in lower case.
+    pub name: String,
+    /// The host's address.
+    pub ip: Ipv4Addr,
+}
+
+/// A TXT record.
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+pub struct Text {
+    /// The host's name, in lower case.
+    pub name: String,
+    /// The strings of the record.
+    pub strings: Vec<String>,
+}
+
 /// The records of an answer that discovery uses. Names are in lower case.
 #[derive(Debug, Default, PartialEq)]
 pub struct Answer {
@@ -53,10 +71,10 @@
     pub serial: Option<u32>,
     /// SRV records.
     pub srv: Vec<Srv>,
-    /// A records: names and addresses.
-    pub addresses: Vec<(String, Ipv4Addr)>,
-    /// TXT records: names and strings.
-    pub texts: Vec<(String, Vec<String>)>,
+    /// A records.
+    pub addresses: Vec<Address>,
+    /// TXT records.
+    pub texts: Vec<Text>,
 }
 
 /// Encodes the query for records of one type under `name`.
@@ -137,10 +155,13 @@
         _ if class != INTERNET => {}
         SRV => answer.srv.push(parse_srv(reader)?),
         A if size == 4 => {
-            let address = Ipv4Addr::from(reader.array::<4>()?);
-            answer.addresses.push((name, address));
+            let ip = Ipv4Addr::from(reader.array::<4>()?);
+            answer.addresses.push(Address { name, ip });
+        }
+        TXT => {
+            let strings = reader.strings(end)?;
+            answer.texts.push(Text { name, strings });
         }
-        TXT => answer.texts.push((name, reader.strings(end)?)),
         SOA => {
             let _primary_server = reader.name()?;
             let _mailbox = reader.name()?;
--- a/crates/dispatcher/src/dns/tests.rs
+++ b/crates/dispatcher/src/dns/tests.rs
@@ -55,16 +55,19 @@
     );
     assert_eq!(
         read.addresses,
-        [(target.clone(), Ipv4Addr::new(10, 1, 0, 9))]
+        [Address {
+            name: target.clone(),
+            ip: Ipv4Addr::new(10, 1, 0, 9)
+        }]
     );
     assert_eq!(
         read.texts,
-        [(
-            target,
-            ["kind=std", "cell=2", "started=0"]
+        [Text {
+            name: target,
+            strings: ["kind=std", "cell=2", "started=0"]
                 .map(String::from)
                 .to_vec()
-        )]
+        }]
     );
 }
 
