--- a/crates/dispatcher/src/client/answer_writer.rs
+++ b/crates/dispatcher/src/client/answer_writer.rs
@@ -1,7 +1,7 @@
 //! Writes answers to a client's connection.
 
 use super::http::AnswerHead;
-use super::protocol::{Status, QUERY_FAILED, TRY_LATER};
+use super::protocol::{Status, FAILED_BODY, REJECTED_BODY};
 use super::request_error::RequestError;
 use crate::counters::Counters;
 use crate::guard::AnswerPermit;
@@ -35,20 +35,18 @@
         match answer {
             Answer::Completed(pages) => self.result(permit, &pages, keep_alive).await,
             Answer::Rejected { retry_after_ms } => {
-                let body = error_body(TRY_LATER);
                 let retry_after_ms = retry_after_ms.max(0.0).ceil() as u64;
                 let head = AnswerHead {
                     status: Status::TooManyRequests,
-                    body_len: body.len(),
+                    body_len: REJECTED_BODY.len(),
                     keep_alive,
                     retry_after_ms: Some(retry_after_ms),
                 }
                 .encode();
-                self.write(permit, &[&head, body.as_bytes()]).await
+                self.write(permit, &[&head, REJECTED_BODY.as_bytes()]).await
             }
             Answer::Failed => {
-                let body = error_body(QUERY_FAILED);
-                self.json(permit, Status::InternalServerError, &body, keep_alive)
+                self.json(permit, Status::InternalServerError, FAILED_BODY, keep_alive)
                     .await
             }
         }
@@ -115,7 +113,7 @@
             reason = message.as_str(),
             "request rejected"
         );
-        let body = error_body(&message);
+        let body = format!("{{\"error\":\"{message}\"}}");
         let retry_after_ms = retry_after_ms
             .filter(|_| status == Status::ServiceUnavailable)
             .map(|ms| ms.ceil() as u64);
@@ -142,8 +140,3 @@
         written
     }
 }
-
-/// The JSON body of an error.
-fn error_body(code: &str) -> String {
-    format!("{{\"error\":\"{code}\"}}")
-}
--- a/crates/dispatcher/src/client/protocol.rs
+++ b/crates/dispatcher/src/client/protocol.rs
@@ -16,13 +16,16 @@
 /// The header field of an answer that says how long (ms) the client is to wait before it retries.
 pub const RETRY_AFTER_FIELD: &str = "Srv-Wait-Ms";
 
-/// Error code: the query was rejected, and the client may retry it.
+/// Error code: the request was rejected, and the client may retry it.
 pub const TRY_LATER: &str = "TryLater";
-/// Error code: the query failed, and must not be retried as it is.
-pub const QUERY_FAILED: &str = "Killed";
 /// Error code: no such path or resource group.
 pub const UNKNOWN: &str = "Unknown";
 
+/// Body of the answer to a rejected query, which the client may retry.
+pub const REJECTED_BODY: &str = "{\"error\":\"TryLater\"}";
+/// Body of the answer to a failed query, which must not be retried as it is.
+pub const FAILED_BODY: &str = "{\"error\":\"Killed\"}";
+
 /// A header field of a query's request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestField {
--- a/crates/dispatcher/src/client/session.rs
+++ b/crates/dispatcher/src/client/session.rs
@@ -16,14 +16,13 @@
 use super::ClientFrontend;
 use crate::close_reason::ClientClose;
 use crate::guard::{AnswerPermit, ConnectionLedger, Violation};
-use crate::query_registry::{Answer, AnswerSlot};
+use crate::query_registry::{AdmittedQuery, Answer};
 use async_io::Async;
 use futures_lite::future;
 use std::cell::RefCell;
 use std::io;
 use std::net::TcpStream;
 use std::ops::ControlFlow;
-use std::rc::Rc;
 
 /// How a connection ends.
 enum Closing {
@@ -36,10 +35,7 @@
 /// The result of handling a complete request.
 enum Handled {
     /// A query was admitted.
-    Query {
-        query_id: u64,
-        slot: Rc<AnswerSlot>,
-    },
+    Query(AdmittedQuery),
     Answered,
     Refused(RequestError),
 }
@@ -169,7 +165,7 @@
         let is_bare_path = |path: &str| pages.classifier.is_path(path);
         let (status, body) = match Route::of(head.method, head.path, is_bare_path) {
             Route::Query => match self.admit(head) {
-                Ok((query_id, slot)) => return Ok(Handled::Query { query_id, slot }),
+                Ok(query) => return Ok(Handled::Query(query)),
                 Err(error) => return Ok(Handled::Refused(error)),
             },
             Route::Unknown => return Ok(Handled::Refused(RequestError::Unknown)),
@@ -186,8 +182,8 @@
         Ok(Handled::Answered)
     }
 
-    /// Admits the query of a complete request. Returns its query id, and the slot for its answer.
-    fn admit(&self, head: &Head<'_>) -> Result<(u64, Rc<AnswerSlot>), RequestError> {
+    /// Admits the query of a complete request.
+    fn admit(&self, head: &Head<'_>) -> Result<AdmittedQuery, RequestError> {
         let frontend = self.frontend;
         let buffer = self.inbound.buffer();
         let body = &buffer.bytes()[head.head_len..head.request_len()];
@@ -209,9 +205,9 @@
         mut keep_alive: bool,
     ) -> io::Result<ControlFlow<Closing>> {
         match handled {
-            Handled::Query { query_id, slot } => {
+            Handled::Query(query) => {
                 self.inbound.consume(request_len);
-                let Some(answer) = self.wait_for_answer(query_id, &slot).await else {
+                let Some(answer) = self.wait_for_answer(&query).await else {
                     self.ledger.borrow_mut().on_client_left();
                     return Ok(ControlFlow::Break(Closing::Disconnected));
                 };
@@ -237,15 +233,15 @@
     }
 
     /// Waits for the answer of a query; `None` if the client left first.
-    async fn wait_for_answer(&mut self, query_id: u64, slot: &AnswerSlot) -> Option<Answer> {
-        let answered = async { Some(slot.answered().await) };
+    async fn wait_for_answer(&mut self, query: &AdmittedQuery) -> Option<Answer> {
+        let answered = async { Some(query.slot.answered().await) };
         let client_left = async {
             self.inbound.wait_for_disconnect().await;
             None
         };
         let answer = future::or(answered, client_left).await;
         if answer.is_none() {
-            self.frontend.registry.client_left(query_id);
+            self.frontend.registry.client_left(query.query_id);
         }
         answer
     }
--- a/crates/dispatcher/src/engine/tests.rs
+++ b/crates/dispatcher/src/engine/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::clock::Clock;
 use crate::query_registry::{
-    AnswerSlot, EndpointEntry, Event, QueryRegistry, QueryRequest, RequestKeys,
+    AdmittedQuery, AnswerSlot, EndpointEntry, Event, QueryRegistry, QueryRequest, RequestKeys,
 };
 use async_executor::LocalExecutor;
 use std::net::SocketAddr;
@@ -62,7 +62,10 @@
     let pool = EnginePool::new(registry.clone(), Clock::start(), executor, settings);
     pool.upsert_endpoint(&engine(EndpointState::Ready, None, 9));
     let request = request();
-    let (query, slot) = registry.admit(&request).unwrap();
+    let AdmittedQuery {
+        query_id: query,
+        slot,
+    } = registry.admit(&request).unwrap();
     registry.submit(query, 7, limits);
     pool.execute_commands();
     (registry, pool, query, slot)
@@ -135,7 +138,10 @@
             id: "00000000000000bb",
             ..request()
         };
-        let (query, _slot) = registry.admit(&request).unwrap();
+        let AdmittedQuery {
+            query_id: query,
+            slot: _slot,
+        } = registry.admit(&request).unwrap();
         registry.submit(query, 7, LONG);
         pool.upsert_endpoint(&engine(state, None, 9));
         while registry.next_event().is_some() {}
--- a/crates/dispatcher/src/query_registry/mod.rs
+++ b/crates/dispatcher/src/query_registry/mod.rs
@@ -13,7 +13,9 @@
 
 pub use guarding::AttemptKey;
 pub use messages::{ArrivedQuery, EndpointEntry, EngineCommand, Event};
-pub use query::{Answer, AnswerSlot, Grant, Pages, Query, QueryRequest, RequestKeys};
+pub use query::{
+    AdmittedQuery, Answer, AnswerSlot, Grant, Pages, Query, QueryRequest, RequestKeys,
+};
 pub use query_table::AdmissionError;
 
 use crate::clock::Clock;
@@ -57,12 +59,13 @@
 
     // ---- Client side ----
 
-    /// Admits a query. Returns its query id, and the slot for its answer.
+    /// Admits a query.
     ///
     /// # Errors
     /// The query's id is in flight or was used before, or the registry is full; the registry is unchanged then.
-    pub fn admit(&self, request: &QueryRequest) -> Result<(u64, Rc<AnswerSlot>), AdmissionError> {
-        let (query_id, slot) = self.queries.insert(request)?;
+    pub fn admit(&self, request: &QueryRequest) -> Result<AdmittedQuery, AdmissionError> {
+        let admitted = self.queries.insert(request)?;
+        let query_id = admitted.query_id;
         self.counters.admitted.increment();
         self.guard.on_query_admitted(request.received_ms);
         self.trace.record(query_id, TraceEvent::Admitted);
@@ -75,7 +78,7 @@
             tables: request.tables,
             statement: request.traits,
         }));
-        Ok((query_id, slot))
+        Ok(admitted)
     }
 
     /// Records that the client has left: no answer is owed, and none will be given.
--- a/crates/dispatcher/src/query_registry/query.rs
+++ b/crates/dispatcher/src/query_registry/query.rs
@@ -98,6 +98,14 @@
     pub keys: RequestKeys<'a>,
 }
 
+/// A query that was admitted to the registry.
+pub struct AdmittedQuery {
+    /// The query's number in the registry.
+    pub query_id: u64,
+    /// The slot for its answer.
+    pub slot: Rc<AnswerSlot>,
+}
+
 /// The resources that an engine may use for the attempts of a query.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Grant {
--- a/crates/dispatcher/src/query_registry/query_table.rs
+++ b/crates/dispatcher/src/query_registry/query_table.rs
@@ -1,7 +1,7 @@
 //! The queries in flight, by their numbers and by the ids that clients chose, within the bounds on memory.
 
 use super::completed_ids::CompletedIds;
-use super::query::{AnswerSlot, Query, QueryRequest};
+use super::query::{AdmittedQuery, AnswerSlot, Query, QueryRequest};
 use rustc_hash::FxHashMap;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -51,11 +51,11 @@
         }
     }
 
-    /// Adds a query. Returns its number, and the slot for its answer.
+    /// Adds a query.
     ///
     /// # Errors
     /// The query's id is in flight or was used before, or the table is full; the table is unchanged then.
-    pub fn insert(&self, request: &QueryRequest) -> Result<(u64, Rc<AnswerSlot>), AdmissionError> {
+    pub fn insert(&self, request: &QueryRequest) -> Result<AdmittedQuery, AdmissionError> {
         if self.query_by_client_id.borrow().contains_key(request.id) {
             return Err(AdmissionError::InFlight);
         }
@@ -75,7 +75,7 @@
         query.deadline_ms = query.deadline_ms.min(self.latest_deadline_ms.get());
         self.queries.borrow_mut().insert(query_id, query);
         self.query_by_client_id.borrow_mut().insert(id, query_id);
-        Ok((query_id, slot))
+        Ok(AdmittedQuery { query_id, slot })
     }
 
     /// Number of queries in flight.
--- a/crates/dispatcher/src/query_registry/tests.rs
+++ b/crates/dispatcher/src/query_registry/tests.rs
@@ -28,7 +28,7 @@
 #[test]
 fn query_gets_one_answer_and_no_attempt_after_it() {
     let registry = QueryRegistry::default();
-    let (query_id, slot) = registry.admit(&REQUEST).unwrap();
+    let AdmittedQuery { query_id, slot } = registry.admit(&REQUEST).unwrap();
     assert_eq!(
         registry.admit(&REQUEST).map(|_| ()),
         Err(AdmissionError::InFlight)
@@ -77,7 +77,10 @@
         Guard::default(),
         Clock::start(),
     );
-    let (query_id, _slot) = registry.admit(&REQUEST).unwrap();
+    let AdmittedQuery {
+        query_id,
+        slot: _slot,
+    } = registry.admit(&REQUEST).unwrap();
     let second = QueryRequest {
         id: "9b1f03aa5c7e2d42",
         ..REQUEST
@@ -93,7 +96,7 @@
 #[test]
 fn query_of_a_disconnected_client_gets_no_answer() {
     let registry = QueryRegistry::default();
-    let (query_id, slot) = registry.admit(&REQUEST).unwrap();
+    let AdmittedQuery { query_id, slot } = registry.admit(&REQUEST).unwrap();
     registry.client_left(query_id);
     registry.client_left(query_id);
     assert!(!registry.answer(query_id, Answer::Failed) && slot.take().is_none());
@@ -109,7 +112,10 @@
 #[test]
 fn new_priority_reaches_the_attempt_in_flight() {
     let registry = QueryRegistry::default();
-    let (query_id, _slot) = registry.admit(&REQUEST).unwrap();
+    let AdmittedQuery {
+        query_id,
+        slot: _slot,
+    } = registry.admit(&REQUEST).unwrap();
     registry.grant(
         query_id,
         Grant {
