--- a/crates/dispatcher/src/engine/engine_entry.rs
+++ b/crates/dispatcher/src/engine/engine_entry.rs
@@ -243,3 +243,6 @@
             .then(other.last_used_ms.total_cmp(&self.last_used_ms))
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/dispatcher/src/engine/engine_entry/tests.rs
@@ -0,0 +1,106 @@
+use super::*;
+use crate::engine::connection::Attempt;
+use crate::engine::protocol::RequestFields;
+use tansymux::events::AttemptLimits;
+
+const NOW_MS: f64 = 1000.0;
+const TRUSTED_IDLE_MS: f64 = 100.0;
+
+fn entry(state: EndpointState, started_ms: Option<f64>) -> EndpointEntry {
+    EndpointEntry {
+        engine_id: 7,
+        address: None,
+        kind: "std".into(),
+        zone: "east".into(),
+        cell: 0,
+        state,
+        started_ms,
+    }
+}
+
+fn engine() -> Engine {
+    Engine::new(&entry(EndpointState::Ready, Some(1.0)))
+}
+
+/// Adds a connection that is up and unused.
+fn add_channel(engine: &mut Engine, number: u64) -> Rc<Channel> {
+    let channel = Rc::new(Channel::new(number, 7, engine.process(), 0.0));
+    channel.connection.borrow_mut().on_connected(0.0);
+    engine.add_channel(channel.clone());
+    channel
+}
+
+fn submit(channel: &Channel, id: &str, sent_ms: f64) {
+    let limits = AttemptLimits {
+        deadline_ms: 1e9,
+        start_by_ms: 1e9,
+        side_effect_free: true,
+    };
+    let attempt = Attempt::new(4, 0, sent_ms, limits);
+    let fields = RequestFields::default();
+    let statement = b"SELECT 1".as_slice().into();
+    let mut connection = channel.connection.borrow_mut();
+    connection.submit(&id.into(), fields, statement, attempt);
+}
+
+/// Submits an attempt and abandons it, so that the connection idles from `idle_since_ms` on.
+fn use_until(channel: &Channel, idle_since_ms: f64) {
+    submit(channel, "used", idle_since_ms);
+    channel
+        .connection
+        .borrow_mut()
+        .abandon("used", idle_since_ms);
+}
+
+fn best_number(engine: &Engine) -> Option<u64> {
+    let best = engine.best_channel("new", NOW_MS, TRUSTED_IDLE_MS, 32);
+    best.map(|best| best.channel.number)
+}
+
+#[test]
+fn best_connection_is_proven_then_fresh_then_shared_then_stale() {
+    let mut engine = engine();
+    assert_eq!(best_number(&engine), None);
+    let stale = add_channel(&mut engine, 1);
+    use_until(&stale, NOW_MS - TRUSTED_IDLE_MS - 1.0);
+    assert_eq!(best_number(&engine), Some(1));
+    let shared = add_channel(&mut engine, 2);
+    submit(&shared, "other", NOW_MS);
+    assert_eq!(best_number(&engine), Some(2));
+    add_channel(&mut engine, 3);
+    assert_eq!(best_number(&engine), Some(3));
+    let proven = add_channel(&mut engine, 4);
+    use_until(&proven, NOW_MS - 1.0);
+    assert_eq!(best_number(&engine), Some(4));
+}
+
+#[test]
+fn update_reports_a_restarted_or_departed_process() {
+    for (update, change) in [
+        (
+            entry(EndpointState::Ready, Some(1.0)),
+            ProcessChange::Unchanged,
+        ),
+        (
+            entry(EndpointState::Draining, None),
+            ProcessChange::Unchanged,
+        ),
+        (
+            entry(EndpointState::Ready, Some(2.0)),
+            ProcessChange::Replaced,
+        ),
+        (entry(EndpointState::Gone, None), ProcessChange::Replaced),
+    ] {
+        assert_eq!(engine().update(&update), change, "{update:?}");
+    }
+}
+
+#[test]
+fn engine_is_removable_once_it_is_gone_and_its_last_connection_closed() {
+    let mut engine = engine();
+    let channel = add_channel(&mut engine, 1);
+    engine.update(&entry(EndpointState::Gone, None));
+    assert!(!engine.is_removable());
+    engine.remove_channel(&channel);
+    assert!(engine.is_removable());
+}
--- a/crates/dispatcher/src/engine/reports.rs
+++ b/crates/dispatcher/src/engine/reports.rs
@@ -116,3 +116,6 @@
         );
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/dispatcher/src/engine/silence.rs
+++ b/crates/dispatcher/src/engine/silence.rs
@@ -128,3 +128,6 @@
         });
     }
 }
+
+#[cfg(test)]
+mod tests;
