--- a/crates/sql-analysis/src/analyzer/dialect.rs
+++ b/crates/sql-analysis/src/analyzer/dialect.rs
@@ -1,5 +1,4 @@
-//! Parsing of a shape under a dialect. The parser is given the lexer's tokens and splits no text of its own, so that
-//! both see the same words.
+//! Parsing of a shape in a dialect. The parser gets the lexer's tokens instead of text, so that both have the same words.
 
 use super::reason::Reason;
 use crate::config::Dialect;
@@ -9,10 +8,10 @@
 use sqlparser::parser::Parser;
 use sqlparser::tokenizer::{Location, Token, TokenWithSpan};
 
-/// How deep the parser recurses.
+/// Maximum depth of the parser's recursion.
 const MAX_RECURSION: usize = 48;
 
-/// Parses tokens under a dialect.
+/// Parses tokens in a dialect.
 pub(super) fn parse(tokens: &[TokenWithSpan], dialect: Dialect) -> Result<Vec<Statement>, Reason> {
     let dialect: &dyn sqlparser::dialect::Dialect = match dialect {
         Dialect::Generic => &GenericDialect {},
@@ -34,7 +33,7 @@
     }
 }
 
-/// The shape's tokens as the parser takes them; `None` if one belongs to no grammar. A token's location is its index.
+/// The shape's tokens in the parser's form; `None` if a token belongs to no grammar. A token's location is its index.
 pub(super) fn parser_tokens(shape: &Shape) -> Option<Vec<TokenWithSpan>> {
     let mut tokens = Vec::with_capacity(shape.tokens.len() + 1);
     for (index, token) in shape.tokens.iter().enumerate() {
@@ -58,7 +57,12 @@
     Some(tokens)
 }
 
+/// The parser's token for punctuation or an operator; `None` if it belongs to no grammar.
 fn punctuation(text: &str) -> Option<Token> {
+    separator(text).or_else(|| operator(text))
+}
+
+fn separator(text: &str) -> Option<Token> {
     Some(match text {
         "(" => Token::LParen,
         ")" => Token::RParen,
@@ -69,6 +73,14 @@
         "]" => Token::RBracket,
         "::" => Token::DoubleColon,
         ":" => Token::Colon,
+        "{" => Token::LBrace,
+        "}" => Token::RBrace,
+        _ => return None,
+    })
+}
+
+fn operator(text: &str) -> Option<Token> {
+    Some(match text {
         "+" => Token::Plus,
         "-" => Token::Minus,
         "*" => Token::Mul,
@@ -96,8 +108,6 @@
         "@" => Token::AtSign,
         "#" => Token::Sharp,
         "\\" => Token::Backslash,
-        "{" => Token::LBrace,
-        "}" => Token::RBrace,
         _ => return None,
     })
 }
--- a/crates/sql-analysis/src/analyzer/findings.rs
+++ b/crates/sql-analysis/src/analyzer/findings.rs
@@ -1,19 +1,20 @@
-//! What is found in the syntax trees of one dialect, or of several together.
+//! Findings in the syntax trees of one dialect, or of several dialects combined.
 
 use super::reason::Reason;
 use crate::{Effect, Features};
 use std::collections::BTreeSet;
 
+/// Effect, tables and features of statements.
 #[derive(Debug)]
 pub(super) struct Findings {
     pub effect: Effect,
-    /// Why the effect is not [`Effect::ReadOnly`].
+    /// The reason why the effect is not [`Effect::ReadOnly`].
     pub reason: Option<Reason>,
     pub tables_read: BTreeSet<String>,
     pub tables_written: BTreeSet<String>,
     pub features: Features,
     pub statement_count: usize,
-    /// Aliases with columns, of tables and common table expressions: a bracket after them is no call.
+    /// Aliases with columns, of tables and common table expressions. A bracket after an alias is not a call.
     pub column_aliases: BTreeSet<String>,
 }
 
@@ -31,7 +32,7 @@
         }
     }
 
-    /// Records an effect; the reason is kept if the effect is worse than those before.
+    /// Raises the effect to a worse one, with its reason. An effect that is not worse changes nothing.
     pub fn raise(&mut self, effect: Effect, reason: Reason) {
         if effect > self.effect {
             self.effect = effect;
--- a/crates/sql-analysis/src/analyzer/lexical_check.rs
+++ b/crates/sql-analysis/src/analyzer/lexical_check.rs
@@ -1,15 +1,15 @@
-//! The second half of a proof: the words of a shape, without the grammar. A parser skips what it does not model, a word
-//! list knows no structure; that both are wrong at once is less likely.
+//! The second part of a proof: a check of the shape's words that is independent of the grammar. The parser skips constructs
+//! that it does not model, and this check ignores structure, so it is unlikely that both miss the same effect.
 
 use super::findings::Findings;
 use super::reason::Reason;
 use crate::config::Config;
 use crate::functions::effect_of_function;
-use crate::keywords::{is_non_function_keyword, is_sized_type, starts_read_only_statement};
+use crate::keywords::{precedes_bracket_without_call, starts_read_only_statement};
 use crate::lexer::{Shape, Token, TokenKind};
 use crate::Effect;
 
-/// Why the words bar the proof that the grammar would give, if they do.
+/// The reason why the words do not allow a proof that the statement is read-only, if there is one.
 pub(super) fn objection(shape: &Shape, findings: &Findings, config: &Config) -> Option<Reason> {
     if shape.has_effect_keyword {
         return Some(Reason::EffectWord);
@@ -37,7 +37,7 @@
     None
 }
 
-/// Whether a comma is followed by nothing: some grammars accept that, but not every engine.
+/// Whether no item follows a comma: some grammars accept that, but not every engine does.
 fn is_trailing_comma(shape: &Shape, index: usize, token: &Token) -> bool {
     if token.kind != TokenKind::Punctuation || shape.token_text(token) != "," {
         return false;
@@ -48,14 +48,14 @@
     )
 }
 
-/// Whether rows or tables are locked: FOR SHARE, FOR KEY SHARE, IN SHARE MODE.
+/// Whether the token is part of a lock of rows or tables: FOR SHARE, FOR KEY SHARE, IN SHARE MODE.
 fn is_share_lock(shape: &Shape, index: usize, token: &Token) -> bool {
     token.kind == TokenKind::Word
         && shape.token_text(token) == "share"
         && matches!(shape.text_at(index.checked_sub(1)), "for" | "key" | "in")
 }
 
-/// Why a name followed by a bracket is not known to be harmless, if so.
+/// The reason why a name followed by a bracket may be a call with effects, if there is one.
 fn objection_to_call(
     shape: &Shape,
     index: usize,
@@ -70,14 +70,14 @@
     let is_qualified = shape.text_at(index.checked_sub(1)) == ".";
     if token.kind == TokenKind::Word && !is_qualified {
         let word = shape.token_text(token);
-        if is_non_function_keyword(word) || is_sized_type(word) {
+        if precedes_bracket_without_call(word) {
             return None;
         }
     }
     let name = qualified_name(shape, index);
     match effect_of_function(&name, config) {
         Effect::ReadOnly => None,
-        // An alias with columns may precede a bracket, but not if it has the name of a function with effects.
+        // An alias with columns may precede a bracket, unless it has the name of a function with effects.
         Effect::Unknown if findings.column_aliases.contains(&name) => None,
         Effect::Unknown | Effect::NonIdempotent => Some(Reason::UnknownFunction(name)),
     }
--- a/crates/sql-analysis/src/analyzer/mod.rs
+++ b/crates/sql-analysis/src/analyzer/mod.rs
@@ -1,6 +1,6 @@
-//! What a shape shows. Its tokens are given to the parser under each configured dialect (`dialect`), the syntax trees
-//! are searched for effects and features (`visitor`), and the result is compared with the words of the shape
-//! (`lexical_check`). Only if both agree is a statement proven read-only.
+//! The analysis of a shape. The shape's tokens are parsed in each configured dialect (`dialect`), the syntax trees are
+//! searched for effects and features (`visitor`), and the words of the shape are checked independently
+//! (`lexical_check`). A statement is proven read-only only if both agree.
 
 mod dialect;
 mod findings;
@@ -18,20 +18,20 @@
 use sqlparser::ast::Statement;
 use std::collections::BTreeSet;
 
-/// Names of tables that are kept of each kind.
+/// Maximum number of names of tables read, and of tables written.
 const MAX_TABLES: usize = 64;
-/// Bytes that are kept of a reason's text.
+/// Maximum length of a reason's text, in bytes.
 const MAX_REASON_BYTES: usize = 160;
 
 /// Analyzes a shape.
 pub(crate) fn analyze(shape: &Shape, config: &Config) -> Analysis {
     let parsed = parse_and_search(shape, config);
-    let verdict = verdict(shape, &parsed, config);
+    let ProvenEffect { effect, reason } = proven_effect(shape, &parsed, config);
     let findings = parsed.ok();
     let features = findings
         .as_ref()
         .map_or_else(Features::default, |findings| findings.features);
-    let class = class_of(verdict.effect, &features, config);
+    let class = class_of(effect, &features, config);
     let base_cost = config.base_costs.of(class, &features);
     let mut tables_read = BTreeSet::new();
     let mut tables_written = BTreeSet::new();
@@ -41,17 +41,17 @@
     }
     Analysis {
         class,
-        effect: verdict.effect,
+        effect,
         tables_read: tables_read.into_iter().take(MAX_TABLES).collect(),
         tables_written: tables_written.into_iter().take(MAX_TABLES).collect(),
         features,
-        reason: verdict.reason.map(|reason| short_text(&reason)),
+        reason: reason.map(|reason| short_text(&reason)),
         cost_ms: base_cost.cost_ms,
         memory_mb: base_cost.memory_mb,
     }
 }
 
-/// What the dialects that accept the shape find together; the first one's error if none does.
+/// The combined findings of the dialects that accept the shape, or the error of the first dialect if none does.
 fn parse_and_search(shape: &Shape, config: &Config) -> Result<Findings, Option<Reason>> {
     if shape.text.is_empty() {
         return Err(Some(Reason::Empty));
@@ -86,36 +86,44 @@
     findings.ok_or(first_error)
 }
 
-/// The configured dialects with the permissive one last: it is tried only if no real engine's dialect accepts the shape.
+/// The configured dialects, the permissive one last: it is tried only if no engine's own dialect accepts the shape.
 fn dialects_in_order(config: &Config) -> impl Iterator<Item = Dialect> + '_ {
-    let real = config.dialects.iter().filter(|d| **d != Dialect::Generic);
-    let generic = config.dialects.iter().filter(|d| **d == Dialect::Generic);
-    real.chain(generic).copied()
+    let dialects = config.dialects.iter().copied();
+    let specific = dialects
+        .clone()
+        .filter(|dialect| *dialect != Dialect::Generic);
+    let generic = dialects.filter(|dialect| *dialect == Dialect::Generic);
+    specific.chain(generic)
 }
 
-struct Verdict {
+/// The effect of a statement.
+struct ProvenEffect {
     effect: Effect,
-    /// Why the statement could not be parsed or proven. None for one with effects that was understood.
+    /// The reason why the statement could not be parsed or proven read-only; none if its effect is known.
     reason: Option<Reason>,
 }
 
-fn verdict(shape: &Shape, parsed: &Result<Findings, Option<Reason>>, config: &Config) -> Verdict {
+fn proven_effect(
+    shape: &Shape,
+    parsed: &Result<Findings, Option<Reason>>,
+    config: &Config,
+) -> ProvenEffect {
     let lexical_reason = shape.unproven.map(Reason::Lexical);
     let findings = match parsed {
         Ok(findings) => findings,
         Err(error) => {
-            return Verdict {
+            return ProvenEffect {
                 effect: Effect::Unknown,
                 reason: lexical_reason.or_else(|| error.clone()),
             };
         }
     };
     match findings.effect {
-        Effect::NonIdempotent => Verdict {
+        Effect::NonIdempotent => ProvenEffect {
             effect: Effect::NonIdempotent,
             reason: lexical_reason,
         },
-        Effect::Unknown => Verdict {
+        Effect::Unknown => ProvenEffect {
             effect: Effect::Unknown,
             reason: lexical_reason.or_else(|| findings.reason.clone()),
         },
@@ -126,7 +134,7 @@
                 Some(_) => Effect::Unknown,
                 None => Effect::ReadOnly,
             };
-            Verdict { effect, reason }
+            ProvenEffect { effect, reason }
         }
     }
 }
--- a/crates/sql-analysis/src/analyzer/reason.rs
+++ b/crates/sql-analysis/src/analyzer/reason.rs
@@ -1,29 +1,29 @@
-//! Why a statement could not be parsed or proven read-only.
+//! Reasons why a statement could not be parsed or proven read-only.
 
 use crate::lexer::Unproven;
 
-/// A reason. Parts of it come from the statement's shape, never from its literals.
+/// A reason. Its text may contain parts of the statement's shape, but none of its literals.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub(super) enum Reason {
     /// The text is ambiguous or too large.
     #[error(transparent)]
     Lexical(#[from] Unproven),
-    /// There is no token, or no statement.
+    /// The text has no tokens or no statement.
     #[error("the statement is empty")]
     Empty,
-    /// A token that no grammar has.
+    /// A token belongs to no grammar.
     #[error("a character belongs to no grammar")]
     UnknownToken,
-    /// The parser's message, without locations: they would be those of the shape.
+    /// The parser's message, without its location, which would be one in the shape.
     #[error("{0}")]
     Syntax(String),
     /// Dialects split the text into different statements.
     #[error("the dialects read different statements")]
     DialectsDisagree,
-    /// A word that no read-only statement has.
+    /// A word that occurs in no read-only statement.
     #[error("a word occurs only in statements that change data")]
     EffectWord,
-    /// The first word of a statement.
+    /// The first word is not one of a read-only statement.
     #[error("a read-only statement does not begin with {0}")]
     FirstWord(String),
     /// A comma before a clause or bracket.
--- a/crates/sql-analysis/src/config.rs
+++ b/crates/sql-analysis/src/config.rs
@@ -3,8 +3,8 @@
 use crate::rules::Rule;
 use crate::{Class, Features};
 
-/// A dialect that an engine may speak. A statement is proven read-only only if no configured dialect reads it
-/// differently.
+/// An SQL dialect of engines. A statement is proven read-only only if it is read-only in all configured dialects that
+/// accept it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Dialect {
     /// A permissive mixture, tried only if no other configured dialect accepts a statement.
@@ -43,9 +43,9 @@
     pub unfiltered_factor: f64,
 }
 
-/// Joins beyond this many don't raise the cost: it is a guess, and must not run away.
+/// Maximum number of joins that raise the base cost, which bounds the error of the estimate.
 const MAX_COUNTED_JOINS: u32 = 6;
-/// Likewise for window functions.
+/// Maximum number of window functions that raise the base cost.
 const MAX_COUNTED_WINDOWS: u32 = 3;
 
 impl Default for BaseCosts {
@@ -91,7 +91,7 @@
     pub half_life_ms: f64,
     /// Outliers in a row on one side after which the estimate moves to their mean.
     pub shift_after: u32,
-    /// The factor by which one sample moves an estimate at most.
+    /// Maximum factor by which one sample changes an estimate.
     pub max_step_factor: f64,
 }
 
@@ -110,23 +110,24 @@
 /// operators' file.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Config {
-    /// The dialects that the engines speak.
+    /// The dialects of the engines.
     pub dialects: Vec<Dialect>,
-    /// The first rule that matches a read-only statement gives its class, without any it is a look-up.
+    /// Rules for the class of a read-only statement: the first rule that matches applies. Without a match the class is
+    /// [`Class::LookUp`].
     pub rules: Vec<Rule>,
     /// Functions without effects, in lower case, with their schema where they are called with one.
     pub pure_functions: Vec<String>,
-    /// Functions with effects, likewise.
+    /// Functions with effects, in the same form.
     pub effect_functions: Vec<String>,
-    /// Costs of shapes of which nothing was learned.
+    /// Costs of shapes without learned costs.
     pub base_costs: BaseCosts,
-    /// Shapes in the cache.
+    /// Maximum number of shapes in the cache.
     pub max_shapes: usize,
-    /// Bytes of the cache.
+    /// Maximum size of the cache (bytes).
     pub max_shape_bytes: usize,
-    /// Shapes whose cost is kept.
+    /// Maximum number of shapes with learned costs.
     pub max_learned_costs: usize,
-    /// How costs are learned.
+    /// Configuration of the cost model.
     pub cost_model: CostModelConfig,
 }
 
--- a/crates/sql-analysis/src/cost_model/engine_slowdown.rs
+++ b/crates/sql-analysis/src/cost_model/engine_slowdown.rs
@@ -1,15 +1,15 @@
-//! How slow each engine is for all shapes. It tells an engine that is slow from a shape that became expensive, and is
-//! learned only from shapes that are known well.
+//! The slowdown of each engine over all shapes. It distinguishes a slow engine from a shape that became more expensive,
+//! and is updated only by shapes whose cost is known well.
 
-/// A slowdown follows each sample by this fraction.
+/// Fraction by which a slowdown follows a sample.
 const STEP: f64 = 0.15;
-/// A sample counts for this distance (log) at most.
+/// Limit on the distance of a sample from the slowdown (log ratio).
 const MAX_SAMPLE_DISTANCE: f64 = 0.7;
-/// Bound on a slowdown (log).
+/// Limit on a slowdown (log ratio).
 const MAX_SLOWDOWN: f64 = 3.0;
 /// Time (ms) in which a slowdown without samples decays to 1/e.
 const DECAY_MS: f64 = 15_000.0;
-/// Engines that are kept; beyond it the one without samples for the longest time is dropped.
+/// Maximum number of engines. Above it, the engine whose last sample is the oldest is removed.
 pub(super) const MAX_ENGINES: usize = 1024;
 
 /// The log ratio of an engine's run times to the shapes' costs.
--- a/crates/sql-analysis/src/cost_model/mod.rs
+++ b/crates/sql-analysis/src/cost_model/mod.rs
@@ -1,10 +1,12 @@
-//! What shapes cost, learned from how their queries ended.
+//! The cost model: estimates the cost of shapes from the run times of their queries.
 //!
-//! A sample is latency times threads, compared with what the engine and the shape usually show (`shape_cost`,
-//! `engine_slowdown`). So one bad plan changes an estimate little, and a shape whose cost has changed is followed within
-//! a few queries. A query that waited, or ran on an engine that was warming up, took at most what was measured: it
-//! lowers an estimate but hardly raises one. One that was interrupted took at least that: it only raises.
+//! A sample is latency times threads, corrected by the engine's slowdown (`engine_slowdown`) and compared with the shape's
+//! earlier samples (`shape_cost`). A single outlier changes an estimate little; after a lasting change of cost the estimate
+//! follows within a few queries. The latency of a query that waited, or ran on an engine that was warming up, is an upper
+//! bound on its cost: it lowers an estimate but hardly raises it. The latency of an interrupted query is a lower bound: it
+//! can only raise an estimate.
 
+mod class_level;
 mod engine_slowdown;
 mod shape_cost;
 
@@ -13,61 +15,52 @@
 
 use crate::config::CostModelConfig;
 use crate::Class;
+use class_level::ClassLevel;
 use engine_slowdown::EngineSlowdowns;
 use mini_moka::unsync::Cache;
 use shape_cost::{Sample, ShapeCost};
 
-/// Weight of a sample that bounds the cost from above, if it is higher than expected.
+/// Weight of a sample that is an upper bound on the cost, if it is higher than expected.
 const UPPER_BOUND_WEIGHT: f64 = 0.05;
-/// Weight of a sample that bounds the cost from below, if it is higher than expected.
+/// Weight of a sample that is a lower bound on the cost, if it is higher than expected.
 const LOWER_BOUND_WEIGHT: f64 = 0.5;
-/// Confidence that a shape needs before it teaches the slowdown of engines.
-const MIN_TEACHING_CONFIDENCE: f64 = 0.4;
-/// The highest confidence that a class gives: it says little of one shape.
-const MAX_CLASS_CONFIDENCE: f64 = 0.15;
-/// Samples of a class with which it gives half of that.
-const HALF_CLASS_CONFIDENCE_SAMPLES: f64 = 50.0;
-/// A class's level follows each sample by this fraction at least.
-const MIN_CLASS_STEP: f64 = 0.02;
-/// Bound on a class's level (log).
-const MAX_CLASS_LEVEL: f64 = 5.0;
-/// Samples of a class beyond this many don't count.
-const MAX_CLASS_SAMPLES: f64 = 1e6;
-/// Weight of base cost and class against samples of the shape: one sample already says more.
+/// Confidence in a shape's cost above which its samples update the slowdowns of engines.
+const MIN_SLOWDOWN_CONFIDENCE: f64 = 0.4;
+/// Weight of the estimate by base cost and class, relative to the weight of one sample of the shape.
 const PRIOR_WEIGHT: f64 = 0.02;
 /// Costs below this (ms) are not distinguished.
 const MIN_COST_MS: f64 = 0.05;
 
-/// How an attempt ended, as far as its cost is concerned.
+/// The end of an attempt, as far as it matters for the cost.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExecutionEnd {
-    /// It ran to its end.
+    /// The attempt completed.
     Completed,
-    /// It timed out or was given up while it ran.
+    /// The attempt timed out or was cancelled while it ran.
     Interrupted,
 }
 
 /// An attempt that ran.
 #[derive(Debug, Clone, Copy)]
 pub struct Execution {
-    /// When it ended (ms).
+    /// Time of the end (ms).
     pub ended_at_ms: f64,
-    /// Where it ran.
+    /// The engine that ran the attempt.
     pub engine_id: u64,
-    /// For how long (ms).
+    /// Latency (ms).
     pub latency_ms: f64,
-    /// On how many threads.
+    /// Number of threads.
     pub threads: f64,
-    /// How it ended.
+    /// The kind of the end.
     pub end: ExecutionEnd,
-    /// It waited for memory, for a load, or in a queue, for an unknown part of its latency.
+    /// Whether an unknown part of the latency was spent waiting for memory, for a load, or in a queue.
     pub waited: bool,
-    /// The engine was warming up.
+    /// Whether the engine was warming up.
     pub warming_up: bool,
 }
 
 impl Execution {
-    /// Whether its latency is its cost, and not only a bound on it.
+    /// Whether the latency is the cost, and not only a bound on it.
     fn is_exact(&self) -> bool {
         self.end == ExecutionEnd::Completed && !self.waited && !self.warming_up
     }
@@ -84,7 +77,7 @@
     pub confidence: f64,
 }
 
-/// What is expected of a shape without samples.
+/// The estimate for a shape without samples.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct PriorCost {
     pub class: Class,
@@ -98,27 +91,6 @@
     }
 }
 
-/// The mean log ratio of a class's samples to their base costs.
-#[derive(Debug, Clone, Copy, Default)]
-struct ClassLevel {
-    level: f64,
-    samples: f64,
-}
-
-impl ClassLevel {
-    fn confidence(&self) -> f64 {
-        MAX_CLASS_CONFIDENCE * self.samples / (self.samples + HALF_CLASS_CONFIDENCE_SAMPLES)
-    }
-
-    /// Adds a sample: the log ratio of its cost to the base cost.
-    fn add(&mut self, log_ratio: f64) {
-        self.samples = (self.samples + 1.0).min(MAX_CLASS_SAMPLES);
-        let step = MIN_CLASS_STEP.max(1.0 / self.samples);
-        self.level += step * (log_ratio - self.level);
-        self.level = self.level.clamp(-MAX_CLASS_LEVEL, MAX_CLASS_LEVEL);
-    }
-}
-
 /// Learned costs of shapes, classes and engines.
 pub(crate) struct CostModel {
     config: CostModelConfig,
@@ -129,7 +101,7 @@
 }
 
 impl CostModel {
-    /// A model without samples, of at most `max_shapes` shapes.
+    /// A model without samples, for at most `max_shapes` shapes.
     pub fn new(config: CostModelConfig, max_shapes: usize) -> Self {
         CostModel {
             config,
@@ -140,7 +112,7 @@
         }
     }
 
-    /// Replaces the configuration. Samples are kept, as far as there is space for them.
+    /// Replaces the configuration. Samples are kept, up to the new number of shapes.
     pub fn reconfigure(&mut self, config: CostModelConfig, max_shapes: usize) {
         self.config = config;
         if max_shapes == self.max_shapes {
@@ -168,7 +140,7 @@
         now_ms: f64,
     ) -> Estimate {
         let class = &self.classes[prior.class as usize];
-        let prior_level = prior.log_cost() + class.level;
+        let prior_level = prior.log_cost() + class.level();
         let Some(shape) = self.shapes.get(&shape_id) else {
             return Estimate {
                 cost_ms: prior_level.exp(),
@@ -188,7 +160,8 @@
         }
     }
 
-    /// Adds a sample. `prior` is that under which the attempt was started. Values that are not finite are ignored.
+    /// Adds a sample. `prior`: the estimate without samples at the start of the attempt. Values that are not finite are
+    /// ignored.
     pub fn record(&mut self, shape_id: u128, prior: PriorCost, execution: &Execution) {
         let now_ms = execution.ended_at_ms;
         let work_ms = execution.latency_ms * execution.threads;
@@ -202,13 +175,15 @@
         let measured = work_ms.max(MIN_COST_MS).ln();
         let log_cost = measured - self.engines.relative_slowdown(execution.engine_id, now_ms);
         let known = self.shapes.get(&shape_id).copied();
-        let class_level = self.classes[prior.class as usize].level;
+        let class_level = self.classes[prior.class as usize].level();
         let expected = known.map_or(prior.log_cost() + class_level, |shape| shape.level());
         let Some(weight) = sample_weight(execution, log_cost > expected) else {
             return;
         };
         let is_exact = execution.is_exact();
-        if let Some(shape) = known.filter(|shape| is_exact && self.may_teach(shape, now_ms)) {
+        if let Some(shape) =
+            known.filter(|shape| is_exact && self.may_update_slowdown(shape, now_ms))
+        {
             let slowdown = measured - shape.level();
             self.engines.add(execution.engine_id, slowdown, now_ms);
         }
@@ -227,13 +202,14 @@
         }
     }
 
-    /// Whether a shape is known well enough to teach the slowdown of engines. One that may be shifting is not.
-    fn may_teach(&self, shape: &ShapeCost, now_ms: f64) -> bool {
-        shape.confidence(now_ms, &self.config) > MIN_TEACHING_CONFIDENCE && !shape.has_outliers()
+    /// Whether a sample of this shape may update the slowdown of its engine: the shape's cost is known well, and is not
+    /// shifting at present.
+    fn may_update_slowdown(&self, shape: &ShapeCost, now_ms: f64) -> bool {
+        shape.confidence(now_ms, &self.config) > MIN_SLOWDOWN_CONFIDENCE && !shape.has_outliers()
     }
 }
 
-/// The weight of a sample, from 0 to 1; `None` for one that says nothing.
+/// The weight of a sample, from 0 to 1; `None` for a sample without information.
 fn sample_weight(execution: &Execution, is_higher_than_expected: bool) -> Option<f64> {
     let is_upper_bound = execution.waited || execution.warming_up;
     match execution.end {
--- a/crates/sql-analysis/src/keywords.rs
+++ b/crates/sql-analysis/src/keywords.rs
@@ -1,49 +1,40 @@
-//! Keywords: which occur only in statements with effects, chain operands, or may precede a bracket without a call.
+//! The keywords that the analysis knows by their words alone, without the grammar.
 
-/// Whether a word, unquoted and not after a dot, occurs in no read-only statement. This check is independent of the
-/// grammar: a construct that the parser takes for harmless, or a name that it skips, is still caught by its word.
-pub(crate) fn is_effect_keyword(word: &[u8]) -> bool {
-    matches!(
-        word,
-        b"insert"
-            | b"update"
-            | b"delete"
-            | b"merge"
-            | b"into"
-            | b"truncate"
-            | b"drop"
-            | b"alter"
-            | b"create"
-            | b"grant"
-            | b"revoke"
-            | b"lock"
-            | b"outfile"
-            | b"dumpfile"
-            | b"upsert"
-    )
+#[cfg(test)]
+mod tests;
+
+/// The class of a word, for checks that are independent of the grammar.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) enum KeywordClass {
+    /// A keyword that, unquoted and not after a dot, occurs in no read-only statement. A construct that the parser takes
+    /// for harmless, or a name that it skips, is still detected by this word.
+    Effect,
+    /// An operator that chains: each occurrence may push the operand before it one level down in the syntax tree.
+    Chaining,
+    /// Any other word.
+    Other,
 }
 
-/// Whether a word is an operator that chains: each occurrence may push the operand before it one level down in the
-/// syntax tree.
-pub(crate) fn is_chaining_keyword(word: &[u8]) -> bool {
-    matches!(
-        word,
-        b"and"
-            | b"or"
-            | b"union"
-            | b"except"
-            | b"intersect"
-            | b"is"
-            | b"in"
-            | b"like"
-            | b"between"
-            | b"at"
-            | b"not"
-            | b"collate"
-            | b"ilike"
-            | b"similar"
-            | b"join"
-    )
+impl KeywordClass {
+    /// Lengths of all words of the classes except [`KeywordClass::Other`].
+    const KEYWORD_LENGTHS: std::ops::RangeInclusive<usize> = 2..=9;
+
+    /// The class of a word in lower case.
+    pub fn of(word: &[u8]) -> Self {
+        if !Self::KEYWORD_LENGTHS.contains(&word.len()) {
+            return KeywordClass::Other;
+        }
+        match word {
+            b"insert" | b"update" | b"delete" | b"merge" | b"into" | b"truncate" | b"drop"
+            | b"alter" | b"create" | b"grant" | b"revoke" | b"lock" | b"outfile" | b"dumpfile"
+            | b"upsert" => KeywordClass::Effect,
+            b"and" | b"or" | b"union" | b"except" | b"intersect" | b"is" | b"in" | b"like"
+            | b"between" | b"at" | b"not" | b"collate" | b"ilike" | b"similar" | b"join" => {
+                KeywordClass::Chaining
+            }
+            _ => KeywordClass::Other,
+        }
+    }
 }
 
 /// Whether a read-only statement may begin with a word.
@@ -54,85 +45,85 @@
     )
 }
 
-/// Whether an opening bracket after this word is not a function call.
-pub(crate) fn is_non_function_keyword(word: &str) -> bool {
-    matches!(
-        word,
-        "in" | "and"
-            | "or"
-            | "not"
-            | "values"
-            | "over"
-            | "from"
-            | "select"
-            | "where"
-            | "on"
-            | "as"
-            | "using"
-            | "exists"
-            | "any"
-            | "all"
-            | "some"
-            | "join"
-            | "union"
-            | "except"
-            | "intersect"
-            | "by"
-            | "when"
-            | "then"
-            | "else"
-            | "case"
-            | "with"
-            | "filter"
-            | "group"
-            | "having"
-            | "lateral"
-            | "distinct"
-            | "between"
-            | "like"
-            | "ilike"
-            | "is"
-            | "limit"
-            | "offset"
-            | "explain"
-            | "sets"
-            | "rollup"
-            | "cube"
-            | "partition"
-            | "array"
-            | "row"
-            | "materialized"
-            | "interval"
-            | "recursive"
-            | "window"
-            | "qualify"
-            | "top"
-            | "escape"
-            | "end"
-            | "analyze"
-            | "key"
-    )
+/// Whether an opening bracket after this word belongs to a keyword or to the size of a type, and is not a function call.
+pub(crate) fn precedes_bracket_without_call(word: &str) -> bool {
+    NON_FUNCTION_KEYWORDS.binary_search(&word).is_ok() || SIZED_TYPES.binary_search(&word).is_ok()
 }
 
-/// Whether a word is a type that takes a size in brackets.
-pub(crate) fn is_sized_type(word: &str) -> bool {
-    matches!(
-        word,
-        "char"
-            | "varchar"
-            | "character"
-            | "varying"
-            | "decimal"
-            | "numeric"
-            | "float"
-            | "time"
-            | "timestamp"
-            | "bit"
-            | "varbinary"
-            | "binary"
-            | "int"
-            | "bigint"
-            | "smallint"
-            | "dec"
-    )
-}
+/// Keywords that may precede a bracket without a call. Sorted for binary search.
+pub(crate) const NON_FUNCTION_KEYWORDS: &[&str] = &[
+    "all",
+    "analyze",
+    "and",
+    "any",
+    "array",
+    "as",
+    "between",
+    "by",
+    "case",
+    "cube",
+    "distinct",
+    "else",
+    "end",
+    "escape",
+    "except",
+    "exists",
+    "explain",
+    "filter",
+    "from",
+    "group",
+    "having",
+    "ilike",
+    "in",
+    "intersect",
+    "interval",
+    "is",
+    "join",
+    "key",
+    "lateral",
+    "like",
+    "limit",
+    "materialized",
+    "not",
+    "offset",
+    "on",
+    "or",
+    "over",
+    "partition",
+    "qualify",
+    "recursive",
+    "rollup",
+    "row",
+    "select",
+    "sets",
+    "some",
+    "then",
+    "top",
+    "union",
+    "using",
+    "values",
+    "when",
+    "where",
+    "window",
+    "with",
+];
+
+/// Types that take a size in brackets. Sorted for binary search.
+pub(crate) const SIZED_TYPES: &[&str] = &[
+    "bigint",
+    "binary",
+    "bit",
+    "char",
+    "character",
+    "dec",
+    "decimal",
+    "float",
+    "int",
+    "numeric",
+    "smallint",
+    "time",
+    "timestamp",
+    "varbinary",
+    "varchar",
+    "varying",
+];
--- a/crates/sql-analysis/src/lexer/characters.rs
+++ b/crates/sql-analysis/src/lexer/characters.rs
@@ -1,13 +1,17 @@
-//! Which bytes belong to which kind of token.
+//! Classes of bytes, by the kind of token that they belong to.
 
-/// What a byte may be part of.
+/// The class of a byte.
 #[derive(Clone, Copy, PartialEq)]
 enum ByteClass {
+    /// Neither part of a name nor of an operator.
     Other,
+    /// Part of an unquoted name or keyword.
     Identifier,
+    /// Part of an operator.
     Operator,
 }
 
+/// The class of each byte.
 const BYTE_CLASSES: [ByteClass; 256] = {
     let mut classes = [ByteClass::Other; 256];
     let mut index = 0;
@@ -26,7 +30,7 @@
     classes
 };
 
-/// Operators that all engines read alike.
+/// Operators that all engines interpret in the same way.
 pub(super) const OPERATORS: [&[u8]; 25] = [
     b"+", b"-", b"*", b"/", b"<", b">", b"=", b"%", b"^", b"&", b"|", b"~", b"<=", b">=", b"<>",
     b"!=", b"||", b"->", b"->>", b"=>", b"&&", b"!~", b"~*", b"!~*", b"<=>",
--- a/crates/sql-analysis/src/lexer/scanner.rs
+++ b/crates/sql-analysis/src/lexer/scanner.rs
@@ -1,14 +1,16 @@
-//! Reads a statement's bytes and passes its tokens to the shape builder.
+//! The scanner: splits a statement's bytes into tokens for the shape builder.
 
 use super::characters::{is_identifier_byte, is_operator_byte, is_sign, OPERATORS};
 use super::shape_builder::{ShapeBuilder, NUMBER_PLACEHOLDER, STRING_PLACEHOLDER};
 use super::unproven::Unproven;
 use super::{MAX_BRACKET_DEPTH, MAX_BYTES, MAX_OPERATORS, MAX_TOKENS};
 
-/// Bytes kept of a shape that has too many tokens: it is never parsed, only told apart from others.
+/// Maximum length of a shape with too many tokens. Such a shape is never parsed, but must still be distinct from others.
 const MAX_UNPARSED_SHAPE_BYTES: usize = MAX_BYTES / 4;
+/// The form feed character, which counts as white space.
 const FORM_FEED: u8 = 12;
 
+/// A scan of one statement.
 pub(super) struct Scanner<'a> {
     bytes: &'a [u8],
     offset: usize,
@@ -27,7 +29,7 @@
         }
     }
 
-    /// Records why no proof is tried; the first reason counts.
+    /// Records why the statement cannot be proven read-only, unless there is an earlier reason.
     pub fn set_unproven(&mut self, reason: Unproven) {
         self.unproven.get_or_insert(reason);
     }
@@ -41,7 +43,7 @@
         &self.bytes[self.offset.min(self.bytes.len())..]
     }
 
-    /// Reads the whole statement.
+    /// Scans the statement, and returns the reason why it cannot be proven read-only, if there is one.
     pub fn scan(mut self) -> Option<Unproven> {
         while let Some(&first) = self.bytes.get(self.offset) {
             self.scan_token(first);
@@ -62,7 +64,7 @@
         self.unproven
     }
 
-    /// Reads white space, a comment or a token that begins with `first`.
+    /// Scans white space, a comment or a token that begins with `first`.
     fn scan_token(&mut self, first: u8) {
         match first {
             b' ' | b'\t' | b'\n' | b'\r' | FORM_FEED => self.offset += 1,
@@ -90,7 +92,7 @@
         }
     }
 
-    /// Reads a character that no engine, or not every engine, has as a token.
+    /// Scans a character that is not a token for all engines.
     fn scan_ambiguous(&mut self, character: u8) {
         self.set_unproven(match character {
             b'#' => Unproven::HashMark,
@@ -166,7 +168,7 @@
 
     fn scan_string(&mut self) {
         self.skip_quoted(b'\'');
-        // Some engines concatenate two strings with nothing but white space between them.
+        // Some engines concatenate two strings with only white space between them.
         if !self.shape.last_is(STRING_PLACEHOLDER) {
             self.shape.push_literal(STRING_PLACEHOLDER);
         }
@@ -220,7 +222,7 @@
         }
     }
 
-    /// Reads a numbered parameter or what may be a dollar-quoted string.
+    /// Scans a numbered parameter, or a possible dollar-quoted string.
     fn scan_dollar(&mut self) {
         if self.peek(1).is_ascii_digit() {
             self.offset += 1;
@@ -246,7 +248,7 @@
         self.shape.push_literal(STRING_PLACEHOLDER);
     }
 
-    /// Reads a cast, an assignment, a named parameter or a colon.
+    /// Scans a cast, an assignment, a named parameter or a colon.
     fn scan_colon(&mut self) {
         if self.peek(1) == b':' {
             self.offset += 2;
@@ -285,8 +287,8 @@
         self.shape.push_identifier(word);
     }
 
-    /// Reads a string whose prefix is `prefix`: bits, hexadecimal digits, national characters, or one with escapes.
-    /// Returns whether there is such a prefix.
+    /// Scans a string after its prefix, which marks bits, hexadecimal digits, national characters or escapes. Returns false,
+    /// and scans nothing, for any other prefix.
     fn scan_prefixed_string(&mut self, prefix: &[u8]) -> bool {
         match prefix {
             b"b" | b"B" | b"x" | b"X" | b"n" | b"N" => {
@@ -326,7 +328,7 @@
         self.shape.push_operator(operator);
     }
 
-    /// Takes a run of operator characters, up to a comment.
+    /// Reads a run of operator characters, up to a comment.
     fn take_operator_bytes(&mut self) -> &'a [u8] {
         let start = self.offset;
         while self
@@ -344,13 +346,13 @@
         &self.bytes[start..self.offset]
     }
 
-    /// Whether `operator`, just read, is a sign right before a digit.
+    /// Whether `operator`, which was just read, is a sign directly before a digit.
     fn is_number_sign(&self, operator: &[u8]) -> bool {
         is_sign(operator) && self.peek(0).is_ascii_digit()
     }
 
-    /// Appends a run such as `<-` as an operator and a sign. Returns false, and appends nothing, if it can't be split
-    /// in a way on which all engines agree.
+    /// Appends a run such as `<-` as an operator and a sign. Returns false, and appends nothing, if engines would split the
+    /// run differently.
     fn push_operator_and_sign(&mut self, run: &[u8]) -> bool {
         let (operator, sign) = run.split_at(run.len() - 1);
         let has_only_common_characters = operator
--- a/crates/sql-analysis/src/lexer/shape_builder.rs
+++ b/crates/sql-analysis/src/lexer/shape_builder.rs
@@ -1,39 +1,37 @@
-//! Writes the shape: appends tokens, and folds lists of literals to one literal and rows of literals to one row.
+//! Builds the shape: appends tokens, and folds a list of literals to one literal and rows of literals to one row.
 
 use super::token::{Token, TokenKind};
-use crate::keywords;
+use crate::keywords::KeywordClass;
 
 /// The placeholder of a string or parameter.
 pub(super) const STRING_PLACEHOLDER: &[u8] = b"'?'";
 /// The placeholder of a number.
 pub(super) const NUMBER_PLACEHOLDER: &[u8] = b"0";
-/// Lengths of the words that `keywords` knows as effect words or chaining operators.
-const KEYWORD_LENGTHS: std::ops::RangeInclusive<usize> = 2..=9;
 
-/// A length of the shape, to which it can be cut back.
+/// A position in the shape, to which it can be truncated.
 #[derive(Debug, Clone, Copy)]
 struct Position {
     text_bytes: usize,
     tokens: usize,
 }
 
-/// Whether a row of nothing but literals was just closed, as in `values (1, 2), (3, 4)`.
+/// Whether the last tokens are a row that contains only literals, as in `values (1, 2), (3, 4)`.
 #[derive(Debug, Clone, Copy, Default)]
 enum RowState {
     #[default]
     None,
-    /// The shape ends with a row, which ended here.
+    /// The shape ends with a row, whose end is at this position.
     Closed(Position),
-    /// A comma follows the row that ended here.
+    /// The shape ends with a comma after a row, whose end is at this position.
     Comma(Position),
 }
 
-/// An open bracket that so far holds nothing but literals.
+/// An open bracket that contains only literals so far.
 #[derive(Debug, Clone, Copy)]
 struct LiteralList {
-    /// The end of its first literal, if there is one yet.
+    /// The end of the first literal, if there is one.
     first_literal_end: Option<Position>,
-    /// The end of the row before, if this list is a further row.
+    /// The end of the previous row, if this list is not the first row.
     previous_row_end: Option<Position>,
 }
 
@@ -50,7 +48,7 @@
 }
 
 impl ShapeBuilder {
-    /// Empties the shape and keeps its buffers.
+    /// Clears the shape, and keeps its buffers.
     pub fn reset(&mut self) {
         self.text.clear();
         self.tokens.clear();
@@ -60,7 +58,7 @@
         self.end_list();
     }
 
-    /// Appends a token as it is; returns where it starts.
+    /// Appends a token unchanged, and returns the offset of its first byte.
     fn push(&mut self, token: &[u8], kind: TokenKind) -> usize {
         if !self.text.is_empty() {
             self.text.push(b' ');
@@ -102,11 +100,12 @@
         let start = self.push(word, TokenKind::Word);
         self.text[start..].make_ascii_lowercase();
         let word = &self.text[start..];
-        // Words that stand for values count as literals within a list.
+        // Within a list these keywords are values, and count as literals.
         let is_listed_value = self.list.is_some() && matches!(word, b"null" | b"true" | b"false");
-        if KEYWORD_LENGTHS.contains(&word.len()) {
-            self.has_effect_keyword |= !follows_dot && keywords::is_effect_keyword(word);
-            self.operator_count += usize::from(keywords::is_chaining_keyword(word));
+        match KeywordClass::of(word) {
+            KeywordClass::Effect => self.has_effect_keyword |= !follows_dot,
+            KeywordClass::Chaining => self.operator_count += 1,
+            KeywordClass::Other => {}
         }
         if is_listed_value {
             self.row_state = RowState::None;
@@ -160,35 +159,35 @@
             return;
         };
         if let Some(previous_row_end) = list.previous_row_end {
-            self.cut_to(previous_row_end);
+            self.truncate_to(previous_row_end);
         }
         self.row_state = RowState::Closed(self.position());
     }
 
-    /// Of a list of literals only the first is kept: one that was just appended is removed with the comma before it.
+    /// Keeps only the first literal of a list: removes the literal that was just appended, with the comma before it.
     fn fold_literal(&mut self, follows_comma: bool) {
         let position = self.position();
         let Some(list) = &mut self.list else { return };
         match list.first_literal_end {
             None => list.first_literal_end = Some(position),
-            Some(first_literal_end) if follows_comma => self.cut_to(first_literal_end),
+            Some(first_literal_end) if follows_comma => self.truncate_to(first_literal_end),
             Some(_) => self.list = None,
         }
     }
 
-    /// Any token but a literal or comma ends what could be a list of literals.
+    /// Ends a list of literals. Any token except a literal or a comma does.
     fn end_list(&mut self) {
         self.row_state = RowState::None;
         self.list = None;
     }
 
-    /// Appends the closing quote that a quoted name lacks, without which the shape would be another text.
+    /// Appends the missing closing quote of a quoted name, so that its shape differs from that of a terminated one.
     pub fn terminate_quoted_name(&mut self, quote: u8) {
         self.text.push(quote);
     }
 
-    /// Cuts the text to `max_bytes` and appends a hash of the input that was not read, so that statements that differ
-    /// only there have different shapes.
+    /// Truncates the text to `max_bytes` and appends a hash of the unread input, so that statements that differ only there
+    /// have different shapes.
     pub fn finish_with_hash(&mut self, max_bytes: usize, unread: &[u8]) {
         self.text.truncate(max_bytes);
         let last_ascii = self.text.iter().rposition(u8::is_ascii);
@@ -206,7 +205,7 @@
         }
     }
 
-    fn cut_to(&mut self, position: Position) {
+    fn truncate_to(&mut self, position: Position) {
         self.text.truncate(position.text_bytes);
         self.tokens.truncate(position.tokens);
     }
@@ -218,7 +217,7 @@
         Some((text, token.kind))
     }
 
-    /// Whether the last token is this one, and not a quoted name.
+    /// Whether the last token has this text and is not a quoted name.
     pub fn last_is(&self, expected: &[u8]) -> bool {
         match self.last() {
             Some((text, kind)) => text == expected && kind != TokenKind::QuotedName,
@@ -244,13 +243,16 @@
     }
 }
 
+/// Initial value of the 64-bit FNV-1a hash.
+const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+/// Multiplier of the 64-bit FNV-1a hash.
+const FNV_PRIME: u64 = 0x0100_0000_01b3;
+
 /// The 64-bit FNV-1a hash.
 fn fnv1a(bytes: &[u8]) -> u64 {
-    const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
-    const PRIME: u64 = 0x0100_0000_01b3;
-    let mut hash = OFFSET_BASIS;
+    let mut hash = FNV_OFFSET_BASIS;
     for byte in bytes {
-        hash = (hash ^ u64::from(*byte)).wrapping_mul(PRIME);
+        hash = (hash ^ u64::from(*byte)).wrapping_mul(FNV_PRIME);
     }
     hash
 }
--- a/crates/sql-analysis/src/lexer/token.rs
+++ b/crates/sql-analysis/src/lexer/token.rs
@@ -1,25 +1,25 @@
 //! Tokens of a shape.
 
-/// What a token is.
+/// The kind of a token.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TokenKind {
     /// An unquoted name or keyword, in lower case.
     Word,
-    /// A name in quotes, with them.
+    /// A quoted name, with its quotes.
     QuotedName,
-    /// A literal's placeholder.
+    /// The placeholder of a literal.
     Literal,
     /// Punctuation or an operator.
     Punctuation,
 }
 
-/// A token: its place in the shape's text, in bytes.
+/// A token, as a range of bytes in the shape's text.
 #[derive(Debug, Clone, Copy)]
 pub struct Token {
-    /// Its first byte.
+    /// Offset of the token's first byte.
     pub start: u32,
-    /// The byte after its last one.
+    /// Offset of the byte after the token.
     pub end: u32,
-    /// What it is.
+    /// The kind of the token.
     pub kind: TokenKind,
 }
--- a/crates/sql-analysis/src/lexer/unproven.rs
+++ b/crates/sql-analysis/src/lexer/unproven.rs
@@ -1,7 +1,7 @@
-//! Lexical reasons why a statement can't be proven read-only.
+//! Lexical reasons why a statement cannot be proven read-only.
 
-/// Why the text of a statement bars a proof. Engines read each of these in more than one way, or the analysis does not
-/// read them at all. The first one that is met counts.
+/// The reason why the text of a statement does not allow a proof: engines interpret it in different ways, or the analysis
+/// does not support it. Only the first reason in a statement is recorded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum Unproven {
     /// Not UTF-8, or with a NUL byte.
@@ -10,7 +10,7 @@
     /// Longer than 64 KiB.
     #[error("the statement is too long")]
     TooLong,
-    /// Beyond one of the bounds on tokens, operators and brackets.
+    /// Above one of the limits on tokens, operators and brackets.
     #[error("the statement has too many tokens, operators or nested brackets")]
     TooComplex,
     /// A string, quoted name or comment has no end.
@@ -64,7 +64,7 @@
 }
 
 impl Unproven {
-    /// Whether the shape is not given to a parser at all.
+    /// Whether the shape is not parsed at all.
     pub(crate) fn bars_parsing(self) -> bool {
         matches!(
             self,
--- a/crates/sql-analysis/src/lib.rs
+++ b/crates/sql-analysis/src/lib.rs
@@ -1,9 +1,9 @@
 //! Classification of SQL statements by their shape.
 //!
-//! Owns: the shape of a statement's text (`lexer`), what it shows (`analyzer`), the class that rules give it (`rules`),
-//! its likely cost (`cost_model`), and the bounded memory of both (`shape_cache`). It does no I/O, reads no clock and
-//! draws no random numbers: bytes and times come in, analyses and estimates go out. It never decides where a query
-//! runs: class, effect and estimate are inputs of the decisions, which own all rules.
+//! Owns: the shape of a statement's text (`lexer`), its analysis (`analyzer`), its class by rules (`rules`), its estimated
+//! cost (`cost_model`), and a bounded cache of analyses (`shape_cache`). It does no I/O, reads no clock and draws no random
+//! numbers: its inputs are bytes and times, its outputs analyses and estimates. It never decides where a query runs:
+//! class, effect and estimate are inputs of the decisions, which own all rules.
 //!
 //! Invariants, tested by name in `tests/hard_cases.rs`:
 //! - a statement is read-only only if that is proven: each ambiguity, each unknown function and each word that could
@@ -48,7 +48,7 @@
     Report,
     /// Changes data or locks rows.
     Load,
-    /// Could not be proven to be one of the others.
+    /// Not proven to be of any other class.
     Unknown,
 }
 
--- a/crates/sql-analysis/src/rules.rs
+++ b/crates/sql-analysis/src/rules.rs
@@ -1,4 +1,4 @@
-//! Rules that give a read-only statement its class by its features.
+//! Rules that assign a class to a read-only statement by its features.
 
 use crate::{Class, Features};
 
@@ -29,11 +29,11 @@
     pub limited: Option<bool>,
     /// With or without WITH RECURSIVE.
     pub recursive: Option<bool>,
-    /// Selecting rows by a column's value or not.
+    /// Selects rows by a column's value, or does not.
     pub point_lookup: Option<bool>,
     /// With or without WHERE.
     pub filtered: Option<bool>,
-    /// Reading tables or none.
+    /// Reads tables, or reads none.
     pub reads_tables: Option<bool>,
 }
 
@@ -79,63 +79,39 @@
 
     /// The rules if none are configured.
     pub fn defaults() -> Vec<Rule> {
-        let look_up = Rule::for_all(Class::LookUp);
-        let report = Rule::for_all(Class::Report);
         vec![
-            Rule {
-                reads_tables: Some(false),
-                ..look_up.clone()
-            },
-            Rule {
-                recursive: Some(true),
-                ..report.clone()
-            },
-            Rule {
-                windowed: Some(true),
-                ..report.clone()
-            },
-            Rule {
-                min_joins: 4,
-                ..report.clone()
-            },
-            Rule {
-                point_lookup: Some(true),
-                grouped: Some(false),
-                set_operation: Some(false),
-                min_tables: 1,
-                distinct: Some(false),
-                ..look_up
-            },
-            Rule {
-                grouped: Some(true),
-                ..report.clone()
-            },
-            Rule {
-                set_operation: Some(true),
-                ..report.clone()
-            },
-            Rule {
-                distinct: Some(true),
-                ..report.clone()
-            },
-            Rule {
-                aggregated: Some(true),
-                ..report.clone()
-            },
-            Rule {
-                filtered: Some(false),
-                limited: Some(false),
-                ..report.clone()
-            },
-            Rule {
-                min_joins: 2,
-                ..report
-            },
+            Rule::with(Class::LookUp, |rule| rule.reads_tables = Some(false)),
+            Rule::with(Class::Report, |rule| rule.recursive = Some(true)),
+            Rule::with(Class::Report, |rule| rule.windowed = Some(true)),
+            Rule::with(Class::Report, |rule| rule.min_joins = 4),
+            Rule::with(Class::LookUp, |rule| {
+                rule.point_lookup = Some(true);
+                rule.grouped = Some(false);
+                rule.set_operation = Some(false);
+                rule.min_tables = 1;
+                rule.distinct = Some(false);
+            }),
+            Rule::with(Class::Report, |rule| rule.grouped = Some(true)),
+            Rule::with(Class::Report, |rule| rule.set_operation = Some(true)),
+            Rule::with(Class::Report, |rule| rule.distinct = Some(true)),
+            Rule::with(Class::Report, |rule| rule.aggregated = Some(true)),
+            Rule::with(Class::Report, |rule| {
+                rule.filtered = Some(false);
+                rule.limited = Some(false);
+            }),
+            Rule::with(Class::Report, |rule| rule.min_joins = 2),
         ]
     }
+
+    /// A rule with the conditions that `set` adds.
+    fn with(class: Class, set: impl FnOnce(&mut Rule)) -> Self {
+        let mut rule = Rule::for_all(class);
+        set(&mut rule);
+        rule
+    }
 }
 
-/// Whether a condition, if there is one, is met.
+/// Whether a value meets a condition. A missing condition is always met.
 fn meets(condition: Option<bool>, value: bool) -> bool {
     condition.is_none_or(|expected| expected == value)
 }
--- a/crates/sql-analysis/src/shape_cache.rs
+++ b/crates/sql-analysis/src/shape_cache.rs
@@ -16,7 +16,7 @@
 const NAME_BYTES: usize = 32;
 /// Entries for which memory is reserved at the start; more is allocated with use.
 const INITIAL_CAPACITY: usize = 64;
-/// A shape longer than this fraction (1/16) of the cache is not kept.
+/// A shape longer than the cache's size divided by this is not cached.
 const MAX_SHAPE_DIVISOR: usize = 16;
 
 #[derive(Clone)]
@@ -27,7 +27,7 @@
 }
 
 impl Entry {
-    /// Its bytes.
+    /// Size of the entry in the cache.
     fn bytes(&self) -> usize {
         let names = self
             .analysis
@@ -45,7 +45,7 @@
 pub struct CacheCounts {
     /// Statements whose shape was cached.
     pub hits: u64,
-    /// Statements whose shape was not.
+    /// Statements whose shape was not cached.
     pub misses: u64,
     /// Misses because another shape had the same hash.
     pub collisions: u64,
@@ -64,7 +64,8 @@
     counts: CacheCounts,
 }
 
-/// An empty cache. Each entry weighs its share of `max_bytes` at least, so that the bound on bytes is one on number too.
+/// An empty cache. Each entry counts at least `max_bytes / max_shapes` bytes, so that the limit on bytes also limits the
+/// number of entries.
 fn empty_cache(max_shapes: usize, max_bytes: usize) -> Cache<u128, Entry> {
     let min_weight = u32::try_from(max_bytes / max_shapes.max(1)).unwrap_or(u32::MAX);
     Cache::builder()
