--- a/src/control/admission.rs
+++ b/src/control/admission.rs
@@ -63,7 +63,7 @@
         let cost = self.queries[query].cost;
         let group = self.group_of(&self.queries[query]);
         let time_left_ms = self.time_left_ms(query);
-        let is_short = time_left_ms < SHORT_TIMEOUT_FRACTION * group.settings.usual_wait_ms;
+        let is_short = time_left_ms < SHORT_TIMEOUT_FRACTION * group.settings.usual_timeout_ms;
         let run_time_ms = if is_short {
             group.expected_run_time_ms(cost)
         } else {
--- a/src/control/periodic.rs
+++ b/src/control/periodic.rs
@@ -124,7 +124,7 @@
         if saves_time && !would_delay_others && self.may_migrate(query) {
             self.migrate(query, &attempt, is_overdue, out);
         } else if is_unattainable {
-            self.finish(query, EndReason::Hopeless, out);
+            self.finish(query, EndReason::Unattainable, out);
         }
     }
 
--- a/src/events.rs
+++ b/src/events.rs
@@ -39,7 +39,7 @@
     /// The query waited for its key's turn until a run would not complete before the deadline.
     TurnTooLate,
     /// The remaining run time of the query's attempt exceeds the time until the deadline.
-    Hopeless,
+    Unattainable,
 }
 
 impl EndReason {
@@ -49,7 +49,7 @@
         EndReason::NotAllowed,
         EndReason::NotInTime,
         EndReason::TurnTooLate,
-        EndReason::Hopeless,
+        EndReason::Unattainable,
     ];
 
     /// Its name in logs and counters.
@@ -59,7 +59,7 @@
             EndReason::NotAllowed => "not_allowed",
             EndReason::NotInTime => "not_in_time",
             EndReason::TurnTooLate => "turn_too_late",
-            EndReason::Hopeless => "hopeless",
+            EndReason::Unattainable => "hopeless",
         }
     }
 }
--- a/src/model/tests/mod.rs
+++ b/src/model/tests/mod.rs
@@ -59,7 +59,7 @@
         kinds: None,
         objective_ms,
         objective_stretch: 0.0,
-        usual_wait_ms: 0.0,
+        usual_timeout_ms: 0.0,
         threads: 1.0,
         is_load: false,
         waits_for_loads: false,
--- a/src/settings/read.rs
+++ b/src/settings/read.rs
@@ -79,7 +79,7 @@
         objective_stretch: raw
             .number(&key(keys::group::OBJECTIVE_STRETCH))
             .unwrap_or(0.0),
-        usual_wait_ms: millis(keys::group::DEADLINE_US),
+        usual_timeout_ms: millis(keys::group::DEADLINE_US),
         threads: read_threads(raw, index),
         is_load: is_on_for_group(raw, keys::IS_LOAD_BY_GROUP, index),
         waits_for_loads: is_on_for_group(raw, keys::WAITS_FOR_LOADS_BY_GROUP, index),
--- a/src/settings/types.rs
+++ b/src/settings/types.rs
@@ -58,7 +58,7 @@
     /// See `objective_ms`.
     pub objective_stretch: f64,
     /// The usual timeout of its clients (ms); 0 where it is not known.
-    pub usual_wait_ms: f64,
+    pub usual_timeout_ms: f64,
     /// Threads that a query runs on; at least 1.
     pub threads: f64,
     /// Its queries load tables, and lock them.
