--- a/crates/dispatcher/src/engine/allocation.rs
+++ b/crates/dispatcher/src/engine/allocation.rs
@@ -1,10 +1,11 @@
 //! Allocation of connections: selects the connection of an attempt, and opens another within the limits.
 
+mod descriptor_limit;
+
+use super::channel::handler::ChannelHandler;
+use super::channel::task;
 use super::channel::Channel;
-use super::channel_handler::ChannelHandler;
-use super::channel_task;
 use super::connection::Suitability;
-use super::descriptor_limit::DescriptorLimit;
 use super::engine_entry::Engine;
 use super::engine_table::EngineTable;
 use super::idle_reuse::ReuseTracker;
@@ -13,6 +14,7 @@
 use crate::clock::Clock;
 use crate::query_registry::QueryRegistry;
 use async_executor::LocalExecutor;
+use descriptor_limit::DescriptorLimit;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
@@ -190,8 +192,8 @@
         }
         engine.add_channel(channel.clone());
         opened.increment();
-        let task = channel_task::run(handler.clone(), channel.clone(), address);
-        self.executor.spawn(task).detach();
+        let run = task::run(handler.clone(), channel.clone(), address);
+        self.executor.spawn(run).detach();
         channel
     }
 
--- a/crates/dispatcher/src/engine/descriptor_limit.rs
+++ b/crates/dispatcher/src/engine/allocation/descriptor_limit.rs
@@ -1,12 +1,12 @@
 //! The limit of connections to all engines together, and the queue of connections that wait for a descriptor.
 
-use super::channel::Channel;
+use crate::engine::channel::Channel;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::rc::Rc;
 
 /// Grants descriptors to connections, within a limit.
-pub(super) struct DescriptorLimit {
+pub struct DescriptorLimit {
     max_connections: usize,
     /// Connections that are open or connecting.
     connections: Cell<usize>,
--- a/crates/dispatcher/src/engine/channel.rs
+++ b/crates/dispatcher/src/engine/channel.rs
@@ -1,6 +1,11 @@
 //! The shared state of one connection: its state machine, the wake-up of its writer and its permission to hold a
 //! descriptor.
 
+mod connect;
+pub mod error;
+pub mod handler;
+pub mod task;
+
 use super::connection::Connection;
 use crate::notify::Notify;
 use std::cell::{Cell, RefCell};
@@ -10,18 +15,23 @@
 
 /// The engine process at the other end of a connection, as the endpoint list had it when the connection was opened.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(super) struct EngineProcess {
+pub struct EngineProcess {
+    /// Where the process listens.
     pub address: Option<SocketAddr>,
+    /// When the process started (ms).
     pub started_ms: Option<f64>,
 }
 
 /// A fault of this machine that keeps a connection from reaching its engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-pub(super) enum LocalFault {
+pub enum LocalFault {
+    /// The limit of connections is reached.
     #[error("no descriptor is free within the limits")]
     DescriptorLimit,
+    /// The system lacks a resource.
     #[error("no socket, port or memory on this machine")]
     ResourceShort,
+    /// The engine's network is unreachable.
     #[error("no route to the network of the engine")]
     NetworkUnreachable,
 }
@@ -37,11 +47,14 @@
 }
 
 /// A connection and the wake-up of its writer.
-pub(super) struct Channel {
+pub struct Channel {
     /// The connection's number in the log.
     pub number: u64,
+    /// The engine's number.
     pub engine_id: u64,
+    /// The process that the connection leads to.
     pub process: EngineProcess,
+    /// The state machine.
     pub connection: RefCell<Connection>,
     /// Notified when there may be something to write or a reason to close.
     pub notify: Notify,
--- a/crates/dispatcher/src/engine/connect.rs
+++ b/crates/dispatcher/src/engine/channel/connect.rs
@@ -1,8 +1,8 @@
 //! Connects to an engine: within the connect timeout, late, and repeatedly while this machine is at fault.
 
-use super::channel::{Channel, LocalFault};
-use super::channel_error::ChannelError;
-use super::channel_handler::ChannelHandler;
+use super::error::ChannelError;
+use super::handler::ChannelHandler;
+use super::{Channel, LocalFault};
 use crate::net::{is_local_fault, RESOURCE_RETRY_DELAY};
 use async_io::{Async, Timer};
 use futures_lite::future;
--- a/crates/dispatcher/src/engine/channel_error.rs
+++ b/crates/dispatcher/src/engine/channel/error.rs
@@ -1,21 +1,25 @@
 //! Errors that end a connection to an engine.
 
-use super::channel::LocalFault;
-use super::connection::CloseReason;
-use super::protocol_error::ProtocolError;
+use super::LocalFault;
 use crate::close_reason::EngineClose;
+use crate::engine::connection::CloseReason;
+use crate::engine::protocol_error::ProtocolError;
 use std::io;
 use thiserror::Error;
 
 /// Why a connection ended, unless it was retired or the engine closed it.
 #[derive(Debug, Error)]
-pub(super) enum ChannelError {
+pub enum ChannelError {
+    /// This side closed the connection.
     #[error(transparent)]
     Closed(#[from] CloseReason),
+    /// The connection did not come up in time.
     #[error("connect timeout")]
     ConnectTimeout,
+    /// A fault of this machine kept the connection from reaching its engine.
     #[error("{0}")]
     Local(LocalFault),
+    /// The connection could not be opened, read or written.
     #[error(transparent)]
     Io(#[from] io::Error),
 }
--- a/crates/dispatcher/src/engine/channel_handler.rs
+++ b/crates/dispatcher/src/engine/channel/handler.rs
@@ -1,10 +1,10 @@
 //! The interface between a connection's task, which does its I/O, and the pool that the connection belongs to.
 
-use super::channel::Channel;
-use super::channel_error::ChannelError;
-use super::protocol_error::ProtocolError;
-use super::resp::Frame;
+use super::error::ChannelError;
+use super::Channel;
 use crate::clock::Clock;
+use crate::engine::protocol_error::ProtocolError;
+use crate::engine::resp::Frame;
 use crate::query_registry::AttemptKey;
 use std::cell::RefCell;
 use std::io;
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 /// Handles the events of connections.
-pub(super) trait ChannelHandler {
+pub trait ChannelHandler {
     /// The program's clock.
     fn clock(&self) -> Clock;
 
--- a/crates/dispatcher/src/engine/channel_task.rs
+++ b/crates/dispatcher/src/engine/channel/task.rs
@@ -1,14 +1,14 @@
 //! The task of one connection: connects, then reads and writes until the connection closes.
 //!
-//! [`Connection`](super::connection::Connection) holds the state and does no I/O; this module owns the socket. What
+//! [`Connection`](crate::engine::connection::Connection) holds the state and does no I/O; this module owns the socket. What
 //! an event means is decided by the [`ChannelHandler`].
 
-use super::channel::Channel;
-use super::channel_error::ChannelError;
-use super::channel_handler::ChannelHandler;
 use super::connect::connect;
-use super::protocol_error::ProtocolError;
-use super::resp;
+use super::error::ChannelError;
+use super::handler::ChannelHandler;
+use super::Channel;
+use crate::engine::protocol_error::ProtocolError;
+use crate::engine::resp;
 use crate::net::{
     is_lack_of_buffers, limit_unsent_bytes, poll_gathered, read_available, MAX_SLICES,
     RESOURCE_RETRY_DELAY,
@@ -29,11 +29,7 @@
 }
 
 /// Runs a connection from its connect to its end.
-pub(super) async fn run<H: ChannelHandler>(
-    handler: Rc<H>,
-    channel: Rc<Channel>,
-    address: SocketAddr,
-) {
+pub async fn run<H: ChannelHandler>(handler: Rc<H>, channel: Rc<Channel>, address: SocketAddr) {
     let result = serve(&handler, &channel, address).await;
     handler.on_closed(&channel, result.as_ref().err());
 }
--- a/crates/dispatcher/src/engine/close.rs
+++ b/crates/dispatcher/src/engine/close.rs
@@ -1,7 +1,7 @@
 //! Handles the end of a connection: reports the attempts and health checks that are lost with it.
 
+use super::channel::error::ChannelError;
 use super::channel::Channel;
-use super::channel_error::ChannelError;
 use super::connection::{Attempt, ClosedConnection, Connection};
 use super::idle_reuse::ReuseTracker;
 use super::reports::{AttemptReport, Reporter};
--- a/crates/dispatcher/src/engine/mod.rs
+++ b/crates/dispatcher/src/engine/mod.rs
@@ -7,24 +7,19 @@
 //! Start reading at [`pool`], which composes the owners of the state:
 //!
 //! - [`engine_table`] and [`engine_entry`]: the engines of the endpoint list, and the connections to each.
-//! - [`allocation`] and [`descriptor_limit`]: the connection of each attempt, and the limits of connections.
+//! - [`allocation`]: the connection of each attempt, and the limits of connections.
 //! - [`begin`]: the single place that every attempt passes before its first byte.
 //! - [`abandon`], [`close`], [`timeouts`] and [`reports`]: the ends of attempts and connections.
 //! - [`silence`], [`idle_reuse`] and [`keep_alive`]: connections that are lost without a reset.
-//! - [`channel_task`] and [`connect`]: the I/O of one connection, whose events go to a [`channel_handler`].
+//! - [`channel`]: one connection. [`channel::task`] does its I/O and reports its events to a [`channel::handler`].
 //!   [`connection`] is its state machine, [`protocol`] has the words of the engine protocol.
 
 mod abandon;
 mod allocation;
 mod begin;
 mod channel;
-mod channel_error;
-mod channel_handler;
-mod channel_task;
 mod close;
-mod connect;
 mod connection;
-mod descriptor_limit;
 mod engine_entry;
 mod engine_table;
 mod idle_reuse;
--- a/crates/dispatcher/src/engine/pool/channel_events.rs
+++ b/crates/dispatcher/src/engine/pool/channel_events.rs
@@ -2,9 +2,9 @@
 
 use super::EnginePool;
 use crate::clock::Clock;
+use crate::engine::channel::error::ChannelError;
+use crate::engine::channel::handler::ChannelHandler;
 use crate::engine::channel::Channel;
-use crate::engine::channel_error::ChannelError;
-use crate::engine::channel_handler::ChannelHandler;
 use crate::engine::connection::{ConnectionState, FrameEvent};
 use crate::engine::protocol_error::ProtocolError;
 use crate::engine::reports::AttemptReport;
