--- a/crates/codec/src/lib.rs
+++ b/crates/codec/src/lib.rs
@@ -3,6 +3,7 @@
 //! # What it owns
 //! - [`ByteReader`] and [`ByteWriter`]: fields read from the front of a datagram, and appended to one.
 //! - [`wire_enum!`]: enums that are one byte on the wire.
+//! - `test_support`: hexadecimal digits and fixture files, for the tests of other packages (feature `test-support`).
 //! - [`DecodeError`]: why bytes could not be decoded.
 //! - [`fnv1a_16`], [`fnv1a_32`] and [`fnv1a_64`]: the hashes of names and texts in messages.
 //!
@@ -19,6 +20,8 @@
 mod error;
 mod hash;
 mod reader;
+#[cfg(feature = "test-support")]
+pub mod test_support;
 mod wire_enum;
 mod writer;
 
--- a/crates/coordination/tests/datagram_fixtures.rs
+++ b/crates/coordination/tests/datagram_fixtures.rs
@@ -1,5 +1,6 @@
 //! Datagrams that the version before the renames wrote: each is still read, and the same values still give the same bytes.
 
+use tansymux_codec::test_support::{fixture_lines, from_hex, to_hex};
 use tansymux_codec::DecodeError;
 use tansymux_coordination::codec::{decode, encode};
 use tansymux_coordination::{
@@ -168,28 +169,15 @@
     ]
 }
 
-fn hex(bytes: &[u8]) -> String {
-    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
-}
-
-fn bytes_of(hex: &str) -> Vec<u8> {
-    (0..hex.len() / 2)
-        .map(|n| u8::from_str_radix(&hex[2 * n..2 * n + 2], 16).expect("hex digits"))
-        .collect()
-}
-
 #[test]
 fn datagrams_of_the_previous_version_are_read_and_the_same_values_give_the_same_bytes() {
-    let fixtures: Vec<(&str, &str)> = FIXTURES
-        .lines()
-        .map(|line| line.split_once(' ').expect("a name and hex digits"))
-        .collect();
+    let fixtures = fixture_lines(FIXTURES);
     let samples = samples();
     assert_eq!(fixtures.len(), samples.len());
     for ((name, message), (fixture, expected)) in samples.iter().zip(fixtures) {
         assert_eq!(*name, fixture);
-        assert_eq!(hex(&encode(message)), expected, "{name}");
-        assert_eq!(decode(&bytes_of(expected)).as_ref(), Ok(message), "{name}");
+        assert_eq!(to_hex(&encode(message)), expected, "{name}");
+        assert_eq!(decode(&from_hex(expected)).as_ref(), Ok(message), "{name}");
     }
 }
 
--- a/crates/membership/tests/codec.rs
+++ b/crates/membership/tests/codec.rs
@@ -1,12 +1,8 @@
 //! Datagrams written by the version before the renames (commit 7790f50), byte for byte: they are still read, and the
-//! same values are still written the same way.
-
-#![allow(
-    clippy::unwrap_used,
-    reason = "a test ends at the first thing that is not as it should be"
-)]
+//! same values are still encoded to the same bytes.
 
 use std::net::SocketAddr;
+use tansymux_codec::test_support::from_hex;
 use tansymux_membership::codec::{self, Datagram, DecodeError, Gossip, Message, TABLE_BUCKETS};
 use tansymux_membership::{member_id_of, DatagramAuthenticator, Keys, MemberState};
 
@@ -14,14 +10,6 @@
     "08b37b07b558d4c00a0000011f0a000000010108b37e07b558d9d90a0000021f0a0100000202\
     08b37d07b558d8260a0000031f0a020000030308b38007b558dd3f0a0000041f0a0300000404";
 
-fn bytes_of(hex: &str) -> Vec<u8> {
-    let digits: Vec<char> = hex.chars().collect();
-    digits
-        .chunks(2)
-        .map(|pair| u8::from_str_radix(&pair.iter().collect::<String>(), 16).unwrap())
-        .collect()
-}
-
 fn gossip(number: u8, state: MemberState) -> Gossip {
     Gossip {
         id: member_id_of(&format!("n{number}")),
@@ -67,7 +55,7 @@
             sequence_number: 0xA1B2_C3D4,
             gossip: gossip_of_all_states(),
         };
-        let bytes = bytes_of(&[header, GOSSIP_OF_ALL_STATES].concat());
+        let bytes = from_hex(&[header, GOSSIP_OF_ALL_STATES].concat());
         assert_eq!(codec::encode(&datagram), bytes, "{message:?}");
         assert_eq!(codec::decode(&bytes), Ok(datagram), "{message:?}");
         assert_eq!(codec::peek_sender(&bytes), Some(member_id_of("n1")));
@@ -76,7 +64,7 @@
 
 #[test]
 fn user_message_of_the_version_before_is_read_and_written_byte_for_byte() {
-    let bytes = bytes_of("04010608b37b07b558d4c0000000007061796c6f6164");
+    let bytes = from_hex("04010608b37b07b558d4c0000000007061796c6f6164");
     let sender = member_id_of("n1");
     assert_eq!(
         codec::encode_user_message(sender, b"payload"),
@@ -92,22 +80,22 @@
 #[test]
 fn seal_of_the_version_before_is_accepted_and_written_byte_for_byte() {
     let content = "04010008b37b07b558d4c00000000108b37b07b558d4c00a0000011f0a0000000101";
-    let sealed = bytes_of(&[content, "01020304000000018a6da2cf3f04ec48"].concat());
+    let sealed = from_hex(&[content, "01020304000000018a6da2cf3f04ec48"].concat());
     let keys = Keys {
         signing: Some([7; 16]),
         also_accepted: None,
     };
-    let mut datagram = bytes_of(content);
+    let mut datagram = from_hex(content);
     DatagramAuthenticator::new(keys.clone(), 0x0102_0304).seal(&mut datagram);
     assert_eq!(datagram, sealed);
     let mut receiver = DatagramAuthenticator::new(keys, 1);
     let opened = receiver.open(member_id_of("n1"), &sealed);
-    assert_eq!(opened, Some(bytes_of(content).as_slice()));
+    assert_eq!(opened, Some(from_hex(content).as_slice()));
 }
 
 #[test]
 fn incomplete_datagrams_are_refused_with_a_reason() {
     assert_eq!(codec::decode(b"\x04"), Err(DecodeError::NotMembership));
-    let request = bytes_of("04010208b37b07b558d4c0a1b2c3d408b381");
+    let request = from_hex("04010208b37b07b558d4c0a1b2c3d408b381");
     assert_eq!(codec::decode(&request), Err(DecodeError::Truncated));
 }
--- a/crates/zone-evacuation/tests/codec.rs
+++ b/crates/zone-evacuation/tests/codec.rs
@@ -1,22 +1,10 @@
 //! Messages written by the version before the renames (commit 7790f50), byte for byte: they are still read, and the
-//! same values are still written the same way.
-
-#![allow(
-    clippy::unwrap_used,
-    reason = "a test ends at the first thing that is not as it should be"
-)]
+//! same values are still encoded to the same bytes.
 
+use tansymux_codec::test_support::from_hex;
 use tansymux_zone_evacuation::codec::{self, DecodeError, LeaderReply, ZoneEntry};
 use tansymux_zone_evacuation::{Evidence, MemberReport, Reachability, Reason, Stage, ZoneStatus};
 
-fn bytes_of(hex: &str) -> Vec<u8> {
-    let digits: Vec<char> = hex.chars().collect();
-    digits
-        .chunks(2)
-        .map(|pair| u8::from_str_radix(&pair.iter().collect::<String>(), 16).unwrap())
-        .collect()
-}
-
 fn evidence(
     zone: u32,
     reachability: Reachability,
@@ -49,7 +37,7 @@
 
 #[test]
 fn report_of_the_version_before_is_read_and_written_byte_for_byte() {
-    let bytes = bytes_of(
+    let bytes = from_hex(
         "010203040506070801000000010000000000000000000000000201402000000011000300000003023dcccccd\
         ffff0001deadbeef034480000001000200",
     );
@@ -70,7 +58,7 @@
 
 #[test]
 fn reply_of_the_version_before_is_read_and_written_byte_for_byte() {
-    let bytes = bytes_of(
+    let bytes = from_hex(
         "05060708000000010000000000070000000000000000020000000000080100000000000000030000000000090200000000\
         0000000401030000000a033e8000000000000501010000000b043e0000000000000601080000000c053f800000",
     );
