--- a/crates/codec/tests/codec.rs
+++ b/crates/codec/tests/codec.rs
@@ -1,4 +1,4 @@
-//! Fields are written and read in the same order, short or malformed input is an error, and hashes match published values.
+//! Fields are read as they were written, short or malformed input is an error, and hashes match published values.
 
 use tansymux_codec::{fnv1a_16, fnv1a_32, fnv1a_64, ByteReader, ByteWriter, DecodeError};
 
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_field_that_is_cut_is_an_error_and_is_left_unread() {
+fn truncated_field_is_an_error_and_stays_unread() {
     let bytes = [1, 2, 3, 4, 5, 6, 7];
     for length in 0..8 {
         let mut reader = ByteReader::new(&bytes[..length]);
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_part_is_read_by_itself_and_the_rest_goes_on_behind_it() {
+fn split_reader_ends_with_its_part_and_the_first_reader_continues_after_it() {
     let mut reader = ByteReader::new(&[1, 2, 3]);
     let mut part = reader.split(2).expect("three bytes are left");
     assert_eq!(part.u8(), Ok(1));
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn an_unknown_code_names_its_field() {
+fn unknown_code_is_an_error_that_names_its_field() {
     let from_code = |code: u8| (code < 2).then_some(code == 1);
     let mut reader = ByteReader::new(&[1, 2]);
     assert_eq!(reader.code("switch", from_code), Ok(true));
@@ -113,7 +113,7 @@
     assert_eq!(writer.into_bytes(), [7, 0, 0]);
 }
 
-/// Values of the test suite that the hash's authors published.
+/// Values of the test suite that the authors of the hash published.
 #[test]
 fn hashes_match_the_published_values() {
     assert_eq!(fnv1a_32(b""), 0x811c_9dc5);
--- a/crates/coordination/src/candidacy.rs
+++ b/crates/coordination/src/candidacy.rs
@@ -85,7 +85,7 @@
             .is_some_and(PromiseFragments::is_complete)
     }
 
-    /// Records a fragment. One that contradicts the voter's first fragment, or exceeds the limits, is ignored.
+    /// Records a fragment. It is ignored if its count differs from the voter's first fragment, or exceeds the limit.
     pub(crate) fn record_fragment(&mut self, voter: Id, fragment: PromiseFragment) {
         if fragment.index >= fragment.count || fragment.count > MAX_RECORDS {
             return;
--- a/crates/coordination/tests/datagram_fixtures.rs
+++ b/crates/coordination/tests/datagram_fixtures.rs
@@ -1,4 +1,4 @@
-//! Datagrams that the version before the renames wrote: each is still read, and the same values still give the same bytes.
+//! Datagrams of the previous version: each is decoded, and the same values are encoded to the same bytes.
 
 use tansymux_codec::test_support::{fixture_lines, from_hex, to_hex};
 use tansymux_codec::DecodeError;
@@ -8,7 +8,7 @@
     UnitKind,
 };
 
-/// One `name hex` a line, as written by commit 0fd3fce.
+/// One `name hex` a line, as encoded by commit 0fd3fce.
 const FIXTURES: &str = include_str!("fixtures/datagrams.hex");
 
 const BALLOT: Ballot = Ballot {
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn datagrams_of_the_previous_version_are_read_and_the_same_values_give_the_same_bytes() {
+fn datagrams_of_the_previous_version_are_decoded_and_encoded_to_the_same_bytes() {
     let fixtures = fixture_lines(FIXTURES);
     let samples = samples();
     assert_eq!(fixtures.len(), samples.len());
--- a/crates/coordination/tests/model_check.rs
+++ b/crates/coordination/tests/model_check.rs
@@ -1,6 +1,6 @@
-//! Model check: three voters and two dispatchers that request restart leases, of which one at a time may be granted. In
-//! each time step some links are down, and a voter may be stopped, resumed, or lose its memory. Time steps are coarse; the
-//! quorum node is the real one.
+//! Model check: two dispatchers request restart leases of three voters, which may grant one at a time. In each time step
+//! some links are down, and a voter may be stopped, resumed, or lose its memory. Time steps are coarse; the model uses
+//! [`QuorumNode`] itself.
 
 use stateright::{Checker, Model, Property};
 use std::hash::{Hash, Hasher};
@@ -18,12 +18,12 @@
     retransmit_ms: 250.0,
     max_datagram_delay_ms: 0.0,
 };
-/// A time step (ms): voters are polled twice in it.
+/// Length of a time step (ms), in which voters are polled twice.
 const STEP_MS: f64 = 500.0;
 const MAX_MEMORY_LOSSES: u8 = 2;
 const MAX_STOPS: u8 = 2;
 
-/// A dispatcher: since when it requests a lease (ms), and until when it believes that it holds one (ms).
+/// A dispatcher: when it began to request a lease (ms), and when its lease ends by its own clock (ms).
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct Dispatcher {
     requested_ms: f64,
@@ -34,7 +34,7 @@
 struct State {
     nodes: Vec<QuorumNode>,
     stopped: [bool; 3],
-    /// Datagrams that wait for each voter, with their sender.
+    /// Queued datagrams for each voter, with their sender.
     queued: [Vec<(Id, Vec<u8>)>; 3],
     dispatchers: [Dispatcher; 2],
     now_ms: f64,
@@ -86,9 +86,9 @@
 enum Links {
     All,
     None,
-    /// Nothing reaches or leaves this voter.
+    /// Datagrams to and from this voter are lost.
     Without(usize),
-    /// What this voter sends is lost; what it is sent arrives.
+    /// Datagrams from this voter are lost; those to it arrive.
     SendsLost(usize),
 }
 
@@ -112,7 +112,7 @@
 }
 
 fn node(n: usize, now_ms: f64, memory: VoterMemory) -> QuorumNode {
-    // Rounds begin anew for a voter that lost its memory: leases must not depend on them.
+    // The rounds of a voter that lost its memory begin at 0 again: leases must not depend on them.
     let start = VoterStart {
         memory,
         round: 0,
@@ -125,13 +125,13 @@
     Record::unit_key(UnitKind::Dispatcher, 10 + dispatcher as u64)
 }
 
-/// The leader grants a lease if no other one is active, and gives it to the dispatcher once it is chosen.
+/// The leader grants a lease if no other one is active, and sends it to the dispatcher once it is chosen.
 fn grant_leases(state: &mut State, n: usize, links: Links) {
     let now_ms = state.now_ms;
     if state.stopped[n] || !state.nodes[n].is_leader(now_ms) {
         return;
     }
-    // A member that is cut off from the leader can't ask it either: the dispatchers are beside the first voter.
+    // The dispatchers share the links of the first voter: if it cannot reach the leader, they cannot either.
     if n != 0 && !(link_is_up(links, n, 0) && link_is_up(links, 0, n)) {
         return;
     }
@@ -141,7 +141,7 @@
             .map(key)
             .filter(|key| node.active(*key).is_some())
             .collect();
-        // Leases that have expired are ended first.
+        // Expired leases end first.
         let expired = |key: &&u64| {
             node.active(**key)
                 .is_some_and(|leased| leased.remaining_ms == Some(0))
@@ -153,7 +153,7 @@
         if !active.is_empty() && !active.contains(&key(dispatcher)) {
             continue;
         }
-        // A dispatcher that believes that it holds a lease requests none.
+        // A dispatcher whose lease has not ended by its own clock requests none.
         if active.is_empty() && now_ms >= state.dispatchers[dispatcher].until_ms {
             let value = RecordValue::Disruption {
                 kind: UnitKind::Dispatcher,
@@ -234,7 +234,7 @@
             max_holders: 0,
             grants: 0,
         };
-        // One leads at the start, and no lease is held.
+        // The model starts with a leader and without leases.
         deliver_messages(&mut state, Links::All);
         vec![state]
     }
@@ -265,7 +265,7 @@
                 for _ in 0..2 {
                     state.now_ms += STEP_MS / 2.0;
                     let now_ms = state.now_ms;
-                    // A dispatcher whose lease is over requests a new one.
+                    // A dispatcher whose lease has ended requests a new one.
                     for dispatcher in state.dispatchers.iter_mut().filter(|dispatcher| {
                         now_ms >= dispatcher.until_ms
                             && now_ms - dispatcher.requested_ms > CONFIG.max_grant_ms
@@ -314,7 +314,7 @@
         .ok()
         .and_then(|count| count.parse().ok())
         .unwrap_or(600_000);
-    // Breadth first from the start, then deep random runs: 12 s hold several elections and a whole quarantine.
+    // Breadth first from the start, then deep random runs: 12 s contain several elections and a complete quarantine.
     QuorumModel
         .checker()
         .target_state_count(200_000)
@@ -336,7 +336,7 @@
 }
 
 impl<C: Checker<QuorumModel>> BreadthFirst for C {
-    /// Checks what must never hold in some of the states; what must hold sometimes may lie deeper.
+    /// Checks only the property that must always hold: states in which the others hold may lie deeper.
     fn assert_always_properties(&self) {
         assert!(
             self.discovery("at most one lease is held").is_none(),
@@ -349,8 +349,8 @@
 
 #[test]
 fn without_quarantine_a_voter_that_lost_its_memory_lets_two_leases_be_held() {
-    // The first two voters accept a lease; the second loses its memory and promises the third. Shows that the check
-    // above can fail, and what the quarantine is for.
+    // The first two voters accept a lease; the second loses its memory and promises a ballot to the third. This shows that
+    // the check above can fail, and the purpose of the quarantine.
     let run = |memory: VoterMemory| {
         let mut state = QuorumModel.init_states().remove(0);
         let mut next = |action: Action| {
--- a/crates/engine-state/tests/merge.rs
+++ b/crates/engine-state/tests/merge.rs
@@ -1,4 +1,4 @@
-//! Merging and belief: each promise by name, and the laws of merging by random cache in random order.
+//! Merging and weighting: each guarantee by an example, and the laws of merging by random observations in random order.
 
 use proptest::prelude::*;
 use tansymux_engine_state::codec::{self, CodecError};
@@ -33,13 +33,13 @@
         &observation(ObservationKind::Draining, 1.0, DONOR, 1, 500.0),
         0.0,
     );
-    // Neither age, nor a refuted origin, nor an own observation of health reopens it.
+    // Neither age, nor a refuted origin, nor an own observation of health reopens the engine.
     (0..50).for_each(|_| cache.record_verification(DONOR, Verification::Refuted));
     cache.record(9, 1, ObservationKind::Unresponsive, 0.0, 1000.0);
     assert!(cache.view(9, 1000.0).is_closed && cache.view(9, 1e9).is_closed);
     cache.record(9, 2, ObservationKind::Unresponsive, 0.0, 2000.0);
     assert!(!cache.view(9, 2000.0).is_closed);
-    // Late observations of the former incarnation are ignored.
+    // Late observations of the previous incarnation are ignored.
     cache.merge(
         &observation(ObservationKind::Draining, 1.0, OTHER, 7, 0.0),
         3000.0,
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn observation_passed_around_in_circles_does_not_become_younger() {
+fn observation_that_is_forwarded_in_circles_does_not_become_younger() {
     let (mut a, mut b, mut c) = (
         EngineStateCache::new(OWN),
         EngineStateCache::new(DONOR),
@@ -115,7 +115,7 @@
     let mut now = 0.0;
     for _ in 0..60 {
         now += 1000.0;
-        // In circles, each message 40 ms in transit.
+        // Each cache forwards to the others; each message is in transit for 40 ms.
         for (from, to) in [(0, 1), (1, 2), (2, 0), (2, 1), (1, 0)] {
             let exported = [&a, &b, &c][from].export(now - 40.0);
             let bytes = codec::encode(&exported, 4096).bytes;
@@ -133,7 +133,7 @@
     for cache in [&a, &b, &c] {
         let all = cache.export(now);
         assert_eq!(all.len(), 1);
-        // Only the time in transit may be missing.
+        // The age may lack the time in transit only.
         assert!(all[0].age_ms >= now - 100.0, "{} at {now}", all[0].age_ms);
     }
 }
@@ -160,7 +160,7 @@
     ];
     let codec::Encoded { mut bytes, count } = codec::encode(&known, 4096);
     assert_eq!((count, codec::decode(&bytes)), (2, Ok(known.to_vec())));
-    // An unknown kind, a longer entry, one that is too short, one that is cut.
+    // An unknown kind, a longer entry, an entry that is too short, and a truncated one.
     let mut more = bytes[2..36].to_vec();
     more[1] = 200;
     bytes.extend_from_slice(&more);
@@ -180,7 +180,7 @@
         Err(CodecError::WrongMessageType(6))
     );
     assert_eq!(codec::decode(b"\x05"), Err(CodecError::Truncated));
-    // An observation that does not fit is left for the next message.
+    // An observation that does not fit is left out.
     assert!(codec::encode(&known, 40).count == 1 && codec::encode(&known, 40).bytes.len() <= 40);
 }
 
@@ -271,7 +271,7 @@
         }
         prop_assert_eq!(&merged(shuffled.iter()), &plain);
         prop_assert_eq!(&merged(observations.iter().chain(&shuffled)), &plain);
-        // In two parts, each merged separately and passed on.
+        // In two parts, each merged separately and then forwarded.
         let (a, b) = observations.split_at(cut.min(observations.len()));
         let (a, b) = (merged(a.iter()), merged(b.iter()));
         prop_assert_eq!(&merged(b.iter().chain(&a)), &plain);
--- a/crates/engine-state/tests/version_1_datagram.rs
+++ b/crates/engine-state/tests/version_1_datagram.rs
@@ -1,12 +1,12 @@
-//! A datagram written by the version at commit 0fd3fce is read, and the same observations encode to the same bytes today.
+//! A datagram of the version at commit 0fd3fce is decoded, and the same observations are encoded to the same bytes.
 
 use tansymux_engine_state::{codec, Observation, ObservationKind};
 
 const DATAGRAM: &[u8] = include_bytes!("fixtures/facts-v1.bin");
 
-/// The observations that the earlier version encoded, one of each kind; `age` is rounded up to whole milliseconds by encoding.
+/// The observations that the previous version encoded, one of each kind; `age` is rounded up to whole milliseconds by encoding.
 fn observations(rounded_age: bool) -> Vec<Observation> {
-    let fact = |(n, kind): (usize, &ObservationKind)| {
+    let observation = |(n, kind): (usize, &ObservationKind)| {
         let age = 1000.5 * n as f64;
         Observation {
             engine_id: 0x0102_0304_0506_0700 + n as u64,
@@ -18,16 +18,20 @@
             age_ms: if rounded_age { age.ceil() } else { age },
         }
     };
-    ObservationKind::ALL.iter().enumerate().map(fact).collect()
+    ObservationKind::ALL
+        .iter()
+        .enumerate()
+        .map(observation)
+        .collect()
 }
 
 #[test]
-fn a_datagram_of_the_earlier_version_is_read() {
+fn datagram_of_the_previous_version_is_decoded() {
     assert_eq!(codec::decode(DATAGRAM), Ok(observations(true)));
 }
 
 #[test]
-fn the_same_observations_encode_to_the_bytes_of_the_earlier_version() {
+fn observations_are_encoded_to_the_bytes_of_the_previous_version() {
     let encoded = codec::encode(&observations(false), 4096);
     assert_eq!((encoded.bytes, encoded.count), (DATAGRAM.to_vec(), 8));
 }
--- a/crates/membership/src/authenticator/tests.rs
+++ b/crates/membership/src/authenticator/tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn altered_datagrams_and_those_sealed_with_another_key_are_refused() {
+fn altered_datagrams_and_those_sealed_with_another_key_are_rejected() {
     let (mut a, mut b) = (
         DatagramAuthenticator::new(keys(ONE, ONE), 7),
         DatagramAuthenticator::new(keys(ONE, ONE), 8),
@@ -29,7 +29,7 @@
         None
     );
     assert_eq!(b.open(1, b"short"), None);
-    // Without keys every datagram is accepted, and nothing added.
+    // Without keys every datagram is accepted, and no seal is added.
     let mut open = DatagramAuthenticator::new(Keys::default(), 1);
     let mut plain = b"x".to_vec();
     open.seal(&mut plain);
@@ -38,7 +38,7 @@
 
 #[test]
 fn datagrams_are_accepted_throughout_a_key_rotation() {
-    // The old key everywhere; then both accepted and the old one signing; then the new one signing; then the old one gone.
+    // The old key only; both accepted and the old one signing; both accepted and the new one signing; the new key only.
     let steps = [
         keys(ONE, ONE),
         keys(ONE, TWO),
@@ -89,7 +89,7 @@
     let mut two = b"z".to_vec();
     again.seal(&mut two);
     assert!(b.open(1, &two).is_some());
-    // The same for a receiver that has just started and gets the late datagram second.
+    // The same for a receiver that has just started, at which the late datagram arrives second.
     let mut started = DatagramAuthenticator::new(keys(ONE, ONE), 10);
     assert!(started.open(1, &one).is_some() && started.open(1, &late).is_some());
     assert!(started.open(1, &two).is_some());
--- a/crates/membership/tests/codec.rs
+++ b/crates/membership/tests/codec.rs
@@ -1,5 +1,4 @@
-//! Datagrams written by the version before the renames (commit 7790f50), byte for byte: they are still read, and the
-//! same values are still encoded to the same bytes.
+//! Datagrams of the previous version (commit 7790f50): each is decoded, and the same values are encoded to the same bytes.
 
 use std::net::SocketAddr;
 use tansymux_codec::test_support::from_hex;
@@ -29,7 +28,7 @@
 }
 
 #[test]
-fn datagrams_of_the_version_before_are_read_and_written_byte_for_byte() {
+fn datagrams_of_the_previous_version_are_decoded_and_encoded_to_the_same_bytes() {
     let digests: [u32; TABLE_BUCKETS] =
         std::array::from_fn(|bucket| 0x0102_0304_u32.wrapping_mul(bucket as u32 + 1));
     let sync_header = "04010508b37b07b558d4c0a1b2c3d401020304020406080306090c04080c10050a0f14060c1218070e151c08101820\
@@ -63,7 +62,7 @@
 }
 
 #[test]
-fn user_message_of_the_version_before_is_read_and_written_byte_for_byte() {
+fn user_message_of_the_previous_version_is_decoded_and_encoded_to_the_same_bytes() {
     let bytes = from_hex("04010608b37b07b558d4c0000000007061796c6f6164");
     let sender = member_id_of("n1");
     assert_eq!(
@@ -78,7 +77,7 @@
 }
 
 #[test]
-fn seal_of_the_version_before_is_accepted_and_written_byte_for_byte() {
+fn seal_of_the_previous_version_is_accepted_and_the_same_seal_is_written() {
     let content = "04010008b37b07b558d4c00000000108b37b07b558d4c00a0000011f0a0000000101";
     let sealed = from_hex(&[content, "01020304000000018a6da2cf3f04ec48"].concat());
     let keys = Keys {
@@ -94,7 +93,7 @@
 }
 
 #[test]
-fn incomplete_datagrams_are_refused_with_a_reason() {
+fn incomplete_datagrams_are_rejected_with_a_typed_error() {
     assert_eq!(codec::decode(b"\x04"), Err(DecodeError::NotMembership));
     let request = from_hex("04010208b37b07b558d4c0a1b2c3d408b381");
     assert_eq!(codec::decode(&request), Err(DecodeError::Truncated));
--- a/crates/membership/tests/network/main.rs
+++ b/crates/membership/tests/network/main.rs
@@ -59,7 +59,7 @@
         long_delay: 0.02,
     };
     network.run(180_000.0, all);
-    // Some are suspected now and then; nobody is out at the end, and few were ever held for dead.
+    // Some members are suspected at times; all are present at the end, and few were ever declared dead.
     network.conditions = GOOD_LINK;
     assert!(network
         .until(60_000.0, all, Network::has_converged)
@@ -99,7 +99,7 @@
     network
         .until(30_000.0, all, Network::has_converged)
         .unwrap();
-    // Nothing goes between 2 and 3; all others reach both.
+    // Members 2 and 3 do not reach each other; all others reach both.
     network.run(120_000.0, |a, b| !(a == 2 && b == 3 || a == 3 && b == 2));
     assert_eq!((network.present_at(2), network.present_at(3)), (7, 7));
     assert_eq!(network.deaths(), 0);
@@ -120,7 +120,7 @@
     network.detectors[4] = None;
     let took = network.until(10_000.0, all, |network| network.present_at(4) == 0);
     assert!(took.is_some_and(|took| took <= 4000.0), "{took:?}");
-    // It comes back under its name, knowing nothing of its earlier life.
+    // The member restarts with its name and without its last incarnation.
     network.start(4, 0);
     assert!(network
         .until(30_000.0, all, Network::has_converged)
@@ -129,7 +129,7 @@
         network.detector(4).incarnation() > 1,
         "it had to say so more loudly"
     );
-    // And once more, killed outright, with what it had kept.
+    // The member is killed, and restarts with its last incarnation.
     let kept = network.detector(4).incarnation();
     network.detectors[4] = None;
     network.run(3000.0, all);
@@ -168,7 +168,7 @@
     network
         .until(30_000.0, all, Network::has_converged)
         .unwrap();
-    // A second n2 at another address.
+    // A second process with the name n2, at another address.
     let config = Config {
         seeds: vec![address(0)],
         ..Config::default()
@@ -248,7 +248,7 @@
         .unwrap();
     let halves = |a: usize, b: usize| a / 3 == b / 3;
     network.run(30_000.0, halves);
-    // One half has both keys, the other seals with the new one already: they understand each other.
+    // One half seals with the old key and the other with the new one; both accept both.
     for n in 0..6 {
         network.detectors[n].as_mut().unwrap().set_keys(if n < 3 {
             step(1, 2)
@@ -363,7 +363,7 @@
     assert!(network.longest_datagram <= codec::MAX_DATAGRAM_LEN);
 }
 
-/// What the pages say of it: `cargo test -p tansymux-membership --release -- --ignored --nocapture`.
+/// Prints detection times and bytes a second: `cargo test -p tansymux-membership --release -- --ignored --nocapture`.
 #[test]
 #[ignore = "a measurement"]
 fn measure_detection_time_and_bytes() {
--- a/crates/membership/tests/network/simulated_network.rs
+++ b/crates/membership/tests/network/simulated_network.rs
@@ -17,14 +17,14 @@
     format!("n{n}")
 }
 
-/// What the network does to datagrams.
+/// Loss, duplication and delay of datagrams.
 #[derive(Clone, Copy)]
 pub struct LinkConditions {
     /// Probabilities that a datagram is lost, duplicated, or delayed by ten seconds.
     pub loss: f64,
     pub duplication: f64,
     pub long_delay: f64,
-    /// Longest delay of the others (ms).
+    /// Limit on the delay of all other datagrams (ms).
     pub max_delay_ms: f64,
 }
 
@@ -42,10 +42,10 @@
 }
 
 pub struct Network {
-    /// The detector of each process; none while it is not running.
+    /// The detector of each process; `None` while it is not running.
     pub detectors: Vec<Option<SwimDetector>>,
     pub paused: Vec<bool>,
-    /// Datagrams under way, by time of arrival (us) and order.
+    /// Datagrams in flight, by time of arrival (us) and order.
     pub in_flight: BTreeMap<(u64, u64), InFlight>,
     pub datagrams_sent: u64,
     pub bytes_sent: u64,
@@ -96,7 +96,7 @@
         ));
     }
 
-    /// Runs for `lasts` (ms); `reaches(sender, receiver)` says between whom datagrams are delivered.
+    /// Runs for `lasts` (ms). Datagrams are delivered where `reaches(sender, receiver)`.
     pub fn run(&mut self, lasts: f64, reaches: impl Fn(usize, usize) -> bool) {
         let end = self.now_ms + lasts;
         while self.now_ms < end {
@@ -186,7 +186,7 @@
         self.detectors[n].as_ref().expect("it runs")
     }
 
-    /// How many running detectors count a member as present.
+    /// Number of running detectors that count a member as present.
     pub fn present_at(&self, n: usize) -> usize {
         let there = |detector: &SwimDetector| {
             detector
@@ -209,7 +209,7 @@
             .all(|detector| detector.present_count() == running)
     }
 
-    /// Runs until `done`, for `most` (ms) at the longest; how long it took.
+    /// Runs until `done`, for at most `most` (ms). Returns the elapsed time, or `None`.
     pub fn until(
         &mut self,
         most: f64,
@@ -226,7 +226,7 @@
         done(self).then_some(most)
     }
 
-    /// How often any running detector declared a member dead.
+    /// Number of times that a running detector declared a member dead.
     pub fn deaths(&self) -> usize {
         let dead = |detector: &SwimDetector| {
             detector
@@ -239,7 +239,7 @@
     }
 }
 
-/// A datagram that comes from member one's address.
+/// A datagram from the address of member 1.
 pub fn from_member_one(bytes: &[u8]) -> Event<'_> {
     Event::DatagramReceived {
         from: address(1),
--- a/crates/rollout/src/canary_analysis/tests.rs
+++ b/crates/rollout/src/canary_analysis/tests.rs
@@ -74,7 +74,7 @@
 fn zone_that_fails_as_a_whole_does_not_count_against_the_release() {
     let mut analysis = CanaryAnalysis::default();
     for window in 0..50 {
-        // Zone 1 fails for all; only there has anybody been released.
+        // All dispatchers of zone 1 fail, and only in that zone some are released.
         analysis.report(window, 1, Group::Baseline, requests(20, 40));
         analysis.report(window, 1, Group::Released, requests(20, 40));
         analysis.report(window, 2, Group::Baseline, requests(40, 40));
--- a/crates/rollout/src/fleet_node.rs
+++ b/crates/rollout/src/fleet_node.rs
@@ -21,7 +21,7 @@
     member_id_of, Event as MembershipEvent, Keys, MemberState, SwimDetector,
 };
 
-/// Limit on the rounds in one poll in which a member handles messages to itself; each round may send further ones.
+/// Limit on the rounds in one poll in which a member handles messages to itself; each round may send more of them.
 const MAX_LOCAL_ROUNDS: usize = 4;
 
 /// A member. Drive it with [`FleetNode::handle`] and [`FleetNode::poll`].
--- a/crates/rollout/src/member_agent.rs
+++ b/crates/rollout/src/member_agent.rs
@@ -217,7 +217,7 @@
         }
     }
 
-    /// Handles a client's command. A retried call adds no further command to the leader.
+    /// Handles a client's command. A retried call sends no second command to the leader.
     pub fn on_call(
         &mut self,
         call: u64,
--- a/crates/rollout/tests/datagram_fixtures.rs
+++ b/crates/rollout/tests/datagram_fixtures.rs
@@ -1,4 +1,4 @@
-//! Datagrams that the version before the renames wrote: each is still read, and the same values still give the same bytes.
+//! Datagrams of the previous version: each is decoded, and the same values are encoded to the same bytes.
 
 use tansymux_codec::test_support::{fixture_lines, from_hex, to_hex};
 use tansymux_coordination::disruption_budget::{HaltReason, Scope};
@@ -13,7 +13,7 @@
     Evidence, MemberReport, Reachability, Reason, Stage as ZoneStage, ZoneStatus,
 };
 
-/// One `name hex` a line, as written by commit 0fd3fce.
+/// One `name hex` a line, as encoded by commit 0fd3fce.
 const FIXTURES: &str = include_str!("fixtures/datagrams.hex");
 
 const CALL: u64 = 0x0102_0304_0506_0708;
@@ -304,7 +304,7 @@
 }
 
 #[test]
-fn datagrams_of_the_previous_version_are_read_and_the_same_values_give_the_same_bytes() {
+fn datagrams_of_the_previous_version_are_decoded_and_encoded_to_the_same_bytes() {
     let fixtures = fixture_lines(FIXTURES);
     let samples = samples();
     assert_eq!(fixtures.len(), samples.len());
--- a/crates/rollout/tests/rollout_controller.rs
+++ b/crates/rollout/tests/rollout_controller.rs
@@ -141,7 +141,7 @@
             max_unavailable: 3
         }
     );
-    // Nor is one put out, whoever finds it failing_engine.
+    // Reports of failures eject no engine either.
     (1..=4).for_each(|id| {
         fixture.report(
             id,
@@ -158,7 +158,7 @@
         fixture.disruption_count(UnitKind::Engine, DisruptionReason::Ejected),
         0
     );
-    // They are back: now_ms there is room.
+    // The drained engines are back, so the budget allows the drain.
     fixture.controller.set_engines(&engines(8, |_| true));
     assert_eq!(
         fixture.command(Command::Drain {
@@ -180,7 +180,7 @@
         200,
     );
     fixture.controller.set_engines(&engines(8, |_| true));
-    // Half blame one engine, half another one, and one alone a third.
+    // Half of the members report one engine, half another one, and a single member a third one.
     for id in 1..=200 {
         let failing_engine = if id == 7 { 5 } else { 2 + id % 2 };
         fixture.report(
@@ -202,7 +202,7 @@
         .node
         .active(Record::unit_key(UnitKind::Engine, 5))
         .is_none());
-    // It comes back by itself, and then the other one may go.
+    // The ejection expires.
     fixture.advance(30_000.0);
     assert_eq!(
         fixture.disruption_count(UnitKind::Engine, DisruptionReason::Ejected),
@@ -256,7 +256,7 @@
         Answer::BudgetExhausted { .. }
     ));
     fixture.advance(1000.0);
-    // It crashed and came back before its turn was used: whoever has the turn may still use it.
+    // The dispatcher crashed and came back before its lease was used: the holder of the lease may still use it.
     fixture.report(
         2,
         Report {
@@ -362,7 +362,7 @@
     fixture.command(Command::Resume { number: 5 });
     assert_eq!(fixture.command(Command::Resume { number: 5 }), Answer::Done);
     assert_eq!(fixture.command(Command::Halt { number: 6 }), Answer::Done);
-    // The first one's end, come late, does not end the second.
+    // A delayed resume of the first halt does not end the second one.
     assert!(matches!(
         fixture.command(Command::Resume { number: 5 }),
         Answer::Halted { number: 6, .. }
--- a/crates/store/tests/config.rs
+++ b/crates/store/tests/config.rs
@@ -1,4 +1,4 @@
-//! Settings are checked when they are made.
+//! Settings are checked by the constructor.
 
 use tansymux_store::{Config, SyncPolicy};
 
--- a/crates/store/tests/crash_recovery.rs
+++ b/crates/store/tests/crash_recovery.rs
@@ -13,12 +13,13 @@
     verify, Config, Directory, Disk, Opened, RecoveryReport, Store, StoreError, SyncPolicy,
 };
 
-/// A disk in memory that fails at a chosen operation, and then loses bytes that were not synced.
+/// A disk in memory that fails at a chosen operation, and then loses unsynced bytes.
 #[derive(Debug, Clone, Default)]
 struct FaultyDisk {
-    /// Bytes written to each file, and how many of them are synced.
+    /// Bytes of each file, and how many of them are synced.
     files: BTreeMap<String, (Vec<u8>, usize)>,
-    /// Operations before the crash, and how many quarters of the write in progress reach the disk; `None` never crashes.
+    /// Number of operations before the crash, and how many quarters of the write in progress reach the disk; `None`: no
+    /// crash.
     crash: Option<(usize, usize)>,
     steps: usize,
     crashed: bool,
@@ -40,7 +41,7 @@
         Ok(now)
     }
 
-    /// The disk after the machine has restarted: `quarters_kept` quarters of the unsynced bytes are there.
+    /// The disk after the machine has restarted, with `quarters_kept` quarters of the unsynced bytes.
     fn after_restart(mut self, quarters_kept: usize) -> Self {
         for (bytes, synced) in self.files.values_mut() {
             let kept = *synced + (bytes.len() - *synced) * quarters_kept / 4;
@@ -128,7 +129,7 @@
     }
 }
 
-/// Syncs each record, asks for a checkpoint beyond 4 KiB, retries a failed disk after 100 ms.
+/// Syncs each record, needs a checkpoint beyond 4 KiB, retries a failed disk after 100 ms.
 fn sync_each() -> Config {
     config(SyncPolicy::EveryRecord)
 }
@@ -183,7 +184,7 @@
                     records.len(),
                     written.len()
                 );
-                // The record in progress may be there.
+                // The record in progress may be on the disk.
                 assert!(records.len() <= written.len() + 1);
                 tried += 1;
             }
@@ -234,7 +235,7 @@
             let expected: Vec<Vec<u8>> = (0..records.len() as u32).map(record).collect();
             assert_eq!(records, expected, "{name} {at}");
         }
-        // The file is cut short.
+        // The file is truncated.
         for keep in [0, 1, format::HEADER_BYTES - 1, bytes.len() / 2] {
             let mut cut = disk.clone();
             cut.files.get_mut(&name).unwrap().0.truncate(keep);
@@ -291,7 +292,7 @@
     assert_eq!(store.into_disk().files, before);
 }
 
-/// CRC-32 as in ISO 3309, written out once more.
+/// CRC-32 as in ISO 3309, independent of the store's.
 fn crc(bytes: &[u8]) -> u32 {
     !bytes.iter().fold(!0_u32, |mut crc, b| {
         crc ^= u32::from(*b);
@@ -413,7 +414,7 @@
         .unwrap();
     store.append(b"three", 0.0).unwrap();
     drop(store);
-    // Files that are not the store's are kept.
+    // Files that do not belong to the store are not removed.
     std::fs::write(path.join("notes.txt"), "mine").unwrap();
     let Opened {
         records, report, ..
--- a/crates/store/tests/version_1_files.rs
+++ b/crates/store/tests/version_1_files.rs
@@ -1,4 +1,4 @@
-//! Files written by the version at commit 0fd3fce are read, and the same calls write the same bytes today.
+//! Files of the version at commit 0fd3fce are recovered, and the same calls write the same bytes.
 
 #![allow(
     clippy::unwrap_used,
--- a/crates/zone-evacuation/tests/codec.rs
+++ b/crates/zone-evacuation/tests/codec.rs
@@ -1,5 +1,4 @@
-//! Messages written by the version before the renames (commit 7790f50), byte for byte: they are still read, and the
-//! same values are still encoded to the same bytes.
+//! Messages of the previous version (commit 7790f50): each is decoded, and the same values are encoded to the same bytes.
 
 use tansymux_codec::test_support::from_hex;
 use tansymux_zone_evacuation::codec::{self, DecodeError, LeaderReply, ZoneEntry};
@@ -36,7 +35,7 @@
 }
 
 #[test]
-fn report_of_the_version_before_is_read_and_written_byte_for_byte() {
+fn report_of_the_previous_version_is_decoded_and_encoded_to_the_same_bytes() {
     let bytes = from_hex(
         "010203040506070801000000010000000000000000000000000201402000000011000300000003023dcccccd\
         ffff0001deadbeef034480000001000200",
@@ -57,7 +56,7 @@
 }
 
 #[test]
-fn reply_of_the_version_before_is_read_and_written_byte_for_byte() {
+fn reply_of_the_previous_version_is_decoded_and_encoded_to_the_same_bytes() {
     let bytes = from_hex(
         "05060708000000010000000000070000000000000000020000000000080100000000000000030000000000090200000000\
         0000000401030000000a033e8000000000000501010000000b043e0000000000000601080000000c053f800000",
@@ -78,7 +77,7 @@
 }
 
 #[test]
-fn truncated_messages_are_refused_with_their_length() {
+fn truncated_messages_are_rejected_with_their_length() {
     let report = codec::decode_report(&[0; 8]);
     assert_eq!(report, Err(DecodeError::Truncated { len: 8, min_len: 9 }));
     let reply = codec::decode_reply(&[0; 3]);
--- a/crates/zone-evacuation/tests/evacuation/follower.rs
+++ b/crates/zone-evacuation/tests/evacuation/follower.rs
@@ -1,4 +1,4 @@
-//! What a member makes of the leader's decisions and of not hearing them.
+//! How a member uses zones with the leader's decisions, and without contact to the leader.
 
 use crate::leader::{EAST, WEST};
 use crate::recovering;
@@ -21,7 +21,7 @@
 #[test]
 fn follower_uses_its_last_decisions_then_closes_then_decides_locally() {
     let mut follower = EvacuationFollower::new(WEST, 30_000.0, 0.0);
-    // Just started: it knows nothing, and its own zone is its own.
+    // Just started: other zones are closed, and the own zone is a local decision.
     assert_eq!(
         (
             follower.zone_use(EAST, 100.0),
@@ -45,13 +45,13 @@
     );
     follower.handle(quota_of_east(0.2, 3900.0), 4000.0);
     assert_eq!(follower.zone_use(EAST, 4000.0), ZoneUse::Fraction(0.2));
-    // An answer to what was asked before, come late, changes nothing.
+    // A delayed answer to an earlier request changes nothing.
     follower.handle(quota_of_east(0.9, 3000.0), 4000.0);
     assert_eq!(follower.zone_use(EAST, 4000.0), ZoneUse::Fraction(0.2));
-    // It was stopped, and wakes with an old share.
+    // After a pause of the process the quota has expired.
     assert_eq!(follower.zone_use(EAST, 24_000.0), ZoneUse::Closed);
     assert_eq!(follower.zone_use(EAST, 34_100.0), ZoneUse::LocalDecision);
-    // A decision that was overtaken on its way does not come back.
+    // A decision that arrives out of order does not apply again.
     let evacuated = ZoneStatus {
         stage: Stage::Evacuated,
         step: 0,
--- a/crates/zone-evacuation/tests/evacuation/leader.rs
+++ b/crates/zone-evacuation/tests/evacuation/leader.rs
@@ -1,4 +1,4 @@
-//! A leader's controller and the reports that it gets.
+//! A leader's controller, and members' reports to it.
 
 use std::collections::BTreeMap;
 use tansymux_zone_evacuation::{
@@ -10,7 +10,7 @@
 pub const WEST: u32 = 2;
 pub const NORTH: u32 = 3;
 
-/// A leader's controller, what the fleet agreed on, and a clock.
+/// A leader's controller, the statuses that the fleet agreed on, and a clock.
 pub struct Leader {
     pub controller: EvacuationController,
     pub agreed: BTreeMap<u32, ZoneStatus>,
@@ -34,8 +34,7 @@
         }
     }
 
-    /// Nine members, three in each zone, report for `ms` how they reach one zone: reachability and whether they are
-    /// isolated.
+    /// Nine members, three in each zone, report one zone for `ms`: its reachability, and whether they are isolated.
     pub fn receive_reports(
         &mut self,
         ms: f64,
--- a/crates/zone-evacuation/tests/evacuation/main.rs
+++ b/crates/zone-evacuation/tests/evacuation/main.rs
@@ -1,5 +1,4 @@
-//! The controller's assessments and decisions, the quotas that members may hold, and members that do not hear the
-//! leader.
+//! The controller's assessments and decisions, members' quotas, and members without contact to the leader.
 
 mod follower;
 mod leader;
@@ -11,7 +10,7 @@
     Config, EvacuationRefused, Initiator, Reachability, Reason, Stage, ZoneHealth, ZoneStatus,
 };
 
-/// A status of a returning zone.
+/// The status of a recovering zone.
 fn recovering(step: u8, number: u32) -> ZoneStatus {
     ZoneStatus {
         stage: Stage::Recovering,
@@ -87,7 +86,7 @@
 #[test]
 fn isolated_members_and_members_without_evidence_do_not_count_as_witnesses() {
     let mut leader = Leader::new(with_short_steps());
-    // One outside is well, four are alone and say cut, one has seen nothing.
+    // Outside, one member reaches the zone, four are isolated, and one has no evidence.
     leader.receive_reports(6000.0, EAST, |id, home| match (home, id) {
         (EAST, _) => Some((Reachability::Reachable, false)),
         (_, 1) => Some((Reachability::Unknown, false)),
@@ -95,7 +94,7 @@
         _ => Some((Reachability::Unreachable, true)),
     });
     assert!(leader.changes.is_empty(), "{:?}", leader.changes);
-    // Only one in six knows: too few to conclude.
+    // One of six members has evidence: too few for an assessment.
     let mut leader = Leader::new(with_short_steps());
     leader.receive_reports(6000.0, EAST, |id, _| {
         (id == 1).then_some((Reachability::Unreachable, false))
@@ -132,7 +131,7 @@
         matches!(answer, Err(EvacuationRefused::TooManyCores { fraction }) if fraction > 0.6),
         "{answer:?}"
     );
-    // By hand it is asked whether the rest carries it, and the figures are told.
+    // For an operator only the capacity of the remaining zones counts; a refusal has the figures.
     let answer = leader
         .controller
         .check_evacuation(WEST, &second, Initiator::Operator, leader.now);
@@ -154,7 +153,7 @@
 }
 
 #[test]
-fn return_advances_step_by_step_to_full_use_within_its_time() {
+fn recovery_advances_step_by_step_to_full_use_within_its_time() {
     let mut leader = Leader::new(with_short_steps());
     leader.receive_reports(5000.0, EAST, |_, home| {
         (home != EAST).then_some((Reachability::Unreachable, false))
@@ -163,7 +162,7 @@
         Some((Reachability::Reachable, false))
     });
     assert_eq!(leader.stage(EAST), None, "{:?}", leader.changes);
-    // Left, returns, eight steps, whole.
+    // Evacuated, first step, eight further steps, full use.
     assert_eq!(leader.changes.len(), 1 + 1 + 8 + 1);
     let numbers: Vec<u32> = leader
         .changes
@@ -175,7 +174,7 @@
 }
 
 #[test]
-fn failures_set_a_return_back_and_losing_the_zone_ends_it() {
+fn failures_set_a_recovery_back_and_losing_the_zone_ends_it() {
     let mut leader = Leader::new(with_short_steps());
     leader.receive_reports(5000.0, EAST, |_, home| {
         (home != EAST).then_some((Reachability::Unreachable, false))
@@ -232,7 +231,7 @@
             (1..=14).contains(&left),
             "left {left} times at a period of {period}"
         );
-        // And it is whole in the end, once it stays well.
+        // The zone returns to full use once it stays reachable.
         leader.receive_reports(60_000.0 + 30_000.0, EAST, |_, _| {
             Some((Reachability::Reachable, false))
         });
--- a/crates/zone-evacuation/tests/evacuation/quota_simulation.rs
+++ b/crates/zone-evacuation/tests/evacuation/quota_simulation.rs
@@ -1,5 +1,5 @@
-//! Members that request quotas of a returning zone over a lossy network, are paused, killed and restarted; their clocks
-//! run at different rates.
+//! Simulation of members that request quotas of a recovering zone over a lossy network. Members are paused, killed and
+//! restarted; their clocks have different rates.
 
 use crate::leader::{EAST, WEST};
 use crate::recovering;
@@ -11,20 +11,21 @@
 
 /// Resolution of virtual time (ms).
 const STEP_MS: f64 = 20.0;
+/// Length of a run (ms).
 const DURATION_MS: f64 = 60_000.0;
 /// Interval of a member's requests (ms).
 const REQUEST_MS: f64 = 1000.0;
 
-/// From when a member counts the term of a quota.
+/// The beginning of the term of a quota at a member.
 #[derive(Clone, Copy, PartialEq)]
 pub enum TermStart {
-    /// From its request, as it must.
+    /// The request, as specified.
     Request,
-    /// From the answer: it holds the quota too long.
+    /// The answer: the member uses the quota for too long.
     Answer,
 }
 
-/// A quota on its way to a member; times by the member's clock.
+/// A quota in transit to a member; times by the member's clock.
 struct Answer {
     decision_number: u32,
     quota: f64,
@@ -47,21 +48,21 @@
 
 struct Member {
     follower: EvacuationFollower,
-    /// Rate of its clock.
+    /// Rate of the member's clock.
     clock_rate: f64,
     demand: f64,
     paused_until_ms: f64,
     next_request_ms: f64,
-    /// Answers that came while it was paused, too.
+    /// Answers to handle, those from a pause included.
     received: Vec<Answer>,
 }
 
-/// What a run found.
+/// The result of a run.
 #[derive(Clone, Copy)]
 pub struct QuotaUse {
-    /// By how much the sum of what members believe to hold ever exceeded the largest ramp step of the last term.
+    /// Maximum by which the sum of all quotas, each by its member's clock, exceeded the largest ramp step of the last term.
     pub overrun: f64,
-    /// Largest fraction of a ramp step that was in use.
+    /// Maximum fraction of a ramp step that was in use.
     pub used_fraction: f64,
 }
 
@@ -154,7 +155,7 @@
             member.paused_until_ms = now_ms + self.rng.random_range(500.0..20_000.0);
         }
         if self.rng.random_bool(0.0003) {
-            // Killed and started again, knowing nothing; its clock goes on.
+            // The member is killed and restarted without its state; its clock continues.
             member.follower = EvacuationFollower::new(WEST, 1e9, now_ms * member.clock_rate);
             member.received.clear();
         }
@@ -224,7 +225,7 @@
         });
     }
 
-    /// The sum of what all members believe to hold, each by its own clock.
+    /// The sum of all quotas, each by its member's clock.
     fn held_total(&self) -> f64 {
         self.members
             .iter()
@@ -244,7 +245,7 @@
         Member {
             follower: EvacuationFollower::new(WEST, 1e9, 0.0),
             clock_rate: rng.random_range(0.991..1.009),
-            // Some see ten times the mean.
+            // Some members have ten times the mean demand.
             demand: if index.is_multiple_of(10) {
                 10.0
             } else {
--- a/crates/zone-evacuation/tests/evacuation/quotas.rs
+++ b/crates/zone-evacuation/tests/evacuation/quotas.rs
@@ -1,4 +1,4 @@
-//! Quotas: by demand, and never more than the ramp step in all.
+//! Quotas: shared by demand, with a sum of at most the ramp step.
 
 use crate::quota_simulation::{QuotaSimulation, TermStart};
 use crate::recovering;
@@ -9,7 +9,7 @@
 };
 
 #[test]
-fn quotas_held_by_all_members_never_exceed_the_ramp_step() {
+fn quotas_of_all_members_never_exceed_the_ramp_step() {
     let mut best = 0.0_f64;
     for seed in 0..60 {
         let members = if seed % 3 == 0 { 100 } else { 9 };
@@ -17,7 +17,7 @@
         assert!(found.overrun <= 1e-9, "seed {seed}: {} over", found.overrun);
         best = best.max(found.used_fraction);
     }
-    // And the step is put to use.
+    // The ramp step is used.
     assert!(best > 0.8, "{best}");
 }
 
@@ -30,7 +30,7 @@
     assert!((0..10).any(|seed| overrun(seed) > 1e-9));
 }
 
-/// A request where all members together may hold half, with a term of 3 s and no clock skew.
+/// A request with a total of one half, a term of 3 s and no clock skew.
 fn request_of_half(member: u64, demand: f64) -> QuotaRequest {
     QuotaRequest {
         member,
@@ -55,7 +55,7 @@
         last[0] > 5.0 * last[1] && last.iter().sum::<f64>() > 0.45,
         "{last:?}"
     );
-    // The first one died: the others have its share after a term and what follows it.
+    // The first member is dead: its share goes to the others after a term and the lifetime of its demand.
     let mut rest = [0.0; 2];
     for second in 20..40 {
         for (n, at) in [(1, 0), (2, 1)] {
