--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -39,14 +39,16 @@
 mod quorum_node;
 mod record;
 mod record_table;
+mod voter;
 
 pub use config::QuorumConfig;
 pub use event::{Action, Event, Proposal, ProposalId, ProposeError};
 pub use message::{LeasedRecord, Message};
 pub use outbox::Outbox;
-pub use quorum_node::{QuorumNode, Role, VoterMemory, VoterStart};
+pub use quorum_node::QuorumNode;
 pub use record::{
     Ballot, DisruptionReason, Id, Record, RecordValue, ReleaseStage, Stamp, UnitKind, HALT_KEY,
     RELEASE_KEY,
 };
 pub use record_table::{digest, MAX_RECORDS};
+pub use voter::{Role, VoterMemory, VoterStart};
--- a/crates/coordination/src/quorum_node.rs
+++ b/crates/coordination/src/quorum_node.rs
@@ -11,6 +11,7 @@
 use crate::outbox::Outbox;
 use crate::record::{Ballot, Id, Stamp};
 use crate::record_table::{RecordTable, StoredRecord};
+use crate::voter::{Role, VoterMemory, VoterStart};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 
@@ -18,44 +19,6 @@
 /// round above it.
 const RESERVED_ROUNDS: u32 = 1_000_000;
 
-/// What a voter does at present.
-#[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Role {
-    /// The voter may have lost its memory, and takes no part yet.
-    Quarantined {
-        /// When the voter takes part again (ms).
-        until_ms: f64,
-    },
-    /// The voter follows the leader of this ballot.
-    Follower(Ballot),
-    /// The voter sent prepare messages and waits for promises.
-    Candidate,
-    /// The voter leads under this ballot.
-    Leader(Ballot),
-}
-
-/// What a voter knows of its past votes at its start.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum VoterMemory {
-    /// The voter has never voted, as at the first start of an installation.
-    NeverVoted,
-    /// The voter may have voted and lost its memory: it takes no part for [`QuorumConfig::quarantine_ms`].
-    MayBeLost,
-}
-
-/// How a voter starts.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct VoterStart {
-    /// What the voter knows of its past votes.
-    pub memory: VoterMemory,
-    /// A round above all that the voter may have lost, as far as that can be known (the seconds of the wall clock).
-    /// Leases do not depend on it. Records without an end do, if a majority lost its memory while the one voter that did
-    /// not was cut off.
-    pub round: u32,
-    /// Seed of the random backoffs and nonces, drawn at each start.
-    pub seed: u64,
-}
-
 /// The state of the present role. Every voter is an acceptor at any time.
 #[derive(Debug, Clone)]
 enum State {
--- a/crates/rollout/src/member_agent.rs
+++ b/crates/rollout/src/member_agent.rs
@@ -133,7 +133,7 @@
         self.status = status;
     }
 
-    /// The leader, if gossip named it within the last [`LEADER_TIMEOUT_MS`].
+    /// The leader, if gossip named it recently.
     pub fn leader(&self, now_ms: f64) -> Option<Id> {
         self.leader
             .filter(|known| now_ms - known.named_at_ms < LEADER_TIMEOUT_MS)
--- a/crates/zone-evacuation/src/controller/limits.rs
+++ b/crates/zone-evacuation/src/controller/limits.rs
@@ -1,6 +1,6 @@
 //! Whether a zone may be evacuated: limits on the evacuated cores and on the load of the remaining zones.
 
-use super::{is_evacuated, EvacuationController};
+use super::{is_evacuated, EvacuationController, ZoneWatch};
 use crate::{ZoneId, ZoneStatus};
 use std::collections::BTreeMap;
 
@@ -61,12 +61,12 @@
     ) -> Result<(), EvacuationRefused> {
         let is_other_evacuated =
             |other: ZoneId| other != zone && is_evacuated(agreed.get(&other).copied());
-        let all_cores: f64 = self.zones.values().map(|watch| watch.cores).sum();
+        let all_cores: f64 = self.zones.values().map(ZoneWatch::cores).sum();
         let evacuated_cores: f64 = self
             .zones
             .iter()
             .filter(|(id, _)| **id == zone || is_other_evacuated(**id))
-            .map(|(_, watch)| watch.cores)
+            .map(|(_, watch)| watch.cores())
             .sum();
         let fraction = if all_cores > 0.0 {
             evacuated_cores / all_cores
@@ -92,7 +92,7 @@
             .iter()
             .filter(|(id, _)| remains(**id))
             .map(|(_, watch)| {
-                watch.cores
+                watch.cores()
                     * self.config.full_threads_per_core
                     * self.config.spill_capacity_fraction
             })
