--- a/crates/coordination/src/candidacy.rs
+++ b/crates/coordination/src/candidacy.rs
@@ -16,7 +16,7 @@
     since_ms: f64,
 }
 
-/// One fragment of a promise: part of the records that a voter accepted.
+/// A fragment of a promise: part of the records that a voter accepted.
 #[derive(Debug, Clone)]
 pub(crate) struct PromiseFragment {
     pub(crate) index: usize,
--- a/crates/coordination/src/disruption_budget.rs
+++ b/crates/coordination/src/disruption_budget.rs
@@ -104,7 +104,7 @@
 }
 
 wire_enum! {
-    /// Which limit of a budget is exhausted.
+    /// The scope of a limit of the budget.
     pub enum Scope {
         /// The limit for the fleet.
         Fleet = 0,
@@ -124,7 +124,7 @@
     AlreadyGranted,
     /// A limit is reached; retry later.
     BudgetExhausted {
-        /// Which limit.
+        /// The scope of the exhausted limit.
         scope: Scope,
         /// Units that are unavailable.
         unavailable: usize,
@@ -138,7 +138,7 @@
     },
     /// The unit is unavailable for another reason.
     AlreadyOut {
-        /// That reason.
+        /// The reason on record.
         reason: DisruptionReason,
     },
     /// The remaining units could not carry the load.
--- a/crates/coordination/src/quorum_node.rs
+++ b/crates/coordination/src/quorum_node.rs
@@ -27,7 +27,7 @@
     Leader(Box<Leadership>),
 }
 
-/// One voter. Drive it with [`QuorumNode::handle`] and [`QuorumNode::poll`].
+/// A voter. Drive it with [`QuorumNode::handle`] and [`QuorumNode::poll`].
 #[derive(Debug, Clone)]
 pub struct QuorumNode {
     id: Id,
--- a/crates/coordination/src/record.rs
+++ b/crates/coordination/src/record.rs
@@ -138,7 +138,7 @@
     },
 }
 
-/// One replicated register.
+/// A replicated register.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Record {
     /// Identifies the register: see [`Record::unit_key`], [`Record::zone_key`], [`HALT_KEY`] and [`RELEASE_KEY`].
--- a/crates/coordination/src/voter.rs
+++ b/crates/coordination/src/voter.rs
@@ -18,7 +18,7 @@
     Leader(Ballot),
 }
 
-/// What a voter knows of its past votes at its start.
+/// The state of a voter's memory of its past votes at its start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum VoterMemory {
     /// The voter has never voted, as at the first start of an installation.
@@ -29,10 +29,10 @@
     MayBeLost,
 }
 
-/// How a voter starts.
+/// The initial state of a voter.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct VoterStart {
-    /// What the voter knows of its past votes.
+    /// Whether the memory of past votes may be lost.
     pub memory: VoterMemory,
     /// A round above all that the voter may have lost, as far as that can be known (the seconds of the wall clock).
     /// Leases do not depend on it. Records that do not expire do, if a majority lost its memory while the one voter that did
--- a/crates/rollout/src/call_table.rs
+++ b/crates/rollout/src/call_table.rs
@@ -21,7 +21,7 @@
     next_attempt_ms: f64,
 }
 
-/// One call.
+/// A client's call.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Call {
     call: u64,
--- a/crates/rollout/src/canary_analysis.rs
+++ b/crates/rollout/src/canary_analysis.rs
@@ -14,7 +14,7 @@
 /// resolution than this.
 const MIN_STANDARD_ERROR: f64 = 1e-3;
 
-/// How released and other dispatchers are compared.
+/// Settings of the comparison.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AnalysisConfig {
     /// Length of a window (ms): reports of one window are compared with each other.
@@ -64,12 +64,12 @@
     }
 }
 
-/// Which side of the comparison a dispatcher is on.
+/// A side of the comparison.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Group {
-    /// It has not been released.
+    /// Dispatchers that have not been released.
     Baseline,
-    /// It has been released.
+    /// Dispatchers that have been released.
     Released,
 }
 
--- a/crates/rollout/src/fleet_client.rs
+++ b/crates/rollout/src/fleet_client.rs
@@ -23,7 +23,7 @@
     },
 }
 
-/// One call: the client requests a nonce from the member, then sends the command with it.
+/// A call: the client requests a nonce from the member, then sends the command with it.
 #[derive(Debug, Clone)]
 pub struct FleetClient {
     id: Id,
--- a/crates/rollout/src/fleet_node.rs
+++ b/crates/rollout/src/fleet_node.rs
@@ -147,7 +147,7 @@
         }
     }
 
-    /// How this member may use a zone; the local decision applies where the fleet has agreed on none.
+    /// The use of a zone that this member is allowed; the local decision applies where the fleet has agreed on none.
     pub fn use_of(&self, zone: u32) -> tansymux_zone_evacuation::ZoneUse {
         match &self.zones {
             Some(zones) => zones.follower.zone_use(zone, self.now_ms),
--- a/crates/rollout/src/message.rs
+++ b/crates/rollout/src/message.rs
@@ -122,7 +122,7 @@
     Pending,
     /// A lease is granted.
     Granted {
-        /// Its term (ms), from when it was first requested.
+        /// The remaining term of the lease (ms), from its first request.
         remaining_ms: u32,
     },
     /// The command is completed.
@@ -138,7 +138,7 @@
     },
     /// A limit of the disruption budget is reached.
     BudgetExhausted {
-        /// Which limit.
+        /// The scope of the exhausted limit.
         scope: Scope,
         /// Units that are unavailable.
         unavailable: u32,
@@ -152,7 +152,7 @@
     },
     /// The unit is unavailable for another reason.
     AlreadyOut {
-        /// That reason.
+        /// The reason on record.
         reason: DisruptionReason,
     },
     /// The other units could not carry the load.
@@ -174,7 +174,7 @@
     Already,
     /// Another release is in progress.
     ReleaseInProgress {
-        /// That release.
+        /// The number of the other release.
         number: u32,
     },
     /// The release names no previous version, so it cannot be rolled back.
--- a/crates/rollout/src/restart_lease.rs
+++ b/crates/rollout/src/restart_lease.rs
@@ -25,7 +25,7 @@
     pub max_wait_ms: f64,
 }
 
-/// How the wait for a lease ended.
+/// The outcome of the wait for a lease.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum LeaseOutcome {
     /// The dispatcher may restart, and has to rejoin before the lease ends.
@@ -83,7 +83,7 @@
         self.last_answer
     }
 
-    /// How the wait ended; `None` during the wait, and while the lease is being returned.
+    /// The outcome of the wait; `None` during the wait, and while the lease is being returned.
     pub fn outcome(&self) -> Option<LeaseOutcome> {
         let is_returned = self
             .returning
--- a/crates/rollout/src/rollout_config.rs
+++ b/crates/rollout/src/rollout_config.rs
@@ -10,7 +10,7 @@
     pub dispatchers: DisruptionBudget,
     /// Budget for engines.
     pub engines: DisruptionBudget,
-    /// How releases proceed.
+    /// Order of releases.
     pub plan: RolloutPlan,
     /// Term of a restart lease (ms): the time for a dispatcher to stop, start again and rejoin.
     pub lease_term_ms: f64,
--- a/crates/rollout/src/rollout_controller/disruption_upkeep.rs
+++ b/crates/rollout/src/rollout_controller/disruption_upkeep.rs
@@ -65,7 +65,7 @@
     }
 }
 
-/// What one evaluation decides from.
+/// The input of an evaluation.
 struct DisruptionUpkeep<'a> {
     node: &'a QuorumNode,
     fleet: &'a FleetState,
--- a/crates/rollout/src/zone_coordinator.rs
+++ b/crates/rollout/src/zone_coordinator.rs
@@ -23,7 +23,7 @@
 #[derive(Debug, Clone)]
 pub struct ZoneCoordinator {
     controller: EvacuationController,
-    /// How this member uses zones.
+    /// This member's use of zones.
     pub follower: EvacuationFollower,
     /// When the leadership began to which the controller's state belongs.
     leader_since_ms: Option<f64>,
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -4,7 +4,7 @@
 use std::io::{self, Write};
 use std::path::PathBuf;
 
-/// A flat directory of files. All names are chosen by the store.
+/// A flat directory of files, whose names the store determines.
 pub trait Disk {
     /// Names of all files.
     ///
--- a/crates/store/src/recovery.rs
+++ b/crates/store/src/recovery.rs
@@ -35,7 +35,7 @@
     NewerVersion {
         /// The file of the newer version.
         file: String,
-        /// Its format version.
+        /// The format version.
         version: u16,
     },
     /// The directory cannot be read.
@@ -45,7 +45,7 @@
     },
 }
 
-/// What [`Store::open`](crate::Store::open) would report, without changing anything.
+/// The report of [`Store::open`](crate::Store::open), without a change of the disk.
 pub fn verify<D: Disk>(disk: &D, config: &Config) -> RecoveryReport {
     recover(disk, config.max_file_bytes()).report
 }
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -204,7 +204,7 @@
         }
     }
 
-    /// Replaces everything written so far by a snapshot of `records`. The old files are removed only after the snapshot
+    /// Replaces all records by a snapshot of `records`. The old files are removed only after the snapshot
     /// is durable. Records longer than [`format::MAX_RECORD_BYTES`] are left out.
     ///
     /// # Errors
--- a/crates/zone-evacuation/src/controller.rs
+++ b/crates/zone-evacuation/src/controller.rs
@@ -176,7 +176,7 @@
         self.last_decision_number
     }
 
-    /// Grants a member its quota of a recovering zone, as a fraction of full use: see [`RampQuotas::request`]. The quota
+    /// Grants a member its quota of a recovering zone, as a fraction of full use: see [`crate::RampQuotas::request`]. The quota
     /// of a zone that is not recovering is 0.
     pub fn request_quota(
         &mut self,
--- a/crates/zone-evacuation/src/follower.rs
+++ b/crates/zone-evacuation/src/follower.rs
@@ -7,7 +7,7 @@
 /// not know yet which zones to avoid.
 const STARTUP_CLOSED_MS: f64 = 2500.0;
 
-/// How a member may use a zone.
+/// The use of a zone that a member is allowed.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum ZoneUse {
     /// The dispatcher decides locally.
@@ -58,7 +58,7 @@
     }
 }
 
-/// One member's view of evacuations.
+/// A member's view of evacuations.
 #[derive(Debug, Clone)]
 pub struct EvacuationFollower {
     own_zone: ZoneId,
@@ -125,7 +125,7 @@
         }
     }
 
-    /// How a zone may be used now.
+    /// The use of a zone that is allowed now.
     pub fn zone_use(&self, zone: ZoneId, now_ms: f64) -> ZoneUse {
         // Members inside a zone continue to use it.
         if zone == self.own_zone {
--- a/crates/zone-evacuation/src/model.rs
+++ b/crates/zone-evacuation/src/model.rs
@@ -113,7 +113,7 @@
     }
 }
 
-/// One member's observations of a zone.
+/// A member's observations of a zone.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Evidence {
     /// The zone.
