--- a/crates/rollout/src/fleet_node.rs
+++ b/crates/rollout/src/fleet_node.rs
@@ -21,7 +21,7 @@
     member_id_of, Event as MembershipEvent, Keys, MemberState, SwimDetector,
 };
 
-/// Limit on the rounds in one poll in which a member handles messages to itself; each round may send further ones.
+/// Limit on the rounds in one poll in which a member handles messages to itself; each round may send more of them.
 const MAX_LOCAL_ROUNDS: usize = 4;
 
 /// A member. Drive it with [`FleetNode::handle`] and [`FleetNode::poll`].
@@ -147,7 +147,7 @@
         }
     }
 
-    /// How this member may use a zone; the local decision applies where the fleet has agreed on none.
+    /// The use of a zone that this member is allowed; the local decision applies where the fleet has agreed on none.
     pub fn use_of(&self, zone: u32) -> tansymux_zone_evacuation::ZoneUse {
         match &self.zones {
             Some(zones) => zones.follower.zone_use(zone, self.now_ms),
--- a/crates/rollout/src/member_agent.rs
+++ b/crates/rollout/src/member_agent.rs
@@ -133,7 +133,7 @@
         self.status = status;
     }
 
-    /// The leader, if gossip named it within the last [`LEADER_TIMEOUT_MS`].
+    /// The leader, if gossip named it recently.
     pub fn leader(&self, now_ms: f64) -> Option<Id> {
         self.leader
             .filter(|known| now_ms - known.named_at_ms < LEADER_TIMEOUT_MS)
@@ -217,7 +217,7 @@
         }
     }
 
-    /// Handles a client's command. A retried call adds no further command to the leader.
+    /// Handles a client's command. A retried call sends no second command to the leader.
     pub fn on_call(
         &mut self,
         call: u64,
