--- a/crates/dispatcher/src/config/flatten.rs
+++ b/crates/dispatcher/src/config/flatten.rs
@@ -1,9 +1,9 @@
-//! Turns the nested `settings` object into the flat map that the decisions read.
+//! Conversion of the nested `settings` object into the flat map that the decisions read.
 
 use serde_json::Value;
 use tansymux::settings::{self, SettingsMap};
 
-/// Adds `value` and all below it: `a.b` for nested objects, `a.0.b` and `a.count` for lists of objects, one
+/// Adds `value` and all values below it to the map: `a.b` for nested objects, `a.0.b` and `a.count` for lists of objects, one
 /// comma-separated value for a list of plain values. `null` adds nothing.
 pub(super) fn flatten(path: &str, value: &Value, map: &mut SettingsMap) {
     match value {
@@ -29,7 +29,7 @@
     }
 }
 
-/// A string without its quotes, anything else as in JSON.
+/// The text of a value: a string without its quotes, any other value as in JSON.
 fn plain_text(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
--- a/crates/dispatcher/src/config/groups.rs
+++ b/crates/dispatcher/src/config/groups.rs
@@ -13,7 +13,7 @@
     pub latency_objective_ms: Option<f64>,
     /// Time (ms) from a query's arrival to its deadline.
     pub deadline_ms: Option<f64>,
-    /// What running a query twice would do; [`effect`] has the values, and others are kept too.
+    /// The effect of the group's queries. [`effect`] has the known values; an unknown value is kept unchanged.
     pub effect: Option<String>,
 }
 
--- a/crates/dispatcher/src/config/source_lines.rs
+++ b/crates/dispatcher/src/config/source_lines.rs
@@ -1,15 +1,15 @@
-//! Finds the line of each key in a JSON text, for error messages. The text was parsed before, so it is well-formed.
+//! The line of each key in a JSON text, for error messages. The text has been parsed before, so it is well-formed.
 
 use std::collections::HashMap;
 
-/// Lines (from 1) by key paths. Items of lists go by their index, as in `known.cmds.0`.
+/// The lines (from 1) of all keys by their paths. An item of a list has its index in the path, as in `known.cmds.0`.
 pub fn find(text: &str) -> HashMap<String, usize> {
     let mut scanner = Scanner::new(text);
     while scanner.step() {}
     scanner.lines
 }
 
-/// An object or a list that is open.
+/// An open object or list.
 struct Container {
     path: String,
     /// The index of the current item, in a list.
--- a/crates/sql-analysis/src/analyzer/point_lookup.rs
+++ b/crates/sql-analysis/src/analyzer/point_lookup.rs
@@ -1,4 +1,4 @@
-//! Whether a query selects rows by a column's value.
+//! Detection of point lookups: queries that select rows by a column's value.
 
 use sqlparser::ast::{BinaryOperator, Expr, InTarget, Query, SetExpr};
 
--- a/crates/sql-analysis/src/analyzer/visitor.rs
+++ b/crates/sql-analysis/src/analyzer/visitor.rs
@@ -31,7 +31,7 @@
     search.finish()
 }
 
-/// A name as shapes have it: unquoted parts are in lower case already.
+/// The name in the form of shapes, whose unquoted parts are already in lower case.
 pub(super) fn name_of(name: &ObjectName) -> String {
     let mut parts = Vec::with_capacity(name.0.len());
     for part in &name.0 {
@@ -60,7 +60,7 @@
             .retain(|name| !common_table_names.contains(name) && !tables_written.contains(name));
         let table_count = findings.tables_read.len() + findings.tables_written.len();
         findings.features.tables = table_count as u32;
-        // The outermost query was counted too.
+        // The count includes the outermost query.
         findings.features.subqueries = findings.features.subqueries.saturating_sub(1);
         findings
     }
@@ -69,7 +69,7 @@
         self.findings.raise(Effect::Unknown, reason);
     }
 
-    /// Records the effect of a call.
+    /// Records the effect of a call of a function.
     fn check_call(&mut self, name: String) {
         match effect_of_function(&name, self.config) {
             Effect::ReadOnly => {}
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Keeps an alias with columns: it may precede a bracket without being called.
+    /// Records an alias with columns: a bracket after such an alias is not a call.
     fn add_alias(&mut self, alias: Option<&TableAlias>) {
         if let Some(alias) = alias.filter(|alias| !alias.columns.is_empty()) {
             self.findings
--- a/crates/sql-analysis/src/cost_model/shape_cost.rs
+++ b/crates/sql-analysis/src/cost_model/shape_cost.rs
@@ -1,21 +1,20 @@
-//! The cost of one shape: a level (log) that follows its samples, robust against outliers.
+//! The cost of one shape: a level (the log of the cost) that follows the shape's samples, and is robust against outliers.
 //!
-//! An outlier moves the level by a small step only, until as many in a row as `shift_after` lie on one side: these move
-//! it to their mean at once.
+//! An outlier moves the level by a small step only. `shift_after` outliers in a row on one side move it to their mean.
 
 use crate::config::CostModelConfig;
 
-/// Samples beyond this weight don't count, so that steps never get too small to follow a change.
+/// Maximum weight of all samples together, so that steps never become too small to follow a change.
 const MAX_WEIGHT: f64 = 30.0;
-/// Below this weight the samples are too old to be compared with.
+/// Weight of all samples below which they are too old for a comparison.
 const MIN_WEIGHT: f64 = 0.05;
-/// A sample is an outlier beyond this many times the scatter.
+/// Distance of an outlier from the level, as a multiple of the scatter.
 const OUTLIER_SCATTERS: f64 = 3.0;
-/// A sample is not an outlier within this distance (log).
+/// Smallest distance of an outlier from the level (log ratio).
 const MIN_OUTLIER_DISTANCE: f64 = 0.7;
-/// An outlier moves the level by this fraction of its distance at most.
+/// Maximum fraction of its distance by which an outlier moves the level.
 const MAX_OUTLIER_STEP: f64 = 0.25;
-/// Scatter (log) where nothing is known of it.
+/// Scatter before there are samples to compare (log ratio).
 const INITIAL_SCATTER: f64 = 0.5;
 
 /// A sample of a shape's cost.
@@ -23,19 +22,19 @@
 pub(super) struct Sample {
     /// The log of the work (ms on one core).
     pub log_cost: f64,
-    /// From 0 to 1.
+    /// Weight, from 0 to 1.
     pub weight: f64,
-    /// Whether it is the cost, and not only a bound on it.
+    /// Whether the sample is the cost itself, and not only a bound on it.
     pub is_exact: bool,
-    /// When it was taken (ms).
+    /// Time of the sample (ms).
     pub at_ms: f64,
 }
 
-/// What is known of a shape's cost.
+/// The learned cost of a shape.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct ShapeCost {
     level: f64,
-    /// Mean distance of samples from the level (log).
+    /// Mean distance of samples from the level (log ratio).
     scatter: f64,
     weight: f64,
     updated_at_ms: f64,
@@ -45,7 +44,7 @@
 /// Outliers in a row on one side of the level.
 #[derive(Debug, Clone, Copy, Default)]
 struct OutlierRun {
-    /// Their number, negative below the level.
+    /// Number of outliers, negative below the level.
     count: i32,
     sum: f64,
 }
@@ -110,7 +109,7 @@
                 self.shift_to_outliers();
                 return;
             }
-            // It may be the first of many or the only one: a small step, and no change of the scatter.
+            // The outlier may be the first of a run or a single one, so the step is small and the scatter unchanged.
             self.level += step.min(MAX_OUTLIER_STEP) * distance.clamp(-max_step, max_step);
             return;
         }
@@ -125,6 +124,7 @@
         self.weight = (self.weight + sample.weight).min(MAX_WEIGHT);
     }
 
+    /// Moves the level to the mean of the run of outliers.
     fn shift_to_outliers(&mut self) {
         let count = f64::from(self.outliers.count.abs());
         self.level = self.outliers.sum / count;
--- a/crates/sql-analysis/src/features.rs
+++ b/crates/sql-analysis/src/features.rs
@@ -1,32 +1,32 @@
-//! What the grammar shows of a statement.
+//! Features of a statement by the grammar.
 
 /// Features of a statement with its subqueries.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Features {
     /// Joined tables beyond the first of each FROM.
     pub joins: u32,
-    /// Tables that are read or written.
+    /// Tables read or written.
     pub tables: u32,
-    /// Queries within the outermost.
+    /// Queries within the outermost query.
     pub subqueries: u32,
     /// Window functions.
     pub windows: u32,
-    /// It has GROUP BY.
+    /// Whether the statement has GROUP BY.
     pub grouped: bool,
-    /// It has DISTINCT.
+    /// Whether the statement has DISTINCT.
     pub distinct: bool,
-    /// It calls an aggregate function.
+    /// Whether the statement calls an aggregate function.
     pub aggregated: bool,
-    /// It has UNION, EXCEPT or INTERSECT.
+    /// Whether the statement has UNION, EXCEPT or INTERSECT.
     pub set_operation: bool,
-    /// It has ORDER BY.
+    /// Whether the statement has ORDER BY.
     pub ordered: bool,
-    /// It has LIMIT, FETCH or TOP.
+    /// Whether the statement has LIMIT, FETCH or TOP.
     pub limited: bool,
-    /// It has WITH RECURSIVE.
+    /// Whether the statement has WITH RECURSIVE.
     pub recursive: bool,
-    /// A column must equal a literal, or one of a list, for every row.
+    /// Whether a column must equal a literal, or one of a list of literals, for every row.
     pub point_lookup: bool,
-    /// It has WHERE.
+    /// Whether the statement has WHERE.
     pub filtered: bool,
 }
--- a/crates/sql-analysis/src/functions.rs
+++ b/crates/sql-analysis/src/functions.rs
@@ -1,4 +1,4 @@
-//! Functions that are known to have effects or none.
+//! Functions that are known to have effects, and functions that are known to have none.
 
 use crate::config::Config;
 use crate::Effect;
@@ -262,9 +262,9 @@
     )
 }
 
-/// The effect of a function, by its name as it is called. Unknown functions are not taken for harmless.
+/// The effect of a function by the name in the call. The effect of an unknown function is unknown.
 pub(crate) fn effect_of_function(name: &str, config: &Config) -> Effect {
-    // Qualified by a schema, a function with effects is still one.
+    // A function with effects keeps them if the call names its schema.
     let unqualified = name.rsplit('.').next().unwrap_or(name);
     let is_listed = |list: &[String], name: &str| list.iter().any(|listed| listed == name);
     if is_listed(&config.effect_functions, name) || is_listed(&config.effect_functions, unqualified)
--- a/crates/sql-analysis/src/lexer/mod.rs
+++ b/crates/sql-analysis/src/lexer/mod.rs
@@ -1,8 +1,8 @@
-//! The lexer: from bytes to a shape. In a shape words are in lower case, literals are placeholders, a list of literals is
-//! a single one, comments and white space are gone, and one blank separates tokens.
+//! The lexer: turns a statement's bytes into a shape. In a shape, words are in lower case, literals are placeholders, a list
+//! of literals is a single literal, comments and white space are removed, and one blank separates tokens.
 //!
-//! What engines could read in two ways is not read in one of them: it makes the shape [`Unproven`], and such a statement
-//! is never proven read-only. `scanner` reads the input, `shape_builder` writes the shape.
+//! Text that engines may interpret in two ways makes the shape [`Unproven`]: such a statement is never proven read-only.
+//! `scanner` reads the input, `shape_builder` writes the shape.
 
 mod characters;
 mod scanner;
@@ -19,12 +19,12 @@
 use scanner::Scanner;
 use shape_builder::ShapeBuilder;
 
-/// Tokens of a statement that is parsed: bounds the parser's time.
+/// Maximum number of tokens of a statement that is parsed, which bounds the parser's time.
 pub(crate) const MAX_TOKENS: usize = 4000;
-/// Operators of a statement that is parsed: each may add a level to a left-deep tree, which is walked and dropped
-/// recursively.
+/// Maximum number of operators of a statement that is parsed. Each may add a level to a left-deep tree, which is walked
+/// and dropped recursively.
 pub(crate) const MAX_OPERATORS: usize = 400;
-/// Nested brackets of a statement that is parsed: bounds the stack that the parser takes.
+/// Maximum depth of nested brackets of a statement that is parsed, which bounds the parser's stack.
 pub(crate) const MAX_BRACKET_DEPTH: usize = 40;
 /// The longest statement that is analyzed, in bytes.
 pub(crate) const MAX_BYTES: usize = 64 * 1024;
@@ -32,13 +32,13 @@
 /// The shape of a statement.
 #[derive(Debug)]
 pub struct Shape<'a> {
-    /// Its text; empty for a statement that is not text or has no tokens.
+    /// The text of the shape; empty for a statement that is not text or has no tokens.
     pub text: &'a str,
-    /// Why no proof is tried, if so.
+    /// The reason why the statement cannot be proven read-only, if there is a lexical one.
     pub unproven: Option<Unproven>,
     /// The tokens of `text`.
     pub tokens: &'a [Token],
-    /// Whether an unquoted keyword occurs that no read-only statement has.
+    /// Whether the shape has an unquoted keyword that occurs in no read-only statement.
     pub has_effect_keyword: bool,
 }
 
--- a/crates/sql-analysis/src/lib.rs
+++ b/crates/sql-analysis/src/lib.rs
@@ -67,14 +67,14 @@
     }
 }
 
-/// Whether a statement may change anything. Ordered by caution: the greatest of several counts.
+/// Whether a statement may change anything. Ordered by severity: the greatest of several effects applies.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Effect {
-    /// Proven to change nothing: under each configured dialect, and by words as well as by grammar.
+    /// Proven to change nothing, in each configured dialect, by its words as well as by the grammar.
     ReadOnly,
     /// Not proven. The rules for non-idempotent statements apply.
     Unknown,
-    /// It changes something.
+    /// The statement changes something.
     NonIdempotent,
 }
 
@@ -89,20 +89,20 @@
     }
 }
 
-/// What is known of all statements of a shape.
+/// The analysis of all statements of a shape.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Analysis {
-    /// Its class.
+    /// The class.
     pub class: Class,
-    /// Its effect.
+    /// The effect.
     pub effect: Effect,
-    /// Tables that are read, by name; in lower case where they were not quoted.
+    /// Names of the tables read, in lower case unless quoted.
     pub tables_read: Vec<String>,
-    /// Tables that are written, likewise.
+    /// Names of the tables written, in the same form.
     pub tables_written: Vec<String>,
-    /// What the grammar shows.
+    /// The features by the grammar.
     pub features: Features,
-    /// Why it could not be parsed or proven.
+    /// The reason why the statement could not be parsed or proven read-only.
     pub reason: Option<String>,
     /// Work (ms on one core) by class and features alone.
     pub cost_ms: f64,
@@ -113,15 +113,15 @@
 /// A statement's analysis, with the keyed hash of its shape.
 #[derive(Debug, Clone)]
 pub struct AnalyzedStatement {
-    /// The hash of its shape.
+    /// The hash of the statement's shape.
     pub shape_id: u128,
-    /// What is known of its shape.
+    /// The analysis of the statement's shape.
     pub analysis: Rc<Analysis>,
     /// Whether the analysis came from the cache.
     pub is_cache_hit: bool,
 }
 
-/// Analyzes statements, caches the analyses of their shapes, and learns what they cost.
+/// Analyzes statements, caches the analyses of their shapes, and learns their costs.
 pub struct StatementAnalyzer {
     config: Config,
     hash_key: [u8; 16],
@@ -131,8 +131,8 @@
 }
 
 impl StatementAnalyzer {
-    /// An analyzer without any shapes. `hash_key` is secret and drawn for this process, so that nobody can construct
-    /// shapes with equal hashes.
+    /// An analyzer without shapes. `hash_key` is a random secret of this process, so that nobody can construct shapes with
+    /// equal hashes.
     pub fn new(config: Config, hash_key: [u8; 16]) -> Self {
         StatementAnalyzer {
             lexer: Lexer::default(),
@@ -143,8 +143,8 @@
         }
     }
 
-    /// Replaces the configuration. Cached analyses are dropped, and learned costs kept, as they depend on the shape and
-    /// not on the rules. Analyses in use elsewhere stay as they are.
+    /// Replaces the configuration. Cached analyses are dropped. Learned costs are kept, since they depend on the shape and
+    /// not on the rules. Analyses that callers hold are not changed.
     pub fn reconfigure(&mut self, config: Config) {
         self.cache.reset(config.max_shapes, config.max_shape_bytes);
         self.cost_model
@@ -189,8 +189,8 @@
             .estimate(statement.shape_id, prior, analysis.memory_mb, now_ms)
     }
 
-    /// Learns from an attempt that ended. `shape_id`, `class` and `cost_ms` are those of the analysis under which it
-    /// was started, whatever the rules are by now.
+    /// Records the end of an attempt in the cost model. `shape_id`, `class` and `cost_ms` are those of the analysis at the
+    /// start of the attempt, even if the rules have changed since.
     pub fn record_execution(
         &mut self,
         shape_id: u128,
@@ -211,7 +211,7 @@
     }
 }
 
-/// The keyed hash of a shape. What bars a proof without leaving a trace in the text is part of it.
+/// The keyed hash of a shape. It includes the reason why the shape is unproven, which its text may not show.
 fn shape_id(shape: &Shape, hash_key: &[u8; 16]) -> u128 {
     let mut hasher = SipHasher13::new_with_key(hash_key);
     hasher.write(shape.text.as_bytes());
--- a/crates/sql-analysis/src/table_group.rs
+++ b/crates/sql-analysis/src/table_group.rs
@@ -1,6 +1,6 @@
-//! The table group of a statement: the number after the last underscore in the name of the schema that it reads or
-//! writes. It is found by words alone, so that it is known even if no parser accepts the statement. Strings, comments and
-//! the schema `staging` don't count.
+//! The table group of a statement: the number after the last underscore in the name of the schema that the statement
+//! reads or writes. It is determined without the grammar, so that it is known even if no parser accepts the statement.
+//! Strings, comments and the schema `staging` are ignored.
 
 #[cfg(test)]
 mod tests;
@@ -13,7 +13,7 @@
 const KEYWORDS_AFTER_TABLES: [&str; 9] = [
     "where", "group", "order", "set", "values", "select", "on", "having", "limit",
 ];
-/// Its tables belong to no group, whatever number they carry.
+/// The schema whose tables belong to no group.
 const STAGING_SCHEMA: &[u8] = b"staging";
 
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -26,13 +26,13 @@
     byte.is_ascii_alphanumeric() || byte == b'_' || byte == b'$' || !byte.is_ascii()
 }
 
-/// The tokens of a statement, without strings and comments. An unterminated one extends to the end.
+/// The tokens of a statement, without strings and comments. An unterminated string or comment extends to the end.
 struct Tokens<'a> {
     unread: &'a [u8],
 }
 
 impl<'a> Tokens<'a> {
-    /// Skips a comment of which `opening` bytes open it, and `terminator` ends it.
+    /// Skips a comment that begins with `opening` bytes and ends with `terminator`.
     fn skip_comment(&mut self, opening: usize, terminator: &[u8]) {
         let content = &self.unread[opening.min(self.unread.len())..];
         let end = content
@@ -44,7 +44,7 @@
         };
     }
 
-    /// Takes a quoted text and returns its content. A doubled quote does not end it.
+    /// Reads a quoted text and returns its content. A doubled quote does not end the text.
     fn take_quoted(&mut self, quote: u8) -> &'a [u8] {
         let content = &self.unread[1..];
         let mut end = 0;
@@ -113,8 +113,8 @@
 
 type PeekableTokens<'a> = std::iter::Peekable<Tokens<'a>>;
 
-/// Takes the rest of a qualified name whose first part is `first` and whose first dot was taken. Returns the schema:
-/// the part before the last dot, as a catalog may come first.
+/// Reads the rest of a qualified name after its first part, `first`, and the dot. Returns the schema, which is the part
+/// before the last dot, since a catalog may precede it.
 fn take_schema<'a>(first: &'a [u8], tokens: &mut PeekableTokens<'a>) -> &'a [u8] {
     let mut schema = first;
     while let Some(&Token::Name(part)) = tokens.peek() {
