--- a/crates/dispatcher/src/log/tests.rs
+++ b/crates/dispatcher/src/log/rate_limit/tests.rs
@@ -1,5 +1,8 @@
 use super::*;
 use std::time::Duration;
+use tracing::{Event, Subscriber};
+use tracing_subscriber::layer::{Context, SubscriberExt};
+use tracing_subscriber::Layer;
 
 /// Two callsites of this test.
 fn callsites() -> Vec<&'static Metadata<'static>> {
