--- a/crates/dispatcher/src/fleet_client.rs
+++ b/crates/dispatcher/src/fleet_client.rs
@@ -1,23 +1,22 @@
 //! `tansymux fleet`: sends one command to a member of the fleet, from a shell or a supervisor's script, and prints the
 //! answer.
 //!
-//! Start reading at [`run`]. [`display`] has the texts of answers and of the fleet's status.
+//! Start reading at [`run`]. [`connection`] has the socket to a member, [`display`] the texts of answers and of the fleet's
+//! status.
 
+mod connection;
 mod display;
 
 use crate::cli::{Fleet, FleetCommand};
+use connection::MemberConnection;
 use display::{answer_text, status_text, zone_line};
 use rand::RngExt;
 use std::io;
-use std::net::{SocketAddr, UdpSocket};
 use std::process::ExitCode;
-use std::time::{Duration, Instant};
 use tansymux_membership::member_id_of;
-use tansymux_operator_config::{name_hash, schema, Operator};
+use tansymux_operator_config::{name_hash, Operator};
 use tansymux_rollout::message::{Answer, Command, Status};
-use tansymux_rollout::{
-    ClientAction, FleetClient, FleetConfig, LeaseOutcome, LeaseRequest, RestartLease,
-};
+use tansymux_rollout::{LeaseOutcome, LeaseRequest, RestartLease};
 
 /// Milliseconds in a second.
 const MS_PER_S: f64 = 1000.0;
@@ -25,10 +24,6 @@
 const EXIT_HALTED: u8 = 3;
 /// Exit code: the answer or the restart lease timed out, or the fleet has no leader.
 const EXIT_TIMED_OUT: u8 = 4;
-/// Longest wait for a datagram. After each wait the client sends the datagrams that are due.
-const RECEIVE_TIMEOUT: Duration = Duration::from_millis(20);
-/// Longest datagram that is read, in bytes; messages of the fleet are shorter.
-const MAX_DATAGRAM_BYTES: usize = 512;
 
 /// An error before or while a command is sent.
 #[derive(Debug, thiserror::Error)]
@@ -100,86 +95,7 @@
     rand::rng().random::<u32>() | 1
 }
 
-/// The address of the member that the operators' file configures.
-fn own_member(fleet: &schema::Fleet) -> Result<SocketAddr, FleetClientError> {
-    let listen = fleet.listen();
-    listen.parse().map_err(|_| FleetClientError::InvalidListen {
-        value: listen.to_owned(),
-    })
-}
-
-/// A socket to one member of the fleet, with the fleet's configuration: its keys sign the datagrams.
-struct MemberConnection {
-    socket: UdpSocket,
-    member: SocketAddr,
-    config: FleetConfig,
-    opened: Instant,
-}
-
 impl MemberConnection {
-    /// Opens a socket to `member`, or else to the member that the operators' file configures.
-    fn open(member: Option<SocketAddr>, fleet: &schema::Fleet) -> Result<Self, FleetClientError> {
-        let config =
-            tansymux_operator_config::fleet_config(fleet, 0).ok_or(FleetClientError::Incomplete)?;
-        let member = member.map_or_else(|| own_member(fleet), Ok)?;
-        let local_ip = if member.ip().is_loopback() {
-            [127, 0, 0, 1]
-        } else {
-            [0, 0, 0, 0]
-        };
-        let socket = UdpSocket::bind(SocketAddr::from((local_ip, 0)))?;
-        socket.set_read_timeout(Some(RECEIVE_TIMEOUT))?;
-        Ok(MemberConnection {
-            socket,
-            member,
-            config,
-            opened: Instant::now(),
-        })
-    }
-
-    /// Milliseconds since the socket was opened: the clock of the protocol's client side.
-    fn now_ms(&self) -> f64 {
-        self.opened.elapsed().as_secs_f64() * MS_PER_S
-    }
-
-    /// Sends a datagram that is due, and passes the next datagram within [`RECEIVE_TIMEOUT`] to `receive`. A refused
-    /// connection counts as a missing answer.
-    fn exchange(
-        &self,
-        outgoing: Option<ClientAction>,
-        mut receive: impl FnMut(&[u8]),
-    ) -> io::Result<()> {
-        if let Some(ClientAction::Send { datagram }) = outgoing {
-            // A datagram that cannot be sent counts as lost: the client sends it again.
-            let _ = self.socket.send_to(&datagram, self.member);
-        }
-        let mut buffer = [0; MAX_DATAGRAM_BYTES];
-        match self.socket.recv_from(&mut buffer) {
-            Ok((count, _)) => receive(&buffer[..count]),
-            Err(error) => match error.kind() {
-                io::ErrorKind::WouldBlock
-                | io::ErrorKind::TimedOut
-                | io::ErrorKind::Interrupted => {}
-                io::ErrorKind::ConnectionRefused => std::thread::sleep(RECEIVE_TIMEOUT),
-                _ => return Err(error),
-            },
-        }
-        Ok(())
-    }
-
-    /// Sends a command repeatedly until it is answered or times out.
-    fn request(&self, command: Command) -> io::Result<Answer> {
-        let keys = self.config.keys.clone();
-        let mut client = FleetClient::new(keys, command, self.now_ms(), rand::rng().random());
-        loop {
-            let outgoing = client.poll(self.now_ms());
-            if let Some(answer) = client.answer() {
-                return Ok(answer);
-            }
-            self.exchange(outgoing, |datagram| client.handle(datagram))?;
-        }
-    }
-
     /// Sends a command whose answer is either success or a refusal, and prints the answer.
     fn execute(&self, command: Command) -> Result<ExitCode, FleetClientError> {
         let answer = self.request(command)?;
