--- a/crates/dispatcher/src/subsystems/fleet/engine_watch.rs
+++ b/crates/dispatcher/src/subsystems/fleet/engine_watch.rs
@@ -1,6 +1,7 @@
 //! The endpoint list in the fleet's form, and the engines on it that the fleet has drained.
 
 use crate::query_registry::EndpointEntry;
+use crate::subsystems::endpoint_list::merge_endpoints;
 use std::rc::Rc;
 use tansymux::events::EndpointState;
 use tansymux::settings::Settings;
@@ -30,14 +31,12 @@
     /// Merges entries of an endpoint list, passes the merged list to the fleet, and marks ready entries that the fleet
     /// has drained as draining.
     pub fn merge(&mut self, entries: &mut [EndpointEntry], member: &mut FleetNode) {
-        for entry in entries.iter() {
-            self.endpoints
-                .retain(|known| known.engine_id != entry.engine_id);
-            if entry.state != EndpointState::Gone {
-                self.endpoints.push(entry.clone());
-            }
-        }
-        self.endpoints.sort_by_key(|endpoint| endpoint.engine_id);
+        merge_endpoints(
+            &mut self.endpoints,
+            entries,
+            |endpoint| endpoint.engine_id,
+            EndpointEntry::clone,
+        );
         let units: Vec<Unit> = self
             .endpoints
             .iter()
--- a/crates/dispatcher/src/subsystems/mod.rs
+++ b/crates/dispatcher/src/subsystems/mod.rs
@@ -22,6 +22,7 @@
 //! one thread: state is in `Cell` and `RefCell`, and no borrow is held during a call to another subsystem. The one
 //! exception is the call from zone routing to the fleet, which never calls back.
 
+mod endpoint_list;
 pub mod fleet;
 pub mod service_levels;
 pub mod statement_classifier;
--- a/crates/dispatcher/src/subsystems/zone_routing.rs
+++ b/crates/dispatcher/src/subsystems/zone_routing.rs
@@ -11,6 +11,7 @@
 mod conversion;
 mod display;
 
+use super::endpoint_list::merge_endpoints;
 use super::fleet::FleetService;
 use crate::query_registry::EndpointEntry;
 use conversion::{decisions_plan, fleet_evidence};
@@ -107,19 +108,17 @@
     /// Merges entries of an endpoint list.
     pub fn on_endpoints(&self, entries: &[EndpointEntry], now_ms: f64) {
         let mut endpoints = self.endpoints.borrow_mut();
-        for entry in entries {
-            endpoints.retain(|known| known.engine_id != entry.engine_id);
-            if entry.state == EndpointState::Gone {
-                continue;
-            }
-            endpoints.push(Engine {
+        merge_endpoints(
+            &mut endpoints,
+            entries,
+            |engine| engine.engine_id,
+            |entry| Engine {
                 engine_id: entry.engine_id,
                 zone: entry.zone.clone(),
                 cores: self.settings.engine_kind(&entry.kind).cores,
                 ready: entry.state == EndpointState::Ready,
-            });
-        }
-        endpoints.sort_by_key(|engine| engine.engine_id);
+            },
+        );
         if let Some(detector) = self.detector.borrow_mut().as_mut() {
             detector.handle(Event::EnginesListed(&endpoints), now_ms);
         }
