--- a/crates/sql-analysis/src/lib.rs
+++ b/crates/sql-analysis/src/lib.rs
@@ -5,7 +5,7 @@
 //! numbers: its inputs are bytes and times, its outputs analyses and estimates. It never decides where a query runs:
 //! class, effect and estimate are inputs of the decisions, which own all rules.
 //!
-//! Invariants, tested by name in `tests/hard_cases.rs`:
+//! Invariants, tested by name in `tests/hard_cases/`:
 //! - a statement is read-only only if that is proven: each ambiguity, each unknown function and each word that could
 //!   begin a change makes its effect unknown or non-idempotent;
 //! - what was proven for a shape holds for every statement of that shape, because the parser is given the shape and
