--- a/crates/fault-shim/src/lib.rs
+++ b/crates/fault-shim/src/lib.rs
@@ -1,28 +1,32 @@
-//! For tests only: a library that is loaded before the C library (LD_PRELOAD) and takes the place of some of its calls,
-//! so that they fail, are interrupted or transfer fewer bytes, and so that the wall clock is off, as the
-//! [`FaultTable`] of the test says.
+//! For tests only: a library that is loaded before the C library (LD_PRELOAD) and replaces some of its calls. They fail,
+//! are interrupted or transfer fewer bytes, and the wall clock is wrong, as the test's [`FaultTable`] defines.
 //!
-//! It reaches what the program calls through the C library: the standard library's sockets, files and clocks. It does
-//! not reach system calls that a program makes itself, as async-io's connect and epoll. Every fault is counted in the
-//! table.
+//! It affects calls that the program makes through the C library: the standard library's sockets, files and clocks. It
+//! does not affect system calls that a program makes directly, such as async-io's connect and epoll. Every injected fault
+//! is counted in the table.
 
 use libc::{c_char, c_int, c_void, iovec, off_t, size_t, sockaddr, socklen_t, ssize_t};
 use std::sync::atomic::{AtomicBool, AtomicPtr, AtomicU64, Ordering};
 use tansymux_fault_table::{Call, FaultTable, Mode, TABLE_VARIABLE};
 
+/// Nanoseconds in a second.
 const NANOS_PER_SECOND: i64 = 1_000_000_000;
-/// Increment and multiplier of the random sequence (splitmix64).
+/// Increment of the random sequence (splitmix64).
 const RANDOM_STEP: u64 = 0x9E37_79B9_7F4A_7C15;
+/// Multiplier of the random sequence (splitmix64).
 const RANDOM_MIX: u64 = 0xBF58_476D_1CE4_E5B9;
 
+/// The mapped table; null before the first call and where the environment names none.
 static TABLE: AtomicPtr<FaultTable> = AtomicPtr::new(std::ptr::null_mut());
+/// Whether the environment names no table, or one that cannot be mapped.
 static IS_WITHOUT_TABLE: AtomicBool = AtomicBool::new(false);
+/// State of the random sequence.
 static RANDOM: AtomicU64 = AtomicU64::new(0);
 
 /// The test's table, mapped at the first call; `None` where the environment names none.
 fn table() -> Option<&'static FaultTable> {
     let known = TABLE.load(Ordering::Acquire);
-    // SAFETY: what is kept was mapped for good.
+    // SAFETY: the pointer is null or that of a table whose mapping is never undone.
     if let Some(table) = unsafe { known.as_ref() } {
         return Some(table);
     }
@@ -44,7 +48,7 @@
     mapped
 }
 
-/// A random number: each process and each call another.
+/// A random number, different for each process and call.
 fn random() -> u32 {
     // SAFETY: a call without arguments.
     let pid = unsafe { libc::getpid() } as u64;
@@ -58,7 +62,7 @@
     table()?.draw(call, Mode::Error, random())
 }
 
-/// The length that a transfer is cut to, if it is to be short.
+/// The reduced length of a transfer, if it is to be short.
 fn shortened(call: Call, length: size_t) -> Option<size_t> {
     if length < 2 {
         return None;
@@ -67,14 +71,27 @@
     Some(1 + random() as size_t % (length - 1))
 }
 
-/// Sets the error number and returns what a failed call returns.
+/// Sets the error number and returns the result of a failed call.
 fn failed<T: From<i8>>(errno: c_int) -> T {
-    // SAFETY: the C library gives each thread a valid place.
+    // SAFETY: the C library returns a valid address for each thread.
     unsafe { *libc::__errno_location() = errno };
     T::from(-1)
 }
 
-/// Declares a call that fails as the table says, and else is the system's own.
+/// The length of a transfer, reduced if it is to be short; the error that the call is to return, if it is to fail.
+fn transfer_length(call: Call, length: size_t) -> Result<size_t, c_int> {
+    match injected_error(call) {
+        Some(errno) => Err(errno),
+        None => Ok(shortened(call, length).unwrap_or(length)),
+    }
+}
+
+/// Whether a file is standard input, output or error, on which no faults are injected.
+fn is_standard_stream(file: c_int) -> bool {
+    file <= libc::STDERR_FILENO
+}
+
+/// Defines a call that fails as the table defines, and otherwise makes the system call with the same arguments.
 macro_rules! failing {
     ($(#[$doc:meta])* $name:ident($($argument:ident: $type:ty),*) -> $result:ty, $call:expr, $number:expr) => {
         $(#[$doc])*
@@ -85,7 +102,7 @@
         pub unsafe extern "C" fn $name($($argument: $type),*) -> $result {
             match injected_error($call) {
                 Some(errno) => failed(errno),
-                // SAFETY: passed on as it came.
+                // SAFETY: the caller's arguments, unchanged.
                 None => unsafe { libc::syscall($number, $($argument),*) as $result },
             }
         }
@@ -93,32 +110,66 @@
 }
 
 failing!(
-    /// Takes the place of `accept4`.
+    /// Replaces `accept4`.
     accept4(socket: c_int, address: *mut sockaddr, length: *mut socklen_t, flags: c_int) -> c_int,
     Call::Accept, libc::SYS_accept4
 );
 failing!(
-    /// Takes the place of `socket`.
+    /// Replaces `socket`.
     socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int, Call::Socket, libc::SYS_socket
 );
 failing!(
-    /// Takes the place of `bind`.
+    /// Replaces `bind`.
     bind(socket: c_int, address: *const sockaddr, length: socklen_t) -> c_int, Call::Bind, libc::SYS_bind
 );
 failing!(
-    /// Takes the place of `listen`.
+    /// Replaces `listen`.
     listen(socket: c_int, backlog: c_int) -> c_int, Call::Listen, libc::SYS_listen
 );
 failing!(
-    /// Takes the place of `fsync`.
+    /// Replaces `fsync`.
     fsync(file: c_int) -> c_int, Call::Sync, libc::SYS_fsync
 );
 failing!(
-    /// Takes the place of `fdatasync`.
+    /// Replaces `fdatasync`.
     fdatasync(file: c_int) -> c_int, Call::Sync, libc::SYS_fdatasync
 );
 
-/// Takes the place of `recv`.
+failing!(
+    /// Replaces `recvfrom`.
+    recvfrom(
+        socket: c_int,
+        buffer: *mut c_void,
+        length: size_t,
+        flags: c_int,
+        from: *mut sockaddr,
+        from_length: *mut socklen_t
+    ) -> ssize_t,
+    Call::RecvFrom, libc::SYS_recvfrom
+);
+failing!(
+    /// Replaces `sendto`.
+    sendto(
+        socket: c_int,
+        buffer: *const c_void,
+        length: size_t,
+        flags: c_int,
+        to: *const sockaddr,
+        to_length: socklen_t
+    ) -> ssize_t,
+    Call::SendTo, libc::SYS_sendto
+);
+failing!(
+    /// Replaces `read`.
+    read(file: c_int, buffer: *mut c_void, length: size_t) -> ssize_t, Call::Read, libc::SYS_read
+);
+failing!(
+    /// Replaces `pwrite64`.
+    pwrite64(file: c_int, buffer: *const c_void, length: size_t, offset: off_t) -> ssize_t,
+    Call::Write, libc::SYS_pwrite64
+);
+
+/// Replaces `recv`, which may also be short.
 ///
 /// # Safety
 /// As the C library's call.
@@ -129,12 +180,12 @@
     length: size_t,
     flags: c_int,
 ) -> ssize_t {
-    if let Some(errno) = injected_error(Call::Recv) {
-        return failed(errno);
-    }
-    let length = shortened(Call::Recv, length).unwrap_or(length);
-    let nobody = std::ptr::null_mut::<c_void>();
-    // SAFETY: passed on as it came, or with less of the buffer.
+    let length = match transfer_length(Call::Recv, length) {
+        Ok(length) => length,
+        Err(errno) => return failed(errno),
+    };
+    let none = std::ptr::null_mut::<c_void>();
+    // SAFETY: the caller's arguments, with at most the length of the buffer.
     unsafe {
         libc::syscall(
             libc::SYS_recvfrom,
@@ -142,13 +193,13 @@
             buffer,
             length,
             flags,
-            nobody,
-            nobody,
+            none,
+            none,
         ) as ssize_t
     }
 }
 
-/// Takes the place of `send`.
+/// Replaces `send`, which may also be short.
 ///
 /// # Safety
 /// As the C library's call.
@@ -159,157 +210,63 @@
     length: size_t,
     flags: c_int,
 ) -> ssize_t {
-    if let Some(errno) = injected_error(Call::Send) {
-        return failed(errno);
-    }
-    let length = shortened(Call::Send, length).unwrap_or(length);
-    let nobody = std::ptr::null_mut::<c_void>();
-    // SAFETY: passed on as it came, or with less of the buffer.
-    unsafe { libc::syscall(libc::SYS_sendto, socket, buffer, length, flags, nobody, 0) as ssize_t }
-}
-
-/// Takes the place of `writev`.
-///
-/// # Safety
-/// As the C library's call.
-#[no_mangle]
-pub unsafe extern "C" fn writev(file: c_int, slices: *const iovec, count: c_int) -> ssize_t {
-    if file <= libc::STDERR_FILENO {
-        // SAFETY: passed on as it came.
-        return unsafe { libc::syscall(libc::SYS_writev, file, slices, count) as ssize_t };
-    }
-    if let Some(errno) = injected_error(Call::Writev) {
-        return failed(errno);
-    }
-    // SAFETY: there is a first slice where the count says so.
-    let first = unsafe { slices.as_ref() }.filter(|_| count > 0);
-    if let Some((first, length)) =
-        first.and_then(|first| Some((first, shortened(Call::Writev, first.iov_len)?)))
-    {
-        // SAFETY: less of the first slice.
-        return unsafe { libc::syscall(libc::SYS_write, file, first.iov_base, length) as ssize_t };
-    }
-    // SAFETY: passed on as it came.
-    unsafe { libc::syscall(libc::SYS_writev, file, slices, count) as ssize_t }
-}
-
-/// Takes the place of `recvfrom`.
-///
-/// # Safety
-/// As the C library's call.
-#[no_mangle]
-pub unsafe extern "C" fn recvfrom(
-    socket: c_int,
-    buffer: *mut c_void,
-    length: size_t,
-    flags: c_int,
-    from: *mut sockaddr,
-    from_length: *mut socklen_t,
-) -> ssize_t {
-    if let Some(errno) = injected_error(Call::RecvFrom) {
-        return failed(errno);
-    }
-    // SAFETY: passed on as it came.
-    unsafe {
-        libc::syscall(
-            libc::SYS_recvfrom,
-            socket,
-            buffer,
-            length,
-            flags,
-            from,
-            from_length,
-        ) as ssize_t
-    }
-}
-
-/// Takes the place of `sendto`.
-///
-/// # Safety
-/// As the C library's call.
-#[no_mangle]
-pub unsafe extern "C" fn sendto(
-    socket: c_int,
-    buffer: *const c_void,
-    length: size_t,
-    flags: c_int,
-    to: *const sockaddr,
-    to_length: socklen_t,
-) -> ssize_t {
-    if let Some(errno) = injected_error(Call::SendTo) {
-        return failed(errno);
-    }
-    // SAFETY: passed on as it came.
-    unsafe {
-        libc::syscall(
-            libc::SYS_sendto,
-            socket,
-            buffer,
-            length,
-            flags,
-            to,
-            to_length,
-        ) as ssize_t
-    }
+    let length = match transfer_length(Call::Send, length) {
+        Ok(length) => length,
+        Err(errno) => return failed(errno),
+    };
+    let none = std::ptr::null_mut::<c_void>();
+    // SAFETY: the caller's arguments, with at most the length of the buffer.
+    unsafe { libc::syscall(libc::SYS_sendto, socket, buffer, length, flags, none, 0) as ssize_t }
 }
 
-/// Takes the place of `read`.
+/// Replaces `write`, which may also be short.
 ///
 /// # Safety
 /// As the C library's call.
 #[no_mangle]
-pub unsafe extern "C" fn read(file: c_int, buffer: *mut c_void, length: size_t) -> ssize_t {
-    if let Some(errno) = injected_error(Call::Read) {
-        return failed(errno);
+pub unsafe extern "C" fn write(file: c_int, buffer: *const c_void, length: size_t) -> ssize_t {
+    let allowed = if is_standard_stream(file) {
+        Ok(length)
+    } else {
+        transfer_length(Call::Write, length)
+    };
+    match allowed {
+        // SAFETY: the caller's arguments, with at most the length of the buffer.
+        Ok(length) => unsafe { libc::syscall(libc::SYS_write, file, buffer, length) as ssize_t },
+        Err(errno) => failed(errno),
     }
-    // SAFETY: passed on as it came.
-    unsafe { libc::syscall(libc::SYS_read, file, buffer, length) as ssize_t }
 }
 
-/// Takes the place of `write`.
+/// Replaces `writev`, which may also be short: then only a part of the first slice is written.
 ///
 /// # Safety
 /// As the C library's call.
 #[no_mangle]
-pub unsafe extern "C" fn write(file: c_int, buffer: *const c_void, length: size_t) -> ssize_t {
-    if file > libc::STDERR_FILENO {
-        if let Some(errno) = injected_error(Call::Write) {
+pub unsafe extern "C" fn writev(file: c_int, slices: *const iovec, count: c_int) -> ssize_t {
+    if !is_standard_stream(file) {
+        if let Some(errno) = injected_error(Call::Writev) {
             return failed(errno);
         }
+        // SAFETY: there is a first slice if the count is above 0.
+        let first = unsafe { slices.as_ref() }.filter(|_| count > 0);
+        let short = first.and_then(|first| Some((first, shortened(Call::Writev, first.iov_len)?)));
+        if let Some((first, length)) = short {
+            // SAFETY: a part of the first slice.
+            let written = unsafe { libc::syscall(libc::SYS_write, file, first.iov_base, length) };
+            return written as ssize_t;
+        }
     }
-    let length = match file > libc::STDERR_FILENO {
-        true => shortened(Call::Write, length).unwrap_or(length),
-        false => length,
-    };
-    // SAFETY: passed on as it came, or with less of the buffer.
-    unsafe { libc::syscall(libc::SYS_write, file, buffer, length) as ssize_t }
-}
-
-/// Takes the place of `pwrite64`.
-///
-/// # Safety
-/// As the C library's call.
-#[no_mangle]
-pub unsafe extern "C" fn pwrite64(
-    file: c_int,
-    buffer: *const c_void,
-    length: size_t,
-    offset: off_t,
-) -> ssize_t {
-    if let Some(errno) = injected_error(Call::Write) {
-        return failed(errno);
-    }
-    // SAFETY: passed on as it came.
-    unsafe { libc::syscall(libc::SYS_pwrite64, file, buffer, length, offset) as ssize_t }
+    // SAFETY: the caller's arguments, unchanged.
+    unsafe { libc::syscall(libc::SYS_writev, file, slices, count) as ssize_t }
 }
 
-/// Takes the place of `clock_gettime`: the wall clock is off as the table says.
+/// Replaces `clock_gettime`: adds the table's offset to readings of the wall clock.
 ///
 /// # Safety
 /// As the C library's call.
 #[no_mangle]
 pub unsafe extern "C" fn clock_gettime(clock: libc::clockid_t, to: *mut libc::timespec) -> c_int {
-    // SAFETY: passed on as it came.
+    // SAFETY: the caller's arguments, unchanged.
     let result = unsafe { libc::syscall(libc::SYS_clock_gettime, clock, to) } as c_int;
     let is_wall_clock = matches!(clock, libc::CLOCK_REALTIME | libc::CLOCK_REALTIME_COARSE);
     if result != 0 || !is_wall_clock {
--- a/crates/fault-table/src/lib.rs
+++ b/crates/fault-table/src/lib.rs
@@ -1,8 +1,9 @@
 //! The table of faults: a file that a test maps and writes, and that the fault shim in the process under test maps and
-//! reads. It says which system calls fail, how and how often, and how far the wall clock is off; the shim counts there
-//! what it has injected, so that a test can show that its faults took place.
+//! reads. It defines which system calls fail, how and how often, and the offset of the wall clock. The shim counts the
+//! faults that it has injected in it, so that a test can prove that its faults took place.
 //!
-//! It owns the layout and the mapping, and injects nothing. All fields are atomics: both sides may use them at any time.
+//! This package owns the layout and the mapping, and injects nothing. All fields are atomics: both sides may use them at
+//! any time.
 //! Start reading at [`FaultTable`].
 
 use std::ffi::CStr;
@@ -63,33 +64,34 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[repr(usize)]
 pub enum Mode {
-    /// It returns the rule's error and does nothing.
+    /// It returns the rule's error and has no effect.
     Error,
-    /// It transfers fewer bytes than it was given.
+    /// It transfers fewer bytes than requested.
     Short,
 }
 
+/// Number of variants of [`Mode`].
 const MODES: usize = 2;
 
 /// One call's faults of one mode.
 #[derive(Debug, Default)]
 #[repr(C)]
 pub struct FaultRule {
-    /// In how many of [`RATE_BASE`] calls it is injected.
+    /// The fault is injected into this many of [`RATE_BASE`] calls.
     rate: AtomicU32,
     /// The error number.
     errno: AtomicI32,
-    /// How many more are injected; negative for no bound.
+    /// Faults that are still to be injected; negative for no limit.
     remaining: AtomicI64,
-    /// How many were injected.
+    /// Faults that were injected.
     injected: AtomicU64,
 }
 
-/// The table.
+/// The table of faults, as it is mapped.
 #[derive(Debug, Default)]
 #[repr(C)]
 pub struct FaultTable {
-    /// Added to the wall clock (ns).
+    /// Offset that is added to the wall clock (ns).
     wall_offset_ns: AtomicI64,
     rules: [[FaultRule; MODES]; CALLS.len()],
 }
@@ -98,7 +100,7 @@
     /// Bytes of the table's file.
     pub const BYTES: usize = size_of::<FaultTable>();
 
-    /// Maps the table's file, for good. `None` where it can't be opened or is too short to map.
+    /// Maps the table's file for the rest of the process. Returns `None` where it can't be opened or is too short.
     pub fn map(path: &CStr) -> Option<&'static FaultTable> {
         // SAFETY: the C library's calls with valid arguments; the mapping is never undone.
         let mapped = unsafe {
@@ -125,22 +127,22 @@
         unsafe { mapped.cast::<FaultTable>().as_ref() }
     }
 
-    /// Sets how far the wall clock is off (ns).
+    /// Sets the offset of the wall clock (ns).
     pub fn set_wall_offset_ns(&self, nanos: i64) {
         self.wall_offset_ns.store(nanos, Ordering::Relaxed);
     }
 
-    /// How far the wall clock is off (ns).
+    /// The offset of the wall clock (ns).
     pub fn wall_offset_ns(&self) -> i64 {
         self.wall_offset_ns.load(Ordering::Relaxed)
     }
 
-    /// Lets `rate` of [`RATE_BASE`] calls fail with `errno`, `count` times at most.
+    /// Makes `rate` of [`RATE_BASE`] calls fail with `errno`, at most `count` times.
     pub fn fail(&self, call: Call, errno: i32, rate: u32, count: Option<u32>) {
         self.set(call, Mode::Error, errno, rate, count);
     }
 
-    /// Lets `rate` of [`RATE_BASE`] calls transfer fewer bytes than they were given.
+    /// Makes `rate` of [`RATE_BASE`] calls transfer fewer bytes than requested.
     pub fn shorten(&self, call: Call, rate: u32) {
         self.set(call, Mode::Short, 0, rate, None);
     }
@@ -154,14 +156,14 @@
         rule.rate.store(rate, Ordering::SeqCst);
     }
 
-    /// Ends all faults of calls. The wall clock stays as it is.
+    /// Ends all faults of calls. The offset of the wall clock remains.
     pub fn clear(&self) {
         for rule in self.rules.iter().flatten() {
             rule.rate.store(0, Ordering::SeqCst);
         }
     }
 
-    /// How many faults of a call were injected, of both modes.
+    /// Number of faults of both modes that were injected into a call.
     pub fn injected(&self, call: Call) -> u64 {
         let rules = self.rules[call as usize].iter();
         rules
@@ -169,13 +171,13 @@
             .sum()
     }
 
-    /// How many faults were injected in all.
+    /// Number of faults that were injected into all calls.
     pub fn injected_in_all(&self) -> u64 {
         CALLS.iter().map(|call| self.injected(*call)).sum()
     }
 
-    /// For the shim: whether this call is to fail in this mode, by a random number below [`RATE_BASE`]; the error number
-    /// then. Counts it.
+    /// For the shim: decides by a random number whether this call is to fail in this mode. Returns the error number and
+    /// counts the fault if so.
     pub fn draw(&self, call: Call, mode: Mode, random: u32) -> Option<i32> {
         let rule = &self.rules[call as usize][mode as usize];
         if random % RATE_BASE >= rule.rate.load(Ordering::Relaxed) {
--- a/crates/simulator/src/engine.rs
+++ b/crates/simulator/src/engine.rs
@@ -163,7 +163,7 @@
         Some((attained_ms / job.service_ms).clamp(0.0, 1.0))
     }
 
-    /// When the next job ends if nothing changes. For an engine that warms up, at most [`WARM_UP_STEP_MS`] from now: a time
+    /// When the next job ends if nothing changes. For an engine that warms up, at most `WARM_UP_STEP_MS` from now: a time
     /// at which the completion must be computed again, because the engine has become faster.
     pub fn next_completion_ms(&mut self, now_ms: f64) -> Option<f64> {
         while self
