--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -13,6 +13,7 @@
 pub mod engine;
 pub mod fault_shim;
 pub mod fleet;
+mod free_address;
 pub mod invariants;
 pub mod levels;
 pub mod measure;
--- a/crates/testbed/src/program.rs
+++ b/crates/testbed/src/program.rs
@@ -2,11 +2,12 @@
 //!
 //! Start reading at [`Program::start`].
 
+pub use crate::free_address::{free_address, free_udp_address};
 use crate::wire::{read_response, HttpResponse};
 use serde_json::{json, Value};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use std::io::{BufReader, Read, Write};
-use std::net::{SocketAddr, TcpListener, TcpStream, UdpSocket};
+use std::net::{SocketAddr, TcpStream};
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -131,26 +132,6 @@
     }
 }
 
-/// An address on which nobody listens now. Another program may take it before it is used.
-///
-/// # Panics
-/// The loopback has no free port.
-pub fn free_address() -> SocketAddr {
-    TcpListener::bind("127.0.0.1:0")
-        .and_then(|listener| listener.local_addr())
-        .expect("loopback has a free port")
-}
-
-/// The same for datagrams.
-///
-/// # Panics
-/// The loopback has no free port.
-pub fn free_udp_address() -> SocketAddr {
-    UdpSocket::bind("127.0.0.1:0")
-        .and_then(|listener| listener.local_addr())
-        .expect("loopback has a free port")
-}
-
 /// Processes that were started and not yet waited for: those that must end with the testbed.
 static STARTED: Mutex<Vec<u32>> = Mutex::new(Vec::new());
 
