--- a/crates/membership/tests/network/main.rs
+++ b/crates/membership/tests/network/main.rs
@@ -33,9 +33,7 @@
 #[test]
 fn crashed_member_is_detected_by_all_and_no_other_is_declared_dead() {
     let mut network = Network::new(20, 2);
-    network
-        .until(30_000.0, all, Network::has_converged)
-        .unwrap();
+    network.converge();
     network.detectors[7] = None;
     let took = network.until(60_000.0, all, |network| network.present_at(7) == 0);
     assert!(took.is_some_and(|took| took < 30_000.0), "{took:?}");
@@ -49,9 +47,7 @@
 #[test]
 fn running_members_stay_present_under_loss_duplication_and_reordering() {
     let mut network = Network::new(12, 3);
-    network
-        .until(30_000.0, all, Network::has_converged)
-        .unwrap();
+    network.converge();
     network.conditions = LinkConditions {
         loss: 0.3,
         duplication: 0.1,
@@ -70,9 +66,7 @@
 #[test]
 fn partitioned_halves_merge_again() {
     let mut network = Network::new(10, 4);
-    network
-        .until(30_000.0, all, Network::has_converged)
-        .unwrap();
+    network.converge();
     let halves = |a: usize, b: usize| a % 2 == b % 2;
     network.run(60_000.0, halves);
     assert!(network
@@ -96,9 +90,7 @@
 #[test]
 fn indirect_probes_keep_members_present_whose_direct_link_is_cut() {
     let mut network = Network::new(8, 5);
-    network
-        .until(30_000.0, all, Network::has_converged)
-        .unwrap();
+    network.converge();
     // Members 2 and 3 do not reach each other; all others reach both.
     network.run(120_000.0, |a, b| !(a == 2 && b == 3 || a == 3 && b == 2));
     assert_eq!((network.present_at(2), network.present_at(3)), (7, 7));
@@ -108,9 +100,7 @@
 #[test]
 fn leaving_member_is_gone_at_once_and_restarted_member_rejoins() {
     let mut network = Network::new(8, 6);
-    network
-        .until(30_000.0, all, Network::has_converged)
-        .unwrap();
+    network.converge();
     let now = network.now_ms;
     network.detectors[4]
         .as_mut()
@@ -142,9 +132,7 @@
 #[test]
 fn paused_process_declares_nobody_dead_and_rejoins() {
     let mut network = Network::new(8, 7);
-    network
-        .until(30_000.0, all, Network::has_converged)
-        .unwrap();
+    network.converge();
     network.paused[3] = true;
     network.run(10_000.0, all);
     network.paused[3] = false;
@@ -165,9 +153,7 @@
 #[test]
 fn two_processes_with_one_name_count_as_one_member() {
     let mut network = Network::new(6, 8);
-    network
-        .until(30_000.0, all, Network::has_converged)
-        .unwrap();
+    network.converge();
     // A second process with the name n2, at another address.
     let config = Config {
         seeds: vec![address(0)],
@@ -201,9 +187,7 @@
         also_accepted: Some([7; 16]),
     };
     let mut network = Network::with_keys(6, 10, keys);
-    network
-        .until(30_000.0, all, Network::has_converged)
-        .unwrap();
+    network.converge();
     let forged = |state: MemberState, id: u64| {
         let gossip = Gossip {
             id,
@@ -243,9 +227,7 @@
         also_accepted: Some([opens; 16]),
     };
     let mut network = Network::with_keys(6, 11, step(1, 1));
-    network
-        .until(30_000.0, all, Network::has_converged)
-        .unwrap();
+    network.converge();
     let halves = |a: usize, b: usize| a / 3 == b / 3;
     network.run(30_000.0, halves);
     // One half seals with the old key and the other with the new one; both accept both.
--- a/crates/membership/tests/network/simulated_network.rs
+++ b/crates/membership/tests/network/simulated_network.rs
@@ -226,6 +226,12 @@
         done(self).then_some(most)
     }
 
+    /// Runs on a network without partitions until all members know each other, for at most 30 s.
+    pub fn converge(&mut self) {
+        self.until(30_000.0, all, Network::has_converged)
+            .expect("the group converges");
+    }
+
     /// Number of times that a running detector declared a member dead.
     pub fn deaths(&self) -> usize {
         let dead = |detector: &SwimDetector| {
--- a/crates/rollout/tests/rollout_controller.rs
+++ b/crates/rollout/tests/rollout_controller.rs
@@ -11,14 +11,17 @@
 use tansymux_rollout::message::{Answer, Command, Message, Report};
 use tansymux_rollout::{RolloutConfig, RolloutController};
 
+/// Start of the virtual time (ms).
 const START_MS: f64 = 1e12;
 
+/// A leader's voter and controller with members that have reported.
 struct LeaderFixture {
     node: QuorumNode,
     controller: RolloutController,
     now_ms: f64,
 }
 
+/// Engines of two zones, available where `ready`.
 fn engines(count: u64, ready: impl Fn(u64) -> bool) -> Vec<Unit> {
     (1..=count)
         .map(|id| Unit {
@@ -72,6 +75,7 @@
         fixture
     }
 
+    /// Lets time pass, with an evaluation every 100 ms.
     fn advance(&mut self, ms: f64) {
         let end = self.now_ms + ms;
         while self.now_ms < end {
@@ -81,6 +85,7 @@
         }
     }
 
+    /// A report of a member, with the present tick.
     fn report(&mut self, id: u64, report: Report) {
         let report = Report {
             echoed_tick: RolloutController::tick(self.now_ms),
@@ -95,8 +100,16 @@
             .on_command(&mut self.node, command, self.now_ms)
     }
 
+    /// Number of records of one kind and reason.
     fn disruption_count(&self, kind: UnitKind, reason: DisruptionReason) -> usize {
-        let is_counted = |value: &RecordValue| matches!(value, RecordValue::Disruption { kind: k, reason: r, .. } if *k == kind && *r == reason);
+        let is_counted = |value: &RecordValue| match value {
+            RecordValue::Disruption {
+                kind: recorded_kind,
+                reason: recorded_reason,
+                ..
+            } => *recorded_kind == kind && *recorded_reason == reason,
+            _ => false,
+        };
         self.node
             .all_active()
             .filter(|leased| is_counted(&leased.record.value))
@@ -104,8 +117,18 @@
     }
 }
 
+/// A request for a restart lease at the dispatcher's present version.
+fn request_lease(id: u64, grant_id: u64) -> Command {
+    Command::RequestLease {
+        id,
+        to: 0,
+        grant_id,
+    }
+}
+
+/// Budgets of at most this many unavailable dispatchers and engines.
 fn config(dispatchers: u32, engines: u32) -> RolloutConfig {
-    let bounds = |max_count| DisruptionBudget {
+    let budget = |max_count| DisruptionBudget {
         fleet: Limit {
             max_count: Some(max_count),
             max_fraction: None,
@@ -113,8 +136,8 @@
         ..DisruptionBudget::default()
     };
     RolloutConfig {
-        dispatchers: bounds(dispatchers),
-        engines: bounds(engines),
+        dispatchers: budget(dispatchers),
+        engines: budget(engines),
         ..RolloutConfig::default()
     }
 }
@@ -241,18 +264,10 @@
 #[test]
 fn lease_is_free_once_its_holder_restarted_under_it_but_not_after_a_crash_of_the_holder() {
     let mut fixture = LeaderFixture::new(config(1, 1), 3);
-    let turn = Command::RequestLease {
-        id: 2,
-        to: 0,
-        grant_id: 99,
-    };
-    assert!(matches!(fixture.command(turn), Answer::Granted { .. }));
+    let lease = request_lease(2, 99);
+    assert!(matches!(fixture.command(lease), Answer::Granted { .. }));
     assert!(matches!(
-        fixture.command(Command::RequestLease {
-            id: 3,
-            to: 0,
-            grant_id: 98
-        }),
+        fixture.command(request_lease(3, 98)),
         Answer::BudgetExhausted { .. }
     ));
     fixture.advance(1000.0);
@@ -287,11 +302,7 @@
         0
     );
     assert!(matches!(
-        fixture.command(Command::RequestLease {
-            id: 3,
-            to: 0,
-            grant_id: 98
-        }),
+        fixture.command(request_lease(3, 98)),
         Answer::Granted { .. }
     ));
 }
@@ -300,11 +311,7 @@
 fn dispatcher_that_does_not_come_back_counts_as_lost_until_it_is_back_or_forgotten() {
     let mut fixture = LeaderFixture::new(config(1, 1), 3);
     assert!(matches!(
-        fixture.command(Command::RequestLease {
-            id: 2,
-            to: 0,
-            grant_id: 99
-        }),
+        fixture.command(request_lease(2, 99)),
         Answer::Granted { .. }
     ));
     fixture.controller.set_members(
@@ -324,21 +331,13 @@
         (0, 1)
     );
     assert!(matches!(
-        fixture.command(Command::RequestLease {
-            id: 3,
-            to: 0,
-            grant_id: 98
-        }),
+        fixture.command(request_lease(3, 98)),
         Answer::BudgetExhausted { .. }
     ));
     assert_eq!(fixture.command(Command::Forget { id: 2 }), Answer::Pending);
     assert_eq!(fixture.command(Command::Forget { id: 2 }), Answer::Done);
     assert!(matches!(
-        fixture.command(Command::RequestLease {
-            id: 3,
-            to: 0,
-            grant_id: 98
-        }),
+        fixture.command(request_lease(3, 98)),
         Answer::Granted { .. }
     ));
 }
@@ -348,11 +347,7 @@
     let mut fixture = LeaderFixture::new(config(1, 1), 3);
     assert_eq!(fixture.command(Command::Halt { number: 5 }), Answer::Done);
     assert!(matches!(
-        fixture.command(Command::RequestLease {
-            id: 2,
-            to: 0,
-            grant_id: 1
-        }),
+        fixture.command(request_lease(2, 1)),
         Answer::Halted { number: 5, .. }
     ));
     assert!(matches!(
