--- a/crates/membership/src/detector.rs
+++ b/crates/membership/src/detector.rs
@@ -7,10 +7,11 @@
 mod gossip;
 mod interface;
 mod local_health;
-mod outgoing;
+
 mod probe_round;
 mod probing;
 mod table_sync;
+mod transport;
 
 use crate::authenticator::{DatagramAuthenticator, Keys};
 use crate::codec::{self, Datagram, Gossip, MemberId, MemberState, Message};
@@ -19,13 +20,13 @@
 use gossip::GossipQueue;
 pub use interface::{Event, OutgoingDatagram, PollOutput};
 use local_health::LocalHealth;
-use outgoing::Outgoing;
 use probe_round::ProbeRound;
 use probing::{IndirectProbe, Probe};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
+use transport::Transport;
 
 /// Limit on the members, including those that are dead and not yet forgotten.
 pub const MAX_MEMBERS: usize = 1024;
@@ -49,7 +50,7 @@
     /// Whether this member has announced that it leaves.
     is_leaving: bool,
     config: Config,
-    outgoing: Outgoing,
+    transport: Transport,
     rng: Pcg32,
     /// All known members but this one.
     members: BTreeMap<MemberId, Member>,
@@ -93,7 +94,7 @@
             incarnation: last_incarnation.wrapping_add(1),
             is_leaving: false,
             config,
-            outgoing: Outgoing::new(id, DatagramAuthenticator::new(keys, session)),
+            transport: Transport::new(id, DatagramAuthenticator::new(keys, session)),
             rng,
             members: BTreeMap::new(),
             probe_round: ProbeRound::default(),
@@ -150,7 +151,7 @@
 
     /// Replaces the keys of the datagrams.
     pub fn set_keys(&mut self, keys: Keys) {
-        self.outgoing.set_keys(keys);
+        self.transport.set_keys(keys);
     }
 
     /// Handles an event. The next [`SwimDetector::poll`] returns the answers.
@@ -182,7 +183,7 @@
         self.indirect_probes
             .retain(|indirect| indirect.expires_ms > now_ms);
         PollOutput {
-            datagrams: self.outgoing.take(),
+            datagrams: self.transport.take(),
             next_poll_ms: self.next_poll_ms(),
         }
     }
@@ -211,7 +212,7 @@
 
     /// Sends a message of another protocol to an address, for instance of a client. Returns whether the message fits.
     pub fn send_user_message_to(&mut self, to: SocketAddr, content: &[u8]) -> bool {
-        self.outgoing.push_user_message(to, content)
+        self.transport.push_user_message(to, content)
     }
 
     /// The next message that another protocol sent to this member.
@@ -243,7 +244,7 @@
         if sender == self.id {
             return;
         }
-        let Some(opened) = self.outgoing.open(sender, bytes) else {
+        let Some(opened) = self.transport.open(sender, bytes) else {
             return;
         };
         if let Some(content) = codec::decode_user_message(opened) {
@@ -339,7 +340,7 @@
 
     /// Sends a request and returns its sequence number.
     fn send(&mut self, to: SocketAddr, message: Message) -> u32 {
-        let sequence_number = self.outgoing.next_sequence_number();
+        let sequence_number = self.transport.next_sequence_number();
         self.send_numbered(to, message, sequence_number);
         sequence_number
     }
@@ -347,6 +348,6 @@
     /// Sends a message under a given sequence number, with as much gossip as fits.
     fn send_numbered(&mut self, to: SocketAddr, message: Message, sequence_number: u32) {
         let gossip = self.take_gossip(codec::gossip_capacity(message));
-        self.outgoing.push(to, message, sequence_number, gossip);
+        self.transport.push(to, message, sequence_number, gossip);
     }
 }
--- a/crates/membership/src/detector/table_sync.rs
+++ b/crates/membership/src/detector/table_sync.rs
@@ -81,7 +81,7 @@
             .chunks(codec::gossip_capacity(Message::Ack))
             .take(max_datagrams)
         {
-            self.outgoing
+            self.transport
                 .push(to, Message::Ack, sequence_number, chunk.to_vec());
             sent += 1;
         }
--- a/crates/membership/src/detector/outgoing.rs
+++ b/crates/membership/src/detector/transport.rs
@@ -1,22 +1,22 @@
-//! The datagrams that a member sends: sequence numbers, seals and the queue until the next poll.
+//! The datagrams of a member: sealed and queued until the next poll, or verified on receipt.
 
 use super::OutgoingDatagram;
 use crate::authenticator::{DatagramAuthenticator, Keys};
 use crate::codec::{self, Datagram, Gossip, MemberId, Message};
 use std::net::SocketAddr;
 
-/// Encodes, seals and queues datagrams of one member.
+/// Encodes, seals and queues the datagrams that a member sends, and verifies those that it receives.
 #[derive(Debug, Clone)]
-pub(super) struct Outgoing {
+pub(super) struct Transport {
     sender: MemberId,
     authenticator: DatagramAuthenticator,
     sequence_number: u32,
     datagrams: Vec<OutgoingDatagram>,
 }
 
-impl Outgoing {
+impl Transport {
     pub(super) fn new(sender: MemberId, authenticator: DatagramAuthenticator) -> Self {
-        Outgoing {
+        Transport {
             sender,
             authenticator,
             sequence_number: 0,
