--- a/crates/dispatcher/src/subsystems/fleet.rs
+++ b/crates/dispatcher/src/subsystems/fleet.rs
@@ -149,7 +149,7 @@
         };
         self.failure_threshold.set(failure_threshold(definition));
         self.version_hash.set(version_hash(definition));
-        let zones = settings.zones.map(|(_, zones)| zones);
+        let zones = settings.zones.map(|zones| zones.config);
         self.member
             .borrow_mut()
             .set_config(settings.rollout, settings.keys, zones);
@@ -213,7 +213,7 @@
 
     /// The use of a zone that the fleet agreed on.
     pub fn zone_use(&self, zone: &str) -> ZoneUse {
-        self.member.borrow().use_of(name_hash(zone))
+        self.member.borrow().zone_use(name_hash(zone))
     }
 
     /// Whether the fleet decides on the evacuation of zones and the return to them.
--- a/crates/dispatcher/src/subsystems/fleet/definition.rs
+++ b/crates/dispatcher/src/subsystems/fleet/definition.rs
@@ -19,8 +19,8 @@
 ) -> Result<FleetConfig, FleetStartError> {
     let mut config = tansymux_operator_config::fleet_config(definition, restart_lease())
         .ok_or(FleetStartError::Incomplete)?;
-    if let Some((own_zone, _)) = &mut config.zones {
-        *own_zone = zone_hash;
+    if let Some(zones) = &mut config.zones {
+        zones.local_zone = zone_hash;
     }
     Ok(config)
 }
--- a/crates/operator-config/src/fleet.rs
+++ b/crates/operator-config/src/fleet.rs
@@ -8,7 +8,7 @@
 use tansymux_coordination::QuorumConfig;
 use tansymux_membership::Keys;
 use tansymux_rollout::canary_analysis::AnalysisConfig;
-use tansymux_rollout::{FleetConfig, RolloutConfig, RolloutPlan};
+use tansymux_rollout::{FleetConfig, RolloutConfig, RolloutPlan, ZoneEvacuation};
 
 /// Number of retransmits of a quorum record within the leader's lease.
 const RETRANSMITS_PER_LEASE: f64 = 10.0;
@@ -16,6 +16,8 @@
 const MAX_RAMP_STEPS: u32 = 255;
 /// Length of a key that signs datagrams.
 const KEY_BYTES: usize = 16;
+/// The number of a zone that no name has: the file does not say in which zone the member is, the program does.
+const UNKNOWN_ZONE: u32 = 0;
 
 /// The number of a zone, version or engine in messages: the 32-bit FNV-1a hash of its name, never 0.
 pub fn name_hash(name: &str) -> u32 {
@@ -43,7 +45,10 @@
         fresh: fleet.fresh(),
         grant_id,
         rollout,
-        zones: zones.map(|zones| (0, evacuation_config(zones, timing.skew()))),
+        zones: zones.map(|zones| ZoneEvacuation {
+            local_zone: UNKNOWN_ZONE,
+            config: evacuation_config(zones, timing.skew()),
+        }),
     })
 }
 
--- a/crates/rollout/src/fleet_node.rs
+++ b/crates/rollout/src/fleet_node.rs
@@ -9,7 +9,7 @@
 use crate::rollout_config::RolloutConfig;
 use crate::rollout_controller::RolloutController;
 use crate::zone_coordinator::ZoneCoordinator;
-pub use interface::{FleetAction, FleetConfig, FleetEvent};
+pub use interface::{FleetAction, FleetConfig, FleetEvent, ZoneEvacuation};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 use tansymux_coordination::disruption_budget::Unit;
@@ -62,9 +62,10 @@
             .contains(&id)
             .then(|| new_voter(config, &voters, now_ms, rng.random()));
         let agent = MemberAgent::new(id, &voters, config.grant_id, rng.random());
-        let zones = config.zones.clone().map(|(own_zone, zone_config)| {
+        let zones = config.zones.clone().map(|evacuation| {
             let seed = rng.random();
-            ZoneCoordinator::new(own_zone, zone_config, agent.session(), now_ms, seed)
+            let ZoneEvacuation { local_zone, config } = evacuation;
+            ZoneCoordinator::new(local_zone, config, agent.session(), now_ms, seed)
         });
         FleetNode {
             detector,
@@ -148,7 +149,7 @@
     }
 
     /// The use of a zone that this member is allowed; the local decision applies where the fleet has agreed on none.
-    pub fn use_of(&self, zone: u32) -> tansymux_zone_evacuation::ZoneUse {
+    pub fn zone_use(&self, zone: u32) -> tansymux_zone_evacuation::ZoneUse {
         match &self.zones {
             Some(zones) => zones.follower.zone_use(zone, self.now_ms),
             None => tansymux_zone_evacuation::ZoneUse::LocalDecision,
--- a/crates/rollout/src/fleet_node/interface.rs
+++ b/crates/rollout/src/fleet_node/interface.rs
@@ -26,8 +26,17 @@
     pub grant_id: u64,
     /// Rollouts and disruption budgets.
     pub rollout: RolloutConfig,
-    /// The zone of this member, and how the fleet evacuates zones; `None`: each member decides for itself.
-    pub zones: Option<(u32, tansymux_zone_evacuation::Config)>,
+    /// How the fleet evacuates zones; `None`: each member decides for itself.
+    pub zones: Option<ZoneEvacuation>,
+}
+
+/// The part of the configuration that evacuates zones as a fleet.
+#[derive(Debug, Clone)]
+pub struct ZoneEvacuation {
+    /// Hash of the name of this member's zone.
+    pub local_zone: u32,
+    /// When the fleet leaves a zone, and how it returns.
+    pub config: tansymux_zone_evacuation::Config,
 }
 
 /// An input of a member.
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -45,7 +45,7 @@
 mod zone_coordinator;
 
 pub use fleet_client::{ClientAction, FleetClient};
-pub use fleet_node::{FleetAction, FleetConfig, FleetEvent, FleetNode};
+pub use fleet_node::{FleetAction, FleetConfig, FleetEvent, FleetNode, ZoneEvacuation};
 pub use member_agent::{AgentAction, Destination, Gossip, MemberAgent, MemberStatus};
 pub use quorum_records::{active_halt, active_release, ActiveHalt};
 pub use restart_lease::{LeaseOutcome, LeaseRequest, RestartLease};
--- a/crates/rollout/src/rollout_controller/commands.rs
+++ b/crates/rollout/src/rollout_controller/commands.rs
@@ -7,7 +7,7 @@
 use crate::quorum_records::{
     active_halt, active_release, end_record, propose, release_proposal, when_chosen, write_halt,
 };
-use crate::rollout_plan::{NotYet, Release, RestartRequest};
+use crate::rollout_plan::{Release, RestartRejected, RestartRequest};
 use tansymux_coordination::disruption_budget::{DisruptionRequest, HaltReason};
 use tansymux_coordination::{
     DisruptionReason, Id, Proposal, QuorumNode, Record, RecordValue, ReleaseStage, UnitKind,
@@ -74,8 +74,8 @@
         };
         let changes_version = requested.to != 0 && requested.to != report.version;
         if changes_version && !holds_lease(node, requested.id, requested.grant_id) {
-            if let Err(not_yet) = self.admit_to_release(node, requested, now_ms) {
-                return not_yet.into();
+            if let Err(rejected) = self.admit_to_release(node, requested, now_ms) {
+                return rejected.into();
             }
         }
         let request = GrantRequest {
@@ -98,7 +98,7 @@
         node: &QuorumNode,
         requested: RequestedLease,
         now_ms: f64,
-    ) -> Result<(), NotYet> {
+    ) -> Result<(), RestartRejected> {
         let request = RestartRequest {
             id: requested.id,
             to: requested.to,
@@ -151,13 +151,13 @@
     }
 }
 
-impl From<NotYet> for Answer {
-    fn from(not_yet: NotYet) -> Self {
-        match not_yet {
-            NotYet::NoSuchRelease => Answer::NoSuchRelease,
-            NotYet::Already => Answer::Already,
-            NotYet::OthersFirst => Answer::OthersFirst,
-            NotYet::PausedAfterZone => Answer::PausedAfterZone,
+impl From<RestartRejected> for Answer {
+    fn from(rejected: RestartRejected) -> Self {
+        match rejected {
+            RestartRejected::NoSuchRelease => Answer::NoSuchRelease,
+            RestartRejected::AlreadyRestarted => Answer::Already,
+            RestartRejected::OthersFirst => Answer::OthersFirst,
+            RestartRejected::PausedAfterZone => Answer::PausedAfterZone,
         }
     }
 }
--- a/crates/rollout/src/rollout_plan.rs
+++ b/crates/rollout/src/rollout_plan.rs
@@ -78,13 +78,13 @@
 
 /// Why a dispatcher may not restart for a release now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-pub enum NotYet {
+pub enum RestartRejected {
     /// No release has that target version.
     #[error("no release goes to that version")]
     NoSuchRelease,
     /// The dispatcher has that version.
     #[error("the dispatcher has that version")]
-    Already,
+    AlreadyRestarted,
     /// Canaries or another zone are first.
     #[error("canaries or another zone are first")]
     OthersFirst,
@@ -164,31 +164,31 @@
         participants: &[Participant],
         request: RestartRequest,
         is_paused: bool,
-    ) -> Result<(), NotYet> {
+    ) -> Result<(), RestartRejected> {
         let release = release
             .filter(|release| release.target_version() == request.to)
-            .ok_or(NotYet::NoSuchRelease)?;
+            .ok_or(RestartRejected::NoSuchRelease)?;
         let participant = participants
             .iter()
             .find(|participant| participant.id == request.id)
-            .ok_or(NotYet::NoSuchRelease)?;
+            .ok_or(RestartRejected::NoSuchRelease)?;
         if !release.has_to_restart(participant) {
-            return Err(NotYet::Already);
+            return Err(RestartRejected::AlreadyRestarted);
         }
         if release.stage == ReleaseStage::Canaries {
             let is_canary = self.canaries(release, participants).contains(&request.id);
             return if is_canary {
                 Ok(())
             } else {
-                Err(NotYet::OthersFirst)
+                Err(RestartRejected::OthersFirst)
             };
         }
         if self.current_zone(release, participants) != Some(participant.zone) {
-            return Err(NotYet::OthersFirst);
+            return Err(RestartRejected::OthersFirst);
         }
         // A rollback does not pause: only the disruption budget slows it down.
         if release.stage == ReleaseStage::Waves && is_paused {
-            return Err(NotYet::PausedAfterZone);
+            return Err(RestartRejected::PausedAfterZone);
         }
         Ok(())
     }
