--- a/crates/dispatcher/tests/fault_injection/told_deadline.rs
+++ b/crates/dispatcher/tests/fault_injection/engine_deadline.rs
@@ -1,28 +1,30 @@
-//! The time limit that an engine is told: what the client has left when the request's first byte goes out.
+//! The time limit that a request to an engine carries: the client's remaining time when the request's first byte is sent.
 
 use super::support::*;
 use std::io::BufReader;
 use std::net::{SocketAddr, TcpListener, TcpStream};
-use std::sync::mpsc::channel;
+use std::sync::mpsc::{channel, Sender};
 use std::thread;
 use std::time::{Duration, Instant};
+use tansymux::settings::keys;
 use tansymux_testbed::engine::refuse_silently;
 use tansymux_testbed::program::{Program, TIMEOUT};
 use tansymux_testbed::wire::{list_value, read_frame};
 
-/// How much more (ms) than what the client has left an engine may be told (operators' page).
+/// How much more than the client's remaining time an engine may be given (ms; operators' page).
 const SLACK_MS: f64 = 150.0;
+/// How long clients wait for an answer (ms).
 const WAIT_MS: f64 = 6000.0;
 
-/// When a client sent its query, and what the engine was told when it came.
-struct Told {
+/// The time limit of a query, as an engine received it.
+struct ReceivedLimit {
     id: u64,
     limit_ms: f64,
     arrived: Instant,
 }
 
-/// Reads requests from a connection; each with its number and time limit.
-fn read_told(stream: &TcpStream, told: &std::sync::mpsc::Sender<Told>) {
+/// Reads requests from a connection, and sends the time limit of each.
+fn read_limits(stream: &TcpStream, limits: &Sender<ReceivedLimit>) {
     let mut reader = BufReader::with_capacity(512, stream);
     while let Some(parts) = read_frame(&mut reader) {
         if parts[0] != "fetch" {
@@ -31,7 +33,7 @@
         let limit_ms = list_value(&parts[2], "limit").unwrap().parse().unwrap();
         let id = u64::from_str_radix(&parts[1], 16).unwrap();
         let arrived = Instant::now();
-        let _ = told.send(Told {
+        let _ = limits.send(ReceivedLimit {
             id,
             limit_ms,
             arrived,
@@ -39,44 +41,44 @@
     }
 }
 
-fn assert_within_slack(told: &Told, asked: Instant) {
-    let waited_ms = told.arrived.duration_since(asked).as_secs_f64() * 1000.0;
+fn assert_within_slack(received: &ReceivedLimit, asked: Instant) {
+    let waited_ms = received.arrived.duration_since(asked).as_secs_f64() * 1000.0;
     let left_ms = WAIT_MS - waited_ms;
     assert!(
-        told.limit_ms <= left_ms + SLACK_MS,
-        "query {} was told {} ms with {left_ms:.0} ms left",
-        told.id,
-        told.limit_ms
+        received.limit_ms <= left_ms + SLACK_MS,
+        "query {} was given {} ms with {left_ms:.0} ms left",
+        received.id,
+        received.limit_ms
     );
 }
 
 #[test]
 fn deadline_sent_to_an_engine_is_what_is_left_when_its_first_byte_goes_out() {
-    // Nobody accepts, and the backlog is full: the connection comes up once there is room, a second or more later.
+    // Nobody accepts, and the backlog is full: the connection is established once there is room, a second or more later.
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let full = refuse_silently(&listener);
     let config = two_group_config(&[address])
-        .with("settings.limits.connect-timeout-us", 30_000_000)
-        .with("settings.limits.cancelling", false);
+        .with_setting(keys::CONNECT_TIMEOUT_US, 30_000_000)
+        .with_setting(keys::CANCELLATION, false);
     let program = start(&config);
     let asked = Instant::now();
     let mut client = connect(program.listen);
     send(&mut client, &query("look", 1, WAIT_MS));
     thread::sleep(Duration::from_millis(600));
     drop(full);
-    let (sender, told) = channel();
+    let (sender, limits) = channel();
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            read_told(&stream, &sender);
+            read_limits(&stream, &sender);
         }
     });
-    let told = told.recv_timeout(TIMEOUT).unwrap();
-    assert!(told.arrived.duration_since(asked) > Duration::from_millis(500));
-    assert_within_slack(&told, asked);
+    let received = limits.recv_timeout(TIMEOUT).unwrap();
+    assert!(received.arrived.duration_since(asked) > Duration::from_millis(500));
+    assert_within_slack(&received, asked);
 }
 
-/// A query whose statement fills buffers.
+/// Sends a query whose statement fills buffers.
 fn send_long_query(program: &Program, id: u64) -> (TcpStream, Instant) {
     let mut long = query("look", id, WAIT_MS);
     let note = "x".repeat(60_000);
@@ -86,7 +88,7 @@
     (stream, Instant::now())
 }
 
-/// An engine with a small buffer that accepts connections, and reads nothing until it is told.
+/// A listener with a small receive buffer, from whose connections nothing is read until the test does so.
 fn engine_that_does_not_read() -> (SocketAddr, TcpListener) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let socket = socket2::SockRef::from(&listener);
@@ -98,13 +100,13 @@
 fn deadline_of_a_request_behind_unread_bytes_is_what_is_left_when_it_goes_out() {
     let (address, listener) = engine_that_does_not_read();
     let config = two_group_config(&[address])
-        .with("settings.limits.cancelling", false)
+        .with_setting(keys::CANCELLATION, false)
         // All share one connection.
         .with(
             "limits",
             serde_json::json!({"sockets": 64, "memory_mb": 64}),
         )
-        .with("settings.limits.streams-per-conn", 64);
+        .with_setting(keys::STREAMS_PER_CONNECTION, 64);
     let program = start(&config);
     let mut clients = Vec::new();
     for id in 1..20 {
@@ -112,21 +114,21 @@
         thread::sleep(Duration::from_millis(5));
     }
     thread::sleep(Duration::from_millis(1500));
-    let (sender, told) = channel();
+    let (sender, limits) = channel();
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             let sender = sender.clone();
-            thread::spawn(move || read_told(&stream, &sender));
+            thread::spawn(move || read_limits(&stream, &sender));
         }
     });
     let mut checked = 0;
     let mut began_unread = 0;
-    while let Ok(told) = told.recv_timeout(Duration::from_millis(800)) {
-        let asked = clients[told.id as usize - 1].1;
-        let waited = told.arrived.duration_since(asked);
+    while let Ok(received) = limits.recv_timeout(Duration::from_millis(800)) {
+        let asked = clients[received.id as usize - 1].1;
+        let waited = received.arrived.duration_since(asked);
         let left_ms = WAIT_MS - waited.as_secs_f64() * 1000.0;
-        // The first of a connection went out at once, into buffers that nobody could see into.
-        if told.limit_ms > left_ms + SLACK_MS {
+        // The first requests of a connection were sent at once, into buffers of the system.
+        if received.limit_ms > left_ms + SLACK_MS {
             began_unread += 1;
         }
         checked += 1;
@@ -134,7 +136,7 @@
     assert!(checked > 12, "only {checked} came");
     assert!(
         began_unread <= 12,
-        "{began_unread} of {checked} were told too much"
+        "{began_unread} of {checked} were given too much"
     );
     drop(clients);
 }
--- a/crates/dispatcher/tests/fault_injection/forgotten_connections.rs
+++ b/crates/dispatcher/tests/fault_injection/forgotten_connections.rs
@@ -1,21 +1,23 @@
-//! Engines, or middleboxes, that forget idle connections without a sign: what is written to such a connection is never
-//! answered, and no reset comes.
+//! Engines, or middleboxes, that drop idle connections silently: a request on such a connection gets neither an answer nor
+//! a reset.
 
 use super::support::*;
 use std::net::{SocketAddr, TcpStream};
 use std::sync::Arc;
 use std::thread;
 use std::time::{Duration, Instant};
-use tansymux_testbed::engine::scripted;
+use tansymux::settings::keys;
+use tansymux_testbed::engine::{scripted, write_result};
 use tansymux_testbed::program::Program;
-use tansymux_testbed::wire::write_frame;
 
-/// A connection that idles longer is forgotten.
+/// A connection that is idle for longer is dropped.
 const FORGOTTEN_AFTER: Duration = Duration::from_millis(400);
+/// How long clients wait for an answer (ms).
 const WAIT_MS: f64 = 2000.0;
+/// Look-ups of a test.
 const LOOK_UPS: u64 = 30;
 
-/// An engine that answers at once, but not on a connection that it has forgotten.
+/// An engine that answers at once, but not on a connection that it has dropped.
 fn forgetful_engine() -> SocketAddr {
     thread_local! {
         static LAST_REQUEST: std::cell::Cell<Option<Instant>> = const { std::cell::Cell::new(None) };
@@ -28,18 +30,19 @@
             IS_FORGOTTEN.set(true);
         }
         if parts[0] == "fetch" && !IS_FORGOTTEN.get() {
-            write_frame(to, &[&parts[1], "DONE", "batches=1", "a\tb\tc\n"]);
+            write_result(to, &parts[1]);
         }
     };
     scripted(answers).0
 }
 
-/// No notes, no probes, no estimates.
-fn start_untold(engines: &[SocketAddr]) -> Program {
+/// Starts the program without progress notes, health checks and cost estimates.
+fn start_without_signals(engines: &[SocketAddr]) -> Program {
     start(&two_group_config(engines))
 }
 
-/// Look-ups one after the other with pauses in which connections are forgotten; what became of each, and how long it took.
+/// Sends look-ups one after the other with pauses in which connections are dropped. Returns the status of each, and how
+/// long it took (ms).
 fn look_up_with_pauses(program: &Program, ids: std::ops::Range<u64>) -> Vec<(Option<u16>, f64)> {
     ids.map(|id| {
         thread::sleep(FORGOTTEN_AFTER + Duration::from_millis(100));
@@ -52,7 +55,7 @@
 
 #[test]
 fn connections_that_an_engine_forgot_are_learned_and_no_longer_lose_look_ups() {
-    let program = start_untold(&[forgetful_engine(), forgetful_engine()]);
+    let program = start_without_signals(&[forgetful_engine(), forgetful_engine()]);
     let outcomes = look_up_with_pauses(&program, 1..1 + LOOK_UPS);
     let is_lost = |outcome: &&(Option<u16>, f64)| outcome.0 != Some(200);
     let lost = outcomes.iter().filter(is_lost).count();
@@ -66,18 +69,18 @@
 #[test]
 fn forgotten_connections_are_learned_where_attempts_cannot_be_cancelled() {
     let engines = [forgetful_engine(), forgetful_engine()];
-    let config = two_group_config(&engines).with("settings.limits.cancelling", false);
+    let config = two_group_config(&engines).with_setting(keys::CANCELLATION, false);
     let program = start(&config);
     let outcomes = look_up_with_pauses(&program, 1..1 + LOOK_UPS);
     let lost = outcomes.iter().filter(|outcome| outcome.0 != Some(200));
-    // Nothing can be done for the first; one more may be the trial after a while.
+    // The first cannot be saved; one more may be the half-open trial after a while.
     assert!(lost.count() <= 2, "{outcomes:?}");
 }
 
 #[test]
 fn forgotten_connections_after_a_quiet_time_cost_a_burst_one_look_up_at_most() {
     let engines: Vec<SocketAddr> = (0..6).map(|_| forgetful_engine()).collect();
-    let config = two_group_config(&engines).with("settings.limits.cancelling", false);
+    let config = two_group_config(&engines).with_setting(keys::CANCELLATION, false);
     let program = Arc::new(start(&config));
     let burst = |first_id: u64| {
         let threads: Vec<_> = (first_id..first_id + 12)
@@ -102,9 +105,9 @@
 
 #[test]
 fn long_queries_on_reused_connections_are_not_taken_for_lost() {
-    // Each query runs longer than silence is usual; nothing is forgotten.
+    // Each query runs for longer than the usual silence; no connection is dropped.
     let (engine, requests) = engine_answering_after(Duration::from_millis(700));
-    let program = start_untold(&[engine]);
+    let program = start_without_signals(&[engine]);
     for id in 1..6 {
         assert_eq!(ask(program.listen, &query("look", id, 6000.0)), Some(200));
         thread::sleep(Duration::from_millis(120));
--- a/crates/dispatcher/tests/fault_injection/interrupted_calls.rs
+++ b/crates/dispatcher/tests/fault_injection/interrupted_calls.rs
@@ -1,17 +1,18 @@
-//! System calls that a signal interrupts, that transfer less than they were given, or that lack a resource for a moment.
+//! System calls that are interrupted by a signal, transfer fewer bytes than requested, or lack a resource for a moment.
 
 use super::support::*;
 use std::thread;
 use tansymux_fault_table::Call;
 use tansymux_testbed::program::free_udp_address;
 
-/// Clients that ask at the same time, and queries of each.
+/// Clients that send queries at the same time.
 const CLIENTS: u64 = 10;
+/// Queries of each client.
 const QUERIES: u64 = 30;
-/// One call in twenty.
+/// Rate of failing calls (of 10,000): one in twenty.
 const RATE: u32 = 500;
 
-/// Asks from many clients on connections that they keep; how many queries ended in each status.
+/// Sends queries from many clients, each on one connection as long as it lasts. Returns the status of each query.
 fn ask_in_parallel(to: std::net::SocketAddr) -> Vec<Option<u16>> {
     let client = move |number: u64| {
         let mut stream = connect(to);
@@ -35,7 +36,7 @@
         .collect()
 }
 
-/// All queries are answered with a result while these calls fail.
+/// Asserts that all queries are answered with a result while these calls fail.
 fn assert_nothing_is_lost(errno: i32, calls: &[Call]) {
     let shim = fault_shim();
     let peer = free_udp_address().to_string();
--- a/crates/dispatcher/tests/fault_injection/large_list.rs
+++ b/crates/dispatcher/tests/fault_injection/large_list.rs
@@ -1,4 +1,4 @@
-//! Endpoint lists as large as a datagram holds.
+//! Endpoint lists of the size of a datagram.
 
 use super::support::*;
 use std::net::SocketAddr;
@@ -7,7 +7,7 @@
 use tansymux_testbed::name_service::{Endpoint, NameService};
 use tansymux_testbed::record::{Record, Status};
 
-/// The stand-in name service does not compress names: about 62 KB.
+/// Engines of the list. The testbed's name service does not compress names, so that the list has about 62 KB.
 const ENGINES: usize = 520;
 
 #[test]
@@ -31,9 +31,9 @@
         (0..ENGINES).map(endpoint).collect(),
         Arc::new(Record::default()),
     );
-    // A change behind the list of the configuration.
+    // A change that follows the list of the configuration.
     names.set("s-1", Status::Gone);
-    // The configuration knows another engine, which is not there.
+    // The configuration names another engine, at whose address nobody listens.
     let config = two_group_config(&[nobody]).with("resolver", names.address.to_string());
     let program = start(&config);
     let from = Instant::now();
--- a/crates/dispatcher/tests/fault_injection/local_faults.rs
+++ b/crates/dispatcher/tests/fault_injection/local_faults.rs
@@ -1,4 +1,4 @@
-//! Faults of the dispatcher's own machine while it connects to engines: they say nothing of the engines.
+//! Faults of the dispatcher's own machine while it connects to engines, which must not count as faults of the engines.
 
 use super::support::*;
 use serde_json::json;
@@ -8,7 +8,7 @@
 use std::time::Duration;
 use tansymux_testbed::program::Program;
 
-/// Sets how many descriptors the process may have open, and returns what it was.
+/// Sets how many descriptors the process may have open, and returns the limit before.
 fn set_descriptor_limit(program: &Program, limit: u64) -> u64 {
     let pid = program.child.id() as libc::pid_t;
     let mut before = libc::rlimit {
@@ -59,7 +59,7 @@
 fn local_faults_at_connect_do_not_eject_an_engine() {
     let (engine, _requests) = engine_answering_after(Duration::ZERO);
     let program = start(&two_group_config(&[engine]));
-    // The clients are connected, and no further descriptor can be opened: no connection to the engine comes up.
+    // The clients are connected, and no further descriptor can be opened: no connection to the engine is established.
     let mut clients: Vec<TcpStream> = (0..8).map(|_| connect(program.listen)).collect();
     for client in &mut clients {
         client.write_all(b"GET /_health HTTP/1.1\r\n\r\n").unwrap();
--- a/crates/dispatcher/tests/fault_injection/logging.rs
+++ b/crates/dispatcher/tests/fault_injection/logging.rs
@@ -1,4 +1,4 @@
-//! What on-call engineers see: the last events of each query, and counters by reason.
+//! Logs and counters for on-call engineers: the last events of each query, and counters by reason.
 
 use super::support::*;
 
@@ -30,7 +30,7 @@
 
 #[test]
 fn ends_and_closes_are_counted_by_reason() {
-    // No engine at all: what comes is rejected, and says why.
+    // Without any engine a query is rejected, with a reason.
     let program = start(&two_group_config(&[]));
     assert_eq!(ask(program.listen, &query("look", 1, 9000.0)), Some(429));
     program.wait_for_count("ended_no_engine 1\n");
--- a/crates/dispatcher/tests/fault_injection/main.rs
+++ b/crates/dispatcher/tests/fault_injection/main.rs
@@ -6,6 +6,7 @@
     reason = "a test ends at the first thing that is not as it should be"
 )]
 
+mod engine_deadline;
 mod forgotten_connections;
 mod interrupted_calls;
 mod large_list;
@@ -13,5 +14,4 @@
 mod logging;
 mod start;
 mod support;
-mod told_deadline;
 mod wall_clock;
--- a/crates/dispatcher/tests/fault_injection/start.rs
+++ b/crates/dispatcher/tests/fault_injection/start.rs
@@ -1,11 +1,11 @@
-//! A start while the system fails for a moment, and one that can't succeed.
+//! Starts while system calls fail for a moment, and starts that cannot succeed.
 
 use super::support::*;
 use std::time::{Duration, Instant};
 use tansymux_fault_table::Call;
 use tansymux_testbed::program::{free_udp_address, Config};
 
-/// A start takes no longer (operators' page).
+/// The longest time from a start to being ready (operators' page).
 const READY_WITHIN: Duration = Duration::from_secs(10);
 
 fn config_with_peers() -> Config {
@@ -58,7 +58,7 @@
     assert_start_fails(&shim, &config_with_peers(), "listen 127.0.0.1");
 }
 
-/// The program ends with code 1 within a second, and says why.
+/// Asserts that the program ends with code 1 within a second, and logs the reason.
 fn assert_start_fails(
     shim: &tansymux_testbed::fault_shim::FaultShim,
     config: &Config,
--- a/crates/dispatcher/tests/fault_injection/support.rs
+++ b/crates/dispatcher/tests/fault_injection/support.rs
@@ -4,14 +4,13 @@
 use std::net::{SocketAddr, TcpStream};
 use std::path::Path;
 use std::process::Stdio;
-use std::sync::mpsc::Receiver;
-use std::thread;
-use std::time::Duration;
 use tansymux_testbed::client::ClientQuery;
-use tansymux_testbed::engine::{scripted, ReceivedFrame};
+use tansymux_testbed::engine::{scripted, write_result};
 use tansymux_testbed::fault_shim::{locate_library, FaultShim};
 use tansymux_testbed::program::{Config, Program, TIMEOUT};
-use tansymux_testbed::wire::{read_response, write_frame};
+use tansymux_testbed::wire::read_response;
+
+pub use tansymux_testbed::engine::engine_answering_after;
 
 /// The program under test.
 pub const EXE: &str = env!("CARGO_BIN_EXE_tansymux");
@@ -21,7 +20,7 @@
     Config::with_two_classes(engines)
 }
 
-/// The fault shim, without faults so far.
+/// The fault shim, with an empty table.
 pub fn fault_shim() -> FaultShim {
     FaultShim::new(locate_library().expect("the shim can be built"))
 }
@@ -44,7 +43,7 @@
 pub fn instant_engine() -> SocketAddr {
     let answers = |parts: &[String], to: &mut TcpStream| {
         if parts[0] == "fetch" {
-            write_frame(to, &[&parts[1], "DONE", "batches=1", "a\tb\tc\n"]);
+            write_result(to, &parts[1]);
         }
     };
     scripted(answers).0
@@ -85,16 +84,3 @@
     send(&mut stream, query);
     answer_status(&stream)
 }
-
-/// An engine that answers each query after a time, and what it was sent.
-pub fn engine_answering_after(delay: Duration) -> (SocketAddr, Receiver<ReceivedFrame>) {
-    scripted(move |parts, to| {
-        if parts[0] == "fetch" {
-            let (id, mut to) = (parts[1].clone(), to.try_clone().unwrap());
-            thread::spawn(move || {
-                thread::sleep(delay);
-                write_frame(&mut to, &[&id, "DONE", "batches=1", "a\tb\tc\n"]);
-            });
-        }
-    })
-}
--- a/crates/dispatcher/tests/fault_injection/wall_clock.rs
+++ b/crates/dispatcher/tests/fault_injection/wall_clock.rs
@@ -1,4 +1,4 @@
-//! Steps of the machine's wall clock: the list tells when an engine started in Unix time, and slow start counts real time.
+//! Steps of the machine's wall clock: the endpoint list has engines' starts in Unix time, and slow start counts real time.
 
 use super::support::*;
 use serde_json::json;
@@ -7,27 +7,29 @@
 use std::sync::Arc;
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
+use tansymux::settings::keys;
 use tansymux_testbed::engine::ReceivedFrame;
 use tansymux_testbed::fault_shim::FaultShim;
 use tansymux_testbed::name_service::{Endpoint, NameService};
 use tansymux_testbed::program::{Config, Program};
 use tansymux_testbed::record::{Record, Status};
 
+/// How long after its start an engine is warm (ms).
 const WARM_AFTER_MS: u64 = 4000;
+/// The span of the slow-start limit (ms).
 const SPAN_MS: u64 = 1000;
-/// What a warming engine may be sent in a span, in queries of the test: 0.8 * 3 * 0.05 * 0.85 * 1000 ms / 20 ms is 5.1.
+/// The most queries of a test that a warming engine may be sent within a span: 0.8 * 3 * 0.05 * 0.85 * 1000 ms / 20 ms is 5.1.
 const MAX_IN_SLOW_START: usize = 12;
 
-/// Slow start over 4 s: an engine of one core bears 0.05 of it three times over in a span of 1 s.
+/// Slow start over 4 s: an engine of one core sustains three times 0.05 of it in a span of 1 s.
 fn slow_start_config(engine: SocketAddr, names: &NameService) -> Config {
     two_group_config(&[engine])
         .with("resolver", names.address.to_string())
-        .with("settings.family-info.cores-by-kind", json!([1]))
-        .with(
-            "settings.rules",
-            json!({"cold-from": 0.05, "warm-after-us": WARM_AFTER_MS * 1000, "fall-multiple": 3,
-                "overload-for-us": SPAN_MS * 1000}),
-        )
+        .with_setting(keys::CORES_BY_KIND, json!([1]))
+        .with_setting(keys::WARM_UP_INITIAL_CAPACITY, 0.05)
+        .with_setting(keys::WARM_AFTER_US, WARM_AFTER_MS * 1000)
+        .with_setting(keys::WARM_UP_MULTIPLE, 3)
+        .with_setting(keys::WARM_UP_SPAN_US, SPAN_MS * 1000)
 }
 
 /// The wall clock of the program's machine (Unix ms).
@@ -48,7 +50,7 @@
     });
 }
 
-/// Asks one query after the other for a time, from `first_id`; how many of them the engine got.
+/// Sends one query after the other for a time, with ids from `first_id`. Returns how many of them the engine received.
 fn share_of_engine(
     program: &Program,
     requests: &Receiver<ReceivedFrame>,
@@ -71,7 +73,7 @@
 
 fn step_wall_clock(shim: &FaultShim, step_s: i64) {
     shim.table().set_wall_offset_ns(step_s * 1_000_000_000);
-    // Long enough to be noticed: the name service is asked four times a second.
+    // Long enough to be noticed: the name service is polled four times a second.
     thread::sleep(Duration::from_millis(600));
 }
 
@@ -105,15 +107,15 @@
 #[test]
 fn engine_started_after_a_step_of_the_wall_clock_gets_its_slow_start() {
     let steps = [0, -40, -3600, 40, 3600];
-    let plays = steps.map(|step_s| thread::spawn(move || assert_slow_start_after_step(step_s)));
-    for play in plays {
-        play.join().unwrap();
+    let runs = steps.map(|step_s| thread::spawn(move || assert_slow_start_after_step(step_s)));
+    for run in runs {
+        run.join().unwrap();
     }
 }
 
 #[test]
 fn engine_started_before_a_step_of_the_wall_clock_keeps_its_slow_start() {
-    let plays = [-3600, 3600].map(|step_s| {
+    let runs = [-3600, 3600].map(|step_s| {
         thread::spawn(move || {
             let shim = fault_shim();
             let (old, _) = engine_answering_after(Duration::ZERO);
@@ -122,14 +124,14 @@
             list_engine(&names, "s-0", old, 0.0);
             let program = start_under(&shim, &slow_start_config(old, &names));
             program.wait_for_count("lists 1\n");
-            // It starts, the clock is stepped, and only then the list tells of it.
+            // The engine starts, the clock is stepped, and only then the engine is listed.
             let started_ms = wall_ms(0);
             step_wall_clock(&shim, step_s);
             list_engine(&names, "s-9", new, started_ms);
             program.wait_for_count("lists 2\n");
             let early = share_of_engine(&program, &requests, 1, Duration::from_millis(1200));
             assert!(early <= MAX_IN_SLOW_START, "step {step_s} s: {early}");
-            // A step while it warms up changes nothing either; nor does the list, as it is told again.
+            // A step while the engine warms up changes nothing either, nor does a repetition of the list.
             step_wall_clock(&shim, -step_s);
             list_engine(&names, "s-0", old, 0.0);
             program.wait_for_count("lists 3\n");
@@ -138,8 +140,8 @@
             assert!(late > MAX_IN_SLOW_START, "step {step_s} s: {late}");
         })
     });
-    for play in plays {
-        play.join().unwrap();
+    for run in runs {
+        run.join().unwrap();
     }
 }
 
@@ -164,7 +166,7 @@
 #[test]
 fn engine_that_starts_gets_its_slow_start_from_a_dispatcher_whose_clock_is_wrong() {
     // The dispatcher's machine is an hour off from the beginning; the machines of engines and name service are right.
-    let plays = [-3600, 3600].map(|off_s| {
+    let runs = [-3600, 3600].map(|off_s| {
         thread::spawn(move || {
             let shim = fault_shim();
             shim.table().set_wall_offset_ns(off_s * 1_000_000_000);
@@ -186,7 +188,7 @@
             assert!(late > MAX_IN_SLOW_START, "off by {off_s} s: {late}");
         })
     });
-    for play in plays {
-        play.join().unwrap();
+    for run in runs {
+        run.join().unwrap();
     }
 }
--- a/crates/dispatcher/tests/fleet.rs
+++ b/crates/dispatcher/tests/fleet.rs
@@ -13,53 +13,56 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
+use tansymux::settings::keys;
 use tansymux_testbed::client::{send_query, ClientQuery};
-use tansymux_testbed::engine::scripted;
+use tansymux_testbed::engine::{scripted, write_result};
 use tansymux_testbed::fleet::processes::{run, ProcessOptions};
 use tansymux_testbed::fleet::scenario::Scenario;
 use tansymux_testbed::program::{
     class, free_address, free_udp_address, Config, Program, TempFile, TIMEOUT,
 };
 use tansymux_testbed::record::Record;
-use tansymux_testbed::wire::write_frame;
 
+/// The program under test.
 const EXE: &str = env!("CARGO_BIN_EXE_tansymux");
-/// How many scenarios run now. Each has several processes: too many at once, and a busy machine looks like a failing
-/// fleet.
+/// Scenarios that run now. Each has several processes; too many at once would make the machine busy enough for a fleet to
+/// miss its deadlines.
 static RUNNING: Mutex<usize> = Mutex::new(0);
-static NEXT_QUERY_ID: AtomicU64 = AtomicU64::new(1);
+/// The most scenarios that run at a time.
 const MAX_RUNNING: usize = 4;
+/// The id of the next query of any test.
+static NEXT_QUERY_ID: AtomicU64 = AtomicU64::new(1);
 
-struct Slot;
+/// The permission to run a scenario, until it is dropped.
+struct ScenarioPermit;
 
-impl Slot {
-    fn take() -> Self {
+impl ScenarioPermit {
+    /// Waits until fewer than [`MAX_RUNNING`] scenarios run.
+    fn acquire() -> Self {
         loop {
-            if let Some(taken) = RUNNING
-                .lock()
-                .ok()
-                .and_then(|mut n| (*n < MAX_RUNNING).then(|| *n += 1))
-            {
-                let () = taken;
-                return Slot;
+            if let Ok(mut running) = RUNNING.lock() {
+                if *running < MAX_RUNNING {
+                    *running += 1;
+                    return ScenarioPermit;
+                }
             }
             std::thread::sleep(Duration::from_millis(100));
         }
     }
 }
 
-impl Drop for Slot {
+impl Drop for ScenarioPermit {
     fn drop(&mut self) {
-        if let Ok(mut n) = RUNNING.lock() {
-            *n -= 1;
+        if let Ok(mut running) = RUNNING.lock() {
+            *running -= 1;
         }
     }
 }
 
-/// Plays a scenario: never more members or engines out than the limit, no query lost, and the release completes in the
+/// Runs a scenario: never more members or engines out than the limit, no query lost, and the release completes in the
 /// stated time.
 fn assert_scenario_passes(name: &str) {
-    let _slot = Slot::take();
+    let _permit = ScenarioPermit::acquire();
     let scenario = Scenario::named(name, 1)
         .expect("a case by this name")
         .on_processes();
@@ -119,20 +122,22 @@
 
 // ---- The command line, and drained engines ----
 
+/// Queries by the index of the engine that received them.
 type Counts = Arc<Mutex<HashMap<usize, u64>>>;
 
 /// An engine that answers at once and counts.
-fn engine(n: usize, counts: &Counts) -> SocketAddr {
+fn engine(index: usize, counts: &Counts) -> SocketAddr {
     let counts = counts.clone();
     let answers = move |parts: &[String], to: &mut std::net::TcpStream| {
         if parts[0] == "fetch" {
-            *counts.lock().unwrap().entry(n).or_default() += 1;
-            write_frame(to, &[&parts[1], "DONE", "batches=1", "a\tb\tc\n"]);
+            *counts.lock().unwrap().entry(index).or_default() += 1;
+            write_result(to, &parts[1]);
         }
     };
     scripted(answers).0
 }
 
+/// Two dispatchers with their operators' files, and the queries that their engines received.
 struct SmallFleet {
     programs: Vec<Program>,
     files: Vec<TempFile>,
@@ -144,15 +149,15 @@
 fn start_small_fleet(extra: &str) -> SmallFleet {
     let counts = Counts::default();
     let engines: Vec<_> = (0..3)
-        .map(|n| (format!("s-{n}"), engine(n, &counts)))
+        .map(|index| (format!("s-{index}"), engine(index, &counts)))
         .collect();
     let addresses: Vec<SocketAddr> = (0..2).map(|_| free_udp_address()).collect();
     let texts: Vec<String> = (0..2)
-        .map(|n| {
+        .map(|member| {
             format!(
-                "fleet {{ name: \"n{n}\" listen: \"{}\" seed: \"{}\" voter: \"n0\" key: \"{}\" fresh: true
+                "fleet {{ name: \"n{member}\" listen: \"{}\" seed: \"{}\" voter: \"n0\" key: \"{}\" fresh: true
                    version: \"v1\" timing {{ period_s: 0.2 timeout_s: 0.06 lead_s: 1 settle_s: 1 late_s: 0.2 }} {extra} }}",
-                addresses[n],
+                addresses[member],
                 addresses[0],
                 "ab".repeat(16)
             )
@@ -162,7 +167,7 @@
         .iter()
         .map(|text| TempFile::new("fleet.textproto", text))
         .collect();
-    let classes = [class("look", 300.0, 2000.0, "read_like")];
+    let classes = [class("look", 300.0, 2000.0, keys::effect::READ_ONLY)];
     let programs = files
         .iter()
         .map(|file| {
@@ -183,12 +188,12 @@
 }
 
 impl SmallFleet {
-    fn run_command(&self, n: usize, arguments: &[&str]) -> (Option<i32>, String) {
+    fn run_command(&self, member: usize, arguments: &[&str]) -> (Option<i32>, String) {
         let output = Command::new(EXE)
             .arg("fleet")
             .args(arguments)
             .arg("--operator")
-            .arg(&self.files[n].0)
+            .arg(&self.files[member].0)
             .output()
             .unwrap();
         let text = [output.stdout, output.stderr].concat();
@@ -198,11 +203,11 @@
         )
     }
 
-    /// Runs a command until it ends with this exit code. Gives its output.
-    fn run_until_exit_code(&self, n: usize, arguments: &[&str], code: i32) -> String {
+    /// Runs a command until it ends with this exit code, and returns its output.
+    fn run_until_exit_code(&self, member: usize, arguments: &[&str], code: i32) -> String {
         let from = Instant::now();
         loop {
-            let (got, text) = self.run_command(n, arguments);
+            let (got, text) = self.run_command(member, arguments);
             if got == Some(code) {
                 return text;
             }
@@ -214,8 +219,8 @@
         }
     }
 
-    /// Sends queries to one dispatcher. Gives how many each engine got of them.
-    fn send_queries(&self, n: usize, count: u64) -> [u64; 3] {
+    /// Sends queries to one dispatcher. Returns how many of them each engine received.
+    fn send_queries(&self, member: usize, count: u64) -> [u64; 3] {
         self.counts.lock().unwrap().clear();
         let record = Record::default();
         for _ in 0..count {
@@ -223,16 +228,16 @@
             let mut query = ClientQuery::new(id, "/invoke/look", "look", "select 1", 2000.0);
             query.cost = Some(5.0);
             assert_eq!(
-                send_query(self.programs[n].listen, &query, &record).map(|got| got.status),
+                send_query(self.programs[member].listen, &query, &record).map(|got| got.status),
                 Some(200)
             );
         }
         let counts = self.counts.lock().unwrap();
-        [0, 1, 2].map(|n| counts.get(&n).copied().unwrap_or(0))
+        [0, 1, 2].map(|engine| counts.get(&engine).copied().unwrap_or(0))
     }
 
-    fn wait_for_counter(&self, n: usize, line: &str) {
-        self.programs[n].wait_for_count(line);
+    fn wait_for_counter(&self, member: usize, line: &str) {
+        self.programs[member].wait_for_count(line);
     }
 }
 
@@ -247,12 +252,12 @@
     assert!(fleet.send_queries(0, 30)[1] > 0);
     // Drained by a command to one dispatcher, out for both.
     fleet.run_until_exit_code(1, &["drain", "s-1"], 0);
-    for n in 0..2 {
-        fleet.wait_for_counter(n, "fleet_engines_out 1\n");
+    for member in 0..2 {
+        fleet.wait_for_counter(member, "fleet_engines_out 1\n");
         // The driver follows at its next tick.
         std::thread::sleep(Duration::from_millis(400));
-        let got = fleet.send_queries(n, 30);
-        assert!(got[1] == 0 && got[0] > 0 && got[2] > 0, "{n}: {got:?}");
+        let got = fleet.send_queries(member, 30);
+        assert!(got[1] == 0 && got[0] > 0 && got[2] > 0, "{member}: {got:?}");
     }
     let (code, text) = fleet.run_command(0, &["drain", "s-2"]);
     assert!(
@@ -260,10 +265,10 @@
         "{code:?} {text}"
     );
     fleet.run_until_exit_code(0, &["undrain", "s-1"], 0);
-    for n in 0..2 {
-        fleet.wait_for_counter(n, "fleet_engines_out 0\n");
+    for member in 0..2 {
+        fleet.wait_for_counter(member, "fleet_engines_out 0\n");
         std::thread::sleep(Duration::from_millis(400));
-        assert!(fleet.send_queries(n, 60)[1] > 0, "{n}");
+        assert!(fleet.send_queries(member, 60)[1] > 0, "{member}");
     }
 }
 
@@ -276,7 +281,9 @@
     assert!(
         arguments.len() == 2
             && arguments[0].len() == 16
-            && arguments[1].parse::<f64>().is_ok_and(|s| s > 1.0),
+            && arguments[1]
+                .parse::<f64>()
+                .is_ok_and(|seconds| seconds > 1.0),
         "{granted}"
     );
     // The other one waits for --wait-s, and no longer.
@@ -320,10 +327,10 @@
     fleet.run_until_exit_code(0, &["status"], 0);
     fleet.run_until_exit_code(0, &["drain", "s-0"], 0);
     fleet.run_until_exit_code(0, &["drain", "s-1"], 0);
-    for n in 0..2 {
-        fleet.files[n].write(&fleet.texts[n].replace("most: 2", "most: 1"));
-        fleet.programs[n].signal("-HUP");
-        fleet.wait_for_counter(n, "operator_files_read 1\n");
+    for member in 0..2 {
+        fleet.files[member].write(&fleet.texts[member].replace("most: 2", "most: 1"));
+        fleet.programs[member].signal("-HUP");
+        fleet.wait_for_counter(member, "operator_files_read 1\n");
     }
     assert_eq!(fleet.run_command(0, &["drain", "s-2"]).0, Some(1));
     fleet.run_until_exit_code(0, &["undrain", "s-0"], 0);
--- a/crates/dispatcher/tests/levels.rs
+++ b/crates/dispatcher/tests/levels.rs
@@ -1,4 +1,4 @@
-//! Service levels on the real program: entered by its own signals, shown at once, and applied by the decisions.
+//! Service levels on the real program: they are entered by its own signals, reported at once, and applied by its decisions.
 
 #![allow(
     clippy::unwrap_used,
@@ -11,6 +11,7 @@
 use std::path::Path;
 use std::thread;
 use std::time::{Duration, Instant};
+use tansymux::settings::keys;
 use tansymux_testbed::client::ClientQuery;
 use tansymux_testbed::engine::scripted;
 use tansymux_testbed::program::{
@@ -18,6 +19,7 @@
 };
 use tansymux_testbed::wire::{field, read_response, write_frame, HttpResponse};
 
+/// The program under test.
 const EXE: &str = env!("CARGO_BIN_EXE_tansymux");
 
 /// Reports are rejected while half of the engines are under pressure.
@@ -34,19 +36,19 @@
     let engines: Vec<_> = engines
         .iter()
         .enumerate()
-        .map(|(i, at)| (format!("s-{i}"), *at))
+        .map(|(index, address)| (format!("s-{index}"), *address))
         .collect();
     let classes = [
-        class("look", 300.0, 9000.0, "read_like"),
-        class("report", 900.0, 9000.0, "read_like"),
-        class("load", 900.0, 9000.0, "non_idempotent"),
+        class("look", 300.0, 9000.0, keys::effect::READ_ONLY),
+        class("report", 900.0, 9000.0, keys::effect::READ_ONLY),
+        class("load", 900.0, 9000.0, keys::effect::NON_IDEMPOTENT),
     ];
     Config::new(free_address(), &engines, &classes, &[1, 4, 2])
-        .with(
-            "settings.family-info.class-load",
+        .with_setting(
+            keys::IS_LOAD_BY_GROUP,
             serde_json::json!([false, false, true]),
         )
-        .with("settings.limits.max-retry-after-us", 5_000_000)
+        .with_setting(keys::MAX_RETRY_AFTER_US, 5_000_000)
 }
 
 fn start(config: &Config, levels: &str) -> (Program, TempFile) {
@@ -128,17 +130,17 @@
     });
     enter_level_by_pressure(&program);
     let entered = Instant::now();
-    let (told, heard) = waits.join().unwrap();
-    let told: Value = serde_json::from_str(&told).unwrap();
-    assert_eq!(told["level"], "short");
+    let (body, received_at) = waits.join().unwrap();
+    let change: Value = serde_json::from_str(&body).unwrap();
+    assert_eq!(change["level"], "short");
     assert!(
-        told["why"]["why"]
+        change["why"]["why"]
             .as_str()
             .unwrap()
             .contains("pressed reads 1"),
-        "{told}"
+        "{change}"
     );
-    assert!(heard.saturating_duration_since(entered) < Duration::from_millis(300));
+    assert!(received_at.saturating_duration_since(entered) < Duration::from_millis(300));
     // Reports are rejected at once, each with a retry time of its own; look-ups and loads run.
     let from = Instant::now();
     let waits: Vec<f64> = (1..20)
@@ -219,15 +221,15 @@
 fn restarted_dispatcher_starts_at_its_peers_level_and_sigterm_answers_all() {
     let engine = engine_full_for_reports();
     let peers = [free_udp_address(), free_udp_address()];
-    let config_of = |n: usize| {
+    let config_of = |index: usize| {
         let each = serde_json::json!([peers[0].to_string(), peers[1].to_string()]);
         config(&[engine])
-            .with("peer_listen", peers[n].to_string())
+            .with("peer_listen", peers[index].to_string())
             .with("peers", each)
-            .with("peers_all", peers[1 - n].to_string())
-            .with("settings.balancers", 2)
-            .with("settings.me", n as u64)
-            .with("settings.limits.peers", true)
+            .with("peers_all", peers[1 - index].to_string())
+            .with_setting(keys::DISPATCHERS, 2)
+            .with_setting(keys::DISPATCHER_INDEX, index as u64)
+            .with_setting(keys::PEER_MESSAGES, true)
     };
     let (first, _a) = start(&config_of(0), LEVELS);
     thread::sleep(Duration::from_millis(3800));
@@ -241,12 +243,12 @@
         .to_owned();
     assert_eq!(why, "1 peers told of it at the start");
     let open: Vec<_> = (0..8)
-        .map(|n| {
+        .map(|index| {
             let listen = second.listen;
             thread::spawn(move || {
-                let group = ["look", "report", "load"][n % 3];
+                let group = ["look", "report", "load"][index % 3];
                 let query = ClientQuery::new(
-                    n as u64 + 1,
+                    index as u64 + 1,
                     &format!("/invoke/{group}"),
                     group,
                     "select 1",
--- a/crates/dispatcher/tests/life_cycle/clients.rs
+++ b/crates/dispatcher/tests/life_cycle/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that leave, flood, or send more than is kept.
+//! Clients that disconnect, flood, or send more than is buffered.
 
 use super::support::*;
 use serde_json::json;
--- a/crates/dispatcher/tests/life_cycle/engines.rs
+++ b/crates/dispatcher/tests/life_cycle/engines.rs
@@ -1,4 +1,4 @@
-//! Connections to engines that end, come up late or never stop sending.
+//! Connections to engines that end, are established late or never stop sending.
 
 use super::support::*;
 use std::io::{BufReader, Write};
@@ -6,11 +6,12 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::thread;
 use std::time::{Duration, Instant};
-use tansymux_testbed::engine::refuse_silently;
+use tansymux::settings::keys;
+use tansymux_testbed::engine::{refuse_silently, write_result, write_result_of};
 use tansymux_testbed::program::{get, TIMEOUT};
 use tansymux_testbed::wire::{self, read_response, write_frame, HttpResponse};
 
-/// An engine that hands each connection to the test as it was accepted, and answers nothing itself.
+/// An engine that answers nothing itself, and sends each accepted connection to the test.
 fn engine_with_held_connections() -> (SocketAddr, Receiver<TcpStream>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -45,10 +46,7 @@
         next_request(&idle_connection),
         fetch_request("0000000000000001")
     );
-    write_frame(
-        &mut idle_connection,
-        &["0000000000000001", "DONE", "batches=1", "a\tb\tc\n"],
-    );
+    write_result(&mut idle_connection, "0000000000000001");
     assert_eq!(answer_status(&first), Some(200));
     // At one instant: the engine closes, after half a frame with an unknown id, and the next query comes.
     let stopped = PausedProgram::new(&program);
@@ -60,10 +58,7 @@
     drop(stopped);
     let mut next = connections.recv_timeout(TIMEOUT).unwrap();
     assert_eq!(next_request(&next), fetch_request("0000000000000002"));
-    write_frame(
-        &mut next,
-        &["0000000000000002", "DONE", "batches=1", "a\tb\tc\n"],
-    );
+    write_result(&mut next, "0000000000000002");
     assert_eq!(answer_status(&second), Some(200));
     // The close was known before the query was sent: nothing counts as lost.
     assert_eq!(program.counter("submissions_reset"), Some(0));
@@ -74,8 +69,8 @@
 fn connection_lost_within_an_answer_fails_a_write_and_retries_a_read_only_query() {
     let (address, connections) = engine_with_held_connections();
     let program = start(&two_group_config(&[address]));
-    for (rg, id) in [("load", "0000000000000001"), ("look", "0000000000000002")] {
-        let client = send_query(&program, rg, id[15..].parse().unwrap());
+    for (group, id) in [("load", "0000000000000001"), ("look", "0000000000000002")] {
+        let client = send_query(&program, group, id[15..].parse().unwrap());
         let mut stream = connections.recv_timeout(TIMEOUT).unwrap();
         assert_eq!(next_request(&stream), fetch_request(id));
         // The first of two pages, half of the second.
@@ -85,10 +80,10 @@
             .write_all(format!("*4\r\n$16\r\n{id}\r\n$4\r\nMO").as_bytes())
             .unwrap();
         stream.shutdown(Shutdown::Both).unwrap();
-        if rg == "look" {
+        if group == "look" {
             let mut again = connections.recv_timeout(TIMEOUT).unwrap();
             assert_eq!(next_request(&again), fetch_request(id));
-            write_frame(&mut again, &[id, "DONE", "batches=1", "x\ty\tz\n"]);
+            write_result_of(&mut again, id, "x\ty\tz\n");
             let HttpResponse { status, body, .. } =
                 read_response(&mut BufReader::new(client)).unwrap();
             // No rows of the first result are left in it.
@@ -108,9 +103,8 @@
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let full = refuse_silently(&listener);
-    let config =
-        two_group_config(&[address]).with("settings.limits.connect-timeout-us", 30_000_000);
-    let program = start(&config.with("settings.limits.cancelling", false));
+    let config = two_group_config(&[address]).with_setting(keys::CONNECT_TIMEOUT_US, 30_000_000);
+    let program = start(&config.with_setting(keys::CANCELLATION, false));
     let leaving_client = send_query(&program, "look", 1);
     program.wait_for_count("submissions 1\n");
     drop(leaving_client);
@@ -135,10 +129,7 @@
     }
     let (frame, mut stream) = first.unwrap();
     assert_eq!(Some(frame), fetch_request("0000000000000002"));
-    write_frame(
-        &mut stream,
-        &["0000000000000002", "DONE", "batches=1", "a\tb\tc\n"],
-    );
+    write_result(&mut stream, "0000000000000002");
     assert_eq!(answer_status(&staying_client), Some(200));
 }
 
@@ -161,7 +152,7 @@
                 let mut reader = BufReader::new(stream.try_clone().unwrap());
                 while let Some(parts) = wire::read_frame(&mut reader) {
                     let _ = sender.send(parts[1].clone());
-                    write_frame(&mut stream, &[&parts[1], "DONE", "batches=1", "a\tb\tc\n"]);
+                    write_result(&mut stream, &parts[1]);
                 }
             });
         }
--- a/crates/dispatcher/tests/life_cycle/main.rs
+++ b/crates/dispatcher/tests/life_cycle/main.rs
@@ -1,5 +1,5 @@
-//! Events that cross each other in the life of the process, of clients' connections and of queries. Each test forces the
-//! order that its row of docs/design/life-cycle.md names, with stand-ins that hold or send their bytes when told.
+//! Events that cross each other in the life cycle of the process, of connections and of queries. Each test forces the order
+//! of events that its row of docs/design/life-cycle.md names, with engines and clients that send bytes on command.
 
 #![allow(
     clippy::unwrap_used,
--- a/crates/dispatcher/tests/life_cycle/process.rs
+++ b/crates/dispatcher/tests/life_cycle/process.rs
@@ -1,4 +1,4 @@
-//! Signals, shutdown and what comes meanwhile.
+//! Signals, shutdown, and requests that arrive meanwhile.
 
 use super::support::*;
 use serde_json::json;
@@ -9,6 +9,7 @@
 use std::process::{Command, Stdio};
 use std::thread;
 use std::time::{Duration, Instant};
+use tansymux::settings::keys;
 use tansymux_testbed::client::ClientQuery;
 use tansymux_testbed::engine::scripted;
 use tansymux_testbed::program::{class, free_address, get, Config, TempFile, TIMEOUT};
@@ -42,7 +43,7 @@
         let of = |name: &str| {
             let line = status
                 .lines()
-                .find_map(|l| l.strip_prefix(name))
+                .find_map(|line| line.strip_prefix(name))
                 .unwrap_or("0");
             u64::from_str_radix(line.trim(), 16).unwrap_or(0)
         };
@@ -88,7 +89,7 @@
     let mut program = start(&two_group_config(&[address]));
     let from = Instant::now();
     program.terminate();
-    wait_until("the front is told", || {
+    wait_until("health checks fail", || {
         get(program.listen, "/_health").is_some_and(|response| response.status == 503)
     });
     // Three connect while the time for new connections runs out, and the program sees both at once.
@@ -157,7 +158,7 @@
     });
     let from = Instant::now();
     program.terminate();
-    wait_until("the front is told", || {
+    wait_until("health checks fail", || {
         get(program.listen, "/_health").is_some_and(|response| response.status == 503)
     });
     imminent_client.write_all(&query_bytes("look", 2)).unwrap();
@@ -173,8 +174,8 @@
 fn shutdown_with_short_deadlines_finishes_before_the_kill_timeout() {
     let (address, requests) = scripted(|_, _| {});
     let classes = [
-        class("look", 100.0, 1000.0, "read_like"),
-        class("load", 100.0, 1000.0, "non_idempotent"),
+        class("look", 100.0, 1000.0, keys::effect::READ_ONLY),
+        class("load", 100.0, 1000.0, keys::effect::NON_IDEMPOTENT),
     ];
     let config = Config::new(
         free_address(),
--- a/crates/dispatcher/tests/life_cycle/support.rs
+++ b/crates/dispatcher/tests/life_cycle/support.rs
@@ -1,5 +1,5 @@
-//! What the tests of crossing events share: the program with two resource groups, queries, and a way to stop the
-//! program for a moment.
+//! Support of the life cycle tests: the program with two resource groups, queries, and a way to stop the program for a
+//! moment.
 
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -9,9 +9,9 @@
 use std::thread;
 use std::time::{Duration, Instant};
 use tansymux_testbed::client::ClientQuery;
-use tansymux_testbed::engine::scripted;
+use tansymux_testbed::engine::{self, ReceivedFrame};
 use tansymux_testbed::program::{Config, Program, TIMEOUT};
-use tansymux_testbed::wire::{read_response, write_frame};
+use tansymux_testbed::wire::read_response;
 
 /// The program under test.
 pub const EXE: &str = env!("CARGO_BIN_EXE_tansymux");
@@ -29,17 +29,9 @@
     Program::start(Path::new(EXE), config, &[])
 }
 
-/// An engine that answers each query after `delay_ms`, and what it was sent.
-pub fn engine_answering_after(delay_ms: u64) -> (SocketAddr, Receiver<(Vec<String>, Instant)>) {
-    scripted(move |parts, to| {
-        if parts[0] == "fetch" {
-            let (id, mut to) = (parts[1].clone(), to.try_clone().unwrap());
-            thread::spawn(move || {
-                thread::sleep(Duration::from_millis(delay_ms));
-                write_frame(&mut to, &[&id, "DONE", "batches=1", "a\tb\tc\n"]);
-            });
-        }
-    })
+/// An engine that answers each query after `delay_ms`, and the frames that it receives.
+pub fn engine_answering_after(delay_ms: u64) -> (SocketAddr, Receiver<ReceivedFrame>) {
+    engine::engine_answering_after(Duration::from_millis(delay_ms))
 }
 
 /// A client's connection to the program, with a limit on every wait.
@@ -51,11 +43,11 @@
 }
 
 /// The request of a query.
-pub fn query_bytes(rg: &str, id: u64) -> Vec<u8> {
+pub fn query_bytes(group: &str, id: u64) -> Vec<u8> {
     ClientQuery::new(
         id,
-        &format!("/invoke/{rg}"),
-        rg,
+        &format!("/invoke/{group}"),
+        group,
         "SELECT a FROM sales_17.orders",
         9000.0,
     )
@@ -63,9 +55,9 @@
 }
 
 /// Sends a query on a connection of its own.
-pub fn send_query(program: &Program, rg: &str, id: u64) -> TcpStream {
+pub fn send_query(program: &Program, group: &str, id: u64) -> TcpStream {
     let mut stream = connect_client(program);
-    stream.write_all(&query_bytes(rg, id)).unwrap();
+    stream.write_all(&query_bytes(group, id)).unwrap();
     stream
 }
 
@@ -74,8 +66,8 @@
     read_response(&mut BufReader::new(stream)).map(|response| response.status)
 }
 
-/// Ids of the queries that an engine was sent.
-pub fn fetched_ids(requests: &Receiver<(Vec<String>, Instant)>) -> Vec<String> {
+/// Ids of the queries that an engine received.
+pub fn fetched_ids(requests: &Receiver<ReceivedFrame>) -> Vec<String> {
     requests
         .try_iter()
         .filter(|(parts, _)| parts[0] == "fetch")
@@ -83,7 +75,7 @@
         .collect()
 }
 
-/// Stops the program until it is dropped: for the program, all that happens meanwhile happens at one instant.
+/// Stops the program until this is dropped: for the program, everything in between happens at one instant.
 pub struct PausedProgram(u32);
 
 impl PausedProgram {
--- a/crates/dispatcher/tests/platform_limits/clocks.rs
+++ b/crates/dispatcher/tests/platform_limits/clocks.rs
@@ -1,4 +1,4 @@
-//! Clocks that are not the machine's: one that stops, and ones that jump.
+//! Clocks that stop or jump.
 
 use crate::support::{config, EXE};
 use std::io::BufReader;
@@ -12,13 +12,13 @@
 use tansymux_testbed::program::{used, Config, Program, TempFile};
 use tansymux_testbed::wire::read_response;
 
-/// The library that takes the place of the C library's clocks, and the file that says what they show.
+/// The library that replaces the C library's clocks, and the file with the adjustments of their readings.
 struct ClockShim {
     library: PathBuf,
     adjustments: TempFile,
 }
 
-/// A number of the shim's file, by its position.
+/// An adjustment in the shim's file, by its position.
 #[derive(Clone, Copy)]
 enum Adjustment {
     MonotonicOffset = 0,
@@ -26,6 +26,7 @@
     MonotonicStop = 2,
 }
 
+/// Nanoseconds in a second.
 const NANOS_PER_SECOND: i64 = 1_000_000_000;
 
 impl ClockShim {
@@ -41,7 +42,7 @@
             ])
             .status();
         assert!(
-            built.is_ok_and(|s| s.success()),
+            built.is_ok_and(|status| status.success()),
             "the clock library can't be built"
         );
         let own = std::env::current_exe().unwrap();
--- a/crates/dispatcher/tests/platform_limits/main.rs
+++ b/crates/dispatcher/tests/platform_limits/main.rs
@@ -1,6 +1,5 @@
-//! What the operators' page on days at full size asks of the program itself, without their bench: which system calls it
-//! makes, what it links, how few resources it needs, and clocks that are not the machine's. A test that this machine
-//! can't run fails and says so.
+//! The operators' requirements on the program at full size: which system calls it makes, what it links, how few resources
+//! it needs, and how it works with clocks that stop or jump. A test that cannot run on a machine fails with that message.
 
 #![allow(
     clippy::unwrap_used,
--- a/crates/dispatcher/tests/platform_limits/resources.rs
+++ b/crates/dispatcher/tests/platform_limits/resources.rs
@@ -1,4 +1,4 @@
-//! The program keeps to few descriptors and little memory.
+//! The program's use of descriptors, memory and processor time.
 
 use crate::support::{answer_status, config, instant_engine, start_limited, EXE};
 use serde_json::json;
@@ -8,6 +8,7 @@
 use std::sync::Arc;
 use std::thread;
 use std::time::{Duration, Instant};
+use tansymux::settings::keys;
 use tansymux_testbed::client::{send_query_in_two_writes, ClientQuery};
 use tansymux_testbed::engine::scripted;
 use tansymux_testbed::name_service::{Endpoint, NameService};
@@ -37,9 +38,9 @@
     let config = config(&silent_engines).with("limits", json!({"sockets": 64, "memory_mb": 16}));
     let config = config
         .with("resolver", names.address.to_string())
-        .with("settings.limits.streams-per-conn", 1);
+        .with_setting(keys::STREAMS_PER_CONNECTION, 1);
     let mut program = start_limited(&config);
-    // Clients connect as soon as anyone listens, and many more than there are places.
+    // Clients connect as soon as the program listens, many more of them than it can accept.
     let started = Instant::now();
     let mut idle = Vec::new();
     while idle.len() < 120 {
@@ -51,7 +52,7 @@
     }
     let waiting: Vec<_> = (1..60).map(|id| send_query(&program, id)).collect();
     program.wait_until_healthy();
-    // What needs a descriptor while they hold theirs: a list from another socket, and the file at SIGHUP.
+    // Both of these need a descriptor while clients use theirs: a list from another socket, and the file at SIGHUP.
     program.wait_for_count("lists 0\n");
     names.add(Endpoint {
         id: "s-9".into(),
@@ -104,10 +105,14 @@
         .with("peer_listen", own.clone())
         .with("peers", json!(peers));
     let config = config
-        .with("settings.balancers", 300)
-        .with("settings.limits.peers", true);
+        .with_setting(keys::DISPATCHERS, 300)
+        .with_setting(keys::PEER_MESSAGES, true);
     let started = Instant::now();
-    let mut program = Program::start(Path::new(EXE), &config.with("settings.me", 7), &[]);
+    let mut program = Program::start(
+        Path::new(EXE),
+        &config.with_setting(keys::DISPATCHER_INDEX, 7),
+        &[],
+    );
     assert!(
         started.elapsed() < Duration::from_secs(2),
         "{:?}",
--- a/crates/dispatcher/tests/platform_limits/support.rs
+++ b/crates/dispatcher/tests/platform_limits/support.rs
@@ -1,4 +1,4 @@
-//! What the tests here share: engines that answer at once, and limits set on the program before it starts.
+//! Support of the tests of platform limits: engines that answer at once, and resource limits of the program.
 
 use std::io::BufReader;
 use std::net::SocketAddr;
@@ -7,9 +7,9 @@
 use std::process::Stdio;
 use std::time::Duration;
 use tansymux_testbed::client::{send_query_in_two_writes, ClientQuery};
-use tansymux_testbed::engine::scripted;
+use tansymux_testbed::engine::{scripted, write_result};
 use tansymux_testbed::program::{Config, Program};
-use tansymux_testbed::wire::{read_response, write_frame};
+use tansymux_testbed::wire::read_response;
 
 /// The program under test.
 pub const EXE: &str = env!("CARGO_BIN_EXE_tansymux");
@@ -22,12 +22,12 @@
 /// An engine that answers at once.
 pub fn instant_engine() -> SocketAddr {
     let answers = |parts: &[String], to: &mut std::net::TcpStream| {
-        write_frame(to, &[&parts[1], "DONE", "batches=1", "a\tb\tc\n"]);
+        write_result(to, &parts[1]);
     };
     scripted(answers).0
 }
 
-/// The answer's status to one query.
+/// Sends a query, and returns the status of its answer.
 pub fn answer_status(program: &Program, id: u64, wait_ms: f64) -> Option<u16> {
     let mut query = ClientQuery::new(
         id,
--- a/crates/dispatcher/tests/platform_limits/system_calls.rs
+++ b/crates/dispatcher/tests/platform_limits/system_calls.rs
@@ -1,4 +1,4 @@
-//! The program does without the system calls that the platform refuses, and is linked as the platform needs it.
+//! The program does not need the system calls that the platform refuses, and is linked as the platform requires.
 
 use crate::support::{answer_status, config, instant_engine, EXE};
 use object::{Object, ObjectSegment, ObjectSymbol};
@@ -37,7 +37,8 @@
     vec![SeccompRule::new(vec![condition]).expect("one condition")]
 }
 
-/// What the page refuses, and any socket but IPv4's. The program's own start by exec has to pass.
+/// Filters of the system calls that the platform refuses, and of sockets other than IPv4's. The program's own start by
+/// exec must pass them.
 fn platform_filters() -> [BpfProgram; 2] {
     let all = Vec::new;
     let processes = MaskedEq(libc::CLONE_THREAD as u64);
@@ -107,7 +108,7 @@
 
 #[test]
 fn the_system_call_filter_keeps_a_shell_from_starting_a_process() {
-    // A shell under it can't start a program, or this machine has no such filters and the test above shows nothing.
+    // A shell under the filters cannot start a program; otherwise the test above would prove nothing.
     let filters = platform_filters();
     let mut shell = Command::new("/bin/sh");
     shell
@@ -138,7 +139,7 @@
         .dynamic_symbols()
         .filter_map(|symbol| symbol.name().ok())
         .collect::<Vec<_>>();
-    // What a platform that lends a clock and sockets has to be able to take the place of.
+    // A platform that provides its own clock and sockets must be able to replace these calls.
     for call in ["clock_gettime", "accept4", "sendto", "pthread_create"] {
         assert!(
             calls.contains(&call),
--- a/crates/dispatcher/tests/sockets/clients.rs
+++ b/crates/dispatcher/tests/sockets/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that idle, send what can't be used, or send without end.
+//! Clients that are idle, send malformed requests, or send without end.
 
 use super::support::*;
 use serde_json::json;
@@ -6,19 +6,17 @@
 use std::net::TcpStream;
 use std::thread;
 use std::time::{Duration, Instant};
-use tansymux_testbed::engine::scripted as engine;
 use tansymux_testbed::program::{Config, TIMEOUT};
 use tansymux_testbed::wire::read_response;
 
-/// The smallest limits that are accepted: room for 32 connections of clients.
+/// Sets the smallest limits that are accepted, which allow 32 connections of clients.
 fn with_smallest_limits(config: Config) -> Config {
     config.with("limits", json!({"sockets": 64, "memory_mb": 32}))
 }
 
 #[test]
 fn idle_and_silent_clients_are_evicted_for_clients_with_queries() {
-    let (address, _requests) =
-        engine(|parts, to| write_frame(to, &[&parts[1], "DONE", "batches=1", "a\tb\tc\n"]));
+    let (address, _requests) = instant_engine();
     let program = start_with(&[address], with_smallest_limits);
     let mute: Vec<TcpStream> = (0..40)
         .map(|_| TcpStream::connect(program.listen).unwrap())
@@ -64,8 +62,7 @@
 
 #[test]
 fn unusable_requests_are_refused_and_bytes_behind_them_are_never_parsed() {
-    let (address, requests) =
-        engine(|parts, to| write_frame(to, &[&parts[1], "DONE", "batches=1", "a\tb\tc\n"]));
+    let (address, requests) = instant_engine();
     let program = start_with(&[address], with_smallest_limits);
     let behind =
         "POST /invoke/look HTTP/1.1\r\nReq-Id: 00000000000000ab\r\nReq-Wait-Ms: 9000\r\nReq-Owner: acme\r\n\
@@ -93,7 +90,15 @@
         assert_eq!(read_response(&mut reader).unwrap().status, status, "{rest}");
         assert!(read_response(&mut reader).is_none(), "{rest}");
     }
-    // The error for an oversized statement reaches its client while that still sends.
+    assert_eq!(requests.try_iter().count(), 0);
+    assert_eq!(answer_status(post_query(program.listen, "look", 1)), 200);
+}
+
+#[test]
+fn error_for_an_oversized_statement_reaches_its_client_while_it_still_sends() {
+    let (address, requests) = instant_engine();
+    let program = start_with(&[address], with_smallest_limits);
+    let head = "POST /invoke/look HTTP/1.1\r\nReq-Id: 00000000000000aa\r\n";
     let mut client = TcpStream::connect(program.listen).unwrap();
     client
         .write_all(format!("{head}Content-Length: 60000000\r\n\r\n").as_bytes())
@@ -104,18 +109,12 @@
         413
     );
     assert_eq!(requests.try_iter().count(), 0);
-    assert_eq!(
-        read_response(&mut BufReader::new(post_query(program.listen, "look", 1)))
-            .unwrap()
-            .status,
-        200
-    );
+    assert_eq!(answer_status(post_query(program.listen, "look", 1)), 200);
 }
 
 #[test]
 fn clients_that_fill_the_read_buffers_do_not_block_small_requests() {
-    let (address, _requests) =
-        engine(|parts, to| write_frame(to, &[&parts[1], "DONE", "batches=1", "a\tb\tc\n"]));
+    let (address, _requests) = instant_engine();
     let program = start_with(&[address], |config| {
         with_smallest_limits(config).with("limits.memory_mb", 16)
     });
@@ -131,12 +130,7 @@
         .collect();
     thread::sleep(Duration::from_millis(200));
     for id in 1..5 {
-        assert_eq!(
-            read_response(&mut BufReader::new(post_query(program.listen, "look", id)))
-                .unwrap()
-                .status,
-            200
-        );
+        assert_eq!(answer_status(post_query(program.listen, "look", id)), 200);
     }
     drop(hoarding_clients);
 }
--- a/crates/dispatcher/tests/sockets/endpoint_list.rs
+++ b/crates/dispatcher/tests/sockets/endpoint_list.rs
@@ -1,16 +1,14 @@
 //! The endpoint list of the name service, and its change by a reload.
 
 use super::support::*;
-use std::io::BufReader;
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::Arc;
 use std::thread;
 use std::time::Duration;
-use tansymux_testbed::engine::scripted as engine;
+use tansymux_testbed::engine::{scripted as engine, write_result};
 use tansymux_testbed::name_service::{Endpoint, NameService};
 use tansymux_testbed::program::{free_address, TIMEOUT};
 use tansymux_testbed::record::{Record, Status};
-use tansymux_testbed::wire::read_response;
 
 /// A name service that lists one engine, `s-9`, as event 2.
 fn name_service_with_engine(engine: SocketAddr) -> SocketAddr {
@@ -30,8 +28,7 @@
 
 #[test]
 fn name_service_adds_an_engine_unknown_at_startup() {
-    let (address, _requests) =
-        engine(|parts, to| write_frame(to, &[&parts[1], "DONE", "batches=1", "a\tb\tc\n"]));
+    let (address, _requests) = instant_engine();
     let resolver = name_service_with_engine(address);
     let program = start_with(&[free_address()], |config| {
         config.with("resolver", resolver.to_string())
@@ -39,12 +36,7 @@
     program.wait_for_count("lists 1\n");
     // The engine of the configuration is no longer listed: all queries go to the new one.
     for id in 1..9 {
-        assert_eq!(
-            read_response(&mut BufReader::new(post_query(program.listen, "load", id)))
-                .unwrap()
-                .status,
-            200
-        );
+        assert_eq!(answer_status(post_query(program.listen, "load", id)), 200);
     }
 }
 
@@ -52,7 +44,7 @@
 fn sighup_switches_the_name_service_without_losing_queries() {
     let (address, requests) = engine(|parts, to| {
         thread::sleep(Duration::from_millis(300));
-        write_frame(to, &[&parts[1], "DONE", "batches=1", "a\tb\tc\n"]);
+        write_result(to, &parts[1]);
     });
     let (mute, resolver) = (
         UdpSocket::bind("127.0.0.1:0").unwrap(),
@@ -72,10 +64,7 @@
     program.config.write(&text.replace(&old, &new));
     (0..3).for_each(|_| program.signal("-HUP"));
     program.wait_for_count("lists 1\n");
-    assert_eq!(
-        read_response(&mut BufReader::new(open)).unwrap().status,
-        200
-    );
+    assert_eq!(answer_status(open), 200);
     program.terminate();
     program.signal("-HUP");
     let log = program.end();
--- a/crates/dispatcher/tests/sockets/engine_connections.rs
+++ b/crates/dispatcher/tests/sockets/engine_connections.rs
@@ -1,4 +1,4 @@
-//! Connections to engines: which are reused, and which are given up.
+//! Connections to engines: which are reused, and which are closed.
 
 use super::support::*;
 use std::io::{BufReader, Write};
@@ -7,12 +7,16 @@
 use std::sync::Arc;
 use std::thread;
 use std::time::{Duration, Instant};
+use tansymux::settings::keys;
 use tansymux_testbed::client::{send_query_in_two_writes as post_in_two, ClientQuery};
-use tansymux_testbed::engine::{refuse_silently, scripted as engine};
+use tansymux_testbed::engine::{
+    refuse_silently, scripted as engine, write_result, write_result_of,
+};
 use tansymux_testbed::program::{Program, TIMEOUT};
 use tansymux_testbed::wire::{self, read_response};
 
-const TICK: Duration = Duration::from_millis(1);
+/// Pause between the two parts of a request.
+const WRITE_PAUSE: Duration = Duration::from_millis(1);
 
 #[test]
 fn silent_engine_connection_is_not_reused() {
@@ -20,7 +24,7 @@
     let (address, requests) = engine(move |parts, to| {
         let from = to.peer_addr().unwrap();
         if *first.lock().unwrap().get_or_insert(from) != from {
-            write_frame(to, &[&parts[1], "DONE", "batches=1", "a\tb\tc\n"]);
+            write_result(to, &parts[1]);
         }
     });
     let program = start(&[address]);
@@ -46,12 +50,7 @@
         words[2].1 - words[1].1 > Duration::from_millis(30),
         "{words:?}"
     );
-    assert_eq!(
-        read_response(&mut BufReader::new(post_query(program.listen, "look", 2)))
-            .unwrap()
-            .status,
-        200
-    );
+    assert_eq!(answer_status(post_query(program.listen, "look", 2)), 200);
 }
 
 #[test]
@@ -67,11 +66,11 @@
         match id.as_bytes()[15] {
             b'1' => drop(to.write_all(b"*4\r\n$16\r\n\xff\xfe\x00no answer")),
             b'2' => drop(to.write_all(format!("*4\r\n$16\r\n{id}\r\n$4\r\nDO").as_bytes())),
-            b'3' => write_frame(to, &[id, "DONE", "batches=1", "a\tb\n"]),
+            b'3' => write_result_of(to, id, "a\tb\n"),
             _ => {
                 thread::sleep(Duration::from_millis(300));
-                write_frame(to, &["00000000000000ff", "DONE", "batches=1", "x\ty\tz\n"]);
-                (0..2).for_each(|_| write_frame(to, &[id, "DONE", "batches=1", "a\tb\tc\n"]));
+                write_result_of(to, "00000000000000ff", "x\ty\tz\n");
+                (0..2).for_each(|_| write_result(to, id));
             }
         }
     });
@@ -117,14 +116,12 @@
         {
             return drop(to.shutdown(std::net::Shutdown::Both));
         }
-        write_frame(to, &[&parts[1], "DONE", "batches=1", "a\tb\tc\n"]);
+        write_result(to, &parts[1]);
     });
     let program = start(&[address]);
     for id in 1..8 {
         assert_eq!(
-            read_response(&mut BufReader::new(post_query(program.listen, "load", id)))
-                .unwrap()
-                .status,
+            answer_status(post_query(program.listen, "load", id)),
             200,
             "{id}"
         );
@@ -133,18 +130,17 @@
 }
 
 /// Sends queries one after the other with pauses of `pause` ms, and asserts that each is answered with a result.
-fn assert_all_complete(program: &Program, rg: &str, ids: std::ops::Range<u64>, pause: u64) {
+fn assert_all_complete(program: &Program, group: &str, ids: std::ops::Range<u64>, pause: u64) {
     for id in ids {
-        let got = read_response(&mut BufReader::new(post_query(program.listen, rg, id)));
-        assert_eq!(got.map(|got| got.status), Some(200), "{rg} {id}");
+        let got = read_response(&mut BufReader::new(post_query(program.listen, group, id)));
+        assert_eq!(got.map(|got| got.status), Some(200), "{group} {id}");
         thread::sleep(Duration::from_millis(pause));
     }
 }
 
 #[test]
 fn idle_engine_connections_are_reused_for_reads_but_not_for_writes() {
-    let (address, _requests) =
-        engine(|parts, to| write_frame(to, &[&parts[1], "DONE", "batches=1", "a\tb\tc\n"]));
+    let (address, _requests) = instant_engine();
     let program = start(&[address]);
     assert_all_complete(&program, "look", 1..15, 70);
     assert_eq!(program.counter("connections_to_engines"), Some(1));
@@ -156,7 +152,7 @@
         .collect();
     concurrent
         .into_iter()
-        .for_each(|one| assert_eq!(read_response(&mut BufReader::new(one)).unwrap().status, 200));
+        .for_each(|one| assert_eq!(answer_status(one), 200));
     thread::sleep(Duration::from_millis(1200));
     let before = program.counter("connections_to_engines");
     assert_all_complete(&program, "look", 24..26, 70);
@@ -174,7 +170,7 @@
         {
             return drop(to.shutdown(std::net::Shutdown::Both));
         }
-        write_frame(to, &[&parts[1], "DONE", "batches=1", "a\tb\tc\n"]);
+        write_result(to, &parts[1]);
     });
     let program = start(&[address]);
     assert_all_complete(&program, "look", 1..20, 130);
@@ -200,13 +196,13 @@
         while let Some(parts) = wire::read_frame(&mut reader) {
             if !vanished_flag.load(Ordering::Relaxed) {
                 thread::sleep(Duration::from_millis(90));
-                write_frame(&mut writer, &[&parts[1], "DONE", "batches=1", "a\tb\tc\n"]);
+                write_result(&mut writer, &parts[1]);
             }
         }
     });
     let (other, _requests) = engine(|parts, to| {
         thread::sleep(Duration::from_millis(90));
-        write_frame(to, &[&parts[1], "DONE", "batches=1", "a\tb\tc\n"]);
+        write_result(to, &parts[1]);
     });
     let program = start(&[address, other]);
     let ask = |id| {
@@ -247,34 +243,28 @@
     // Query 1 is never answered; its client leaves after 400 ms, where the latency objective is 5 s.
     let (address, requests) = engine(|parts, to| {
         if parts[0] == "fetch" && !parts[1].ends_with('1') {
-            write_frame(to, &[&parts[1], "DONE", "batches=1", "a\tb\tc\n"]);
+            write_result(to, &parts[1]);
         }
     });
     let program = start_with(&[address], |config| {
         config
-            .with("settings.services.0.aim-us", 5_000_000)
-            .with("settings.services.1.aim-us", 5_000_000)
+            .with_group_setting(0, keys::group::OBJECTIVE_US, 5_000_000)
+            .with_group_setting(1, keys::group::OBJECTIVE_US, 5_000_000)
     });
     let ask = |id| {
         post_in_two(
             program.listen,
             &ClientQuery::new(id, "/invoke/look", "look", "SELECT 1", 9000.0),
             50,
-            TICK,
+            WRITE_PAUSE,
         )
     };
     let leaving_client = ask(1);
     assert_eq!(requests.recv_timeout(TIMEOUT).unwrap().0[0], "fetch");
-    assert_eq!(
-        read_response(&mut BufReader::new(ask(2))).unwrap().status,
-        200
-    );
+    assert_eq!(answer_status(ask(2)), 200);
     thread::sleep(Duration::from_millis(400));
     drop(leaving_client);
     program.wait_for_count("vanished 1\n");
-    assert_eq!(
-        read_response(&mut BufReader::new(ask(3))).unwrap().status,
-        200
-    );
+    assert_eq!(answer_status(ask(3)), 200);
     assert_eq!(program.counter("connections_to_engines"), Some(2));
 }
--- a/crates/dispatcher/tests/sockets/queries.rs
+++ b/crates/dispatcher/tests/sockets/queries.rs
@@ -6,7 +6,8 @@
 use std::net::TcpStream;
 use std::thread;
 use std::time::{Duration, Instant};
-use tansymux_testbed::engine::scripted as engine;
+use tansymux::settings::keys;
+use tansymux_testbed::engine::{scripted as engine, write_result_of};
 use tansymux_testbed::program::{free_address, get, TIMEOUT};
 use tansymux_testbed::wire::read_response;
 
@@ -87,7 +88,7 @@
     clients.push(post_query(program.listen, "look", 3));
     let statuses: Vec<u16> = clients
         .iter()
-        .map(|c| read_response(&mut BufReader::new(c)).unwrap().status)
+        .map(|client| read_response(&mut BufReader::new(client)).unwrap().status)
         .collect();
     // The engine is silent: queries that only read are rejected, one that may have changed tables fails.
     assert_eq!(statuses, [429, 500, 429]);
@@ -105,19 +106,15 @@
 
 #[test]
 fn query_wait_time_counts_from_its_last_byte() {
-    let (address, _requests) =
-        engine(|parts, to| write_frame(to, &[&parts[1], "DONE", "batches=1", ""]));
+    let (address, _requests) = engine(|parts, to| write_result_of(to, &parts[1], ""));
     let program = start(&[address]);
     let slow = post_query_slowly(program.listen, "look", 1, 800, Duration::from_millis(1000));
-    assert_eq!(
-        read_response(&mut BufReader::new(slow)).unwrap().status,
-        200
-    );
+    assert_eq!(answer_status(slow), 200);
 }
 
 #[test]
-fn write_that_never_ran_is_rejected_and_one_that_may_have_run_is_not_retried() {
-    // Nobody listens at the first address; at the second, connections end when a request has come.
+fn write_that_never_ran_is_rejected() {
+    // Nobody listens at the engine's address.
     let program = start(&[free_address()]);
     let rejected =
         read_response(&mut BufReader::new(post_query(program.listen, "load", 1))).unwrap();
@@ -130,14 +127,14 @@
         "{}",
         rejected.head
     );
+}
+
+#[test]
+fn write_that_may_have_run_is_not_retried() {
+    // The engine closes a connection when a request has come.
     let (address, requests) = engine(|_, to| drop(to.shutdown(std::net::Shutdown::Both)));
     let program = start(&[address]);
-    assert_eq!(
-        read_response(&mut BufReader::new(post_query(program.listen, "load", 1)))
-            .unwrap()
-            .status,
-        500
-    );
+    assert_eq!(answer_status(post_query(program.listen, "load", 1)), 500);
     assert_eq!(
         requests
             .try_iter()
@@ -148,10 +145,10 @@
 }
 
 #[test]
-fn client_disconnect_cancels_its_query_and_others_go_on() {
+fn client_disconnect_cancels_its_query_and_others_are_served() {
     let (address, requests) = engine(|parts, to| {
         if parts[1].ends_with('2') {
-            write_frame(to, &[&parts[1], "DONE", "batches=1", ""]);
+            write_result_of(to, &parts[1], "");
         }
     });
     let program = start(&[address]);
@@ -167,7 +164,12 @@
         (served.status, served.body.as_str()),
         (200, r#"{"data":[]}"#)
     );
-    // A resource group that the settings do not name is refused.
+}
+
+#[test]
+fn unknown_resource_group_is_refused() {
+    let (address, _requests) = instant_engine();
+    let program = start(&[address]);
     let unknown = read_response(&mut BufReader::new(post_query(
         program.listen,
         "nothing",
@@ -175,7 +177,12 @@
     )))
     .unwrap();
     assert_eq!(unknown.status, 404);
-    // A request that can't be parsed or used gets an error, and the program serves on.
+}
+
+#[test]
+fn malformed_requests_get_an_error_and_the_program_keeps_serving() {
+    let (address, _requests) = instant_engine();
+    let program = start(&[address]);
     let head = "POST /invoke/look HTTP/1.1\r\nReq-Id: 00000000000000aa\r\nReq-Wait-Ms: 9000\r\n";
     let costs =
         ["1e300", "-1", "NaN", "inf", "x"].map(|cost| format!("{head}Req-Cost: {cost}\r\n\r\n"));
@@ -186,10 +193,7 @@
     {
         let mut hostile = TcpStream::connect(program.listen).unwrap();
         hostile.write_all(bytes).unwrap();
-        assert_eq!(
-            read_response(&mut BufReader::new(hostile)).unwrap().status,
-            400
-        );
+        assert_eq!(answer_status(hostile), 400);
     }
     assert_eq!(get(program.listen, "/_health").unwrap().status, 200);
 }
@@ -199,12 +203,19 @@
 fn keys_are_forwarded_unchanged_and_queries_of_one_ordering_key_run_in_order() {
     let (address, requests) = engine(|parts, to| {
         thread::sleep(Duration::from_millis(60));
-        write_frame(to, &[&parts[1], "DONE", "batches=1", ""]);
+        write_result_of(to, &parts[1], "");
     });
     let program = start_with(&[address], |config| {
-        let load = json!({"name": "load", "aim-us": 300_000, "hard-limit-us": 9_000_000, "effect": "idempotency_key",
-            "dedup-scope": "all", "repeat-window-us": 5_000_000, "in-order": true});
-        config.with("settings.services.1", load)
+        let load = json!({
+            keys::group::NAME: "load",
+            keys::group::OBJECTIVE_US: 300_000,
+            keys::group::DEADLINE_US: 9_000_000,
+            keys::group::EFFECT: keys::effect::IDEMPOTENCY_KEY,
+            keys::group::DEDUP_SCOPE: keys::dedup_scope::ALL,
+            keys::group::DEDUP_WINDOW_US: 5_000_000,
+            keys::group::IN_KEY_ORDER: true,
+        });
+        config.with_setting(&format!("{}.1", keys::GROUPS), load)
     });
     let (token, key) = ("0123456789abcdef0123456789ABCDEF", "00000000000000c7");
     let post_with_fields = |id: u64, fields: &str| {
@@ -251,16 +262,14 @@
             200
         )
     });
-    // A key that would break the list of fields is refused, as is a field that comes twice.
+    // A key that would break the list of fields is refused, as is a repeated field.
     for malformed in [
         "Req-Token: a,mb=9\r\n",
         "Req-Key: \r\n",
         "Req-Key: 1\r\nReq-Key: 2\r\n",
     ] {
         assert_eq!(
-            read_response(&mut BufReader::new(post_with_fields(9, malformed)))
-                .unwrap()
-                .status,
+            answer_status(post_with_fields(9, malformed)),
             400,
             "{malformed}"
         );
--- a/crates/dispatcher/tests/sockets/support.rs
+++ b/crates/dispatcher/tests/sockets/support.rs
@@ -1,18 +1,24 @@
-//! What the tests on sockets share: the program with two resource groups, and clients that send a query.
+//! Support of the tests on sockets: the program with two resource groups, an engine, and clients that send a query.
 
+use std::io::BufReader;
 use std::net::{SocketAddr, TcpStream};
 use std::path::Path;
+use std::sync::mpsc::Receiver;
 use std::time::Duration;
 use tansymux_testbed::client::{send_query_in_two_writes as post_in_two, ClientQuery};
+use tansymux_testbed::engine::{scripted, write_result, ReceivedFrame};
 use tansymux_testbed::program::{Config, Program};
-use tansymux_testbed::wire;
+use tansymux_testbed::wire::{self, read_response};
+
+/// Length of a request's first part (bytes): the cut lies within a header field.
+const CUT_WITHIN_HEADER: usize = 50;
 
 /// Starts the program with these engines, and waits until it is healthy.
 pub fn start(engines: &[SocketAddr]) -> Program {
     start_with(engines, |config| config)
 }
 
-/// The same with a configuration that `change` completes.
+/// The same with a configuration that `change` has completed.
 pub fn start_with(engines: &[SocketAddr], change: impl Fn(Config) -> Config) -> Program {
     let config = Config::with_two_classes(engines);
     Program::start(
@@ -22,27 +28,39 @@
     )
 }
 
+/// An engine that completes every request at once, and the frames that it receives.
+pub fn instant_engine() -> (SocketAddr, Receiver<ReceivedFrame>) {
+    scripted(|parts, to| write_result(to, &parts[1]))
+}
+
+/// The status of the next answer on a client's connection.
+pub fn answer_status(client: TcpStream) -> u16 {
+    read_response(&mut BufReader::new(client))
+        .expect("the program answers")
+        .status
+}
+
 /// Writes an engine's answer.
 pub fn write_frame(to: &mut TcpStream, parts: &[&str]) {
     wire::write_frame(to, parts);
 }
 
 /// Sends a query on a connection of its own.
-pub fn post_query(to: SocketAddr, rg: &str, id: u64) -> TcpStream {
-    post_query_slowly(to, rg, id, 9000, Duration::from_millis(5))
+pub fn post_query(to: SocketAddr, group: &str, id: u64) -> TcpStream {
+    post_query_slowly(to, group, id, 9000, Duration::from_millis(5))
 }
 
-/// The same in two parts with a pause between them, by a client that waits for `wait_ms`.
+/// Sends a query in two parts with a pause between them, as a client that waits for `wait_ms`.
 pub fn post_query_slowly(
     to: SocketAddr,
-    rg: &str,
+    group: &str,
     id: u64,
     wait_ms: u64,
     pause: Duration,
 ) -> TcpStream {
     let statement = "SELECT a FROM sales_17.orders";
-    let mut ask = ClientQuery::new(id, &format!("/invoke/{rg}"), rg, statement, wait_ms as f64);
-    ask.cost = Some(20.0);
-    // Cut within a header field.
-    post_in_two(to, &ask, 50, pause)
+    let path = format!("/invoke/{group}");
+    let mut query = ClientQuery::new(id, &path, group, statement, wait_ms as f64);
+    query.cost = Some(20.0);
+    post_in_two(to, &query, CUT_WITHIN_HEADER, pause)
 }
--- a/crates/dispatcher/tests/statements.rs
+++ b/crates/dispatcher/tests/statements.rs
@@ -12,14 +12,19 @@
 use std::sync::Arc;
 use std::thread;
 use std::time::Duration;
+use tansymux::settings::keys;
 use tansymux_testbed::client::{send_query, ClientQuery};
 use tansymux_testbed::corpus::{corpus, mutated};
-use tansymux_testbed::engine::{scripted, Engine, EngineSpec, QueryWork, RunContext};
+use tansymux_testbed::engine::{
+    scripted, write_result, write_result_of, Engine, EngineSpec, QueryWork, RunContext,
+};
 use tansymux_testbed::invariants::{find_violations, ClassRules, Effect, Rules};
 use tansymux_testbed::program::{class, free_address, Config, Program, TempFile, TIMEOUT};
-use tansymux_testbed::wire::{read_response, write_frame};
+use tansymux_testbed::wire::read_response;
 
+/// The program under test.
 const EXE: &str = env!("CARGO_BIN_EXE_tansymux");
+/// Classifies queries without a group, and runs reports in the group of look-ups.
 const CLASSIFY_ALL: &str =
     "path: \"/statement\" groups { look_up: \"look\" report: \"look\" load: \"load\" }";
 
@@ -27,11 +32,11 @@
     let engines: Vec<_> = engines
         .iter()
         .enumerate()
-        .map(|(i, at)| (format!("s-{i}"), *at))
+        .map(|(index, address)| (format!("s-{index}"), *address))
         .collect();
     let classes = [
-        class("look", 300.0, 9000.0, "read_like"),
-        class("load", 300.0, 9000.0, "non_idempotent"),
+        class("look", 300.0, 9000.0, keys::effect::READ_ONLY),
+        class("load", 300.0, 9000.0, keys::effect::NON_IDEMPOTENT),
     ];
     Config::new(free_address(), &engines, &classes, &[1, 1])
 }
@@ -84,8 +89,8 @@
 
 #[test]
 fn statement_without_a_group_runs_in_the_group_of_its_class_and_is_rejected_without_the_path() {
-    let (address, told) = scripted(|parts, to| {
-        write_frame(to, &[&parts[1], "DONE", "batches=1", ""]);
+    let (address, requests) = scripted(|parts, to| {
+        write_result_of(to, &parts[1], "");
     });
     let (program, _operator) = start(&[address], CLASSIFY_ALL);
     for (id, statement, group) in [
@@ -97,7 +102,7 @@
             status(post(program.listen, &unclassed_query(id, statement))),
             200
         );
-        let fetch = told.recv_timeout(TIMEOUT).unwrap().0;
+        let fetch = requests.recv_timeout(TIMEOUT).unwrap().0;
         assert!(
             fetch[2].starts_with(group) && fetch[3] == statement,
             "{fetch:?}"
@@ -115,11 +120,11 @@
 #[test]
 fn statement_that_may_write_is_not_retried_whatever_its_class_promises() {
     // Each connection is reset once a request came: what ran is unknown, and only a read-only query may be retried.
-    let (address, told) = scripted(|_, to| drop(to.shutdown(std::net::Shutdown::Both)));
+    let (address, requests) = scripted(|_, to| drop(to.shutdown(std::net::Shutdown::Both)));
     let hidden = "select 1 -- x\n; delete from sales_17.orders";
     let send_and_count_attempts = |program: &Program, query: &ClientQuery| {
         let status = status(post(program.listen, query));
-        let fetches = told
+        let fetches = requests
             .try_iter()
             .filter(|(parts, _)| parts[0] == "fetch")
             .count();
@@ -156,10 +161,10 @@
 
 #[test]
 fn reloaded_rules_apply_to_new_queries_and_not_to_queries_in_flight() {
-    let (address, told) = scripted(|parts, to| {
+    let (address, requests) = scripted(|parts, to| {
         if parts[0] == "fetch" {
             thread::sleep(Duration::from_millis(400));
-            write_frame(to, &[&parts[1], "DONE", "batches=1", "a\tb\tc\n"]);
+            write_result(to, &parts[1]);
         }
     });
     let (program, operator) = start(&[address], CLASSIFY_ALL);
@@ -167,7 +172,7 @@
         program.listen,
         &unclassed_query(1, "select a from sales_17.orders where id = 1"),
     );
-    assert!(told.recv_timeout(TIMEOUT).unwrap().0[2].starts_with("cls=look,"));
+    assert!(requests.recv_timeout(TIMEOUT).unwrap().0[2].starts_with("cls=look,"));
     // A file with a fault changes nothing, and its fault is logged.
     operator.write("statements { path: \"/statement\"\n groups { look_up: \"nobody\" report: \"look\" load: \"load\" } }");
     program.signal("-HUP");
@@ -184,7 +189,7 @@
         program.listen,
         &unclassed_query(2, "select a from sales_17.orders where id = 2"),
     );
-    assert!(told.recv_timeout(TIMEOUT).unwrap().0[2].starts_with("cls=load,"));
+    assert!(requests.recv_timeout(TIMEOUT).unwrap().0[2].starts_with("cls=load,"));
     assert_eq!((status(in_flight), status(later)), (200, 200));
     // Classification is off again: its path is unknown.
     operator.write("");
@@ -210,18 +215,21 @@
 #[expect(clippy::too_many_lines, reason = "one scenario from start to end")]
 fn every_statement_malformed_or_not_gets_exactly_one_final_answer() {
     use rand::SeedableRng;
-    let world = Arc::new(RunContext::default());
+    let context = Arc::new(RunContext::default());
     let engines: Vec<Engine> = (0..3)
-        .map(|n| Engine::start(&format!("s-{n}"), EngineSpec::default(), n, world.clone()))
+        .map(|index| {
+            let id = format!("s-{index}");
+            Engine::start(&id, EngineSpec::default(), index, context.clone())
+        })
         .collect();
     let addresses: Vec<SocketAddr> = engines.iter().map(|engine| engine.address).collect();
     let (mut program, _operator) = start(&addresses, CLASSIFY_ALL);
     let mut rng = rand_pcg::Pcg64::seed_from_u64(7);
     let all = corpus(1, 4, 7);
     let mut waiting = Vec::new();
-    for (n, labelled) in all.iter().enumerate() {
-        let other = &all[(n * 7 + 3) % all.len()].statement;
-        let is_mutated = n % 3 == 0;
+    for (index, labelled) in all.iter().enumerate() {
+        let other = &all[(index * 7 + 3) % all.len()].statement;
+        let is_mutated = index % 3 == 0;
         let text = if is_mutated {
             String::from_utf8_lossy(&mutated(&labelled.statement, other, &mut rng)).into_owned()
         } else {
@@ -231,7 +239,7 @@
         let class = if is_mutated { "spoilt" } else { labelled.class };
         let query = ClientQuery {
             class: class.into(),
-            ..unclassed_query(n as u64 + 1, &text)
+            ..unclassed_query(index as u64 + 1, &text)
         };
         let work = QueryWork {
             work: 2.0,
@@ -239,10 +247,10 @@
             changes: labelled.effect != "read-only",
             tables: 0,
         };
-        world.works.lock().unwrap().insert(query.id(), work);
-        let (world, listen) = (world.clone(), program.listen);
+        context.works.lock().unwrap().insert(query.id(), work);
+        let (context, listen) = (context.clone(), program.listen);
         waiting.push(thread::spawn(move || {
-            send_query(listen, &query, &world.record).is_some()
+            send_query(listen, &query, &context.record).is_some()
         }));
         if waiting.len() % 24 == 0 {
             thread::sleep(Duration::from_millis(20));
@@ -250,7 +258,7 @@
     }
     let answered = waiting
         .into_iter()
-        .map(|w| w.join().unwrap())
+        .map(|thread| thread.join().unwrap())
         .filter(|got| *got)
         .count();
     assert_eq!(answered, all.len());
@@ -274,7 +282,7 @@
         retry_budget: None,
         classes,
     };
-    let violations = find_violations(&world.record.entries(), &rules);
+    let violations = find_violations(&context.record.entries(), &rules);
     assert!(violations.is_empty(), "{violations:?}");
 }
 
@@ -334,7 +342,7 @@
     let (code, out, _) = run_program(&["classify", "--plain"], "select 1\ndelete from t\n'\n");
     let effects: Vec<&str> = out
         .lines()
-        .filter_map(|l| l.split("\"effect\":\"").nth(1)?.split('"').next())
+        .filter_map(|line| line.split("\"effect\":\"").nth(1)?.split('"').next())
         .collect();
     assert_eq!(
         (code, effects),
@@ -346,8 +354,8 @@
 
 #[test]
 fn log_lines_are_text_or_json_with_fields_and_a_level() {
-    let (address, _told) = scripted(|parts, to| {
-        write_frame(to, &[&parts[1], "DONE", "batches=1", ""]);
+    let (address, _requests) = scripted(|parts, to| {
+        write_result_of(to, &parts[1], "");
     });
     for (arguments, expected) in [
         (
--- a/crates/dispatcher/tests/zone_routing.rs
+++ b/crates/dispatcher/tests/zone_routing.rs
@@ -11,12 +11,14 @@
 use std::sync::Arc;
 use std::thread;
 use std::time::{Duration, Instant};
+use tansymux::settings::keys;
 use tansymux_testbed::client::{send_query, ClientQuery, ClientResponse};
 use tansymux_testbed::engine::{Engine, EngineSpec, Fault, QueryWork, RunContext};
 use tansymux_testbed::invariants::{find_violations, ClassRules, Effect, Rules};
 use tansymux_testbed::program::{class, free_address, get, Config, Program, TempFile};
 use tansymux_testbed::record::EventKind;
 
+/// The operators' file of these tests.
 const ZONES: &str = r#"halls {
   route { from: "east" tier { hall: "east" } tier { hall: "west" } }
   spill { most: 0.3 }
@@ -24,8 +26,9 @@
   climb { first: 0.1 over_s: 4 }
 }"#;
 
+/// The program and four engines in two zones.
 struct Site {
-    world: Arc<RunContext>,
+    context: Arc<RunContext>,
     engines: Vec<Engine>,
     program: Program,
     next_query_id: AtomicU64,
@@ -33,32 +36,35 @@
 }
 
 fn start(zones: &str) -> Site {
-    let world = Arc::new(RunContext::default());
+    let context = Arc::new(RunContext::default());
     let engines: Vec<Engine> = (0..4)
-        .map(|n| Engine::start(&format!("s-{n}"), EngineSpec::default(), n, world.clone()))
+        .map(|index| {
+            let id = format!("s-{index}");
+            Engine::start(&id, EngineSpec::default(), index, context.clone())
+        })
+        .collect();
+    let known: Vec<_> = engines
+        .iter()
+        .map(|engine| (engine.id.clone(), engine.address))
         .collect();
-    let known: Vec<_> = engines.iter().map(|e| (e.id.clone(), e.address)).collect();
     let classes = [
-        class("look", 300.0, 2000.0, "read_like"),
-        class("report", 1500.0, 3000.0, "read_like"),
-        class("load", 1500.0, 3000.0, "non_idempotent"),
-        class("bound", 300.0, 2000.0, "read_like"),
+        class("look", 300.0, 2000.0, keys::effect::READ_ONLY),
+        class("report", 1500.0, 3000.0, keys::effect::READ_ONLY),
+        class("load", 1500.0, 3000.0, keys::effect::NON_IDEMPOTENT),
+        class("bound", 300.0, 2000.0, keys::effect::READ_ONLY),
     ];
     let mut config = Config::new(free_address(), &known, &classes, &[1, 4, 2, 1])
-        .with("settings.zone", "east")
-        .with("settings.limits.probes", true)
-        .with("settings.family-info.tells-every-us", 100_000)
-        .with(
-            "settings.family-info.class-load",
+        .with_setting(keys::LOCAL_ZONE, "east")
+        .with_setting(keys::HEALTH_CHECKS, true)
+        .with_setting(keys::PROGRESS_INTERVAL_US, 100_000)
+        .with_setting(
+            keys::IS_LOAD_BY_GROUP,
             serde_json::json!([false, false, true, false]),
         )
-        .with(
-            "settings.services.3.confined-to",
-            serde_json::json!(["east"]),
-        );
-    for n in 0..4 {
-        let zone = if n < 2 { "east" } else { "west" };
-        config = config.with(&format!("known.cmds.0.nodes.instances.{n}.zone"), zone);
+        .with_group_setting(3, keys::group::ZONES, serde_json::json!(["east"]));
+    for engine in 0..4 {
+        let zone = if engine < 2 { "east" } else { "west" };
+        config = config.with(&format!("known.cmds.0.nodes.instances.{engine}.zone"), zone);
     }
     let operator = TempFile::new("operator.textproto", zones);
     let path = operator.0.display().to_string();
@@ -68,7 +74,7 @@
         &["--operator", &path],
     );
     Site {
-        world,
+        context,
         engines,
         program,
         next_query_id: AtomicU64::new(1),
@@ -93,12 +99,12 @@
             changes: group == "load",
             tables: 0,
         };
-        self.world
+        self.context
             .works
             .lock()
             .unwrap()
             .insert(query.id(), query_work);
-        send_query(self.program.listen, &query, &self.world.record)
+        send_query(self.program.listen, &query, &self.context.record)
     }
 
     fn zones(&self) -> Value {
@@ -111,17 +117,19 @@
             .as_array()
             .unwrap()
             .iter()
-            .find(|h| h["hall"] == zone);
-        of.map_or("", |h| h["state"].as_str().unwrap()).to_owned()
+            .find(|entry| entry["hall"] == zone);
+        of.map_or("", |entry| entry["state"].as_str().unwrap())
+            .to_owned()
     }
 
-    fn zone(&self, fault: Fault) {
+    /// Injects a fault into all engines of the east zone.
+    fn inject_into_east(&self, fault: Fault) {
         self.engines[..2]
             .iter()
             .for_each(|engine| engine.fault(fault));
     }
 
-    /// Sends look-ups until a zone is in a state. Gives the time that it took.
+    /// Sends look-ups until a zone is in a state. Returns the time that it took.
     fn send_until_state(&self, zone: &str, state: &str) -> Duration {
         let from = Instant::now();
         while self.state(zone) != state {
@@ -139,7 +147,7 @@
 
     /// Attempts by zone since an entry of the record.
     fn attempts_by_zone(&self, since: usize) -> (usize, usize) {
-        let entries = self.world.record.entries();
+        let entries = self.context.record.entries();
         let to = |east: bool| {
             let is_attempt = |event: &EventKind| matches!(event, EventKind::Arrived { engine, .. } if (engine == "s-0" || engine == "s-1") == east);
             entries[since..]
@@ -151,7 +159,7 @@
     }
 
     fn record_length(&self) -> usize {
-        self.world.record.entries().len()
+        self.context.record.entries().len()
     }
 }
 
@@ -161,7 +169,7 @@
     let mut site = start(ZONES);
     (0..20).for_each(|_| assert_eq!(site.send_query("look", 5.0).unwrap().status, 200));
     assert_eq!(site.attempts_by_zone(0).1, 0, "the local zone is preferred");
-    site.zone(Fault::Silent);
+    site.inject_into_east(Fault::Silent);
     site.send_until_state("east", "cut");
     // Look-ups run in the other zone; of reports as many as may spill, the rest is rejected at once.
     let record_length = site.record_length();
@@ -199,7 +207,7 @@
     assert!(bound.status == 429, "{bound:?}");
     assert_eq!(site.attempts_by_zone(record_length).1, 0);
     // The zone recovers: a fraction first, all after the ramp, and then the local zone is preferred again.
-    site.zone(Fault::None);
+    site.inject_into_east(Fault::None);
     site.send_until_state("east", "climbing");
     let recovery = site.send_until_state("east", "well");
     assert!(recovery > Duration::from_secs(3), "{recovery:?}");
@@ -235,7 +243,7 @@
         retry_budget: None,
         classes,
     };
-    let violations = find_violations(&site.world.record.entries(), &rules);
+    let violations = find_violations(&site.context.record.entries(), &rules);
     assert!(violations.is_empty(), "{violations:?}");
 }
 
@@ -247,7 +255,7 @@
             .map(|_| scope.spawn(|| site.send_query("load", 400.0)))
             .collect();
         thread::sleep(Duration::from_millis(60));
-        site.zone(Fault::Silent);
+        site.inject_into_east(Fault::Silent);
         (0..4).for_each(|_| drop(scope.spawn(|| site.send_query("look", 5.0))));
         asked
             .into_iter()
@@ -256,7 +264,7 @@
     });
     // Engines finish what they began; whatever came, each has one answer and ran at most once.
     assert!(got.iter().all(Option::is_some));
-    let entries = site.world.record.entries();
+    let entries = site.context.record.entries();
     let loads: Vec<&str> = entries
         .iter()
         .filter_map(|entry| match &entry.event {
--- a/crates/testbed/src/engine/mod.rs
+++ b/crates/testbed/src/engine/mod.rs
@@ -6,7 +6,9 @@
 mod attempt;
 mod scripted;
 
-pub use scripted::{refuse_silently, scripted, ReceivedFrame};
+pub use scripted::{
+    engine_answering_after, refuse_silently, scripted, write_result, write_result_of, ReceivedFrame,
+};
 
 use crate::record::{EventKind, Record};
 use crate::wire::{read_frame, write_frame};
--- a/crates/testbed/src/engine/scripted.rs
+++ b/crates/testbed/src/engine/scripted.rs
@@ -1,6 +1,6 @@
 //! Scripted engines, and a listener that no connection reaches.
 
-use crate::wire::read_frame;
+use crate::wire::{read_frame, write_frame};
 use std::io::BufReader;
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::mpsc::{channel, Receiver};
@@ -42,6 +42,35 @@
     (address, receiver)
 }
 
+/// Writes the reply of a completed query with one row.
+pub fn write_result(to: &mut TcpStream, query_id: &str) {
+    write_result_of(to, query_id, "a\tb\tc\n");
+}
+
+/// Writes the reply of a completed query with these rows.
+pub fn write_result_of(to: &mut TcpStream, query_id: &str, rows: &str) {
+    write_frame(to, &[query_id, "DONE", "batches=1", rows]);
+}
+
+/// An engine that completes each query after `delay`, and the frames that it receives.
+///
+/// # Panics
+/// The loopback has no free port.
+pub fn engine_answering_after(delay: Duration) -> (SocketAddr, Receiver<ReceivedFrame>) {
+    scripted(move |fields, to| {
+        let Ok(mut to) = to.try_clone() else {
+            return;
+        };
+        if fields[0] == "fetch" {
+            let query_id = fields[1].clone();
+            thread::spawn(move || {
+                thread::sleep(delay);
+                write_result(&mut to, &query_id);
+            });
+        }
+    })
+}
+
 /// Makes a listener unreachable, as on a machine that vanished: its backlog is set to the minimum and filled. No
 /// connection is established while the returned streams are held and nothing accepts them.
 ///
--- a/crates/testbed/src/program.rs
+++ b/crates/testbed/src/program.rs
@@ -125,6 +125,11 @@
         self
     }
 
+    /// Sets a setting of the resource group at an index by its key, as in [`keys::group::OBJECTIVE_US`].
+    pub fn with_group_setting(self, group: usize, key: &str, value: impl Into<Value>) -> Self {
+        self.with_setting(&format!("{}.{group}.{key}", keys::GROUPS), value)
+    }
+
     /// Sets a setting by its key, as in [`keys::HEALTH_CHECKS`].
     pub fn with_setting(self, key: &str, value: impl Into<Value>) -> Self {
         self.with(&format!("settings.{key}"), value)
