--- a/crates/dispatcher/tests/fault_injection/wall_clock.rs
+++ b/crates/dispatcher/tests/fault_injection/wall_clock.rs
@@ -77,27 +77,69 @@
     thread::sleep(Duration::from_millis(600));
 }
 
-/// An engine that starts after the step gets its slow start, and no more than that.
+/// The program under the shim with a warm engine, and an engine that is not listed yet.
+struct SlowStartRun {
+    shim: FaultShim,
+    names: NameService,
+    program: Program,
+    old_engine: SocketAddr,
+    new_engine: SocketAddr,
+    /// What the new engine receives.
+    requests: Receiver<ReceivedFrame>,
+}
+
+impl SlowStartRun {
+    /// Starts the program on a machine whose wall clock is wrong by `offset_s`, and waits until it has the endpoint list.
+    fn start(offset_s: i64) -> Self {
+        let shim = fault_shim();
+        shim.table().set_wall_offset_ns(offset_s * 1_000_000_000);
+        let (old_engine, _) = engine_answering_after(Duration::ZERO);
+        let (new_engine, requests) = engine_answering_after(Duration::ZERO);
+        let names = NameService::start(Vec::new(), Arc::new(Record::default()));
+        list_engine(&names, "s-0", old_engine, 0.0);
+        let program = start_under(&shim, &slow_start_config(old_engine, &names));
+        program.wait_for_count("lists 1\n");
+        SlowStartRun {
+            shim,
+            names,
+            program,
+            old_engine,
+            new_engine,
+            requests,
+        }
+    }
+
+    /// Lists the new engine with its start (Unix ms), and waits until the program has the list.
+    fn list_new_engine(&self, started_ms: f64) {
+        list_engine(&self.names, "s-9", self.new_engine, started_ms);
+        self.program.wait_for_count("lists 2\n");
+    }
+
+    /// Sends queries for a time. Returns how many of them the new engine received.
+    fn share_of_new_engine(&self, first_id: u64, time: Duration) -> usize {
+        share_of_engine(&self.program, &self.requests, first_id, time)
+    }
+
+    /// Waits until an engine that started at `started` is warm.
+    fn wait_until_warm(started: Instant) {
+        let warm_after = Duration::from_millis(WARM_AFTER_MS + SPAN_MS + 500);
+        thread::sleep(warm_after.saturating_sub(started.elapsed()));
+    }
+}
+
+/// Asserts that an engine that starts after the step gets its slow start, and no more than that.
 fn assert_slow_start_after_step(step_s: i64) {
-    let shim = fault_shim();
-    let (old, _) = engine_answering_after(Duration::ZERO);
-    let (new, requests) = engine_answering_after(Duration::ZERO);
-    let names = NameService::start(Vec::new(), Arc::new(Record::default()));
-    list_engine(&names, "s-0", old, 0.0);
-    let program = start_under(&shim, &slow_start_config(old, &names));
-    program.wait_for_count("lists 1\n");
-    step_wall_clock(&shim, step_s);
+    let run = SlowStartRun::start(0);
+    step_wall_clock(&run.shim, step_s);
     let started = Instant::now();
-    list_engine(&names, "s-9", new, wall_ms(step_s));
-    program.wait_for_count("lists 2\n");
-    let early = share_of_engine(&program, &requests, 1, Duration::from_millis(1500));
+    run.list_new_engine(wall_ms(step_s));
+    let early = run.share_of_new_engine(1, Duration::from_millis(1500));
     assert!(
         early <= MAX_IN_SLOW_START,
         "step {step_s} s: {early} queries to an engine that warms up"
     );
-    let warm_after = Duration::from_millis(WARM_AFTER_MS + SPAN_MS + 500);
-    thread::sleep(warm_after.saturating_sub(started.elapsed()));
-    let late = share_of_engine(&program, &requests, 1000, Duration::from_millis(1000));
+    SlowStartRun::wait_until_warm(started);
+    let late = run.share_of_new_engine(1000, Duration::from_millis(1000));
     assert!(
         late > MAX_IN_SLOW_START,
         "step {step_s} s: {late} queries to an engine that is warm"
@@ -107,41 +149,34 @@
 #[test]
 fn engine_started_after_a_step_of_the_wall_clock_gets_its_slow_start() {
     let steps = [0, -40, -3600, 40, 3600];
-    let runs = steps.map(|step_s| thread::spawn(move || assert_slow_start_after_step(step_s)));
-    for run in runs {
-        run.join().unwrap();
+    let threads = steps.map(|step_s| thread::spawn(move || assert_slow_start_after_step(step_s)));
+    for thread in threads {
+        thread.join().unwrap();
     }
 }
 
 #[test]
 fn engine_started_before_a_step_of_the_wall_clock_keeps_its_slow_start() {
-    let runs = [-3600, 3600].map(|step_s| {
+    let threads = [-3600, 3600].map(|step_s| {
         thread::spawn(move || {
-            let shim = fault_shim();
-            let (old, _) = engine_answering_after(Duration::ZERO);
-            let (new, requests) = engine_answering_after(Duration::ZERO);
-            let names = NameService::start(Vec::new(), Arc::new(Record::default()));
-            list_engine(&names, "s-0", old, 0.0);
-            let program = start_under(&shim, &slow_start_config(old, &names));
-            program.wait_for_count("lists 1\n");
+            let run = SlowStartRun::start(0);
             // The engine starts, the clock is stepped, and only then the engine is listed.
             let started_ms = wall_ms(0);
-            step_wall_clock(&shim, step_s);
-            list_engine(&names, "s-9", new, started_ms);
-            program.wait_for_count("lists 2\n");
-            let early = share_of_engine(&program, &requests, 1, Duration::from_millis(1200));
+            step_wall_clock(&run.shim, step_s);
+            run.list_new_engine(started_ms);
+            let early = run.share_of_new_engine(1, Duration::from_millis(1200));
             assert!(early <= MAX_IN_SLOW_START, "step {step_s} s: {early}");
             // A step while the engine warms up changes nothing either, nor does a repetition of the list.
-            step_wall_clock(&shim, -step_s);
-            list_engine(&names, "s-0", old, 0.0);
-            program.wait_for_count("lists 3\n");
+            step_wall_clock(&run.shim, -step_s);
+            list_engine(&run.names, "s-0", run.old_engine, 0.0);
+            run.program.wait_for_count("lists 3\n");
             thread::sleep(Duration::from_millis(WARM_AFTER_MS));
-            let late = share_of_engine(&program, &requests, 1000, Duration::from_millis(1000));
+            let late = run.share_of_new_engine(1000, Duration::from_millis(1000));
             assert!(late > MAX_IN_SLOW_START, "step {step_s} s: {late}");
         })
     });
-    for run in runs {
-        run.join().unwrap();
+    for thread in threads {
+        thread.join().unwrap();
     }
 }
 
@@ -166,29 +201,20 @@
 #[test]
 fn engine_that_starts_gets_its_slow_start_from_a_dispatcher_whose_clock_is_wrong() {
     // The dispatcher's machine is an hour off from the beginning; the machines of engines and name service are right.
-    let runs = [-3600, 3600].map(|off_s| {
+    let threads = [-3600, 3600].map(|off_s| {
         thread::spawn(move || {
-            let shim = fault_shim();
-            shim.table().set_wall_offset_ns(off_s * 1_000_000_000);
-            let (old, _) = engine_answering_after(Duration::ZERO);
-            let (new, requests) = engine_answering_after(Duration::ZERO);
-            let names = NameService::start(Vec::new(), Arc::new(Record::default()));
-            list_engine(&names, "s-0", old, 0.0);
-            let program = start_under(&shim, &slow_start_config(old, &names));
-            program.wait_for_count("lists 1\n");
+            let run = SlowStartRun::start(off_s);
             thread::sleep(Duration::from_millis(600));
             let started = Instant::now();
-            list_engine(&names, "s-9", new, wall_ms(0));
-            program.wait_for_count("lists 2\n");
-            let early = share_of_engine(&program, &requests, 1, Duration::from_millis(1500));
+            run.list_new_engine(wall_ms(0));
+            let early = run.share_of_new_engine(1, Duration::from_millis(1500));
             assert!(early <= MAX_IN_SLOW_START, "off by {off_s} s: {early}");
-            let warm_after = Duration::from_millis(WARM_AFTER_MS + SPAN_MS + 500);
-            thread::sleep(warm_after.saturating_sub(started.elapsed()));
-            let late = share_of_engine(&program, &requests, 1000, Duration::from_millis(1000));
+            SlowStartRun::wait_until_warm(started);
+            let late = run.share_of_new_engine(1000, Duration::from_millis(1000));
             assert!(late > MAX_IN_SLOW_START, "off by {off_s} s: {late}");
         })
     });
-    for run in runs {
-        run.join().unwrap();
+    for thread in threads {
+        thread.join().unwrap();
     }
 }
--- a/crates/dispatcher/tests/levels.rs
+++ b/crates/dispatcher/tests/levels.rs
@@ -15,7 +15,8 @@
 use tansymux_testbed::client::ClientQuery;
 use tansymux_testbed::engine::scripted;
 use tansymux_testbed::program::{
-    class, free_address, free_udp_address, get, Config, Program, TempFile, TIMEOUT,
+    class, free_address, free_udp_address, get, numbered_engines, Config, Program, TempFile,
+    TIMEOUT,
 };
 use tansymux_testbed::wire::{field, read_response, write_frame, HttpResponse};
 
@@ -33,11 +34,7 @@
 }"#;
 
 fn config(engines: &[SocketAddr]) -> Config {
-    let engines: Vec<_> = engines
-        .iter()
-        .enumerate()
-        .map(|(index, address)| (format!("s-{index}"), *address))
-        .collect();
+    let engines = numbered_engines(engines);
     let classes = [
         class("look", 300.0, 9000.0, keys::effect::READ_ONLY),
         class("report", 900.0, 9000.0, keys::effect::READ_ONLY),
--- a/crates/dispatcher/tests/sockets/engine_connections.rs
+++ b/crates/dispatcher/tests/sockets/engine_connections.rs
@@ -2,7 +2,7 @@
 
 use super::support::*;
 use std::io::{BufReader, Write};
-use std::net::{TcpListener, TcpStream};
+use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
 use std::thread;
@@ -105,9 +105,8 @@
     program.wait_for_count("connections_spoilt 3\n");
 }
 
-#[test]
-fn write_is_not_sent_on_an_idle_engine_connection() {
-    // The engine ends a connection when a request comes on it after a pause.
+/// An engine that completes every request, but ends a connection when a request comes on it after a pause.
+fn engine_closing_idle_connections() -> SocketAddr {
     let last = std::cell::Cell::new(None::<Instant>);
     let (address, _requests) = engine(move |parts, to| {
         if last
@@ -118,7 +117,12 @@
         }
         write_result(to, &parts[1]);
     });
-    let program = start(&[address]);
+    address
+}
+
+#[test]
+fn write_is_not_sent_on_an_idle_engine_connection() {
+    let program = start(&[engine_closing_idle_connections()]);
     for id in 1..8 {
         assert_eq!(
             answer_status(post_query(program.listen, "load", id)),
@@ -161,18 +165,7 @@
 
 #[test]
 fn idle_engine_connections_are_no_longer_reused_once_some_were_lost() {
-    // The engine ends a connection when a request comes on it after a pause.
-    let last = std::cell::Cell::new(None::<Instant>);
-    let (address, _requests) = engine(move |parts, to| {
-        if last
-            .replace(Some(Instant::now()))
-            .is_some_and(|at| at.elapsed() > Duration::from_millis(100))
-        {
-            return drop(to.shutdown(std::net::Shutdown::Both));
-        }
-        write_result(to, &parts[1]);
-    });
-    let program = start(&[address]);
+    let program = start(&[engine_closing_idle_connections()]);
     assert_all_complete(&program, "look", 1..20, 130);
     let lost = program.counter("connections_lost_idle").unwrap();
     assert!((1..=2).contains(&lost), "{lost}");
--- a/crates/dispatcher/tests/statements.rs
+++ b/crates/dispatcher/tests/statements.rs
@@ -12,14 +12,13 @@
 use std::sync::Arc;
 use std::thread;
 use std::time::Duration;
-use tansymux::settings::keys;
 use tansymux_testbed::client::{send_query, ClientQuery};
 use tansymux_testbed::corpus::{corpus, mutated};
 use tansymux_testbed::engine::{
     scripted, write_result, write_result_of, Engine, EngineSpec, QueryWork, RunContext,
 };
 use tansymux_testbed::invariants::{find_violations, ClassRules, Effect, Rules};
-use tansymux_testbed::program::{class, free_address, Config, Program, TempFile, TIMEOUT};
+use tansymux_testbed::program::{Config, Program, TempFile, TIMEOUT};
 use tansymux_testbed::wire::read_response;
 
 /// The program under test.
@@ -28,19 +27,6 @@
 const CLASSIFY_ALL: &str =
     "path: \"/statement\" groups { look_up: \"look\" report: \"look\" load: \"load\" }";
 
-fn config(engines: &[SocketAddr]) -> Config {
-    let engines: Vec<_> = engines
-        .iter()
-        .enumerate()
-        .map(|(index, address)| (format!("s-{index}"), *address))
-        .collect();
-    let classes = [
-        class("look", 300.0, 9000.0, keys::effect::READ_ONLY),
-        class("load", 300.0, 9000.0, keys::effect::NON_IDEMPOTENT),
-    ];
-    Config::new(free_address(), &engines, &classes, &[1, 1])
-}
-
 fn start(engines: &[SocketAddr], statements: &str) -> (Program, TempFile) {
     let operator = TempFile::new(
         "operator.textproto",
@@ -48,7 +34,11 @@
     );
     let path = operator.0.display().to_string();
     (
-        Program::start(Path::new(EXE), &config(engines), &["--operator", &path]),
+        Program::start(
+            Path::new(EXE),
+            &Config::with_two_classes(engines),
+            &["--operator", &path],
+        ),
         operator,
     )
 }
@@ -212,7 +202,6 @@
 }
 
 #[test]
-#[expect(clippy::too_many_lines, reason = "one scenario from start to end")]
 fn every_statement_malformed_or_not_gets_exactly_one_final_answer() {
     use rand::SeedableRng;
     let context = Arc::new(RunContext::default());
@@ -270,18 +259,8 @@
         _ => Effect::NonIdempotent,
     };
     let classes = ["look-up", "report", "load", "unknown", "spoilt"];
-    let classes = classes
-        .map(|class| (class.to_owned(), ClassRules::of(effect(class))))
-        .into();
-    let rules = Rules {
-        slack_ms: 50.0,
-        late_answer_ms: 0.0,
-        grace_ms: 1000.0,
-        warm_up: None,
-        cooldown_ms: 0.0,
-        retry_budget: None,
-        classes,
-    };
+    let classes = classes.map(|class| (class.to_owned(), ClassRules::of(effect(class))));
+    let rules = Rules::of_classes(classes);
     let violations = find_violations(&context.record.entries(), &rules);
     assert!(violations.is_empty(), "{violations:?}");
 }
@@ -297,7 +276,7 @@
         "o",
         "log {\n lines_a_second: 0 }\nstatements { cache { shapes: 1 } }",
     );
-    let good = TempFile::new("c", &config(&[]).0.to_string());
+    let good = TempFile::new("c", &Config::with_two_classes(&[]).0.to_string());
     let bad = TempFile::new("d", "{\n\"seed\": 7 }");
     let path = |file: &TempFile| file.0.display().to_string();
     let (code, out, _) = run_program(
@@ -367,7 +346,11 @@
             "outcome=\"completed\"",
         ),
     ] {
-        let mut program = Program::start(Path::new(EXE), &config(&[address]), &arguments);
+        let mut program = Program::start(
+            Path::new(EXE),
+            &Config::with_two_classes(&[address]),
+            &arguments,
+        );
         let query = ClientQuery::new(1, "/invoke/look", "look", "select 1", 9000.0);
         assert_eq!(status(post(program.listen, &query)), 200);
         program.terminate();
--- a/crates/dispatcher/tests/zone_routing.rs
+++ b/crates/dispatcher/tests/zone_routing.rs
@@ -232,17 +232,8 @@
         }
     };
     let classes = ["look", "report", "load", "bound"]
-        .map(|group| (group.to_owned(), ClassRules::of(effect(group))))
-        .into();
-    let rules = Rules {
-        slack_ms: 50.0,
-        late_answer_ms: 0.0,
-        grace_ms: 1000.0,
-        warm_up: None,
-        cooldown_ms: 0.0,
-        retry_budget: None,
-        classes,
-    };
+        .map(|group| (group.to_owned(), ClassRules::of(effect(group))));
+    let rules = Rules::of_classes(classes);
     let violations = find_violations(&site.context.record.entries(), &rules);
     assert!(violations.is_empty(), "{violations:?}");
 }
--- a/crates/simulator/src/report.rs
+++ b/crates/simulator/src/report.rs
@@ -81,7 +81,7 @@
     let pace = mean(runs.iter().flatten().map(|run| run.virtual_s_per_s));
     let _ = writeln!(
         text,
-        "virtual seconds played in a real one, each on one core: {}",
+        "virtual seconds simulated in a real one, each on one core: {}",
         format_mean(pace)
     );
     text += &violations(runs);
@@ -112,7 +112,7 @@
 /// The experiment's parameters, and the names of the columns.
 fn heading(experiment: &Experiment) -> String {
     let mut text = format!(
-        "{}: {} dispatchers, {} halls, {} engines, {} s, {} seeds (the lab's emulator)\n{:<46}",
+        "{}: {} dispatchers, {} zones, {} engines, {} s, {} seeds (simulated)\n{:<46}",
         experiment.name(),
         experiment.dispatchers(),
         experiment.hall.len(),
@@ -173,7 +173,7 @@
         })
         .collect();
     let title = format!(
-        "{}, arm {}, seed {} (the lab's emulator)",
+        "{}, arm {}, seed {} (simulated)",
         experiment.name(),
         run.variant,
         run.seed
@@ -215,7 +215,7 @@
 /// The template of the page with an experiment's results.
 const PAGE: &str = "<!doctype html><html lang=en><meta charset=utf-8><title>{{ name }}</title>\
 <style>body{font:15px sans-serif;max-width:70em;margin:2em auto}pre{background:#f4f4f4;padding:1em;overflow:auto}</style>\
-<h1>{{ name }}</h1><p>Figures of the lab's emulator round the real decisions. Intervals hold the mean in 95 of 100 \
+<h1>{{ name }}</h1><p>Figures of a simulation around the real decisions. Intervals hold the mean in 95 of 100 \
 cases; differences are taken seed by seed.</p><pre>{{ table }}</pre>{% for svg in plots %}<p>{{ svg|safe }}</p>\
 {% endfor %}<h2>The experiment</h2><pre>{{ text }}</pre></html>";
 
--- a/crates/simulator/src/simulation/results.rs
+++ b/crates/simulator/src/simulation/results.rs
@@ -16,10 +16,6 @@
 const LATE_VALUE_DIVISOR: f64 = 3.0;
 /// Phases of a run: before the first fault, during faults, a minute after the last one, later.
 const PHASES: usize = 4;
-/// How much later than its limit an event may be for the checker (ms).
-const SLACK_MS: f64 = 50.0;
-/// How long after its announcement as gone an engine may still be sent to, for the checker (ms).
-const CLOSED_GRACE_MS: f64 = 1000.0;
 
 /// The value of answers, and its maximum.
 #[derive(Debug, Clone, Copy, Default)]
@@ -240,18 +236,13 @@
 /// The rules that the checker applies to an experiment's runs.
 fn rules(experiment: &Experiment) -> Rules {
     let cold = experiment.cold.unwrap_or_default();
+    let classes = experiment
+        .class
+        .iter()
+        .map(|class| (class.name().to_owned(), class_rules(class)));
     Rules {
-        slack_ms: SLACK_MS,
-        late_answer_ms: 0.0,
-        grace_ms: CLOSED_GRACE_MS,
         warm_up: Some(warm_up_rule(&cold)),
-        cooldown_ms: 0.0,
-        retry_budget: None,
-        classes: experiment
-            .class
-            .iter()
-            .map(|class| (class.name().to_owned(), class_rules(class)))
-            .collect(),
+        ..Rules::of_classes(classes)
     }
 }
 
--- a/crates/simulator/tests/small.rs
+++ b/crates/simulator/tests/small.rs
@@ -1,4 +1,4 @@
-//! The simulator itself: the same seed plays the same run; a zone that is lost and comes back; what is shown of a run.
+//! The simulator itself: runs of one seed are equal, a zone is lost and returns, and reports contain a run's figures.
 
 #![allow(
     clippy::unwrap_used,
@@ -63,21 +63,21 @@
     let during: Vec<f64> = run
         .samples
         .iter()
-        .filter(|s| s.at_s > 9.0 && s.at_s <= 18.0)
-        .map(|s| s.spilled[1])
+        .filter(|sample| sample.at_s > 9.0 && sample.at_s <= 18.0)
+        .map(|sample| sample.spilled[1])
         .collect();
     let spilled = during.iter().sum::<f64>() / during.len() as f64;
     assert!(spilled <= 0.3 * 12.0, "{spilled}");
     let threads = |from: f64, to: f64| {
         run.samples
             .iter()
-            .filter(|s| s.at_s > from && s.at_s <= to)
-            .map(|s| s.threads[0])
+            .filter(|sample| sample.at_s > from && sample.at_s <= to)
+            .map(|sample| sample.threads[0])
             .sum::<f64>()
     };
     assert!(
         threads(10.0, 17.5) < 0.05 * threads(1.0, 8.0),
-        "nothing runs in a hall that is cut"
+        "nothing runs in a zone that is cut"
     );
     assert!(
         threads(42.0, 49.0) > 0.7 * threads(1.0, 8.0),
--- a/crates/testbed/src/client.rs
+++ b/crates/testbed/src/client.rs
@@ -2,7 +2,7 @@
 
 use crate::program::TIMEOUT;
 use crate::record::{EventKind, Record};
-use crate::wire::{field, read_response, HttpResponse};
+use crate::wire::{field, read_response, HttpResponse, RETRY_AFTER_FIELD};
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
 use std::thread;
@@ -107,7 +107,7 @@
     );
     stream.write_all(&query.bytes()).ok()?;
     let HttpResponse { status, head, body } = read_response(&mut BufReader::new(stream))?;
-    let retry_after_ms = field(&head, "Srv-Wait-Ms").and_then(|ms| ms.parse().ok());
+    let retry_after_ms = field(&head, RETRY_AFTER_FIELD).and_then(|ms| ms.parse().ok());
     record.push(EventKind::Answered {
         id,
         status,
--- a/crates/testbed/src/engine/attempt.rs
+++ b/crates/testbed/src/engine/attempt.rs
@@ -1,5 +1,6 @@
 //! An attempt at an engine: admission, its run in small steps, and its end.
 
+use super::protocol::{Reply, LIMIT_FIELD, NO_FIELDS, ONE_PAGE};
 use super::{Engine, Fault, QueryWork};
 use crate::record::EventKind;
 use crate::wire::{list_value, write_frame};
@@ -78,7 +79,7 @@
         let work = self.context.work_of(&attempt.id);
         let limit_ms = fields
             .get(2)
-            .and_then(|list| list_value(list, "limit")?.parse::<f64>().ok())
+            .and_then(|list| list_value(list, LIMIT_FIELD)?.parse::<f64>().ok())
             .unwrap_or(NO_LIMIT_MS);
         self.record_arrival(&attempt, &work, limit_ms);
         let admission = self.admit(&work);
@@ -88,9 +89,10 @@
             if !admission.is_full {
                 self.release_threads(&work);
             }
-            self.record_end(&attempt, "WAIT", false);
+            self.record_end(&attempt, Reply::Full, false);
             let mut writer = writer.lock().expect("no holder panics");
-            return write_frame(&mut *writer, &[&attempt.id, "WAIT", "-", ""]);
+            let full = Reply::Full.as_str();
+            return write_frame(&mut *writer, &[&attempt.id, full, NO_FIELDS, ""]);
         }
         if matches!(admission.fault, Fault::Resets(fraction) if draw < fraction) {
             self.release_threads(&work);
@@ -144,11 +146,11 @@
         self.state().threads -= work.threads;
     }
 
-    fn record_end(&self, attempt: &Attempt, reply: &str, ran: bool) {
+    fn record_end(&self, attempt: &Attempt, reply: Reply, ran: bool) {
         self.context.record.push(EventKind::Ended {
             engine: self.id.clone(),
             id: attempt.id.clone(),
-            reply: reply.to_owned(),
+            reply: reply.as_str().to_owned(),
             ran,
         });
     }
@@ -162,9 +164,12 @@
 }
 
 impl Run {
-    fn write(&self, word: &str, fields: &str, body: &str) {
+    fn write(&self, reply: Reply, fields: &str, body: &str) {
         let mut writer = self.writer.lock().expect("no holder panics");
-        write_frame(&mut *writer, &[&self.attempt.id, word, fields, body]);
+        write_frame(
+            &mut *writer,
+            &[&self.attempt.id, reply.as_str(), fields, body],
+        );
     }
 
     /// Executes the attempt on a thread of its own, and releases its threads at its end.
@@ -181,8 +186,8 @@
             Fault::Silent => self.stay_silent(),
             Fault::Errors(fraction) if draw < fraction => {
                 thread::sleep(ERROR_DELAY);
-                self.engine.record_end(&self.attempt, "BROKE", true);
-                self.write("BROKE", "-", "");
+                self.engine.record_end(&self.attempt, Reply::Failed, true);
+                self.write(Reply::Failed, NO_FIELDS, "");
             }
             _ => {
                 if self.work_off() {
@@ -225,7 +230,7 @@
             if since_note_ms >= self.engine.spec.progress_interval_ms {
                 last_note = now;
                 let progress = (done_ms / needed_ms).min(MAX_REPORTED_PROGRESS);
-                self.write("TELL", &format!("tell=frac,num={progress:.4}"), "");
+                self.write(Reply::Progress, &format!("tell=frac,num={progress:.4}"), "");
             }
         }
         true
@@ -238,7 +243,7 @@
                 id: self.attempt.id.clone(),
             });
         }
-        self.engine.record_end(&self.attempt, "DONE", true);
+        self.engine.record_end(&self.attempt, Reply::Done, true);
         let draw = self.admission.draw;
         if matches!(self.admission.fault, Fault::Spoils(fraction) if draw < fraction) {
             let mut writer = self.writer.lock().expect("no holder panics");
@@ -246,7 +251,7 @@
             return;
         }
         let rows = if self.work.changes { "" } else { "a\tb\tc\n" };
-        self.write("DONE", "batches=1", rows);
+        self.write(Reply::Done, ONE_PAGE, rows);
     }
 }
 
--- a/crates/testbed/src/engine/mod.rs
+++ b/crates/testbed/src/engine/mod.rs
@@ -4,6 +4,7 @@
 //! Start reading at [`Engine::start`], then at the `attempt` module.
 
 mod attempt;
+mod protocol;
 mod scripted;
 
 pub use scripted::{
@@ -13,6 +14,7 @@
 use crate::record::{EventKind, Record};
 use crate::wire::{read_frame, write_frame};
 use attempt::Attempt;
+use protocol::{Reply, Request, NO_FIELDS};
 use rand::SeedableRng;
 use rand_pcg::Pcg32;
 use std::collections::HashMap;
@@ -264,21 +266,21 @@
     ) -> bool {
         let word = fields.first().map_or("", String::as_str);
         let id = fields.get(1).cloned().unwrap_or_default();
-        match word {
-            "fetch" => {
+        match Request::parse(word) {
+            Request::Fetch => {
                 let attempt = Arc::new(Attempt::new(id));
                 attempts.retain(|attempt| Arc::strong_count(attempt) > 1);
                 attempts.push(attempt.clone());
                 return self.accept(attempt, fields, writer);
             }
-            "abort" => {
+            Request::Abort => {
                 if let Some(attempt) = attempts.iter().find(|attempt| attempt.id == id) {
                     attempt.cancel();
                 }
             }
-            "alive" | "stats" if self.state().fault != Fault::Silent => {
+            Request::HealthCheck if self.state().fault != Fault::Silent => {
                 let mut writer = writer.lock().expect("no holder panics");
-                write_frame(&mut *writer, &[&id, "FIT", "-", ""]);
+                write_frame(&mut *writer, &[&id, Reply::Healthy.as_str(), NO_FIELDS, ""]);
             }
             _ => {}
         }
--- a/crates/testbed/src/engine/scripted.rs
+++ b/crates/testbed/src/engine/scripted.rs
@@ -1,5 +1,6 @@
 //! Scripted engines, and a listener that no connection reaches.
 
+use super::protocol::{Reply, Request, ONE_PAGE};
 use crate::wire::{read_frame, write_frame};
 use std::io::BufReader;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -49,7 +50,7 @@
 
 /// Writes the reply of a completed query with these rows.
 pub fn write_result_of(to: &mut TcpStream, query_id: &str, rows: &str) {
-    write_frame(to, &[query_id, "DONE", "batches=1", rows]);
+    write_frame(to, &[query_id, Reply::Done.as_str(), ONE_PAGE, rows]);
 }
 
 /// An engine that completes each query after `delay`, and the frames that it receives.
@@ -61,7 +62,7 @@
         let Ok(mut to) = to.try_clone() else {
             return;
         };
-        if fields[0] == "fetch" {
+        if Request::parse(&fields[0]) == Request::Fetch {
             let query_id = fields[1].clone();
             thread::spawn(move || {
                 thread::sleep(delay);
--- a/crates/testbed/src/fleet/mod.rs
+++ b/crates/testbed/src/fleet/mod.rs
@@ -5,6 +5,7 @@
 //! known from what the testbed's own supervisors did. Safety is checked at every true instant, progress from the end of the
 //! last fault.
 
+mod dispatcher_setup;
 mod links;
 pub mod processes;
 pub mod relay;
--- a/crates/testbed/src/fleet/processes/clients.rs
+++ b/crates/testbed/src/fleet/processes/clients.rs
@@ -1,8 +1,8 @@
 //! Clients of the fleet on processes.
 
-use super::setup::QUERY_MAX_WAIT_MS;
 use super::FleetRun;
 use crate::client::{send_query, ClientQuery};
+use crate::fleet::dispatcher_setup::MAX_WAIT_MS;
 use crate::record::{EventKind, Record};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
@@ -43,7 +43,7 @@
 
     fn send_query(&self, id: u64, member: usize, record: &Record) {
         let process_before = self.processes.running_process(member);
-        let mut query = ClientQuery::new(id, "/invoke/look", "look", "select 1", QUERY_MAX_WAIT_MS);
+        let mut query = ClientQuery::new(id, "/invoke/look", "look", "select 1", MAX_WAIT_MS);
         query.cost = Some(QUERY_COST_MS);
         let response = send_query(self.processes.listen_address(member), &query, record);
         let same_process =
--- a/crates/testbed/src/fleet/processes/mod.rs
+++ b/crates/testbed/src/fleet/processes/mod.rs
@@ -7,10 +7,10 @@
 mod faults;
 mod members;
 mod operator_file;
-mod setup;
 mod slot;
 mod supervisor;
 
+use super::dispatcher_setup::DispatcherSetup;
 use super::relay::{start_engine_links, EngineLink, Relay};
 use super::scenario::Scenario;
 use super::FleetReport;
@@ -115,8 +115,16 @@
         let listen: Vec<SocketAddr> = (0..members).map(|_| free_address()).collect();
         let configs = (0..members)
             .map(|member| {
-                let links = &engine_links[member];
-                setup::member_config(&scenario, member, listen[member], engines, links)
+                let setup = DispatcherSetup {
+                    index: member,
+                    seed: scenario.seed,
+                    dispatchers: members,
+                    zones: scenario.zones,
+                    listen: listen[member],
+                    engines,
+                    links: &engine_links[member],
+                };
+                setup.config()
             })
             .collect();
         let operator_texts: Vec<String> = (0..members)
--- a/crates/testbed/src/fleet/relay.rs
+++ b/crates/testbed/src/fleet/relay.rs
@@ -264,7 +264,7 @@
         }
     }
 
-    /// Copies one direction of a connection; bytes that arrive during a cut are held until its end.
+    /// Copies one direction of a connection; bytes that arrive during a cut are forwarded after its end.
     fn spawn_copy(&self, mut from: TcpStream, mut to: TcpStream) {
         let own = self.clone();
         thread::spawn(move || {
--- a/crates/testbed/src/fleet/zones/mod.rs
+++ b/crates/testbed/src/fleet/zones/mod.rs
@@ -5,6 +5,7 @@
 
 mod site;
 
+use super::dispatcher_setup::{LATENCY_OBJECTIVE_MS, MAX_WAIT_MS};
 use super::RunsOutcome;
 use crate::client::{send_query, ClientQuery, ClientResponse};
 use crate::engine::{Engine, QueryWork};
@@ -25,10 +26,6 @@
 const ZONES: usize = 3;
 /// Mean work of a look-up on one core (ms).
 const WORK_MS: f64 = 40.0;
-/// Latency objective of a look-up (ms).
-const LATENCY_OBJECTIVE_MS: f64 = 300.0;
-/// How long a client waits for the answer to a look-up (ms).
-const MAX_WAIT_MS: f64 = 1500.0;
 /// Number of clients, each with one query at a time.
 const CLIENTS: usize = 64;
 /// Time until leaders are elected, members are known and engines are warm.
--- a/crates/testbed/src/fleet/zones/site.rs
+++ b/crates/testbed/src/fleet/zones/site.rs
@@ -1,11 +1,12 @@
 //! Dispatchers, engines and the links between them, in zones of which one can be cut off.
 
-use super::{Variant, ZoneCutPlan, LATENCY_OBJECTIVE_MS, MAX_WAIT_MS, ZONES};
+use super::{Variant, ZoneCutPlan, ZONES};
 use crate::engine::{Engine, EngineSpec, RunContext};
+use crate::fleet::dispatcher_setup::DispatcherSetup;
 use crate::fleet::links::LinkConditions;
 use crate::fleet::relay::{start_engine_links, EngineLink, Relay};
 use crate::fleet::FLEET_KEY;
-use crate::program::{class, free_address, Config, Program, TempFile};
+use crate::program::{free_address, Config, Program, TempFile};
 use crate::setup;
 use std::net::SocketAddr;
 use std::path::Path;
@@ -57,35 +58,13 @@
     }
 }
 
-/// The configuration of a dispatcher, which knows each engine by the address of its own link.
-fn configuration(
-    plan: &ZoneCutPlan,
-    dispatcher: usize,
-    listen: SocketAddr,
-    engines: &[Engine],
-    links: &[EngineLink],
-) -> Config {
-    let known: Vec<_> = engines
-        .iter()
-        .zip(links)
-        .map(|(engine, link)| (engine.id.clone(), link.address))
-        .collect();
-    let classes = [class(
-        "look",
-        LATENCY_OBJECTIVE_MS,
-        MAX_WAIT_MS,
-        keys::effect::READ_ONLY,
-    )];
-    let mut config = Config::new(listen, &known, &classes, &[1])
-        .with(
-            "seed",
-            format!("{:x}", plan.seed * 1000 + dispatcher as u64 + 1),
-        )
-        .with_setting(keys::DISPATCHERS, plan.dispatchers)
-        .with_setting(keys::LOCAL_ZONE, format!("h{}", dispatcher % ZONES))
+/// The configuration of a dispatcher with health checks and progress notes, which knows the engines' zones.
+fn configuration(setup: &DispatcherSetup) -> Config {
+    let mut config = setup
+        .config()
         .with_setting(keys::HEALTH_CHECKS, true)
         .with_setting(keys::PROGRESS_INTERVAL_US, 100_000);
-    for engine in 0..engines.len() {
+    for engine in 0..setup.engines.len() {
         config = config.with(
             &format!("known.cmds.0.nodes.instances.{engine}.zone"),
             format!("h{}", engine % ZONES),
@@ -94,6 +73,13 @@
     config
 }
 
+/// Starts a dispatcher with its operators' file, without waiting.
+fn launch(exe: &Path, setup: &DispatcherSetup, operator_file: &TempFile) -> Program {
+    let path = operator_file.0.display().to_string();
+    let arguments = ["--operator", path.as_str()];
+    Program::launch(exe, &configuration(setup), &arguments, Stdio::null())
+}
+
 /// Starts the links between dispatchers, with the plan's loss.
 fn start_relay(plan: &ZoneCutPlan) -> Relay {
     let relay = Relay::start(plan.dispatchers, LATE_MS, plan.seed);
@@ -136,14 +122,17 @@
             .iter()
             .map(|text| TempFile::new("zones.textproto", text))
             .collect();
+        let setup_of = |index| DispatcherSetup {
+            index,
+            seed: plan.seed,
+            dispatchers: plan.dispatchers,
+            zones: ZONES,
+            listen: listen_addresses[index],
+            engines: &engines,
+            links: &engine_links[index],
+        };
         let programs: Vec<Program> = (0..plan.dispatchers)
-            .map(|dispatcher| {
-                let listen = listen_addresses[dispatcher];
-                let links = &engine_links[dispatcher];
-                let config = configuration(&plan, dispatcher, listen, &engines, links);
-                let path = operator_files[dispatcher].0.display().to_string();
-                Program::launch(exe, &config, &["--operator", &path], Stdio::null())
-            })
+            .map(|index| launch(exe, &setup_of(index), &operator_files[index]))
             .collect();
         programs.iter().for_each(Program::wait_until_healthy);
         Site {
--- a/crates/testbed/src/invariants/rules.rs
+++ b/crates/testbed/src/invariants/rules.rs
@@ -3,6 +3,11 @@
 use std::collections::HashMap;
 use std::fmt;
 
+/// Tolerance of time limits on loopback, for a busy machine (ms).
+const LOOPBACK_SLACK_MS: f64 = 50.0;
+/// How long after its announcement as closed an engine may still be sent to (ms).
+const CLOSED_GRACE_MS: f64 = 1000.0;
+
 /// The parameters of the rules.
 #[derive(Debug, Clone)]
 pub struct Rules {
@@ -85,6 +90,22 @@
     pub kinds: Option<Vec<String>>,
 }
 
+impl Rules {
+    /// The rules of a run on loopback whose classes have these rules: no slow start, no cooldown of keys, and no retry
+    /// budget.
+    pub fn of_classes(classes: impl IntoIterator<Item = (String, ClassRules)>) -> Self {
+        Rules {
+            slack_ms: LOOPBACK_SLACK_MS,
+            late_answer_ms: 0.0,
+            grace_ms: CLOSED_GRACE_MS,
+            warm_up: None,
+            cooldown_ms: 0.0,
+            retry_budget: None,
+            classes: classes.into_iter().collect(),
+        }
+    }
+}
+
 impl ClassRules {
     /// A class that may run anywhere and in any order, with no dedup window.
     pub fn of(effect: Effect) -> Self {
--- a/crates/testbed/src/invariants/tests.rs
+++ b/crates/testbed/src/invariants/tests.rs
@@ -182,7 +182,7 @@
 
 #[test]
 #[expect(clippy::too_many_lines, reason = "one scenario from start to end")]
-fn rule_2_no_effect_twice_and_no_invitation_to_one() {
+fn rule_2_no_effect_is_applied_twice_and_no_answer_invites_a_second_one() {
     let again = |end: EventKind| {
         broken(&[
             (0.0, asked("load", "1", None)),
@@ -270,7 +270,7 @@
 }
 
 #[test]
-fn rule_4_a_cold_engine_is_not_pushed_over() {
+fn rule_4_an_engine_that_warms_up_is_not_overloaded() {
     let run = |many: usize, at: f64| {
         let mut run = vec![(
             0.0,
@@ -293,7 +293,7 @@
 }
 
 #[test]
-fn rule_5_order_and_rest_of_a_key() {
+fn rule_5_queries_of_a_key_run_in_order_and_after_its_cooldown() {
     let order = |between: Vec<(f64, EventKind)>, at: f64| {
         let mut run = vec![
             (0.0, asked("keyed", "1", Some("k"))),
@@ -332,7 +332,7 @@
 }
 
 #[test]
-fn rule_7_further_attempts_within_the_budget() {
+fn rule_7_retries_stay_within_the_budget() {
     let again = |many: usize| {
         let mut run = vec![(0.0, asked("look", "1", None)), (0.0, arrived("e", "1"))];
         (0..many).for_each(|n| run.push((n as f64, arrived("e", "1"))));
@@ -371,7 +371,7 @@
 }
 
 #[test]
-fn a_told_limit_beyond_what_the_client_has_left_is_a_violation() {
+fn a_time_limit_beyond_the_clients_remaining_time_is_a_violation() {
     for (limit_ms, count) in [(600.0, 0), (690.0, 0), (900.0, 1)] {
         let told = EventKind::Told {
             engine: "s-1".into(),
@@ -389,7 +389,7 @@
 }
 
 #[test]
-fn a_lost_query_and_a_failed_dispatcher_are_violations_and_an_excused_one_is_none() {
+fn a_lost_query_and_a_failed_dispatcher_are_violations_and_an_excluded_query_is_none() {
     let lost = EventKind::Lost {
         id: "a".into(),
         how: "reset".into(),
@@ -398,12 +398,12 @@
         dispatcher: "n1".into(),
         how: "was not ready in time".into(),
     };
-    let excused = EventKind::Excluded { id: "b".into() };
+    let excluded = EventKind::Excluded { id: "b".into() };
     let entries = [
         (0.0, asked("look", "a", None)),
         (0.0, asked("look", "b", None)),
         (5.0, lost),
-        (6.0, excused),
+        (6.0, excluded),
         (7.0, failed),
         (9000.0, asked("look", "c", None)),
     ];
@@ -412,7 +412,7 @@
 }
 
 #[test]
-fn a_fleet_that_sends_a_warming_engine_more_than_it_bears_is_found() {
+fn a_fleet_that_sends_a_warming_engine_more_than_it_sustains_is_found() {
     let rule = WarmUpRule {
         multiple: 2.0,
         initial_fraction: 0.25,
--- a/crates/testbed/src/levels/mod.rs
+++ b/crates/testbed/src/levels/mod.rs
@@ -49,39 +49,15 @@
 /// The traffic of these runs: look-ups, reports and loads.
 const CLASSES: [MixClass; 3] = [
     MixClass {
-        traffic: TrafficClass {
-            name: "look",
-            work_ms: 12.0,
-            threads: 1.0,
-            objective_ms: 120.0,
-            max_wait_ms: 1500.0,
-            weight: 1.0,
-            changes_tables: false,
-        },
+        traffic: setup::LOOKUPS,
         fraction: 0.90,
     },
     MixClass {
-        traffic: TrafficClass {
-            name: "report",
-            work_ms: 500.0,
-            threads: 4.0,
-            objective_ms: 900.0,
-            max_wait_ms: 3000.0,
-            weight: 2.0,
-            changes_tables: false,
-        },
+        traffic: setup::REPORTS,
         fraction: 0.08,
     },
     MixClass {
-        traffic: TrafficClass {
-            name: "load",
-            work_ms: 400.0,
-            threads: 2.0,
-            objective_ms: 1500.0,
-            max_wait_ms: 3000.0,
-            weight: 3.0,
-            changes_tables: true,
-        },
+        traffic: setup::LOADS,
         fraction: 0.02,
     },
 ];
--- a/crates/testbed/src/measure/mod.rs
+++ b/crates/testbed/src/measure/mod.rs
@@ -13,9 +13,9 @@
 use std::fmt::Write as _;
 use tansymux_sql_analysis::{Analysis, Config, Effect, StatementAnalyzer};
 
-/// Shapes of each pattern in the measured corpus.
+/// Shapes of each pattern in the corpus.
 pub const SHAPES_PER_PATTERN: usize = 8;
-/// Statements of each shape in the measured corpus.
+/// Statements of each shape in the corpus.
 pub const STATEMENTS_PER_SHAPE: usize = 10;
 /// Key of the analyzer's shape hashes: fixed, so that runs can be compared.
 const SHAPE_KEY: [u8; 16] = [3; 16];
--- a/crates/testbed/src/program.rs
+++ b/crates/testbed/src/program.rs
@@ -98,13 +98,9 @@
         .with_setting(keys::MAX_RETRY_AFTER_US, 500_000)
     }
 
-    /// One dispatcher with engines `s-0`, `s-1` and so on, and two classes of 9 s each: `look` only reads, `load` writes.
+    /// One dispatcher with these engines and two classes of 9 s each: `look` only reads, `load` writes.
     pub fn with_two_classes(engines: &[SocketAddr]) -> Self {
-        let engines: Vec<_> = engines
-            .iter()
-            .enumerate()
-            .map(|(index, address)| (format!("s-{index}"), *address))
-            .collect();
+        let engines = numbered_engines(engines);
         let classes = [
             class("look", 300.0, 9000.0, keys::effect::READ_ONLY),
             class("load", 300.0, 9000.0, keys::effect::NON_IDEMPOTENT),
@@ -136,6 +132,15 @@
     }
 }
 
+/// The engines at these addresses by their ids: `s-0`, `s-1` and so on.
+pub fn numbered_engines(addresses: &[SocketAddr]) -> Vec<(String, SocketAddr)> {
+    addresses
+        .iter()
+        .enumerate()
+        .map(|(index, address)| (format!("s-{index}"), *address))
+        .collect()
+}
+
 /// An address on which nobody listens now. Another program may take it before it is used.
 ///
 /// # Panics
@@ -357,7 +362,7 @@
     let resident = of_status(pid, "VmRSS:")?;
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
     let fields: Vec<&str> = stat.rsplit(')').next()?.split_whitespace().collect();
-    // Fields 14 and 15 of the whole line, in ticks of 10 ms.
+    // Fields 14 and 15 of the line, in ticks of 10 ms.
     let ticks = fields.get(11)?.parse::<f64>().ok()? + fields.get(12)?.parse::<f64>().ok()?;
     Some((resident, ticks * 10.0))
 }
--- a/crates/testbed/src/replay.rs
+++ b/crates/testbed/src/replay.rs
@@ -307,7 +307,7 @@
     let classes = ["look-up", "report", "load", "unknown"]
         .into_iter()
         .map(|class| (class.to_owned(), ClassRules::of(effect(class))));
-    setup::rules_by_class(classes, None)
+    Rules::of_classes(classes)
 }
 
 /// All variants on the same seeds, as a table.
--- a/crates/testbed/src/setup.rs
+++ b/crates/testbed/src/setup.rs
@@ -13,10 +13,6 @@
 use std::thread::JoinHandle;
 use tansymux::settings::keys;
 
-/// How much later than its limit an event may be on a busy machine (ms).
-const SLACK_MS: f64 = 50.0;
-/// How long after its announcement as closed an engine may still be sent to (ms).
-const CLOSED_GRACE_MS: f64 = 1000.0;
 /// The retry budget of the runs, as [`with_retry_budget`] sets it.
 pub(crate) const RETRY_BUDGET: RetryBudget = RetryBudget {
     span_ms: 10_000.0,
@@ -68,6 +64,37 @@
     }
 }
 
+/// Look-ups of the runs with a latency objective close to the run time.
+pub(crate) const LOOKUPS: TrafficClass = TrafficClass {
+    name: "look",
+    work_ms: 12.0,
+    threads: 1.0,
+    objective_ms: 120.0,
+    max_wait_ms: 1500.0,
+    weight: 1.0,
+    changes_tables: false,
+};
+/// Reports of these runs.
+pub(crate) const REPORTS: TrafficClass = TrafficClass {
+    name: "report",
+    work_ms: 500.0,
+    threads: 4.0,
+    objective_ms: 900.0,
+    max_wait_ms: 3000.0,
+    weight: 2.0,
+    changes_tables: false,
+};
+/// Loads of these runs.
+pub(crate) const LOADS: TrafficClass = TrafficClass {
+    name: "load",
+    work_ms: 400.0,
+    threads: 2.0,
+    objective_ms: 1500.0,
+    max_wait_ms: 3000.0,
+    weight: 3.0,
+    changes_tables: true,
+};
+
 /// The settings' value for an effect.
 pub(crate) fn effect_value(effect: Effect) -> &'static str {
     match effect {
@@ -91,22 +118,9 @@
     let classes = classes
         .iter()
         .map(|class| (class.name.to_owned(), ClassRules::of(class.effect())));
-    rules_by_class(classes, retry_budget)
-}
-
-/// The rules of a run whose classes have these rules.
-pub(crate) fn rules_by_class(
-    classes: impl Iterator<Item = (String, ClassRules)>,
-    retry_budget: Option<RetryBudget>,
-) -> Rules {
     Rules {
-        slack_ms: SLACK_MS,
-        late_answer_ms: 0.0,
-        grace_ms: CLOSED_GRACE_MS,
-        warm_up: None,
-        cooldown_ms: 0.0,
         retry_budget,
-        classes: classes.collect(),
+        ..Rules::of_classes(classes)
     }
 }
 
--- a/crates/testbed/src/soak/clients.rs
+++ b/crates/testbed/src/soak/clients.rs
@@ -6,7 +6,7 @@
 use crate::engine::{QueryWork, RunContext};
 use crate::invariants::Effect;
 use crate::record::EventKind;
-use crate::wire::{field, read_response};
+use crate::wire::{field, read_response, RETRY_AFTER_FIELD};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg64;
 use std::io::{BufReader, Write};
@@ -309,7 +309,7 @@
             return Waited::Ended;
         };
         let retry_after_ms =
-            field(&response.head, "Srv-Wait-Ms").and_then(|value| value.parse().ok());
+            field(&response.head, RETRY_AFTER_FIELD).and_then(|value| value.parse().ok());
         self.context.record.push(EventKind::Answered {
             id: query.id(),
             status: response.status,
--- a/crates/testbed/src/soak/lag.rs
+++ b/crates/testbed/src/soak/lag.rs
@@ -6,7 +6,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Time between two wake-ups whose delay is measured.
+/// Time between two wake-ups.
 const STEP: Duration = Duration::from_millis(5);
 
 /// Measures wake-up delays until it is dropped.
--- a/crates/testbed/src/soak/site.rs
+++ b/crates/testbed/src/soak/site.rs
@@ -30,7 +30,8 @@
 pub(super) const DEDUP_WINDOW_MS: f64 = 1500.0;
 /// Rule 3: how long an engine may still be sent to after its announcement as draining or gone (ms).
 pub(super) const DRAIN_GRACE_MS: f64 = 1000.0;
-/// Rule 3's key of the settings, which the program does not read (us).
+/// Rule 3: the key of the grace in the platform's settings (us). The program does not read it, so that
+/// `tansymux::settings::keys` has no name for it.
 const DRAIN_GRACE_US: &str = "rules.drain-grace-us";
 /// The port on which a dispatcher accepts clients.
 const CLIENT_PORT: u16 = 10080;
--- a/crates/testbed/src/wire.rs
+++ b/crates/testbed/src/wire.rs
@@ -2,6 +2,9 @@
 
 use std::io::{BufRead, Write};
 
+/// The header field of a rejection with the time after which the client may retry (ms).
+pub const RETRY_AFTER_FIELD: &str = "Srv-Wait-Ms";
+
 /// A complete HTTP response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HttpResponse {
@@ -35,9 +38,9 @@
     head.lines()
         .find_map(|line| {
             line.split_once(':')
-                .filter(|(n, _)| n.eq_ignore_ascii_case(name))
+                .filter(|(known, _)| known.eq_ignore_ascii_case(name))
         })
-        .map(|(_, v)| v.trim())
+        .map(|(_, value)| value.trim())
 }
 
 /// Reads an array of bulk strings; returns none at the end of the stream, or where there is no such array.
@@ -71,6 +74,6 @@
 pub fn list_value<'a>(fields: &'a str, name: &str) -> Option<&'a str> {
     fields
         .split(',')
-        .find_map(|pair| pair.split_once('=').filter(|(n, _)| *n == name))
+        .find_map(|pair| pair.split_once('=').filter(|(known, _)| *known == name))
         .map(|(_, value)| value)
 }
--- a/crates/testbed/src/zone_routing.rs
+++ b/crates/testbed/src/zone_routing.rs
@@ -53,39 +53,15 @@
 /// The traffic of these runs: look-ups, reports and loads.
 const CLASSES: [SiteClass; 3] = [
     SiteClass {
-        traffic: TrafficClass {
-            name: "look",
-            work_ms: 12.0,
-            threads: 1.0,
-            objective_ms: 120.0,
-            max_wait_ms: 1500.0,
-            weight: 1.0,
-            changes_tables: false,
-        },
+        traffic: setup::LOOKUPS,
         queries_per_s: 420.0,
     },
     SiteClass {
-        traffic: TrafficClass {
-            name: "report",
-            work_ms: 500.0,
-            threads: 4.0,
-            objective_ms: 900.0,
-            max_wait_ms: 3000.0,
-            weight: 2.0,
-            changes_tables: false,
-        },
+        traffic: setup::REPORTS,
         queries_per_s: 22.0,
     },
     SiteClass {
-        traffic: TrafficClass {
-            name: "load",
-            work_ms: 400.0,
-            threads: 2.0,
-            objective_ms: 1500.0,
-            max_wait_ms: 3000.0,
-            weight: 3.0,
-            changes_tables: true,
-        },
+        traffic: setup::LOADS,
         queries_per_s: 5.0,
     },
 ];
@@ -418,6 +394,6 @@
             points: threads_per_core(1),
         },
     ];
-    let title = "A hall is cut and comes back cold; three real dispatchers, stand-in engines";
+    let title = "A zone is cut and returns cold; three real dispatchers, stand-in engines";
     plot(svg, title, "s", &lines)
 }
