--- /dev/null
+++ b/crates/testbed/src/program/config.rs
@@ -0,0 +1,95 @@
+//! The configuration of the program under test: engines, resource groups and settings.
+
+use super::free_address;
+use serde_json::{json, Value};
+use std::net::SocketAddr;
+use tansymux::settings::keys;
+
+/// The settings of a resource group. `effect` is one of the values in [`keys::effect`].
+pub fn class(name: &str, objective_ms: f64, max_wait_ms: f64, effect: &str) -> Value {
+    json!({
+        keys::group::NAME: name,
+        keys::group::OBJECTIVE_US: objective_ms * 1e3,
+        keys::group::DEADLINE_US: max_wait_ms * 1e3,
+        keys::group::EFFECT: effect,
+    })
+}
+
+/// A configuration with the values that all tests and runs need; [`Config::with`] sets the others.
+#[derive(Debug, Clone)]
+pub struct Config(pub Value);
+
+impl Config {
+    /// One dispatcher of one, in zone `h`, with these engines of kind `std` (8 cores, 4,096 MB) known and ready.
+    pub fn new(
+        listen: SocketAddr,
+        engines: &[(String, SocketAddr)],
+        classes: &[Value],
+        threads: &[u32],
+    ) -> Self {
+        let entry = |(id, at): &(String, SocketAddr)| {
+            json!({"instanceId": id, "hostPort": at.to_string(), "zone": "h", "machineType": "std", "cell": 0,
+                "lifecycle": "Ready", "startedAtMs": 0})
+        };
+        let instances: Vec<Value> = engines.iter().map(entry).collect();
+        Config(json!({
+            "name": "n0", "listen": listen.to_string(), "seed": "1",
+            "known": {"cursor": 1, "cmds": [{"cursor": 1, "nodes": {"instances": instances}}]},
+            "settings": {}
+        }))
+        .with_setting(keys::DISPATCHERS, 1)
+        .with_setting(keys::LOCAL_ZONE, "h")
+        .with_setting(keys::ENGINE_KINDS, json!(["std"]))
+        .with_setting(keys::TENANTS, json!([{keys::tenant::NAME: "acme"}]))
+        .with_setting(keys::GROUPS, classes)
+        .with_setting(keys::CORES_BY_KIND, json!([8]))
+        .with_setting(keys::MEMORY_MB_BY_KIND, json!([4096]))
+        .with_setting(keys::THREADS_BY_GROUP, threads)
+        .with_setting(keys::PRIORITY_COUNT, true)
+        .with_setting(keys::CANCELLATION, true)
+        .with_setting(keys::MAX_ATTEMPTS, 3)
+        .with_setting(keys::MAX_RETRY_AFTER_US, 500_000)
+    }
+
+    /// One dispatcher with these engines and two classes of 9 s each: `look` only reads, `load` writes.
+    pub fn with_two_classes(engines: &[SocketAddr]) -> Self {
+        let engines = numbered_engines(engines);
+        let classes = [
+            class("look", 300.0, 9000.0, keys::effect::READ_ONLY),
+            class("load", 300.0, 9000.0, keys::effect::NON_IDEMPOTENT),
+        ];
+        Config::new(free_address(), &engines, &classes, &[1, 1])
+    }
+
+    /// Sets a value by the path of its keys, as in `settings.limits.probes`.
+    pub fn with(mut self, path: &str, value: impl Into<Value>) -> Self {
+        let mut at = &mut self.0;
+        for key in path.split('.') {
+            at = match key.parse::<usize>() {
+                Ok(n) if at.is_array() => &mut at[n],
+                _ => &mut at[key],
+            };
+        }
+        *at = value.into();
+        self
+    }
+
+    /// Sets a setting of the resource group at an index by its key, as in [`keys::group::OBJECTIVE_US`].
+    pub fn with_group_setting(self, group: usize, key: &str, value: impl Into<Value>) -> Self {
+        self.with_setting(&format!("{}.{group}.{key}", keys::GROUPS), value)
+    }
+
+    /// Sets a setting by its key, as in [`keys::HEALTH_CHECKS`].
+    pub fn with_setting(self, key: &str, value: impl Into<Value>) -> Self {
+        self.with(&format!("settings.{key}"), value)
+    }
+}
+
+/// The engines at these addresses by their ids: `s-0`, `s-1` and so on.
+pub fn numbered_engines(addresses: &[SocketAddr]) -> Vec<(String, SocketAddr)> {
+    addresses
+        .iter()
+        .enumerate()
+        .map(|(index, address)| (format!("s-{index}"), *address))
+        .collect()
+}
--- a/crates/testbed/src/soak/mod.rs
+++ b/crates/testbed/src/soak/mod.rs
@@ -97,11 +97,17 @@
     pub failed_seeds: usize,
 }
 
+/// A run that has ended, as the report sums it up.
+struct FinishedRun {
+    has_failed: bool,
+    counts: SoakCounts,
+}
+
 /// Runs all seeds.
 pub fn run(options: &SoakOptions) -> SoakReport {
     let next = AtomicUsize::new(0);
     let seeds: Vec<u64> = options.seeds.clone().collect();
-    let lines: Mutex<Vec<(u64, String, bool, SoakCounts)>> = Mutex::default();
+    let runs: Mutex<Vec<FinishedRun>> = Mutex::default();
     std::thread::scope(|scope| {
         for _ in 0..options.jobs.max(1) {
             scope.spawn(|| loop {
@@ -112,14 +118,15 @@
                 let outcome = run_seed(*seed, options);
                 let line = line_of(&outcome, options);
                 println!("{line}");
-                let has_failed = !outcome.violations.is_empty();
-                let mut lines = lines.lock().expect("no holder panics");
-                lines.push((*seed, line, has_failed, outcome.counts));
+                runs.lock().expect("no holder panics").push(FinishedRun {
+                    has_failed: !outcome.violations.is_empty(),
+                    counts: outcome.counts,
+                });
             });
         }
     });
-    let lines = lines.into_inner().expect("no holder panics");
-    summary(&lines)
+    let runs = runs.into_inner().expect("no holder panics");
+    summary(&runs)
 }
 
 fn run_seed(seed: u64, options: &SoakOptions) -> SoakOutcome {
@@ -215,14 +222,15 @@
     line
 }
 
-fn summary(lines: &[(u64, String, bool, SoakCounts)]) -> SoakReport {
-    let failed_seeds = lines.iter().filter(|line| line.2).count();
+/// The report on all runs.
+fn summary(runs: &[FinishedRun]) -> SoakReport {
+    let failed_seeds = runs.iter().filter(|run| run.has_failed).count();
     let sum =
-        |count: fn(&SoakCounts) -> usize| lines.iter().map(|line| count(&line.3)).sum::<usize>();
-    let failed_calls: u64 = lines.iter().map(|line| line.3.failed_calls).sum();
+        |count: fn(&SoakCounts) -> usize| runs.iter().map(|run| count(&run.counts)).sum::<usize>();
+    let failed_calls: u64 = runs.iter().map(|run| run.counts.failed_calls).sum();
     let table = format!(
         "{} seeds, {failed_seeds} with violations; asked {}, completed {}, rejected {}, failed {}, left {}, attempts {}, failed calls {failed_calls}\n",
-        lines.len(),
+        runs.len(),
         sum(|counts| counts.asked),
         sum(|counts| counts.completed),
         sum(|counts| counts.rejected),
