--- a/crates/testbed/src/soak/site.rs
+++ b/crates/testbed/src/soak/site.rs
@@ -30,9 +30,6 @@
 pub(super) const DEDUP_WINDOW_MS: f64 = 1500.0;
 /// Rule 3: how long an engine may still be sent to after its announcement as draining or gone (ms).
 pub(super) const DRAIN_GRACE_MS: f64 = 1000.0;
-/// Rule 3: the key of the grace in the platform's settings (us). The program does not read it, so that
-/// `tansymux::settings::keys` has no name for it.
-const DRAIN_GRACE_US: &str = "rules.drain-grace-us";
 /// The port on which a dispatcher accepts clients.
 const CLIENT_PORT: u16 = 10080;
 /// The port on which a dispatcher receives datagrams of its peers.
@@ -96,7 +93,7 @@
         .with_setting(keys::WARM_AFTER_US, WARM_UP.warm_after_ms * 1e3)
         .with_setting(keys::WARM_UP_MULTIPLE, WARM_UP.multiple)
         .with_setting(keys::WARM_UP_SPAN_US, WARM_UP.span_ms * 1e3)
-        .with_setting(DRAIN_GRACE_US, DRAIN_GRACE_MS * 1e3)
+        .with_setting(keys::DRAIN_GRACE_US, DRAIN_GRACE_MS * 1e3)
         .with_setting(keys::RETRY_BUDGET_SPAN_US, RETRY_BUDGET.span_ms * 1e3)
         .with_setting(keys::RETRY_BUDGET_FREE, RETRY_BUDGET.free)
         .with_setting(keys::RETRY_BUDGET_RATIO, RETRY_BUDGET.query_fraction)
--- a/src/settings/keys.rs
+++ b/src/settings/keys.rs
@@ -55,6 +55,9 @@
 /// Attempts in flight on a connection.
 pub const STREAMS_PER_CONNECTION: &str = "limits.streams-per-conn";
 
+/// Rule 3: how long a dispatcher may still send to an engine after it was notified of a drain (us). The decisions do
+/// not read it: they send nothing at once.
+pub const DRAIN_GRACE_US: &str = "rules.drain-grace-us";
 /// Rule 4: multiple of a warming engine's capacity that all dispatchers may send within the span.
 pub const WARM_UP_MULTIPLE: &str = "rules.fall-multiple";
 /// Rule 4: fraction of its capacity that an engine starts with.
