--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -30,8 +30,8 @@
         batch.clear();
         let first_line = line_number + 1;
         match read_batch(&mut input, &mut batch, &mut line_number) {
-            Ok(true) => {}
-            Ok(false) => return ExitCode::SUCCESS,
+            Ok(BatchRead::Complete) => {}
+            Ok(BatchRead::EndOfInput) => return ExitCode::SUCCESS,
             Err(error) => return fail(line_number, &error),
         }
         answer.clear();
@@ -54,17 +54,27 @@
     ExitCode::FAILURE
 }
 
-/// Reads a batch up to the `end` line, which is not kept; false at the end of the input.
+/// The result of [`read_batch`].
+enum BatchRead {
+    Complete,
+    EndOfInput,
+}
+
+/// Reads a batch up to the `end` line, which is not part of `batch`. Skips empty lines before the batch, and adds the
+/// number of lines read to `lines`.
+///
+/// # Errors
+/// Reading failed, or the input ends within a batch.
 fn read_batch(
     input: &mut impl BufRead,
     batch: &mut Vec<u8>,
     lines: &mut usize,
-) -> io::Result<bool> {
+) -> io::Result<BatchRead> {
     loop {
         let start = batch.len();
         if input.read_until(b'\n', batch)? == 0 {
             if batch.is_empty() {
-                return Ok(false);
+                return Ok(BatchRead::EndOfInput);
             }
             return Err(io::Error::new(
                 io::ErrorKind::UnexpectedEof,
@@ -81,7 +91,7 @@
         let line = &batch[start..];
         if line == vocabulary::line::END.as_bytes() {
             batch.truncate(start);
-            return Ok(true);
+            return Ok(BatchRead::Complete);
         }
         if line.is_empty() && start == 0 {
             batch.clear();
