--- a/crates/service-levels/src/state_machine.rs
+++ b/crates/service-levels/src/state_machine.rs
@@ -35,7 +35,7 @@
 /// A signal with its reading.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SignalReading {
-    /// [`Signal::name`].
+    /// Name of the signal: [`Signal::name`](crate::Signal::name).
     pub signal: String,
     /// The signal's reading.
     pub reading: f64,
