--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,11 +1,11 @@
 //! Decides which engine runs which query, and when a query is better rejected.
 //!
-//! This package owns all decisions of the ordinary path and the state behind them, for one dispatcher. It never does
-//! any input or output, reads no clock and starts no thread: a program hands in events and carries out what comes back.
+//! This package makes all decisions on the query path of one dispatcher and owns the state behind them. It does no I/O,
+//! reads no clock and starts no thread: the caller passes events in and carries out the decisions.
 //!
-//! Start reading at [`control`]: it has the decisions, in the order of a query's life. `model` has the components that
-//! own the state and the tuned rules. [`events`] is what a program calls the decisions with and what they write to,
-//! [`settings`] the rules and limits that apply, and [`zone_plan`] the limits that zone routing sets.
+//! Start reading at [`control`], which makes the decisions in the order of a query's life cycle. `model` has the
+//! components that own the state and the tuned rules. [`events`] defines the input events and the sink for decisions.
+//! [`settings`] holds the rules and limits that apply, and [`zone_plan`] the limits that zone routing sets.
 
 pub mod control;
 pub mod events;
--- a/src/model/concurrency_limit.rs
+++ b/src/model/concurrency_limit.rs
@@ -3,25 +3,25 @@
 use crate::events::Outcome;
 use crate::model::{Lane, LONG_AGO};
 
-/// Limit of a new engine (low threads a core of this dispatcher's share).
+/// Initial limit of a new engine (low-lane threads per core of this dispatcher's share).
 const INITIAL_THREADS_PER_CORE: f64 = 1.0;
-/// Upper bound of the limit (low threads a core of this dispatcher's share).
+/// Upper bound of the limit (low-lane threads per core of this dispatcher's share).
 const MAX_THREADS_PER_CORE: f64 = 1.2;
-/// Fraction of the latency objective within which a low answer raises the limit.
-const QUICK_FRACTION: f64 = 0.5;
-/// Estimated concurrency of a new engine, and after an overload (low threads of all dispatchers a core).
+/// A low-lane answer within this fraction of its latency objective raises the limit.
+const RAISE_LATENCY_FRACTION: f64 = 0.5;
+/// Estimated concurrency of a new engine, and after an overload (low-lane threads of all dispatchers per core).
 const INITIAL_CONCURRENCY_PER_CORE: f64 = 1.2;
-/// Upper bound of the estimated concurrency (low threads of all dispatchers a core).
+/// Upper bound of the estimated concurrency (low-lane threads of all dispatchers per core).
 const MAX_CONCURRENCY_PER_CORE: f64 = 1.5;
-/// Time for which a refusal as full shows pressure (ms).
-const FULL_COUNTS_MS: f64 = 2000.0;
+/// Time for which an engine counts as under pressure after it refused an attempt as full (ms).
+const FULL_PRESSURE_MS: f64 = 2000.0;
 
-/// The limit and the estimate of one engine.
+/// The concurrency limit and the estimated concurrency of one engine.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ConcurrencyLimit {
-    /// Low threads a core of this dispatcher's share.
+    /// The limit (low-lane threads per core of this dispatcher's share).
     threads_per_core: f64,
-    /// Low threads of all dispatchers from which on the engine is under pressure.
+    /// Number of low-lane threads of all dispatchers at which the engine is under pressure.
     estimated_concurrency: f64,
     /// When the limit was last halved (ms).
     halved_ms: f64,
@@ -29,7 +29,7 @@
     last_full_ms: f64,
 }
 
-/// What the end of an attempt shows of its engine's capacity.
+/// An attempt's outcome and latency, as evidence of its engine's capacity.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct AttemptResult {
     pub(crate) lane: Lane,
@@ -41,7 +41,7 @@
 }
 
 impl ConcurrencyLimit {
-    /// The limit of an engine that has not been used yet.
+    /// The initial limit of an engine that has not been used yet.
     pub(crate) fn new(cores: f64) -> Self {
         ConcurrencyLimit {
             threads_per_core: INITIAL_THREADS_PER_CORE,
@@ -51,48 +51,49 @@
         }
     }
 
-    /// Sets the limit and the estimate of a new process in the engine's place.
+    /// Resets the limit and the estimate, because a new process has taken the engine's place.
     pub(crate) fn reset_process(&mut self, cores: f64) {
         self.threads_per_core = INITIAL_THREADS_PER_CORE;
         self.estimated_concurrency = cores * INITIAL_CONCURRENCY_PER_CORE;
     }
 
-    /// The limit (low threads a core of this dispatcher's share).
+    /// The limit (low-lane threads per core of this dispatcher's share).
     pub(crate) fn threads_per_core(&self) -> f64 {
         self.threads_per_core
     }
 
-    /// Low threads of all dispatchers from which on the engine is under pressure.
+    /// Number of low-lane threads of all dispatchers at which the engine is under pressure.
     pub(crate) fn estimated_concurrency(&self) -> f64 {
         self.estimated_concurrency
     }
 
-    /// Whether the engine refused an attempt as full a short time ago.
-    pub(crate) fn was_full(&self, now_ms: f64) -> bool {
-        now_ms - self.last_full_ms < FULL_COUNTS_MS
+    /// Whether the engine refused an attempt as full within the last [`FULL_PRESSURE_MS`].
+    pub(crate) fn was_recently_full(&self, now_ms: f64) -> bool {
+        now_ms - self.last_full_ms < FULL_PRESSURE_MS
     }
 
-    /// Adapts the limit to the end of an attempt on an engine with so many cores, of which `share` is this
-    /// dispatcher's.
+    /// Adapts the limit to the result of an attempt on an engine with `cores` cores. `share` is the fraction of the
+    /// engine that this dispatcher may fill.
     ///
-    /// A low answer well within its objective raises the limit by one thread. "Full", time-outs and late low answers
-    /// halve it, once for all attempts that were in flight at the time.
+    /// A low-lane answer within [`RAISE_LATENCY_FRACTION`] of its objective raises the limit by one thread. Refusals as
+    /// full, time-outs and late low-lane answers halve it. All attempts that were in flight when the limit was halved
+    /// count as one overload.
     pub(crate) fn adapt(&mut self, result: &AttemptResult, cores: f64, share: f64, now_ms: f64) {
-        let is_low_answer = result.outcome == Outcome::Completed && result.lane == Lane::Low;
-        if is_low_answer && result.latency_ms <= QUICK_FRACTION * result.objective_ms {
+        let is_low_lane_answer = result.outcome == Outcome::Completed && result.lane == Lane::Low;
+        if is_low_lane_answer && result.latency_ms <= RAISE_LATENCY_FRACTION * result.objective_ms {
             self.raise(cores, share);
         }
         if result.outcome == Outcome::Full {
             self.last_full_ms = now_ms;
         }
-        let is_late = is_low_answer && result.latency_ms > result.objective_ms;
+        let is_late = is_low_lane_answer && result.latency_ms > result.objective_ms;
         let is_overload = is_late || matches!(result.outcome, Outcome::Full | Outcome::Timeout);
         if is_overload && result.sent_ms > self.halved_ms {
             self.halve(cores, now_ms);
         }
     }
 
-    /// Raises the limit by one thread of this dispatcher's share, and the estimate by one thread.
+    /// Raises this dispatcher's limit on the engine and the estimated concurrency by one thread each.
     fn raise(&mut self, cores: f64, share: f64) {
         let raised = self.threads_per_core + 1.0 / (cores * share);
         self.threads_per_core = raised.min(MAX_THREADS_PER_CORE);
@@ -100,20 +101,20 @@
         self.estimated_concurrency = (self.estimated_concurrency + 1.0).min(max_concurrency);
     }
 
-    /// Halves the limit, and sets the estimate back to its first value.
+    /// Halves the limit, and resets the estimate to its initial value.
     fn halve(&mut self, cores: f64, now_ms: f64) {
         self.halved_ms = now_ms;
         self.threads_per_core /= 2.0;
         self.estimated_concurrency = INITIAL_CONCURRENCY_PER_CORE * cores;
     }
 
-    /// Sets the limit (low threads a core of this dispatcher's share).
+    /// Sets the limit (low-lane threads per core of this dispatcher's share).
     #[cfg(test)]
     pub(crate) fn set_threads_per_core(&mut self, threads_per_core: f64) {
         self.threads_per_core = threads_per_core;
     }
 
-    /// Sets the estimated concurrency.
+    /// Sets the estimated concurrency (low-lane threads of all dispatchers).
     #[cfg(test)]
     pub(crate) fn set_estimated_concurrency(&mut self, threads: f64) {
         self.estimated_concurrency = threads;
--- a/src/model/endpoint_list.rs
+++ b/src/model/endpoint_list.rs
@@ -1,17 +1,18 @@
-//! Requests for the endpoint list, where it is sent on request.
+//! Requests for the endpoint list, for platforms that send it on request.
 
-/// Time after which a request that brought no list is repeated (ms).
+/// Time after which a request without a reply is repeated (ms).
 const RETRY_INTERVAL_MS: f64 = 1000.0;
 
-/// Whether the endpoint list has to be requested, and when it last was.
+/// Whether the endpoint list has to be requested, and when it was last requested.
 #[derive(Debug, Default)]
 pub(crate) struct EndpointListRequest {
     is_wanted: bool,
+    /// When the list was last requested, or last could not be obtained (ms).
     requested_ms: f64,
 }
 
 impl EndpointListRequest {
-    /// No request yet; one is wanted at once where the list is sent on request only.
+    /// The state before the first request. A request is due at once if the list is sent on request only.
     pub(crate) fn new(is_sent_on_request: bool) -> Self {
         EndpointListRequest {
             is_wanted: is_sent_on_request,
@@ -19,12 +20,12 @@
         }
     }
 
-    /// Whether a list is wanted and has not arrived.
+    /// Whether a list is needed and has not arrived yet.
     pub(crate) fn is_wanted(&self) -> bool {
         self.is_wanted
     }
 
-    /// Records that the list could not be obtained now: it is requested again later.
+    /// Records that the list could not be obtained. It is requested again after [`RETRY_INTERVAL_MS`].
     pub(crate) fn record_failure(&mut self, now_ms: f64) {
         self.is_wanted = true;
         self.requested_ms = now_ms;
@@ -35,7 +36,7 @@
         self.is_wanted = false;
     }
 
-    /// Whether to send a request now. Records that it is sent.
+    /// Returns whether a request is due, and if so records that it is sent now.
     pub(crate) fn begin_if_due(&mut self, now_ms: f64) -> bool {
         let is_due = self.is_wanted && now_ms - self.requested_ms > RETRY_INTERVAL_MS;
         if is_due {
--- a/src/model/engine.rs
+++ b/src/model/engine.rs
@@ -1,4 +1,5 @@
-//! An engine: its entry in the endpoint list, what this dispatcher has in flight there, and what it learned of it.
+//! An engine: its entry in the endpoint list, this dispatcher's attempts in flight on it, and what the
+//! dispatcher learned about it.
 
 use crate::events::{EndpointState, EndpointUpdate};
 use crate::interner::Interner;
@@ -10,7 +11,7 @@
 use crate::model::{LaneSlowdowns, LONG_AGO};
 use crate::settings::Settings;
 
-/// An engine.
+/// An engine, as one dispatcher knows it.
 #[derive(Debug, Clone)]
 pub(crate) struct Engine {
     pub(crate) engine_id: u64,
@@ -36,14 +37,14 @@
 pub(crate) struct EndpointStatus {
     /// The engine is in the list.
     pub(crate) listed: bool,
-    /// The engine takes new queries.
+    /// The engine accepts new queries.
     pub(crate) ready: bool,
-    /// When the engine's process started (ms); [`LONG_AGO`] where that is unknown.
+    /// When the engine's process started (ms); [`LONG_AGO`] if that is unknown.
     pub(crate) started_ms: f64,
 }
 
 impl Engine {
-    /// An engine that was listed for the first time; [`apply_update`](Self::apply_update) sets its state.
+    /// An engine on its first appearance in the endpoint list; [`apply_update`](Self::apply_update) sets its state.
     pub(crate) fn new(
         update: &EndpointUpdate,
         settings: &Settings,
@@ -71,7 +72,7 @@
         }
     }
 
-    /// Applies an entry of the endpoint list. A later start means that another process has taken the engine's place.
+    /// Applies an entry of the endpoint list. A later start time means that a new process has taken the engine's place.
     pub(crate) fn apply_update(&mut self, update: &EndpointUpdate) {
         self.endpoint.listed = update.state != EndpointState::Gone;
         self.endpoint.ready = update.state == EndpointState::Ready;
@@ -83,25 +84,26 @@
         }
     }
 
-    /// Forgets what was learned of the engine's process.
+    /// Resets what was learned about the engine's previous process.
     fn reset_process(&mut self) {
         self.health.reset_process();
         self.limit.reset_process(self.cores);
         self.slowdown = LaneSlowdowns::default();
     }
 
-    /// Low threads that this dispatcher may still add, where `max_threads` is its limit.
+    /// Number of low-lane threads that this dispatcher may still add up to a limit of `max_threads`; negative above the
+    /// limit.
     pub(crate) fn headroom(&self, max_threads: f64) -> f64 {
         max_threads - self.load.low_threads() - self.load.peer_threads()
     }
 
-    /// Work a core (ms) with `more_ms` added; a thread of another dispatcher counts as `peer_thread_ms`.
-    pub(crate) fn work_per_core_ms(&self, more_ms: f64, peer_thread_ms: f64) -> f64 {
+    /// Work per core (ms) with `added_ms` of work added; each thread of another dispatcher counts as `peer_thread_ms`.
+    pub(crate) fn work_per_core_ms(&self, added_ms: f64, peer_thread_ms: f64) -> f64 {
         let peer_work_ms = self.load.peer_threads() * peer_thread_ms;
-        (self.load.work_ms() + peer_work_ms + more_ms) / self.cores
+        (self.load.work_ms() + peer_work_ms + added_ms) / self.cores
     }
 
-    /// Time without a signal while attempts were in flight (ms); 0 where none is in flight.
+    /// Time without a signal while attempts were in flight (ms); 0 if none is in flight.
     pub(crate) fn silent_for_ms(&self, now_ms: f64) -> f64 {
         let Some(busy_since_ms) = self.load.busy_since_ms() else {
             return 0.0;
--- a/src/model/engine_health.rs
+++ b/src/model/engine_health.rs
@@ -1,20 +1,20 @@
-//! Outlier detection: an engine that fails, falls silent or refuses connections is ejected, whatever the cause, and
-//! gets single half-open trials until one succeeds.
+//! Outlier detection: an engine that fails, stops answering or refuses connections is ejected, whatever the cause. It
+//! then gets one half-open trial at a time until a trial succeeds.
 
 use crate::events::{AttemptEnded, Outcome};
 use crate::model::{Lane, Query, LONG_AGO};
 
-/// Step of an engine's error average (fraction of the distance).
-pub(super) const ERROR_STEP: f64 = 0.2;
-/// Error average above which an engine is ejected.
-pub(super) const EJECTION_LEVEL: f64 = 0.35;
+/// Weight of a new outcome in an engine's error rate, an exponential moving average.
+pub(super) const ERROR_RATE_STEP: f64 = 0.2;
+/// Error rate above which an engine is ejected.
+pub(super) const EJECTION_ERROR_RATE: f64 = 0.35;
 /// Time from an ejection to the first half-open trial (ms).
 const FIRST_BACKOFF_MS: f64 = 500.0;
-/// Upper bound of the time between two trials (ms); each failed trial doubles it up to this.
+/// Upper bound of the time between two trials (ms); each failed trial doubles the time up to this bound.
 const MAX_BACKOFF_MS: f64 = 4000.0;
-/// Silence after which a failed health check ejects an engine (ms).
-const MAX_SILENCE_MS: f64 = 900.0;
-/// Time by which a signal must be overdue before a health check is sent (ms).
+/// Time without a signal after which a failed health check ejects an engine (ms).
+const EJECTION_SILENCE_MS: f64 = 900.0;
+/// Time by which a signal is overdue before a health check is sent (ms).
 const OVERDUE_SIGNAL_MS: f64 = 300.0;
 /// Minimum time between two health checks of an engine (ms).
 const MIN_CHECK_INTERVAL_MS: f64 = FIRST_BACKOFF_MS;
@@ -22,12 +22,13 @@
 /// The health of one engine as this dispatcher sees it.
 #[derive(Debug, Clone)]
 pub(crate) struct EngineHealth {
-    /// When an answer, a note or a health check's answer last arrived (ms).
+    /// When an answer, a note or the reply to a health check last arrived (ms).
     last_signal_ms: f64,
-    /// Moving average of failures, from 0 to 1.
+    /// Exponential moving average of failures, from 0 to 1.
     error_rate: f64,
-    /// When the last attempt ended without a connection (ms), if that was the last outcome.
+    /// When the last attempt failed for lack of a connection (ms), if no other outcome followed.
     unreachable_ms: Option<f64>,
+    /// When a health check was last sent (ms).
     last_check_ms: f64,
     ejection: Option<Ejection>,
 }
@@ -45,13 +46,13 @@
 /// Why an engine was ejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum EjectionCause {
-    /// It answered with errors.
+    /// The engine answered with errors.
     Errors,
-    /// It did not answer, or did not accept connections.
+    /// The engine did not answer, or did not accept connections.
     Silence,
 }
 
-/// What the end of an attempt shows of its engine.
+/// An attempt's outcome, as evidence of its engine's health.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum HealthSignal {
     Success,
@@ -76,31 +77,31 @@
         self.ejection.is_some()
     }
 
-    /// Whether the engine is ejected for silence rather than for errors.
+    /// Whether the engine is ejected because it was silent, not because of errors.
     pub(crate) fn is_ejected_for_silence(&self) -> bool {
         self.ejection
             .is_some_and(|ejection| ejection.cause == EjectionCause::Silence)
     }
 
-    /// Whether outlier detection lets a query go to the engine.
+    /// Whether outlier detection allows the query on the engine.
     ///
-    /// An ejected engine takes one half-open trial at a time, and only a read-only query of the fast lane: it can be
-    /// retried elsewhere. After an ejection for silence the engine must first answer a health check, where health
-    /// checks are allowed.
+    /// An ejected engine gets one half-open trial at a time. Only a read-only query of the fast lane serves as a trial,
+    /// because it can be retried elsewhere. After an ejection for silence the engine must first answer a health check,
+    /// if the platform has health checks.
     pub(crate) fn admits(&self, query: &Query, has_health_checks: bool, now_ms: f64) -> bool {
         let Some(ejection) = &self.ejection else {
             return true;
         };
-        let must_answer = ejection.cause == EjectionCause::Silence && has_health_checks;
-        let has_answered = self.last_signal_ms >= ejection.next_trial_ms;
+        let needs_signal = ejection.cause == EjectionCause::Silence && has_health_checks;
+        let has_signal = self.last_signal_ms >= ejection.next_trial_ms;
         query.lane == Lane::Fast
             && query.is_read_only()
-            && (has_answered || !must_answer)
+            && (has_signal || !needs_signal)
             && now_ms >= ejection.next_trial_ms
     }
 
-    /// Postpones the next half-open trial, if the engine is ejected. Returns whether the attempt that is being sent is
-    /// such a trial.
+    /// Records that an attempt is being sent, and returns whether it is a half-open trial. If so, postpones the next
+    /// trial.
     pub(crate) fn begin_attempt(&mut self, now_ms: f64) -> bool {
         let Some(ejection) = &mut self.ejection else {
             return false;
@@ -114,19 +115,19 @@
         self.last_signal_ms
     }
 
-    /// Records a note of the engine.
+    /// Records that the engine sent a progress note.
     pub(crate) fn record_signal(&mut self, now_ms: f64) {
         self.last_signal_ms = now_ms;
     }
 
-    /// Records the end of an attempt, and ejects or reinstates the engine where it shows that.
+    /// Records the outcome of an attempt, and ejects or reinstates the engine if the outcome warrants it.
     pub(crate) fn record_end(&mut self, event: &AttemptEnded, is_trial: bool, now_ms: f64) {
-        let Some(signal) = self.classify_end(event, now_ms) else {
+        let Some(signal) = self.classify_outcome(event, now_ms) else {
             return;
         };
         self.record_outcome(event.outcome, signal, now_ms);
         match &mut self.ejection {
-            None if self.error_rate > EJECTION_LEVEL => {
+            None if self.error_rate > EJECTION_ERROR_RATE => {
                 let cause = match event.outcome {
                     Outcome::Error => EjectionCause::Errors,
                     _ => EjectionCause::Silence,
@@ -140,13 +141,13 @@
         }
     }
 
-    /// What the end of an attempt shows of the engine; none where it shows nothing.
-    fn classify_end(&self, event: &AttemptEnded, now_ms: f64) -> Option<HealthSignal> {
+    /// The evidence of the engine's health in an attempt's outcome; `None` if the outcome has no bearing on it.
+    fn classify_outcome(&self, event: &AttemptEnded, now_ms: f64) -> Option<HealthSignal> {
         match event.outcome {
             Outcome::Completed => Some(HealthSignal::Success),
-            // All attempts that waited for one connection fail at once and count once.
+            // All attempts that waited for the same connection fail at the same time and count as one failure.
             Outcome::NoConnection if self.unreachable_ms == Some(now_ms) => None,
-            // The query failed elsewhere before: the cause may be the query.
+            // The query failed on another engine before: the cause may be the query itself.
             Outcome::Error if event.attempt > 0 => None,
             Outcome::Error | Outcome::Reset | Outcome::NoConnection | Outcome::Timeout => {
                 Some(HealthSignal::Failure)
@@ -164,14 +165,14 @@
             HealthSignal::Success => 0.0,
             HealthSignal::Failure => 1.0,
         };
-        self.error_rate += ERROR_STEP * (failure - self.error_rate);
+        self.error_rate += ERROR_RATE_STEP * (failure - self.error_rate);
     }
 
-    /// Records the end of a health check.
+    /// Records the outcome of a health check.
     pub(crate) fn record_health_check(&mut self, outcome: Outcome, now_ms: f64) {
         let silent_ms = now_ms - self.last_signal_ms;
         if outcome != Outcome::Completed {
-            if self.ejection.is_none() && silent_ms > MAX_SILENCE_MS {
+            if self.ejection.is_none() && silent_ms > EJECTION_SILENCE_MS {
                 self.eject(EjectionCause::Silence, now_ms);
             }
             return;
@@ -183,14 +184,14 @@
         if ejection.cause == EjectionCause::Silence {
             ejection.next_trial_ms = now_ms;
         }
-        // The health check's connection was accepted, and the process answers.
+        // The engine accepted the health check's connection and answered, so it is reachable again.
         if self.unreachable_ms.is_some() {
             self.reinstate();
         }
     }
 
-    /// Whether a health check should be sent now, to an engine that is silent for `silent_ms` where `usual_silence_ms`
-    /// is normal.
+    /// Whether a health check is due for an engine that has been silent for `silent_ms`, if a healthy engine may be
+    /// silent for `usual_silence_ms`.
     pub(crate) fn is_check_due(&self, silent_ms: f64, usual_silence_ms: f64, now_ms: f64) -> bool {
         let is_wanted = match &self.ejection {
             None => silent_ms > OVERDUE_SIGNAL_MS + usual_silence_ms,
@@ -206,7 +207,7 @@
         self.last_check_ms = now_ms;
     }
 
-    /// Forgets failures and ejection: another process has taken the engine's place.
+    /// Resets the error rate and the ejection, because a new process has taken the engine's place.
     pub(crate) fn reset_process(&mut self) {
         self.ejection = None;
         self.error_rate = 0.0;
@@ -220,10 +221,10 @@
         });
     }
 
-    /// Ends the ejection. The next outcome ejects the engine again if it is a failure.
+    /// Ends the ejection. The error rate starts so high that a failure as the next outcome ejects the engine again.
     fn reinstate(&mut self) {
         self.ejection = None;
-        self.error_rate = ERROR_STEP;
+        self.error_rate = ERROR_RATE_STEP;
     }
 }
 
--- a/src/model/engine_load.rs
+++ b/src/model/engine_load.rs
@@ -1,29 +1,30 @@
-//! What is in flight on an engine.
+//! The load of an engine: this dispatcher's attempts in flight, peers' low-lane threads, and table locks.
 
 use crate::model::{Attempt, Lane, LONG_AGO};
 
-/// A set of tables that a load locks.
+/// A lock that a load query holds on a set of tables.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct TableLock {
+    /// The set of tables, as a number.
     pub(crate) tables: u32,
-    /// Until when the lock is assumed (ms).
+    /// Until when the tables are assumed to be locked (ms).
     pub(crate) until_ms: f64,
 }
 
-/// What is in flight on an engine.
+/// The load of an engine, as one dispatcher knows it.
 #[derive(Debug, Clone)]
 pub(crate) struct EngineLoad {
-    /// Attempts of this dispatcher.
+    /// Number of this dispatcher's attempts in flight.
     attempts: u32,
-    /// Their estimated work (ms).
+    /// Estimated work of these attempts (ms).
     work_ms: f64,
-    /// Their estimated memory (MB).
+    /// Estimated memory of these attempts (MB).
     granted_mb: f64,
-    /// Low-lane attempts of this dispatcher.
+    /// Number of this dispatcher's low-lane attempts in flight.
     low_attempts: u32,
-    /// Threads of the low-lane attempts.
+    /// Threads of these low-lane attempts.
     low_threads: f64,
-    /// Low threads of other dispatchers, as last reported.
+    /// Low-lane threads of other dispatchers, as last reported.
     peer_threads: f64,
     /// Since when at least one attempt has been in flight (ms).
     busy_since_ms: f64,
@@ -46,7 +47,7 @@
 }
 
 impl EngineLoad {
-    /// Adds an attempt, with the lock that it takes.
+    /// Adds an attempt and the lock that it takes. Removes locks that have expired.
     pub(crate) fn add(
         &mut self,
         attempt: &Attempt,
@@ -68,15 +69,16 @@
         }
     }
 
-    /// Removes an ended attempt and its lock. The last one sets the sums to 0, so that no rounding error remains.
+    /// Removes an attempt and its lock. Removing the last attempt sets the sums to 0, so that no rounding
+    /// error remains.
     pub(crate) fn remove(
         &mut self,
         attempt: &Attempt,
         lane: Lane,
         threads: f64,
-        locked: Option<u32>,
+        locked_tables: Option<u32>,
     ) {
-        self.unlock(locked);
+        self.unlock(locked_tables);
         self.attempts = self.attempts.saturating_sub(1);
         if self.attempts == 0 {
             self.work_ms = 0.0;
@@ -103,12 +105,12 @@
 
     fn unlock(&mut self, tables: Option<u32>) {
         let is_of_tables = |lock: &TableLock| tables == Some(lock.tables);
-        if let Some(entry) = self.locks.iter().position(is_of_tables) {
-            self.locks.swap_remove(entry);
+        if let Some(index) = self.locks.iter().position(is_of_tables) {
+            self.locks.swap_remove(index);
         }
     }
 
-    /// Attempts of this dispatcher.
+    /// Number of this dispatcher's attempts in flight.
     #[cfg(test)]
     pub(crate) fn attempts(&self) -> u32 {
         self.attempts
@@ -124,12 +126,12 @@
         self.granted_mb
     }
 
-    /// Since when at least one attempt has been in flight (ms); none where no attempt is.
+    /// Since when at least one attempt has been in flight (ms); `None` if no attempt is in flight.
     pub(crate) fn busy_since_ms(&self) -> Option<f64> {
         (self.attempts > 0).then_some(self.busy_since_ms)
     }
 
-    /// Low-lane attempts of this dispatcher.
+    /// Number of this dispatcher's low-lane attempts in flight.
     pub(crate) fn low_attempts(&self) -> u32 {
         self.low_attempts
     }
@@ -139,38 +141,38 @@
         self.low_threads
     }
 
-    /// Threads that the attempts run on; an attempt of the fast lane counts as one.
+    /// Number of threads of this dispatcher's attempts; an attempt of the fast lane counts as one thread.
     pub(crate) fn threads(&self) -> f64 {
         self.low_threads + (self.attempts - self.low_attempts) as f64
     }
 
-    /// Low threads of other dispatchers, as last reported.
+    /// Low-lane threads of other dispatchers, as last reported.
     pub(crate) fn peer_threads(&self) -> f64 {
         self.peer_threads
     }
 
-    /// Sets the low threads of other dispatchers.
+    /// Sets the number of low-lane threads of other dispatchers.
     pub(crate) fn set_peer_threads(&mut self, threads: f64) {
         self.peer_threads = threads;
     }
 
-    /// Low threads of this dispatcher and of others, as far as is known.
+    /// Low-lane threads of this dispatcher and, as last reported, of other dispatchers.
     pub(crate) fn known_low_threads(&self) -> f64 {
         self.low_threads + self.peer_threads
     }
 
-    /// Whether no low attempt is known there, of this dispatcher or of others.
+    /// Whether neither this dispatcher nor, as last reported, any other has low-lane attempts on the engine.
     pub(crate) fn has_no_low(&self) -> bool {
         self.low_attempts == 0 && self.peer_threads <= 0.0
     }
 
-    /// Whether a load is assumed to lock these tables.
+    /// Whether these tables are assumed to be locked by a load query.
     pub(crate) fn has_lock(&self, tables: u32, now_ms: f64) -> bool {
         let mut locks = self.locks.iter();
         locks.any(|lock| lock.tables == tables && lock.until_ms > now_ms)
     }
 
-    /// Whether no load is assumed to lock any table.
+    /// Whether no lock is recorded.
     #[cfg(test)]
     pub(crate) fn has_no_locks(&self) -> bool {
         self.locks.is_empty()
@@ -194,7 +196,7 @@
         self.low_attempts = attempts;
     }
 
-    /// Sets the threads of the low-lane attempts.
+    /// Sets the number of threads of the low-lane attempts.
     #[cfg(test)]
     pub(crate) fn set_low_threads(&mut self, threads: f64) {
         self.low_threads = threads;
--- a/src/model/engine_table.rs
+++ b/src/model/engine_table.rs
@@ -1,4 +1,4 @@
-//! The table of engines.
+//! The table of known engines, with lookup by engine id.
 
 use crate::model::{Engine, EngineIndex};
 use rustc_hash::FxHashMap;
@@ -6,16 +6,16 @@
 
 /// All engines that this dispatcher knows, each in a slot.
 ///
-/// The slot of a removed engine is used again, so that the table does not grow where engines are replaced often.
+/// The slot of a removed engine is reused, so that the table does not grow when engines are replaced often.
 #[derive(Debug, Default)]
 pub(crate) struct EngineTable {
     engines: Vec<Engine>,
-    /// Slots by the engines' numbers.
+    /// Slots by engine id.
     slots: FxHashMap<u64, EngineIndex>,
 }
 
 impl EngineTable {
-    /// The engine with this number.
+    /// The slot of the engine with this id.
     pub(crate) fn find(&self, engine_id: u64) -> Option<EngineIndex> {
         self.slots.get(&engine_id).copied()
     }
@@ -30,7 +30,7 @@
         self.engines.iter()
     }
 
-    /// All engines, to be changed.
+    /// All engines, mutably.
     pub(crate) fn iter_mut(&mut self) -> std::slice::IterMut<'_, Engine> {
         self.engines.iter_mut()
     }
@@ -45,12 +45,12 @@
         self.indices().filter(|&engine| self[engine].endpoint.ready)
     }
 
-    /// Whether this dispatcher has low-lane attempts in flight.
+    /// Whether this dispatcher has low-lane attempts in flight on any engine.
     pub(crate) fn has_low_attempts(&self) -> bool {
         self.iter().any(|engine| engine.load.low_attempts() > 0)
     }
 
-    /// The first slot whose engine is neither listed nor ready nor `in_use`.
+    /// The first slot whose engine is neither listed, nor ready, nor in use according to `in_use`.
     pub(crate) fn find_unused(&self, in_use: impl Fn(EngineIndex) -> bool) -> Option<EngineIndex> {
         self.indices().find(|&engine| {
             let endpoint = &self[engine].endpoint;
@@ -66,7 +66,7 @@
         slot
     }
 
-    /// Adds an engine in place of another, which is removed.
+    /// Replaces the engine in a slot.
     pub(crate) fn replace(&mut self, slot: EngineIndex, engine: Engine) {
         let previous_id = self[slot].engine_id;
         self.slots.remove(&previous_id);
@@ -74,14 +74,14 @@
         self[slot] = engine;
     }
 
-    /// Begins a complete endpoint list: no engine counts as listed until its entry arrives.
+    /// Begins a complete endpoint list: marks all engines as unlisted until their entries arrive.
     pub(crate) fn begin_snapshot(&mut self) {
         for engine in &mut self.engines {
             engine.endpoint.listed = false;
         }
     }
 
-    /// Ends an endpoint list: an engine that is not listed is not ready.
+    /// Finishes an endpoint list: marks engines that are not listed as not ready.
     pub(crate) fn finish_update(&mut self) {
         for engine in &mut self.engines {
             engine.endpoint.ready &= engine.endpoint.listed;
--- a/src/model/fading_median.rs
+++ b/src/model/fading_median.rs
@@ -1,15 +1,15 @@
-//! Running medians, plain and fading.
+//! Running medians, with and without decay.
 
 use crate::model::LONG_AGO;
 
-/// Moves a running median by a fixed step towards a sample, so that no outlier pulls it far.
+/// Moves a running median towards a sample by a fixed step, so that an outlier has little effect.
 pub(crate) fn step_towards(median: &mut f64, sample: f64, step: f64) {
     if sample != *median {
         *median += step.copysign(sample - *median);
     }
 }
 
-/// A running median that decays towards a fallback as its evidence ages.
+/// A running median that decays exponentially towards a fallback while no samples arrive.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct FadingMedian {
     /// The median when it was last updated.
@@ -18,7 +18,7 @@
     updated_ms: f64,
 }
 
-/// A sample of a [`FadingMedian`], and how far it moves the median.
+/// A sample for a [`FadingMedian`], with the bounds of its effect on the median.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct MedianUpdate {
     pub(crate) sample: f64,
@@ -26,9 +26,9 @@
     pub(crate) fallback: f64,
     /// Time constant of the decay (ms).
     pub(crate) decay_ms: f64,
-    /// Maximum step of one sample.
+    /// Maximum change of the median by one sample.
     pub(crate) step: f64,
-    /// Additional step after a long gap without samples.
+    /// Additional maximum change after a long gap without samples; it grows with the gap up to this value.
     pub(crate) gap_step: f64,
 }
 
@@ -53,18 +53,18 @@
         self.level
     }
 
-    /// The median as it has decayed by `now_ms`.
+    /// The median at `now_ms`, after decay since the last update.
     pub(crate) fn at(&self, now_ms: f64, fallback: f64, decay_ms: f64) -> f64 {
-        let remaining = ((self.updated_ms - now_ms) / decay_ms).exp();
-        fallback + (self.level - fallback) * remaining
+        let remaining_fraction = ((self.updated_ms - now_ms) / decay_ms).exp();
+        fallback + (self.level - fallback) * remaining_fraction
     }
 
     /// Records a sample.
     pub(crate) fn update(&mut self, now_ms: f64, update: MedianUpdate) {
-        let gap = 1.0 - ((self.updated_ms - now_ms) / update.decay_ms).exp();
+        let decayed_fraction = 1.0 - ((self.updated_ms - now_ms) / update.decay_ms).exp();
         self.level = self.at(now_ms, update.fallback, update.decay_ms);
         let distance = update.sample - self.level;
-        let max_step = update.step + update.gap_step * gap;
+        let max_step = update.step + update.gap_step * decayed_fraction;
         self.level += max_step.min(distance.abs()).copysign(distance);
         self.updated_ms = now_ms;
     }
--- a/src/model/group_slowdown.rs
+++ b/src/model/group_slowdown.rs
@@ -1,24 +1,24 @@
-//! How a resource group's run times compare with its estimates, and the steps by which everything is learned.
+//! The ratio of a resource group's run times to its estimates, and the step sizes of all learned values.
 
 use crate::model::fading_median::step_towards;
 
-/// Fraction of the lowest scatter that an answer may lie above the best without being slow.
+/// Fraction of the lowest scatter by which a ratio may exceed the best without showing a slowdown.
 const TOLERATED_SCATTER_FRACTION: f64 = 0.5;
 
-/// The steps by which run times, costs and slowdowns are learned.
+/// The step sizes with which run times, costs and slowdowns are learned.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct LearningSteps {
-    /// Step of running medians (log ratio).
+    /// Step of a running median for each sample (log ratio).
     pub(crate) median: f64,
-    /// Step of moving means (fraction of the distance).
+    /// Weight of a new sample in an exponential moving mean.
     pub(crate) mean: f64,
-    /// Samples after which a group's lowest median and scatter count.
+    /// Number of samples after which the lowest median and scatter of a group are tracked.
     pub(crate) min_samples: u32,
-    /// Lower bound of times in ratios (ms).
+    /// Lower bound of the times in a ratio (ms).
     pub(crate) min_time_ms: f64,
 }
 
-/// The steps by which all groups and engines learn.
+/// The step sizes of all groups and engines.
 pub(crate) const LEARNING: LearningSteps = LearningSteps {
     median: 0.05,
     mean: 0.02,
@@ -26,88 +26,88 @@
     min_time_ms: 0.1,
 };
 
-/// A resource group's run times against their estimates (log ratios), as its answers showed them.
+/// Statistics of the ratios of run time to estimate (log ratios) in a resource group's answers.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct GroupSlowdown {
     /// Running median of the ratios.
-    usual: f64,
-    /// The lowest that the running median has been.
+    median: f64,
+    /// Lowest value of the running median so far.
     best: f64,
-    /// Answers seen.
+    /// Number of answers recorded.
     samples: u32,
-    /// Mean distance of ratios from the median.
+    /// Mean absolute deviation of the ratios from the median.
     scatter: f64,
-    /// The lowest that the scatter has been.
+    /// Lowest value of the scatter so far.
     min_scatter: f64,
 }
 
 impl GroupSlowdown {
     /// Running median of the ratios.
-    pub(crate) fn usual(&self) -> f64 {
-        self.usual
+    pub(crate) fn median(&self) -> f64 {
+        self.median
     }
 
-    /// The lowest that the running median has been.
+    /// Lowest value of the running median so far.
     pub(crate) fn best(&self) -> f64 {
         self.best
     }
 
-    /// Whether an answer was recorded.
+    /// Whether any answer was recorded.
     pub(crate) fn has_samples(&self) -> bool {
         self.samples > 0
     }
 
-    /// How far an answer may lie above the best without being slow.
+    /// The amount by which a ratio may exceed the best without showing a slowdown (log ratio).
     pub(crate) fn tolerated_scatter(&self) -> f64 {
         TOLERATED_SCATTER_FRACTION * self.min_scatter
     }
 
-    /// Moves the median towards a ratio that is predicted, and returns how far that lies above the best.
-    pub(crate) fn learn_predicted(&mut self, ratio: f64) -> f64 {
-        step_towards(&mut self.usual, ratio, LEARNING.median);
+    /// Moves the median towards a predicted ratio, and returns the difference between that ratio and the best.
+    pub(crate) fn record_predicted_ratio(&mut self, ratio: f64) -> f64 {
+        step_towards(&mut self.median, ratio, LEARNING.median);
         ratio - self.best
     }
 
-    /// Records one answer's ratio and returns how far it lies above the best.
+    /// Records the ratio of an answer, and returns the difference between that ratio and the best.
     ///
-    /// The best is the lowest level of the running median, so that neither a single quick answer nor scattered estimates
-    /// make an idle engine look slow.
-    pub(crate) fn learn(&mut self, ratio: f64) -> f64 {
+    /// The best is the lowest value of the running median. With the lowest single ratio instead, one fast answer or
+    /// scattered estimates would make an idle engine look slow.
+    pub(crate) fn record_ratio(&mut self, ratio: f64) -> f64 {
         if self.samples == 0 {
-            self.usual = ratio;
+            self.median = ratio;
         }
         self.samples += 1;
-        let scatter_change = (ratio - self.usual).abs() - self.scatter;
+        let scatter_change = (ratio - self.median).abs() - self.scatter;
         let mean_step = LEARNING.mean.max(1.0 / f64::from(self.samples));
         self.scatter += mean_step * scatter_change;
-        let settled = self.samples >= LEARNING.min_samples;
-        self.min_scatter = if settled {
+        let has_min_samples = self.samples >= LEARNING.min_samples;
+        self.min_scatter = if has_min_samples {
             self.scatter.min(self.min_scatter)
         } else {
             self.scatter
         };
-        step_towards(&mut self.usual, ratio, LEARNING.median);
-        self.best = if settled {
-            self.usual.min(self.best)
+        step_towards(&mut self.median, ratio, LEARNING.median);
+        self.best = if has_min_samples {
+            self.median.min(self.best)
         } else {
-            self.usual
+            self.median
         };
         ratio - self.best
     }
 
     /// Sets the median.
     #[cfg(test)]
-    pub(crate) fn set_usual(&mut self, usual: f64) {
-        self.usual = usual;
+    pub(crate) fn set_usual(&mut self, median: f64) {
+        self.median = median;
     }
 
-    /// Sets the number of answers.
+    /// Sets the number of recorded answers.
     #[cfg(test)]
     pub(crate) fn set_samples(&mut self, samples: u32) {
         self.samples = samples;
     }
 
-    /// Sets the scatter, and the lowest that it has been.
+    /// Sets the scatter and its lowest value so far.
     #[cfg(test)]
     pub(crate) fn set_scatter(&mut self, scatter: f64) {
         self.scatter = scatter;
--- a/src/model/index.rs
+++ b/src/model/index.rs
@@ -1,4 +1,5 @@
-//! Typed indices into the tables of engines, queries and resource groups, so that none is used on another table.
+//! Typed indices into the tables of engines, queries and resource groups, so that an index of one table
+//! cannot be used on another.
 
 use crate::model::ResourceGroup;
 use std::ops::{Index, IndexMut};
--- a/src/model/key_queues.rs
+++ b/src/model/key_queues.rs
@@ -1,20 +1,21 @@
-//! Rule 5: queries with an ordering key wait in one first-in-first-out queue for each key.
+//! Rule 5: queries with an ordering key wait in a FIFO queue per key.
 
 use crate::model::{QueryIndex, LONG_AGO};
 use rustc_hash::FxHashMap;
 use slab::Slab;
 use std::collections::VecDeque;
 
-/// A queue for each key, and when the key may be used again.
+/// A queue and a cooldown per key.
 ///
-/// A key whose queue is empty and whose cooldown is over is forgotten, as the number of keys has no bound.
+/// A key with an empty queue is removed after its cooldown, because the number of keys is unbounded.
 #[derive(Debug, Default)]
 pub(crate) struct KeyQueues {
-    /// How long a key cools down (ms).
+    /// Duration of a cooldown (ms).
     cooldown_ms: f64,
     queues: Slab<KeyQueue>,
+    /// Slots by key.
     slots: FxHashMap<u64, u32>,
-    /// Slots of queues that became empty, in that order.
+    /// Slots of queues that became empty, in the order in which they did.
     empty: VecDeque<u32>,
 }
 
@@ -22,14 +23,14 @@
 struct KeyQueue {
     key: u64,
     queries: VecDeque<QueryIndex>,
-    /// Until when the key cools down (ms).
+    /// End of the key's cooldown (ms).
     cooldown_until_ms: f64,
     /// The queue's slot is in `KeyQueues::empty`.
     is_marked_empty: bool,
 }
 
 impl KeyQueues {
-    /// No queues; a cooldown takes `cooldown_ms`.
+    /// A collection without queues, with a cooldown of `cooldown_ms`.
     pub(crate) fn new(cooldown_ms: f64) -> Self {
         KeyQueues {
             cooldown_ms,
@@ -37,18 +38,18 @@
         }
     }
 
-    /// Adds a query to the end of its key's queue and returns the queue's slot.
+    /// Adds a query to the back of its key's queue, and returns the queue's slot.
     pub(crate) fn join(&mut self, key: u64, query: QueryIndex, now_ms: f64) -> u32 {
-        self.forget_unused(now_ms);
+        self.remove_unused(now_ms);
         let slot = match self.slots.get(&key) {
             Some(&slot) => slot,
-            None => self.open(key),
+            None => self.create_queue(key),
         };
         self.queues[slot as usize].queries.push_back(query);
         slot
     }
 
-    fn open(&mut self, key: u64) -> u32 {
+    fn create_queue(&mut self, key: u64) -> u32 {
         let slot = self.queues.insert(KeyQueue {
             key,
             queries: VecDeque::new(),
@@ -59,7 +60,7 @@
         slot
     }
 
-    fn forget_unused(&mut self, now_ms: f64) {
+    fn remove_unused(&mut self, now_ms: f64) {
         while let Some(&slot) = self.empty.front() {
             let queue = &mut self.queues[slot as usize];
             if queue.queries.is_empty() && queue.cooldown_until_ms > now_ms {
@@ -74,24 +75,24 @@
         }
     }
 
-    /// The number of keys that are known.
+    /// The number of keys that have a queue.
     #[cfg(test)]
     pub(crate) fn len(&self) -> usize {
         self.queues.len()
     }
 
-    /// The first query of a queue.
+    /// The query at the front of a queue.
     pub(crate) fn first(&self, slot: u32) -> Option<QueryIndex> {
         self.queues.get(slot as usize)?.queries.front().copied()
     }
 
-    /// Whether a queue's key has cooled down.
+    /// Whether a key is not in its cooldown.
     pub(crate) fn is_cool(&self, slot: u32, now_ms: f64) -> bool {
         let queue = self.queues.get(slot as usize);
         now_ms >= queue.map_or(LONG_AGO, |queue| queue.cooldown_until_ms)
     }
 
-    /// Starts the cooldown of a queue's key.
+    /// Starts the cooldown of a key.
     pub(crate) fn cool_down(&mut self, slot: u32, now_ms: f64) {
         let until_ms = now_ms + self.cooldown_ms;
         if let Some(queue) = self.queues.get_mut(slot as usize) {
--- a/src/model/level_effects.rs
+++ b/src/model/level_effects.rs
@@ -1,28 +1,29 @@
-//! The effects of a service level on the ordinary path.
+//! The effects of a service level on the decisions about queries.
 
 use crate::model::Query;
 use crate::pcg::Pcg;
 
-/// The effects of a degraded service level. The default, full service, has none.
+/// The effects of a service level. The default is full service, without effects.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LevelEffects {
     /// Factor on the concurrency limits of the low lane.
     pub concurrency_factor: f64,
-    /// Factor on the multiple of the usual cost that demotes a query.
+    /// Factor on the multiple of the mean cost above which a query is demoted.
     pub demotion_factor: f64,
-    /// Factor on memory grants beyond need.
+    /// Factor on memory grants in excess of the estimated need.
     pub grant_factor: f64,
-    /// Factor on the time after which a rejected client may come back.
+    /// Factor on the time after which a rejected client may retry.
     pub retry_after_factor: f64,
-    /// The fraction of `retry_after_ms` that is random.
+    /// Spread of the random jitter on `retry_after_ms`, as a fraction of the time without jitter.
     pub retry_after_jitter: f64,
-    /// Low work gets no retries.
+    /// Queries in the low lane get no retries.
     pub withhold_low_retries: bool,
-    /// Low work of tenants over their quota is rejected.
+    /// Queries in the low lane of tenants over their quota are rejected.
     pub reject_over_quota: bool,
-    /// Low work with less confidence in its cost than this is rejected.
+    /// Minimum confidence in the cost of a query in the low lane, from 0 to 1; queries below it are rejected.
     pub min_confidence: f64,
-    /// Fraction of its headroom that a group's low work may use, by group index; 1 for groups beyond the list.
+    /// Fraction of the headroom that a group's queries in the low lane may use, by group index; 1 for groups beyond the
+    /// list.
     pub group_fractions: Vec<f64>,
 }
 
@@ -43,7 +44,7 @@
 }
 
 impl LevelEffects {
-    /// The fraction of the headroom that a low query may use.
+    /// The fraction of the headroom that a query in the low lane may use; 0 if the level rejects the query.
     pub(crate) fn headroom_fraction(&self, query: &Query) -> f64 {
         let over_quota = self.reject_over_quota && query.is_over_quota;
         if over_quota || query.cost.confidence < self.min_confidence {
@@ -55,8 +56,8 @@
             .unwrap_or(1.0)
     }
 
-    /// The time after which a rejected client may come back (ms), up to `max_ms`. The jitter spreads clients that were
-    /// rejected together.
+    /// The time after which a rejected client may retry (ms), at most `max_ms`. The jitter spreads the retries of
+    /// clients that were rejected at the same time.
     pub(crate) fn retry_after_ms(&self, usual_ms: f64, max_ms: f64, rng: &mut Pcg) -> f64 {
         let jitter = self.retry_after_jitter;
         let wait_ms = (usual_ms * self.retry_after_factor * (1.0 + jitter)).min(max_ms);
--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -1,8 +1,8 @@
-//! The components that [`control`](crate::control) composes, one file each.
+//! The components that [`control`](crate::control) composes, one per file.
 //!
 //! A component owns one part of a dispatcher's state (private fields) and the rules and constants of that part. The
-//! records that several components share (query, attempt, engine, resource group) are plain data. Nothing here names
-//! `Control`; what a component needs of others is passed to it, the time as `now_ms`.
+//! records that several components share (query, attempt, engine, resource group) are plain data. No component depends
+//! on `Control`: its methods receive the state of other components and the time (`now_ms`) as arguments.
 
 mod attempt;
 mod concurrency_limit;
@@ -54,5 +54,5 @@
 
 /// Time between two rounds of periodic checks (ms).
 pub(crate) const CHECK_INTERVAL_MS: f64 = 20.0;
-/// A time before all others.
+/// A time before all others, for events that have not happened.
 pub(crate) const LONG_AGO: f64 = f64::NEG_INFINITY;
--- a/src/model/pool_view.rs
+++ b/src/model/pool_view.rs
@@ -1,13 +1,13 @@
-//! Pressure and headroom: what the state of several components says of the engines' capacity now.
+//! Pressure, headroom and metrics of the pool, computed from the state of several components.
 
 use crate::model::{
     Engine, EngineIndex, EngineTable, Lane, LevelEffects, PeerLoad, SlowStart, Slowdowns,
 };
 
-/// Fraction of an engine's memory whose estimated use shows pressure.
+/// Fraction of an engine's memory at which the estimated memory of this dispatcher's attempts shows pressure.
 const PRESSURE_MEMORY_FRACTION: f64 = 0.35;
 
-/// The pool of engines as this dispatcher sees it at one time.
+/// A read-only view of the pool of engines at `now_ms`.
 #[derive(Clone, Copy)]
 pub(crate) struct PoolView<'a> {
     pub(crate) engines: &'a EngineTable,
@@ -21,7 +21,7 @@
 impl PoolView<'_> {
     /// Whether an engine has no capacity left.
     ///
-    /// Slow answers show that, but only after a burst has filled the engine: so does what is in flight there.
+    /// Slow answers arrive only after a burst has filled the engine, so the load in flight and refusals count too.
     pub(crate) fn is_under_pressure(&self, index: EngineIndex) -> bool {
         let engine = &self.engines[index];
         let max_threads = engine.limit.estimated_concurrency() * self.level.concurrency_factor;
@@ -30,28 +30,29 @@
             || self.slowdowns.is_slow(engine, Lane::Fast, self.now_ms)
             || engine.load.known_low_threads() >= max_threads
             || engine.memory_mb > 0.0 && engine.load.granted_mb() >= max_memory_mb
-            || engine.limit.was_full(self.now_ms)
+            || engine.limit.was_recently_full(self.now_ms)
     }
 
-    /// Whether an engine is below pressure and below its concurrency limit.
+    /// Whether an engine is not under pressure and does not exceed its concurrency limit.
     pub(crate) fn has_spare_capacity(&self, engine: EngineIndex) -> bool {
         self.headroom(engine) >= 0.0 && !self.is_under_pressure(engine)
     }
 
-    /// Low threads that the concurrency limit leaves this dispatcher on an engine; negative where it is exceeded.
+    /// Number of low-lane threads that this dispatcher may add on an engine within the concurrency limit; negative
+    /// above the limit.
     pub(crate) fn headroom(&self, engine: EngineIndex) -> f64 {
         let engine = &self.engines[engine];
         let limit = self.level.concurrency_factor * engine.limit.threads_per_core();
         engine.headroom(limit * engine.cores * self.peer_load.pool_share(self.now_ms))
     }
 
-    /// The headroom of all ready engines together.
+    /// The sum of the headroom of all ready engines (threads).
     pub(crate) fn total_headroom(&self) -> f64 {
         let ready = self.engines.ready_indices();
         ready.map(|engine| self.headroom(engine)).sum()
     }
 
-    /// Fraction of the ready engines, of a zone if one is given, that are under pressure.
+    /// Fraction of the ready engines that are under pressure; with `zone`, of the ready engines of that zone.
     pub(crate) fn pressured_fraction(&self, zone: Option<ZoneFilter>) -> f64 {
         let is_in_zone =
             |engine: &EngineIndex| zone.is_none_or(|zone| zone.includes(&self.engines[*engine]));
@@ -64,7 +65,8 @@
         fraction(pressured, ready)
     }
 
-    /// Low threads of all ready engines against their concurrency limits at full service.
+    /// Low-lane threads on all ready engines as a fraction of their concurrency limits at full service, at most 1; NaN
+    /// without a limit.
     pub(crate) fn concurrency_used_fraction(&self) -> f64 {
         let share = self.peer_load.pool_share(self.now_ms);
         let mut used = 0.0;
@@ -80,13 +82,13 @@
         }
     }
 
-    /// Threads that this dispatcher's attempts run on; an attempt of the fast lane counts as one.
+    /// Number of threads of this dispatcher's attempts; an attempt of the fast lane counts as one thread.
     pub(crate) fn threads_in_flight(&self) -> f64 {
         let engines = self.engines.iter();
         engines.map(|engine| engine.load.threads()).sum()
     }
 
-    /// Fraction of the known engines that are ready.
+    /// Fraction of the listed or ready engines that are ready.
     pub(crate) fn ready_fraction(&self) -> f64 {
         let is_known = |engine: &&Engine| engine.endpoint.listed || engine.endpoint.ready;
         let known = self.engines.iter().filter(is_known);
@@ -113,7 +115,7 @@
 pub(crate) enum ZoneFilter {
     /// The zone with this index.
     Zone(u32),
-    /// A zone without any engine.
+    /// A zone that has never had an engine.
     Unknown,
 }
 
@@ -126,11 +128,11 @@
     }
 }
 
-/// A count as a fraction of another; a fraction of nothing is not a number.
-fn fraction(count: usize, of: usize) -> f64 {
-    if of == 0 {
+/// `count` as a fraction of `total`; NaN if `total` is 0.
+fn fraction(count: usize, total: usize) -> f64 {
+    if total == 0 {
         f64::NAN
     } else {
-        count as f64 / of as f64
+        count as f64 / total as f64
     }
 }
--- a/src/model/query.rs
+++ b/src/model/query.rs
@@ -9,7 +9,7 @@
 pub(crate) enum Lane {
     /// The lane of short queries, which are never rejected for load.
     Fast,
-    /// The lane of loads, reports and demoted queries, which the concurrency limits bound.
+    /// The lane of loads, parallel queries and demoted queries, which is subject to the concurrency limits.
     Low,
 }
 
@@ -19,17 +19,18 @@
     pub(crate) id: u64,
     pub(crate) group: GroupIndex,
     pub(crate) lane: Lane,
-    /// The effect of the query's statement, which may be stricter than its group's.
+    /// The effect of the query's statement, which may be stricter than the effect of its group.
     pub(crate) effect: Effect,
+    /// The client's deadline (ms).
     pub(crate) deadline_ms: f64,
-    /// Slot of its key's queue, if the query has an ordering key.
+    /// Slot of the key's queue, if the query has an ordering key.
     pub(crate) key: Option<u32>,
-    /// The set of tables that the query uses.
+    /// The set of tables that the query uses, as a number.
     pub(crate) tables: u32,
     /// The tenant was over its quota when the query arrived.
     pub(crate) is_over_quota: bool,
     pub(crate) cost: QueryCost,
-    /// The query has its final answer, or its client left.
+    /// The query has its final answer, or its client disconnected.
     pub(crate) is_over: bool,
     /// The attempt in flight was cancelled in order to run the query elsewhere.
     pub(crate) is_migrating: bool,
@@ -39,19 +40,21 @@
 /// The resources that a query is expected to need.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct QueryCost {
-    /// The estimate (thread time, ms), or the group's usual cost where the query has none.
+    /// The estimate (thread time, ms), or the group's usual cost if the query has no estimate.
     pub(crate) estimate_ms: f64,
-    /// The query came without an estimate.
+    /// The query arrived without an estimate.
     pub(crate) is_guess: bool,
-    /// Work in placement (ms): the estimate corrected by reported usage, or without an estimate the number of threads.
+    /// Work that placement assumes (ms): the estimate corrected by reported usage; without an estimate, a nominal 1 ms
+    /// for each thread.
     pub(crate) work_ms: f64,
+    /// Estimated memory (MB).
     pub(crate) memory_mb: f64,
     /// Confidence in the estimate, from 0 to 1.
     pub(crate) confidence: f64,
 }
 
 impl QueryCost {
-    /// The cost of a query with an estimate, which its confidence has already discounted.
+    /// The cost of a query whose estimate has already been discounted by its confidence.
     pub(crate) fn estimated(estimate_ms: f64, work_ms: f64, event: &QueryArrived) -> Self {
         QueryCost {
             estimate_ms,
@@ -72,7 +75,7 @@
 }
 
 impl Query {
-    /// A query that has just arrived, without a key.
+    /// A query that has just arrived, without an ordering key.
     pub(crate) fn new(
         event: &QueryArrived,
         group: GroupIndex,
@@ -96,17 +99,17 @@
         }
     }
 
-    /// Whether the query is over and has no attempt in flight, so that it can be removed.
+    /// Whether the query can be removed: it is over and has no attempt in flight.
     pub(crate) fn is_done(&self) -> bool {
         self.is_over && self.in_flight().is_none()
     }
 
-    /// Whether the query needs no check: it is over or migrating.
+    /// Whether the query needs no periodic check, because it is over or migrating.
     pub(crate) fn is_settled(&self) -> bool {
         self.is_over || self.is_migrating
     }
 
-    /// Whether the query has been tried on an engine.
+    /// Whether any attempt of the query was sent to an engine.
     pub(crate) fn has_tried(&self, engine: EngineIndex) -> bool {
         self.attempts
             .all()
@@ -114,7 +117,7 @@
             .any(|attempt| attempt.engine == engine)
     }
 
-    /// The number of the attempt that is in flight, if one is.
+    /// The index of the attempt in flight, if there is one.
     pub(crate) fn in_flight(&self) -> Option<usize> {
         self.attempts
             .all()
@@ -122,7 +125,7 @@
             .position(|attempt| attempt.in_flight)
     }
 
-    /// The attempt that is in flight, if one is.
+    /// The attempt in flight, if there is one.
     pub(crate) fn attempt_in_flight(&self) -> Option<&Attempt> {
         self.attempts.all().iter().find(|attempt| attempt.in_flight)
     }
@@ -135,7 +138,7 @@
             .find(|attempt| attempt.may_have_run)
     }
 
-    /// Whether the query has no effect, so that running it twice does no harm.
+    /// Whether the query has no side effects, so that running it twice is harmless.
     pub(crate) fn is_read_only(&self) -> bool {
         self.effect == Effect::ReadOnly
     }
@@ -158,21 +161,21 @@
     }
 
     /// # Panics
-    /// Where there are [`MAX_ATTEMPTS`] already; the settings' limit is never above it.
+    /// If there are [`MAX_ATTEMPTS`] already. The settings allow no more than that.
     pub(crate) fn push(&mut self, attempt: Attempt) {
         self.slots[self.count] = attempt;
         self.count += 1;
     }
 
-    /// The attempt of this number, while it is in flight.
-    pub(crate) fn in_flight_mut(&mut self, number: usize) -> Option<&mut Attempt> {
+    /// The attempt with this index, if it is in flight.
+    pub(crate) fn in_flight_mut(&mut self, index: usize) -> Option<&mut Attempt> {
         self.slots
-            .get_mut(number)
+            .get_mut(index)
             .filter(|attempt| attempt.in_flight)
     }
 
-    /// Marks an attempt as cancelled; false if it was already.
-    pub(crate) fn set_cancelled(&mut self, number: usize) -> bool {
-        !std::mem::replace(&mut self.slots[number].cancelled, true)
+    /// Marks an attempt as cancelled. Returns false if it was already marked.
+    pub(crate) fn set_cancelled(&mut self, index: usize) -> bool {
+        !std::mem::replace(&mut self.slots[index].cancelled, true)
     }
 }
--- a/src/model/query_table.rs
+++ b/src/model/query_table.rs
@@ -1,20 +1,20 @@
-//! The table of queries in flight.
+//! The table of queries in flight, with lookup by query id.
 
 use crate::model::{EngineIndex, Query, QueryIndex};
 use rustc_hash::FxHashMap;
 use slab::Slab;
 use std::ops::{Index, IndexMut};
 
-/// All queries in flight, each in a slot that is used again when the query is removed.
+/// All queries in flight, each in a slot that is reused after the query is removed.
 #[derive(Debug, Default)]
 pub(crate) struct QueryTable {
     queries: Slab<Query>,
-    /// Slots by the queries' numbers.
+    /// Slots by query id.
     slots: FxHashMap<u64, QueryIndex>,
 }
 
 impl QueryTable {
-    /// Adds a query.
+    /// Adds a query and returns its slot.
     pub(crate) fn insert(&mut self, query: Query) -> QueryIndex {
         let query_id = query.id;
         let index = QueryIndex(self.queries.insert(query));
@@ -22,14 +22,14 @@
         index
     }
 
-    /// Removes a query.
+    /// Removes a query from its slot and returns it.
     pub(crate) fn remove(&mut self, index: QueryIndex) -> Query {
         let query = self.queries.remove(index.0);
         self.slots.remove(&query.id);
         query
     }
 
-    /// The query with this number.
+    /// The slot of the query with this id.
     pub(crate) fn find(&self, query_id: u64) -> Option<QueryIndex> {
         self.slots.get(&query_id).copied()
     }
@@ -39,12 +39,12 @@
         self.queries.get(index.0)
     }
 
-    /// All slots that exist now, with and without a query.
+    /// All allocated slots, whether they hold a query or not.
     pub(crate) fn slots(&self) -> impl Iterator<Item = QueryIndex> {
         (0..self.queries.capacity()).map(QueryIndex)
     }
 
-    /// All queries, to be changed.
+    /// All queries, mutably.
     pub(crate) fn iter_mut(&mut self) -> impl Iterator<Item = &mut Query> {
         self.queries.iter_mut().map(|(_, query)| query)
     }
@@ -54,7 +54,7 @@
         self.queries.is_empty()
     }
 
-    /// Whether a query has been tried on an engine.
+    /// Whether any query has an attempt that was sent to the engine.
     pub(crate) fn has_tried(&self, engine: EngineIndex) -> bool {
         let mut queries = self.queries.iter();
         queries.any(|(_, query)| query.has_tried(engine))
--- a/src/model/resource_group.rs
+++ b/src/model/resource_group.rs
@@ -1,4 +1,4 @@
-//! A resource group: its settings, and what was learned from its answers.
+//! A resource group: its settings, and the costs and run times learned from its queries.
 
 use crate::events::{QueryArrived, ResourceUsage, StatementTraits};
 use crate::interner::{Interner, NameInterner};
@@ -7,16 +7,16 @@
 
 /// Multiple of the group's mean cost above which a query is demoted to the low lane.
 const DEMOTION_FACTOR: f64 = 4.0;
-/// Upper bound of the factor by which reported usage corrects estimates; its inverse is the lower bound.
+/// Upper bound of the factor by which reported usage corrects estimates. The lower bound is the inverse.
 const MAX_USAGE_FACTOR: f64 = 5.0;
 
-/// A resource group.
+/// A resource group: its settings and learned state.
 #[derive(Debug, Clone)]
 pub(crate) struct ResourceGroup {
     pub(crate) settings: GroupSettings,
-    /// The zones that the group is confined to.
+    /// Indices of the zones that the group is confined to; `None` for all zones.
     zones: Option<Vec<u32>>,
-    /// The kinds of engines that the group is confined to.
+    /// Indices of the engine kinds that the group is confined to; `None` for all kinds.
     kinds: Option<Vec<u32>>,
     cost: CostModel,
     slowdown: GroupSlowdown,
@@ -27,23 +27,23 @@
 struct CostModel {
     /// Mean estimate (thread time, ms).
     mean_ms: f64,
-    /// Queries in the mean.
+    /// Number of samples in the mean.
     samples: u32,
-    /// Thread time used, as a factor of its estimate.
+    /// Thread time used, as a multiple of its estimate.
     work_factor: f64,
-    /// Memory used, as a factor of its estimate.
+    /// Memory used, as a multiple of its estimate.
     memory_factor: f64,
 }
 
 impl CostModel {
-    /// Records a cost in the mean: a plain mean at first, a moving one later.
+    /// Adds a cost to the mean, which is an arithmetic mean at first and an exponential moving mean later.
     fn learn_cost(&mut self, cost_ms: f64) {
         self.samples += 1;
         let step = LEARNING.mean.max(1.0 / f64::from(self.samples));
         self.mean_ms += step * (cost_ms - self.mean_ms);
     }
 
-    /// The estimate of a query, moved towards the mean (on a log scale) by how uncertain it is.
+    /// A query's estimate (ms), moved towards the mean on a log scale: the lower the confidence, the farther.
     fn discount_uncertain(&self, event: &QueryArrived) -> f64 {
         let cost_ms = event.estimated_cost_ms;
         let confidence = event.statement.confidence;
@@ -54,7 +54,7 @@
     }
 }
 
-/// Moves a factor towards a ratio. A ratio that is 0 or not finite is unknown and ignored.
+/// Moves a factor towards a ratio. Ignores a ratio that is not positive and finite, because the usage is unknown.
 fn learn_factor(factor: &mut f64, ratio: f64) {
     if ratio > 0.0 && ratio.is_finite() {
         let ratio = ratio.clamp(1.0 / MAX_USAGE_FACTOR, MAX_USAGE_FACTOR);
@@ -63,10 +63,10 @@
 }
 
 impl ResourceGroup {
-    /// A group before its first query.
+    /// A resource group before its first query.
     pub(crate) fn new(settings: GroupSettings, interner: &mut Interner) -> Self {
-        let zones = intern_all(&settings.zones, &mut interner.zones);
-        let kinds = intern_all(&settings.kinds, &mut interner.kinds);
+        let zones = intern_names(&settings.zones, &mut interner.zones);
+        let kinds = intern_names(&settings.kinds, &mut interner.kinds);
         interner.groups.index(&settings.name);
         ResourceGroup {
             settings,
@@ -82,12 +82,12 @@
         }
     }
 
-    /// Threads that a query of the group runs on.
+    /// Number of threads that a query of the group runs on.
     pub(crate) fn threads(&self) -> f64 {
         self.settings.threads
     }
 
-    /// Whether the group's queries wait while a load locks their tables.
+    /// Whether the group's queries wait while a load query locks their tables.
     pub(crate) fn needs_unlocked_tables(&self) -> bool {
         self.settings.waits_for_loads || self.settings.is_load
     }
@@ -101,8 +101,8 @@
         }
     }
 
-    /// The effect of a statement. A statement that may write counts as non-idempotent in a read-only group; it does not
-    /// override a group's idempotency keys.
+    /// The effect of a statement: that of the group, except that a statement that may write is non-idempotent in a
+    /// read-only group. A group's idempotency keys also apply to statements that may write.
     pub(crate) fn effect_of(&self, statement: StatementTraits) -> Effect {
         if statement.may_write && self.settings.effect == Effect::ReadOnly {
             Effect::NonIdempotent
@@ -111,16 +111,17 @@
         }
     }
 
-    /// Latency objective (ms) of a query with `work_ms` of work.
+    /// Latency objective (ms) of a query with `work_ms` of thread time.
     fn objective_ms(&self, work_ms: f64) -> f64 {
         self.settings.objective_ms
             + self.settings.objective_stretch * work_ms / self.settings.threads
     }
 
-    /// The lane and cost of a query, whose estimate is recorded. `demotion_factor` is that of the service level.
+    /// Returns the lane and cost of a query, and adds its estimate to the group's mean. `demotion_factor` comes from
+    /// the service level.
     ///
-    /// A query is demoted here, once; the group's mean does not follow estimates that demote. Without an estimate a
-    /// query has its group's threads as work and its group's usual cost.
+    /// Only this function demotes queries. It caps the estimate that enters the mean at the demotion threshold, so that
+    /// demoted queries do not raise the threshold much. A query without an estimate gets the group's usual cost.
     pub(crate) fn classify(
         &mut self,
         event: &QueryArrived,
@@ -142,9 +143,10 @@
         (lane, QueryCost::estimated(estimate_ms, work_ms, event))
     }
 
-    /// Learns from the run time of an answer, and returns how far it lies above the group's best (log ratio).
+    /// Learns from the run time of an answer, and returns how far it exceeds the group's best (log ratio).
     ///
-    /// Without an estimate the mean of earlier answers takes its place; there is none for the first answer.
+    /// For a query without an estimate, the mean cost so far takes the place of the estimate. The result is `None` if
+    /// there is no mean yet.
     pub(crate) fn learn_run_time(&mut self, cost: QueryCost, latency_ms: f64) -> Option<f64> {
         let mut cost_ms = cost.estimate_ms;
         if cost.is_guess {
@@ -157,19 +159,20 @@
         }
         let thread_time_ms = latency_ms.max(LEARNING.min_time_ms) * self.threads();
         let ratio = (thread_time_ms / cost_ms.max(LEARNING.min_time_ms)).ln();
-        Some(self.slowdown.learn(ratio))
+        Some(self.slowdown.record_ratio(ratio))
     }
 
-    /// Learns from the run time that an attempt's notes predict, and returns how far it lies above the group's best.
+    /// Learns from the run time that an attempt's progress notes predict, and returns how far it exceeds the group's
+    /// best (log ratio).
     pub(crate) fn learn_progress(&mut self, cost: QueryCost, run_time_ms: f64) -> Option<f64> {
         if run_time_ms <= 0.0 || cost.estimate_ms <= 0.0 || !self.slowdown.has_samples() {
             return None;
         }
         let ratio = (run_time_ms * self.threads() / cost.estimate_ms).ln();
-        Some(self.slowdown.learn_predicted(ratio))
+        Some(self.slowdown.record_predicted_ratio(ratio))
     }
 
-    /// Learns from the usage that an engine reported.
+    /// Learns from the resource usage that an engine reported.
     pub(crate) fn learn_usage(&mut self, cost: QueryCost, used: Option<ResourceUsage>) {
         let Some(used) = used else {
             return;
@@ -180,37 +183,37 @@
         learn_factor(&mut self.cost.memory_factor, memory_ratio);
     }
 
-    /// Unloaded run time of a query by its estimate (ms).
+    /// Run time of a query on an idle engine (ms), from its estimate alone.
     fn unloaded_run_time_ms(&self, cost: QueryCost) -> f64 {
         cost.estimate_ms / self.threads()
     }
 
-    /// Best run time of a query (ms), by its estimate and the lowest slowdown of answers.
+    /// Best run time of a query (ms), from its estimate and the group's best ratio.
     pub(crate) fn best_run_time_ms(&self, cost: QueryCost) -> f64 {
         self.unloaded_run_time_ms(cost) * self.slowdown.best().exp()
     }
 
-    /// Memory that a query needs (MB), by its estimate and the usage that was reported.
+    /// Expected memory of a query (MB), from its estimate and the usage that engines reported.
     pub(crate) fn memory_mb(&self, cost: QueryCost) -> f64 {
         cost.memory_mb * self.cost.memory_factor
     }
 
-    /// How far an answer may lie above the group's best without being slow (log ratio).
+    /// The amount by which a ratio may exceed the group's best without showing a slowdown (log ratio).
     pub(crate) fn tolerated_scatter(&self) -> f64 {
         self.slowdown.tolerated_scatter()
     }
 
-    /// Expected run time of a query (ms), by its estimate and the median slowdown of recent answers.
+    /// Expected run time of a query (ms), from its estimate and the running median of the group's ratios.
     pub(crate) fn expected_run_time_ms(&self, cost: QueryCost) -> f64 {
-        self.unloaded_run_time_ms(cost) * self.slowdown.usual().exp()
+        self.unloaded_run_time_ms(cost) * self.slowdown.median().exp()
     }
 
-    /// Latency objective (ms) of a query, by its estimate and the usage that was reported.
+    /// Latency objective of a query (ms), from its estimate and the usage that engines reported.
     pub(crate) fn objective_of(&self, cost: QueryCost) -> f64 {
         self.objective_ms(cost.estimate_ms * self.cost.work_factor)
     }
 
-    /// The mean cost (ms); before the first query, the thread time that the objective allows.
+    /// The mean cost (thread time, ms); before the first sample, the thread time that the latency objective allows.
     fn usual_cost_ms(&self) -> f64 {
         if self.cost.samples > 0 {
             self.cost.mean_ms
@@ -219,7 +222,7 @@
         }
     }
 
-    /// The usual work of a query (ms), by estimates, reported usage and the best run times.
+    /// The usual work of a query (thread time, ms), from estimates, reported usage and the best run times.
     pub(crate) fn usual_work_ms(&self) -> f64 {
         if self.cost.samples == 0 {
             return self.usual_cost_ms();
@@ -228,12 +231,12 @@
         self.cost.mean_ms * self.cost.work_factor.max(best_ratio).max(1.0)
     }
 
-    /// Whether the settings let the group use an engine, by its zone and kind.
+    /// Whether the settings allow the group on an engine of this zone and kind.
     pub(crate) fn may_use(&self, engine: &Engine) -> bool {
         is_within(&self.zones, engine.zone) && is_within(&self.kinds, engine.kind)
     }
 
-    /// Whether an idempotency key that `first` saw is also known to `other`.
+    /// Whether engine `other` recognizes an idempotency key that engine `first` has seen.
     pub(crate) fn shares_dedup(&self, first: &Engine, other: Option<&Engine>) -> bool {
         match self.settings.dedup_scope {
             DedupScope::All => true,
@@ -242,20 +245,20 @@
         }
     }
 
-    /// The group's run times, to be set up by a test.
+    /// The group's slowdown statistics, for tests to set.
     #[cfg(test)]
     pub(crate) fn slowdown_mut(&mut self) -> &mut GroupSlowdown {
         &mut self.slowdown
     }
 }
 
-/// The indices of names; none where there is no list of names.
-fn intern_all(names: &Option<Vec<String>>, interner: &mut NameInterner) -> Option<Vec<u32>> {
+/// The indices of a list of names; `None` without a list.
+fn intern_names(names: &Option<Vec<String>>, interner: &mut NameInterner) -> Option<Vec<u32>> {
     let names = names.as_ref()?;
     Some(names.iter().map(|name| interner.index(name)).collect())
 }
 
-/// Whether a list has an index; without a list every index is allowed.
+/// Whether a list contains an index; true without a list.
 fn is_within(allowed: &Option<Vec<u32>>, index: u32) -> bool {
     allowed
         .as_ref()
--- a/src/model/retry_budget.rs
+++ b/src/model/retry_budget.rs
@@ -1,21 +1,21 @@
-//! The retry budget, rule 7: how many retries the dispatcher may send for the queries that arrived.
+//! The retry budget (rule 7), which limits retries in proportion to the queries that arrived recently.
 
 use crate::model::CHECK_INTERVAL_MS;
 use crate::settings::RetryBudgetRule;
 use std::collections::VecDeque;
 
-/// Arrivals and retries within the rule's span, and migrations that are about to become retries.
+/// Arrivals and retries within the rule's span, and migrations that have not become retries yet.
 #[derive(Debug, Default)]
 pub(crate) struct RetryBudget {
     rule: Option<RetryBudgetRule>,
     arrivals: RecentEvents,
     retries: RecentEvents,
-    /// Attempts that were cancelled in order to run elsewhere and have not ended yet.
+    /// Number of attempts that were cancelled so that their queries run elsewhere, and that are still in flight.
     pending_migrations: f64,
 }
 
 impl RetryBudget {
-    /// An unused budget; without a rule it allows every retry.
+    /// An unused budget. Without a rule it allows every retry.
     pub(crate) fn new(rule: Option<RetryBudgetRule>) -> Self {
         RetryBudget {
             rule,
@@ -33,22 +33,23 @@
         self.retries.push(now_ms);
     }
 
-    /// Reserves a retry for a query whose attempt is being cancelled.
+    /// Reserves a retry for a query whose attempt is being cancelled for a migration.
     pub(crate) fn begin_migration(&mut self) {
         self.pending_migrations += 1.0;
     }
 
-    /// Releases the reservation of [`begin_migration`](Self::begin_migration): the attempt has ended.
+    /// Releases the reservation of [`begin_migration`](Self::begin_migration) when the attempt is no longer in flight.
     pub(crate) fn finish_migration(&mut self) {
         self.pending_migrations -= 1.0;
     }
 
-    /// Whether one more retry may be sent. Pending migrations do not count: the retry may be that of one of them.
+    /// Whether one more retry may be sent. Pending migrations do not count, because the retry may belong to one of
+    /// them.
     pub(crate) fn allows_retry(&mut self, now_ms: f64) -> bool {
         self.allows_one_more(0.0, now_ms)
     }
 
-    /// Whether one more query may migrate beside those that already do.
+    /// Whether one more query may migrate, in addition to the pending migrations.
     pub(crate) fn allows_migration(&mut self, now_ms: f64) -> bool {
         self.allows_one_more(self.pending_migrations, now_ms)
     }
@@ -59,7 +60,7 @@
         };
         let since_ms = now_ms - rule.span_ms;
         let allowed = rule.free + rule.ratio * self.arrivals.count_after(since_ms);
-        // A retry that is counted now may be sent up to one periodic check later.
+        // A retry that is recorded now may be sent up to one check interval later.
         let retries = self.retries.count_after(since_ms - CHECK_INTERVAL_MS);
         retries + pending + 1.0 <= allowed
     }
@@ -74,7 +75,7 @@
         self.0.push_back(at_ms);
     }
 
-    /// The number of events later than `since_ms`; earlier ones are dropped.
+    /// The number of events after `since_ms`. Drops all others.
     fn count_after(&mut self, since_ms: f64) -> f64 {
         while self.0.front().is_some_and(|&at_ms| at_ms <= since_ms) {
             self.0.pop_front();
--- a/src/model/stalls.rs
+++ b/src/model/stalls.rs
@@ -1,25 +1,25 @@
-//! Stalls: which resource groups' attempts stall on an engine, while those of other groups may run as usual.
+//! Stalls: per engine, the resource groups whose attempts make no progress, while attempts of other groups may run
+//! normally.
 
-use crate::model::engine_health::{EJECTION_LEVEL, ERROR_STEP};
-use crate::model::slowdown::MEMORY;
+use crate::model::engine_health::{EJECTION_ERROR_RATE, ERROR_RATE_STEP};
+use crate::model::slowdown::SLOWDOWN_PARAMS;
 use crate::model::{FadingMedian, GroupIndex, MedianUpdate};
 
-/// Step of a stall level.
-const STALL_STEP: f64 = ERROR_STEP;
+/// Maximum change of a stall level by one attempt.
+const STALL_STEP: f64 = ERROR_RATE_STEP;
 /// Stall level above which a group avoids the engine.
-const MAX_STALL_LEVEL: f64 = EJECTION_LEVEL;
+const MAX_STALL_LEVEL: f64 = EJECTION_ERROR_RATE;
 
-/// The stall level of each resource group on one engine, from no attempt that stalls (0) to all (1).
+/// The stall level of each resource group on one engine, from 0 (no attempts stall) to 1 (all attempts stall).
 #[derive(Debug, Clone, Default)]
 pub(crate) struct StallLevels(Vec<FadingMedian>);
 
 impl StallLevels {
-    /// Whether a group's attempts stall.
+    /// Whether attempts of a group stall on the engine.
     pub(crate) fn is_stalled(&self, group: GroupIndex, now_ms: f64) -> bool {
-        let level = self
-            .0
-            .get(group.0)
-            .map_or(0.0, |level| level.at(now_ms, 0.0, MEMORY.engine_decay_ms));
+        let level = self.0.get(group.0).map_or(0.0, |level| {
+            level.at(now_ms, 0.0, SLOWDOWN_PARAMS.engine_decay_ms)
+        });
         level > MAX_STALL_LEVEL
     }
 
@@ -33,7 +33,7 @@
         self.record(group, 0.0, STALL_STEP, now_ms);
     }
 
-    /// Records an attempt that is slow without a stall: the level only decays up to now.
+    /// Records an attempt that is slow but not stalled: the level decays, but does not rise.
     pub(crate) fn record_slow_attempt(&mut self, group: GroupIndex, now_ms: f64) {
         self.record(group, 1.0, 0.0, now_ms);
     }
@@ -42,7 +42,7 @@
         let update = MedianUpdate {
             sample,
             fallback: 0.0,
-            decay_ms: MEMORY.engine_decay_ms,
+            decay_ms: SLOWDOWN_PARAMS.engine_decay_ms,
             step,
             gap_step: 0.0,
         };
--- a/src/model/tenant_quotas.rs
+++ b/src/model/tenant_quotas.rs
@@ -1,14 +1,14 @@
-//! The rates of tenants against their quotas.
+//! The query rates of tenants, compared with their quotas.
 
 use crate::interner::NameInterner;
 use crate::settings::Settings;
 
-/// Time over which tenants' rates are taken (ms).
+/// Time constant of the tenants' decaying query counts (ms).
 const RATE_SPAN_MS: f64 = 2000.0;
-/// Factor by which a tenant's use of its quota may exceed all tenants' use of all quotas.
+/// Factor by which a tenant's use of its quota may exceed the use of all quotas by all tenants.
 const QUOTA_SLACK: f64 = 1.35;
 
-/// Each tenant's quota at this dispatcher, and its decaying count of queries.
+/// This dispatcher's share of each tenant's quota, and a decaying count of the tenant's queries.
 #[derive(Debug, Default)]
 pub(crate) struct TenantQuotas {
     tenants: Vec<TenantRate>,
@@ -18,22 +18,23 @@
 
 #[derive(Debug)]
 struct TenantRate {
-    /// Queries a millisecond.
+    /// This dispatcher's share of the quota (queries per ms).
     quota: f64,
+    /// Decaying count of queries.
     count: f64,
 }
 
-/// Rates as multiples of quotas.
+/// Query rates as multiples of quotas.
 #[derive(Debug, Clone, Copy, Default)]
 struct QuotaUse {
-    /// The tenant's rate against its quota.
+    /// One tenant's rate as a multiple of its quota.
     own: f64,
-    /// All tenants' rates against all quotas.
+    /// The rate of all tenants as a multiple of the sum of their quotas.
     all: f64,
 }
 
 impl TenantQuotas {
-    /// The quotas of the settings. Each dispatcher has an even share of every quota.
+    /// The quotas in the settings. Each dispatcher has an even share of every quota.
     pub(crate) fn new(settings: &Settings, names: &mut NameInterner) -> Self {
         let mut tenants = Vec::new();
         for tenant in &settings.tenants {
@@ -49,15 +50,17 @@
         }
     }
 
-    /// Records a query of a tenant, and returns whether the tenant exceeds its quota by more than all tenants together
-    /// exceed the sum of quotas. When all tenants send more, none is singled out.
+    /// Records a query of a tenant, and returns whether the tenant is over its quota.
+    ///
+    /// A tenant is over its quota if its use of the quota exceeds [`QUOTA_SLACK`] times the use of all quotas, and
+    /// [`QUOTA_SLACK`] itself. If all tenants exceed their quotas alike, none is over its quota.
     pub(crate) fn record_query(&mut self, tenant: u32, now_ms: f64) -> bool {
-        let quota_use = self.count(tenant, now_ms);
+        let quota_use = self.count_query(tenant, now_ms);
         quota_use.own > QUOTA_SLACK * quota_use.all.max(1.0)
     }
 
-    /// Counts a query of a tenant. A tenant without a quota uses none of it.
-    fn count(&mut self, tenant: u32, now_ms: f64) -> QuotaUse {
+    /// Counts a query of a tenant. The use is 0 for a tenant without a quota.
+    fn count_query(&mut self, tenant: u32, now_ms: f64) -> QuotaUse {
         let remaining = ((self.updated_ms - now_ms) / RATE_SPAN_MS).exp();
         self.updated_ms = now_ms;
         for tenant in &mut self.tenants {
--- a/src/model/tests/attempt.rs
+++ b/src/model/tests/attempt.rs
@@ -1,4 +1,4 @@
-//! Progress of an attempt by its engine's notes.
+//! The progress of an attempt, from its engine's progress notes.
 
 use super::START_MS;
 use crate::model::{Attempt, EngineIndex};
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn time_of_a_wait_is_not_part_of_the_run_time() {
+fn time_spent_waiting_is_not_part_of_the_run_time() {
     let mut progress = Attempt::new(EngineIndex(0), START_MS, 1.0, 1.0).progress;
     progress.begin_wait();
     progress.record(START_MS + 1000.0, 0.1);
--- a/src/model/tests/endpoint_list.rs
+++ b/src/model/tests/endpoint_list.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn list_that_is_pushed_is_requested_only_after_a_failure() {
+fn pushed_list_is_requested_only_after_a_failure() {
     let mut request = EndpointListRequest::new(false);
     assert!(!request.begin_if_due(START_MS));
     request.record_failure(START_MS);
--- a/src/model/tests/engine_load.rs
+++ b/src/model/tests/engine_load.rs
@@ -1,4 +1,4 @@
-//! What is in flight on one engine.
+//! The load of one engine.
 
 use super::START_MS;
 use crate::model::engine_load::EngineLoad;
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn sums_are_exactly_zero_when_the_last_attempt_has_ended() {
+fn sums_are_exactly_zero_after_the_last_attempt_is_removed() {
     let mut load = EngineLoad::default();
     for work_ms in [0.1, 0.2, 0.3] {
         load.add(&attempt(work_ms), Lane::Low, 0.1, None);
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn tables_are_locked_until_the_load_ends_or_its_lock_has_aged() {
+fn tables_are_locked_until_the_load_query_ends_or_the_lock_expires() {
     let mut load = EngineLoad::default();
     let lock = TableLock {
         tables: 7,
--- a/src/model/tests/engine_table.rs
+++ b/src/model/tests/engine_table.rs
@@ -1,4 +1,4 @@
-//! Slots of the engine table.
+//! The slots of the engine table.
 
 use super::engine_in_state;
 use crate::events::EndpointState;
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn slot_of_an_engine_that_is_gone_is_unused_unless_it_is_in_use() {
+fn slot_of_a_gone_engine_is_reusable_unless_it_is_in_use() {
     let mut engines = EngineTable::default();
     engines.push(engine(1, EndpointState::Ready));
     let gone = engines.push(engine(2, EndpointState::Gone));
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn engine_missing_in_a_complete_list_is_not_ready() {
+fn engine_missing_from_a_complete_list_is_not_ready() {
     let mut engines = EngineTable::default();
     engines.push(engine(1, EndpointState::Ready));
     engines.begin_snapshot();
--- a/src/model/tests/key_queues.rs
+++ b/src/model/tests/key_queues.rs
@@ -1,4 +1,4 @@
-//! Key queues, rule 5.
+//! Key queues (rule 5).
 
 use super::START_MS;
 use crate::model::{KeyQueues, QueryIndex};
@@ -6,25 +6,25 @@
 const COOLDOWN_MS: f64 = 100.0;
 
 #[test]
-fn queries_of_a_key_come_first_in_the_order_in_which_they_joined() {
+fn queries_of_a_key_are_served_in_fifo_order() {
     let mut queues = KeyQueues::new(COOLDOWN_MS);
-    let key = queues.join(7, QueryIndex(1), START_MS);
-    assert_eq!(queues.join(7, QueryIndex(2), START_MS), key);
-    assert_ne!(queues.join(8, QueryIndex(3), START_MS), key);
-    assert_eq!(queues.first(key), Some(QueryIndex(1)));
-    queues.leave(key, QueryIndex(1));
-    assert_eq!(queues.first(key), Some(QueryIndex(2)));
+    let slot = queues.join(7, QueryIndex(1), START_MS);
+    assert_eq!(queues.join(7, QueryIndex(2), START_MS), slot);
+    assert_ne!(queues.join(8, QueryIndex(3), START_MS), slot);
+    assert_eq!(queues.first(slot), Some(QueryIndex(1)));
+    queues.leave(slot, QueryIndex(1));
+    assert_eq!(queues.first(slot), Some(QueryIndex(2)));
 }
 
 #[test]
-fn key_without_queries_is_forgotten_after_its_cooldown() {
+fn key_without_queries_is_removed_after_its_cooldown() {
     let mut queues = KeyQueues::new(COOLDOWN_MS);
-    let key = queues.join(7, QueryIndex(1), START_MS);
-    queues.cool_down(key, START_MS);
-    queues.leave(key, QueryIndex(1));
+    let slot = queues.join(7, QueryIndex(1), START_MS);
+    queues.cool_down(slot, START_MS);
+    queues.leave(slot, QueryIndex(1));
     queues.join(8, QueryIndex(2), START_MS + COOLDOWN_MS - 1.0);
-    assert!(!queues.is_cool(key, START_MS + COOLDOWN_MS - 1.0));
-    assert_eq!(queues.len(), 2, "the first key still cools down");
+    assert!(!queues.is_cool(slot, START_MS + COOLDOWN_MS - 1.0));
+    assert_eq!(queues.len(), 2, "the first key is still in its cooldown");
     queues.join(9, QueryIndex(3), START_MS + COOLDOWN_MS);
-    assert_eq!(queues.len(), 2, "the first key is forgotten");
+    assert_eq!(queues.len(), 2, "the first key is removed");
 }
--- a/src/model/tests/level_effects.rs
+++ b/src/model/tests/level_effects.rs
@@ -4,7 +4,7 @@
 use crate::pcg::Pcg;
 
 #[test]
-fn full_service_leaves_the_retry_time_and_draws_no_random_number() {
+fn full_service_keeps_retry_after_and_draws_no_random_number() {
     let mut rng = Pcg::new(1);
     let level = LevelEffects::default();
     assert_eq!(level.retry_after_ms(1000.0, 5000.0, &mut rng), 1000.0);
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn jitter_spreads_the_retry_time_below_its_limit() {
+fn jitter_spreads_retry_after_within_its_bounds() {
     let mut rng = Pcg::new(1);
     let level = LevelEffects {
         retry_after_factor: 2.0,
--- a/src/model/tests/low_lane.rs
+++ b/src/model/tests/low_lane.rs
@@ -3,7 +3,7 @@
 use crate::model::LowLane;
 
 #[test]
-fn bucket_in_debt_has_tokens_again_after_as_much_headroom() {
+fn bucket_has_tokens_once_headroom_has_repaid_its_debt() {
     let mut low_lane = LowLane::default();
     assert!(low_lane.has_tokens());
     low_lane.refill(-2.0, 100.0);
@@ -21,5 +21,8 @@
         low_lane.refill(-100.0, 1000.0);
     }
     low_lane.refill(1.0, 12_000.0);
-    assert!(low_lane.has_tokens(), "12 s of one thread pay every debt");
+    assert!(
+        low_lane.has_tokens(),
+        "12 s of one thread repay the maximum debt"
+    );
 }
--- a/src/model/tests/mod.rs
+++ b/src/model/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Each component on its own; how they work together is tested in `control`.
+//! Unit tests of each component. The tests of `control` cover how the components work together.
 
 mod attempt;
 mod concurrency_limit;
@@ -27,12 +27,12 @@
 /// The time at which the tests begin (ms).
 const START_MS: f64 = 1e6;
 
-/// An engine that the endpoint list has as ready, of one core and in zone 0.
+/// An engine that is ready in the endpoint list, with one core and in zone 0.
 fn listed_engine(engine_id: u64, started_ms: Option<f64>) -> Engine {
     engine_in_state(engine_id, started_ms, EndpointState::Ready)
 }
 
-/// The same in any state of the endpoint list.
+/// An engine with one core and in zone 0, in the given state of the endpoint list.
 fn engine_in_state(engine_id: u64, started_ms: Option<f64>, state: EndpointState) -> Engine {
     let update = EndpointUpdate {
         engine_id,
@@ -47,7 +47,7 @@
     engine
 }
 
-/// A read-only resource group of queries on one thread with this latency objective.
+/// A read-only resource group with this latency objective, whose queries run on one thread.
 fn group(objective_ms: f64) -> ResourceGroup {
     let settings = GroupSettings {
         name: "group".to_owned(),
--- a/src/model/tests/peer_load.rs
+++ b/src/model/tests/peer_load.rs
@@ -1,4 +1,4 @@
-//! The exchange of low threads between dispatchers.
+//! The exchange of low-lane threads between dispatchers.
 
 use super::{listed_engine, START_MS};
 use crate::events::PeerMessage;
@@ -6,7 +6,7 @@
 use crate::peer_codec;
 use crate::settings::{Capabilities, Settings};
 
-/// The exchange of this dispatcher among four.
+/// The exchange as seen by one of four dispatchers.
 fn peer_load(dispatcher_index: u32) -> PeerLoad {
     PeerLoad::new(&Settings {
         dispatchers: 4.0,
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn share_is_even_until_a_sum_arrives_and_after_it_has_aged() {
+fn share_is_even_unless_a_recent_sum_is_known() {
     let mut peer_load = peer_load(3);
     let mut engines = EngineTable::default();
     let engine = engines.push(listed_engine(1, None));
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn aggregator_ignores_sums_of_others() {
+fn aggregator_ignores_sums_from_other_aggregators() {
     let mut peer_load = peer_load(0);
     let sum = PeerMessage {
         peer: 1,
--- a/src/model/tests/pool_view.rs
+++ b/src/model/tests/pool_view.rs
@@ -9,7 +9,7 @@
 
 const FIRST: EngineIndex = EngineIndex(0);
 
-/// The components that a view reads, for two ready engines of one core and one that is gone.
+/// The components that a pool view reads, with two ready engines of one core and an engine that is gone.
 struct Pool {
     engines: EngineTable,
     slowdowns: Slowdowns,
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn headroom_is_that_of_ready_engines_and_shrinks_with_the_service_level() {
+fn total_headroom_counts_ready_engines_and_service_level_reduces_headroom() {
     let mut pool = Pool::new();
     assert_eq!(pool.view().total_headroom(), 2.0);
     pool.engines[FIRST].load.set_peer_threads(3.0);
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn low_threads_from_the_estimated_concurrency_on_are_pressure() {
+fn low_lane_threads_at_the_estimated_concurrency_show_pressure() {
     let mut pool = Pool::new();
     pool.engines[FIRST].load.set_peer_threads(1.1);
     assert!(!pool.view().is_under_pressure(FIRST));
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn engine_that_is_gone_counts_in_no_fraction() {
+fn gone_engine_is_excluded_from_all_fractions() {
     let pool = Pool::new();
     assert_eq!(pool.view().ready_fraction(), 1.0);
     assert_eq!(pool.view().ejected_fraction(), 0.0);
--- a/src/model/tests/query_table.rs
+++ b/src/model/tests/query_table.rs
@@ -1,4 +1,4 @@
-//! Slots of the query table.
+//! The slots of the query table.
 
 use crate::events::{QueryArrived, StatementTraits};
 use crate::model::{GroupIndex, Lane, Query, QueryCost, QueryTable};
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn query_is_found_by_its_number_until_it_is_removed() {
+fn query_is_found_by_its_id_until_it_is_removed() {
     let mut queries = QueryTable::default();
     let first = queries.insert(query(7));
     let second = queries.insert(query(8));
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn slot_of_a_removed_query_is_used_again() {
+fn slot_of_a_removed_query_is_reused() {
     let mut queries = QueryTable::default();
     let first = queries.insert(query(7));
     queries.remove(first);
--- a/src/model/tests/resource_group.rs
+++ b/src/model/tests/resource_group.rs
@@ -1,4 +1,4 @@
-//! Lane, cost and effect of a resource group's queries.
+//! The lane, cost and effect of a resource group's queries.
 
 use super::group;
 use crate::events::{QueryArrived, StatementTraits};
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn query_without_an_estimate_has_the_cost_that_its_objective_allows() {
+fn first_query_without_an_estimate_has_the_cost_that_its_objective_allows() {
     let mut group = group(1000.0);
     let (_, cost) = group.classify(&arrival(0.0, 1.0), 1.0);
     assert!(cost.is_guess);
--- a/src/model/tests/retry_budget.rs
+++ b/src/model/tests/retry_budget.rs
@@ -1,4 +1,4 @@
-//! The retry budget, rule 7.
+//! The retry budget (rule 7).
 
 use super::START_MS;
 use crate::model::{RetryBudget, CHECK_INTERVAL_MS};
@@ -26,7 +26,10 @@
     budget.record_retry(START_MS);
     assert!(!budget.allows_retry(START_MS), "the free retry is used");
     budget.record_arrival(START_MS);
-    assert!(!budget.allows_retry(START_MS), "half a retry is too little");
+    assert!(
+        !budget.allows_retry(START_MS),
+        "one arrival earns only half a retry"
+    );
     budget.record_arrival(START_MS);
     assert!(budget.allows_retry(START_MS));
     budget.record_retry(START_MS);
@@ -34,7 +37,7 @@
 }
 
 #[test]
-fn retries_count_until_one_check_after_the_span() {
+fn retries_count_for_the_span_and_one_check_interval() {
     let mut budget = RetryBudget::new(Some(RULE));
     budget.record_retry(START_MS);
     assert!(!budget.allows_retry(START_MS + RULE.span_ms + 0.5 * CHECK_INTERVAL_MS));
@@ -48,7 +51,7 @@
     assert!(!budget.allows_migration(START_MS));
     assert!(
         budget.allows_retry(START_MS),
-        "the retry may be that of the migration"
+        "the retry may belong to the migration"
     );
     budget.finish_migration();
     assert!(budget.allows_migration(START_MS));
--- a/src/model/tests/slow_start.rs
+++ b/src/model/tests/slow_start.rs
@@ -1,11 +1,11 @@
-//! Slow start, rule 4.
+//! Slow start (rule 4).
 
 use super::{group, listed_engine, START_MS};
 use crate::model::{Engine, SlowStart};
 use crate::pcg::Pcg;
 use crate::settings::{Settings, WarmUpRule};
 
-/// All dispatchers may send an engine of one core 1 s of work within 1 s; it is warm after 10 s.
+/// All dispatchers together may send 1 s of work within 1 s to an engine of one core. The engine is warm after 10 s.
 const RULE: WarmUpRule = WarmUpRule {
     multiple: 1.0,
     initial_capacity: 1.0,
@@ -13,7 +13,7 @@
     warm_after_ms: 10_000.0,
 };
 
-/// The rule for so many dispatchers, the first round of which ran long ago.
+/// Slow start of one of `dispatchers` dispatchers, whose first round ran long ago.
 fn slow_start(dispatchers: f64) -> SlowStart {
     let settings = Settings {
         dispatchers,
@@ -56,23 +56,23 @@
 }
 
 #[test]
-fn budget_below_one_query_admits_one_by_lottery() {
+fn budget_below_one_query_admits_one_at_random() {
     let slow_start = slow_start(100.0);
     let group = group(100.0);
     let mut rng = Pcg::new(1);
     let mut engine = started_engine();
-    let mut wins = 0;
+    let mut admitted = 0;
     for span in 0..2000 {
-        // The engine restarts again and again, so that it stays cold.
+        // The engine restarts in every span, so that it stays cold.
         let now_ms = START_MS + 1001.0 * f64::from(span);
         engine.endpoint.started_ms = now_ms;
         slow_start.advance(&mut engine.warm_up, now_ms, &mut rng);
         if slow_start.admits(&engine, &group, now_ms) {
             engine.warm_up.record(now_ms, group.usual_work_ms());
-            wins += 1;
-            assert!(!slow_start.admits(&engine, &group, now_ms), "one a span");
+            admitted += 1;
+            assert!(!slow_start.admits(&engine, &group, now_ms), "one per span");
         }
     }
-    // A quarter of a budget of 6.8 ms, 100 ms each: 34 of 2000 spans on average.
-    assert!((15..60).contains(&wins), "{wins}");
+    // A quarter of a budget of 6.8 ms is spent on queries of 100 ms each: 34 queries in 2000 spans on average.
+    assert!((15..60).contains(&admitted), "{admitted}");
 }
--- a/src/model/tests/slowdown.rs
+++ b/src/model/tests/slowdown.rs
@@ -1,4 +1,4 @@
-//! Slowdowns of engines, zones and the pool.
+//! The slowdowns of engines, zones and the pool.
 
 use super::{listed_engine, START_MS};
 use crate::model::{Lane, Slowdowns};
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn zone_and_pool_stand_in_for_an_engine_without_answers() {
+fn engine_without_answers_has_the_slowdown_of_its_zone_and_pool() {
     let mut slowdowns = slowdowns();
     let mut engine = listed_engine(1, None);
     let other = listed_engine(2, None);
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn answers_at_the_best_show_no_pressure() {
+fn answers_at_the_best_run_time_show_no_pressure() {
     let mut slowdowns = slowdowns();
     let mut engine = listed_engine(1, None);
     for _ in 0..100 {
--- a/src/model/tests/stalls.rs
+++ b/src/model/tests/stalls.rs
@@ -1,4 +1,4 @@
-//! Stall levels of one engine.
+//! The stall levels of one engine.
 
 use super::START_MS;
 use crate::model::stalls::StallLevels;
@@ -8,7 +8,7 @@
 const OTHER: GroupIndex = GroupIndex(0);
 
 #[test]
-fn repeated_stalls_of_a_group_mark_it_and_no_other() {
+fn repeated_stalls_mark_only_their_own_group() {
     let mut stalls = StallLevels::default();
     for _ in 0..3 {
         stalls.record_stall(STALLING, START_MS);
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn slow_attempts_do_not_mark_a_group() {
+fn slow_attempts_do_not_mark_a_group_as_stalled() {
     let mut stalls = StallLevels::default();
     for _ in 0..100 {
         stalls.record_slow_attempt(STALLING, START_MS);
--- a/src/model/tests/tenant_quotas.rs
+++ b/src/model/tests/tenant_quotas.rs
@@ -5,7 +5,7 @@
 use crate::model::TenantQuotas;
 use crate::settings::{Settings, TenantSettings};
 
-/// Quotas of 100 queries a second for each of two tenants, at the only dispatcher.
+/// Quotas of 100 queries per second for each of two tenants, at the only dispatcher.
 fn two_tenants() -> TenantQuotas {
     let tenant = |name: &str| TenantSettings {
         name: name.to_owned(),
@@ -19,7 +19,7 @@
     TenantQuotas::new(&settings, &mut NameInterner::default())
 }
 
-/// Whether tenant 0 is over its quota after 10 s of these rates (queries a second).
+/// Whether tenant 0 is over its quota after 10 s at these rates (queries per second).
 fn is_over_quota(rates: [u32; 2]) -> bool {
     let mut quotas = two_tenants();
     let mut is_over = false;
@@ -36,18 +36,18 @@
 }
 
 #[test]
-fn tenant_far_above_its_quota_is_over_it() {
+fn tenant_far_above_its_quota_is_over_quota() {
     assert!(is_over_quota([300, 50]));
     assert!(!is_over_quota([80, 50]));
 }
 
 #[test]
-fn no_tenant_is_over_its_quota_where_all_send_more() {
+fn no_tenant_is_over_quota_if_all_exceed_their_quotas_alike() {
     assert!(!is_over_quota([300, 300]));
 }
 
 #[test]
-fn tenant_without_a_quota_is_never_over_it() {
+fn tenant_without_a_quota_is_never_over_quota() {
     let mut quotas = two_tenants();
     for _ in 0..10_000 {
         assert!(!quotas.record_query(2, START_MS));
