--- a/crates/codec/src/error.rs
+++ b/crates/codec/src/error.rs
@@ -1,23 +1,23 @@
-//! The error of decoders.
+//! The error type of the decoders.
 
 use thiserror::Error;
 
-/// Why bytes could not be decoded.
+/// The reason why bytes could not be decoded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum DecodeError {
     /// The bytes end within a field.
     #[error("the datagram ends within a field")]
     Truncated,
-    /// A field has a code without a meaning in this version.
+    /// A field has a code that is not defined in this version.
     #[error("{field} has no code {code}")]
     UnknownCode {
-        /// The field.
+        /// Name of the field.
         field: &'static str,
-        /// The code.
+        /// The undefined code.
         code: u8,
     },
-    /// A floating point field has a NaN or an infinity.
-    #[error("a number is not finite")]
+    /// A floating-point field is NaN or infinite.
+    #[error("a floating-point field is not finite")]
     NotFinite,
     /// An embedded message of another package is malformed.
     #[error("the embedded {0} is malformed")]
--- a/crates/codec/src/hash.rs
+++ b/crates/codec/src/hash.rs
@@ -1,5 +1,7 @@
-//! The FNV-1a hash (Fowler, Noll, Vo) in the widths that messages use. It is part of wire formats: all versions have to
-//! compute the same hash of a name. It does not resist an attacker who chooses the input.
+//! The FNV-1a hash (Fowler, Noll, Vo) in the widths that messages use.
+//!
+//! The hashes are part of wire formats, so all versions have to compute the same hash of a name. They do not resist
+//! collisions that an attacker constructs.
 
 /// Offset basis of 32-bit FNV-1a.
 const OFFSET_BASIS_32: u32 = 0x811c_9dc5;
@@ -10,7 +12,7 @@
 /// Prime of 64-bit FNV-1a.
 const PRIME_64: u64 = 0x0100_0000_01b3;
 
-/// 32-bit FNV-1a folded to 16 bits: the upper half XORed onto the lower one.
+/// 32-bit FNV-1a folded to 16 bits: the upper half XORed with the lower half.
 pub fn fnv1a_16(bytes: &[u8]) -> u16 {
     let hash = fnv1a_32(bytes);
     (hash ^ hash >> 16) as u16
--- a/crates/codec/src/lib.rs
+++ b/crates/codec/src/lib.rs
@@ -1,18 +1,18 @@
-//! Reading and writing the fields of datagrams: fixed-size, big-endian, one after the other.
+//! Reads and writes the fields of datagrams: fixed-size, big-endian, without padding.
 //!
 //! # What it owns
-//! - [`ByteReader`] and [`ByteWriter`]: fields read from the front of a datagram, and appended to one.
-//! - [`wire_enum!`]: enums that are one byte on the wire.
+//! - [`ByteReader`] and [`ByteWriter`]: read fields from the front of a datagram, and append fields to a datagram.
+//! - [`wire_enum!`]: defines enums that are one byte on the wire.
 //! - `test_support`: hexadecimal digits and fixture files, for the tests of other packages (feature `test-support`).
-//! - [`DecodeError`]: why bytes could not be decoded.
+//! - [`DecodeError`]: the reason why bytes could not be decoded.
 //! - [`fnv1a_16`], [`fnv1a_32`] and [`fnv1a_64`]: the hashes of names and texts in messages.
 //!
-//! It defines no message: layouts, limits and the handling of malformed fields belong to the `codec` module of the
-//! message's package. It does no I/O, and no input makes the reader panic.
+//! This package defines no messages: layouts, limits and the handling of malformed fields belong to the `codec` module
+//! of the message's package. This package does no I/O, and no input makes the reader panic.
 //!
 //! # Why not `bytes::Buf`
 //! The usual getters of `bytes::Buf` panic on short input, and datagrams come from the network. Its checked getters
-//! (`try_get_u32`) support neither codes nor finite numbers nor sub-readers. A few dozen lines over a slice are simpler
+//! (`try_get_u32`) do not support codes, finite numbers or sub-readers. A few dozen lines over a slice are simpler
 //! than the dependency.
 //!
 //! Start reading at [`ByteReader`].
--- a/crates/codec/src/reader.rs
+++ b/crates/codec/src/reader.rs
@@ -27,7 +27,7 @@
     /// Takes the next `length` bytes as a separate reader.
     ///
     /// # Errors
-    /// [`DecodeError::Truncated`] where fewer bytes remain.
+    /// [`DecodeError::Truncated`] if fewer bytes remain.
     pub fn split(&mut self, length: usize) -> Result<ByteReader<'a>, DecodeError> {
         let (first, remaining) = self
             .bytes
@@ -37,7 +37,7 @@
         Ok(ByteReader { bytes: first })
     }
 
-    fn array<const N: usize>(&mut self) -> Result<[u8; N], DecodeError> {
+    fn take_array<const N: usize>(&mut self) -> Result<[u8; N], DecodeError> {
         let (first, remaining) = self
             .bytes
             .split_first_chunk::<N>()
@@ -46,42 +46,42 @@
         Ok(*first)
     }
 
-    /// One byte.
+    /// Takes one byte.
     ///
     /// # Errors
-    /// [`DecodeError::Truncated`] where none remains.
+    /// [`DecodeError::Truncated`] if no byte remains.
     pub fn u8(&mut self) -> Result<u8, DecodeError> {
-        self.array::<1>().map(|[byte]| byte)
+        self.take_array::<1>().map(|[byte]| byte)
     }
 
-    /// Two bytes.
+    /// Takes an integer of two bytes.
     ///
     /// # Errors
-    /// [`DecodeError::Truncated`] where fewer bytes remain.
+    /// [`DecodeError::Truncated`] if fewer bytes remain.
     pub fn u16(&mut self) -> Result<u16, DecodeError> {
-        self.array().map(u16::from_be_bytes)
+        self.take_array().map(u16::from_be_bytes)
     }
 
-    /// Four bytes.
+    /// Takes an integer of four bytes.
     ///
     /// # Errors
-    /// [`DecodeError::Truncated`] where fewer bytes remain.
+    /// [`DecodeError::Truncated`] if fewer bytes remain.
     pub fn u32(&mut self) -> Result<u32, DecodeError> {
-        self.array().map(u32::from_be_bytes)
+        self.take_array().map(u32::from_be_bytes)
     }
 
-    /// Eight bytes.
+    /// Takes an integer of eight bytes.
     ///
     /// # Errors
-    /// [`DecodeError::Truncated`] where fewer bytes remain.
+    /// [`DecodeError::Truncated`] if fewer bytes remain.
     pub fn u64(&mut self) -> Result<u64, DecodeError> {
-        self.array().map(u64::from_be_bytes)
+        self.take_array().map(u64::from_be_bytes)
     }
 
-    /// A finite floating point number of four bytes.
+    /// Takes a finite floating-point number of four bytes.
     ///
     /// # Errors
-    /// [`DecodeError::Truncated`] where fewer bytes remain, [`DecodeError::NotFinite`] for a NaN or an infinity.
+    /// [`DecodeError::Truncated`] if fewer bytes remain, [`DecodeError::NotFinite`] for NaN or an infinity.
     pub fn finite_f32(&mut self) -> Result<f32, DecodeError> {
         let number = f32::from_bits(self.u32()?);
         if !number.is_finite() {
@@ -90,10 +90,10 @@
         Ok(number)
     }
 
-    /// A byte that `from_code` knows.
+    /// Takes one byte and converts it with `from_code`. `field` names the field in errors.
     ///
     /// # Errors
-    /// [`DecodeError::UnknownCode`] where it does not, [`DecodeError::Truncated`] where no byte remains.
+    /// [`DecodeError::UnknownCode`] if `from_code` returns `None`, [`DecodeError::Truncated`] if no byte remains.
     pub fn code<T>(
         &mut self,
         field: &'static str,
--- a/crates/codec/src/test_support.rs
+++ b/crates/codec/src/test_support.rs
@@ -1,18 +1,18 @@
 //! Helpers for tests of message layouts: bytes as hexadecimal digits, and the lines of a fixture file.
 
-/// The hexadecimal digits of bytes.
+/// Bytes as hexadecimal digits.
 pub fn to_hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-/// The bytes of hexadecimal digits.
+/// Parses hexadecimal digits into bytes.
 ///
 /// # Panics
-/// Where `hex` has other characters, or an odd number of digits.
+/// If `hex` has other characters, or an odd number of digits.
 pub fn from_hex(hex: &str) -> Vec<u8> {
     assert!(
         hex.len().is_multiple_of(2),
-        "an odd number of digits: {hex}"
+        "odd number of hexadecimal digits: {hex}"
     );
     (0..hex.len())
         .step_by(2)
@@ -20,10 +20,10 @@
         .collect()
 }
 
-/// Name and hexadecimal digits of each message in a fixture file with one `name hex` a line.
+/// The name and hexadecimal digits of each message in a fixture file, which has one `name hex` pair per line.
 ///
 /// # Panics
-/// Where a line has no space.
+/// If a line has no space.
 pub fn fixture_lines(text: &str) -> Vec<(&str, &str)> {
     text.lines()
         .map(|line| line.split_once(' ').expect("a name and hex digits"))
--- a/crates/codec/src/wire_enum.rs
+++ b/crates/codec/src/wire_enum.rs
@@ -1,6 +1,6 @@
 //! The macro [`wire_enum!`](crate::wire_enum).
 
-/// Defines an enum without fields that is one byte on the wire, with `code` and `from_code`.
+/// Defines an enum without fields that is one byte on the wire, with the methods `code` and `from_code`.
 ///
 /// ```
 /// tansymux_codec::wire_enum! {
@@ -44,7 +44,7 @@
                 self as u8
             }
 
-            /// The value with this code on the wire; `None` for a code that has no meaning in this version.
+            /// The value with this code on the wire; `None` for a code that is not defined in this version.
             $visibility const fn from_code(code: u8) -> Option<Self> {
                 match code {
                     $($code => Some($name::$variant),)+
--- a/crates/codec/src/writer.rs
+++ b/crates/codec/src/writer.rs
@@ -14,7 +14,7 @@
         }
     }
 
-    /// The written bytes.
+    /// The datagram's bytes.
     pub fn into_bytes(self) -> Vec<u8> {
         self.bytes
     }
@@ -29,7 +29,7 @@
         self.bytes.is_empty()
     }
 
-    /// Appends zeros up to a total of `length` bytes. Bytes beyond that are dropped.
+    /// Pads the datagram with zeros to `length` bytes. Drops bytes beyond that length.
     pub fn pad_to(&mut self, length: usize) -> &mut Self {
         self.bytes.resize(length, 0);
         self
@@ -46,22 +46,22 @@
         self.bytes(&[number])
     }
 
-    /// Appends two bytes.
+    /// Appends an integer of two bytes.
     pub fn u16(&mut self, number: u16) -> &mut Self {
         self.bytes(&number.to_be_bytes())
     }
 
-    /// Appends four bytes.
+    /// Appends an integer of four bytes.
     pub fn u32(&mut self, number: u32) -> &mut Self {
         self.bytes(&number.to_be_bytes())
     }
 
-    /// Appends eight bytes.
+    /// Appends an integer of eight bytes.
     pub fn u64(&mut self, number: u64) -> &mut Self {
         self.bytes(&number.to_be_bytes())
     }
 
-    /// Appends a floating point number of four bytes.
+    /// Appends a floating-point number of four bytes.
     pub fn f32(&mut self, number: f32) -> &mut Self {
         self.u32(number.to_bits())
     }
--- a/crates/codec/tests/codec.rs
+++ b/crates/codec/tests/codec.rs
@@ -1,8 +1,8 @@
-//! Fields are read as they were written, short or malformed input is an error, and hashes match published values.
+//! Fields are read as they were written, truncated or malformed input is an error, and hashes match published values.
 
 use tansymux_codec::{fnv1a_16, fnv1a_32, fnv1a_64, ByteReader, ByteWriter, DecodeError};
 
-fn one_of_each_field() -> Vec<u8> {
+fn one_field_of_each_type() -> Vec<u8> {
     let mut writer = ByteWriter::with_capacity(32);
     writer
         .u8(1)
@@ -17,14 +17,14 @@
 #[test]
 fn fields_are_written_big_endian() {
     assert_eq!(
-        one_of_each_field(),
+        one_field_of_each_type(),
         *b"\x01\x02\x03\x04\x05\x06\x07\x08\x09\x0a\x0b\x0c\x0d\x0e\x0f\x3f\xc0\x00\x00end"
     );
 }
 
 #[test]
 fn fields_are_read_as_they_were_written() {
-    let bytes = one_of_each_field();
+    let bytes = one_field_of_each_type();
     let mut reader = ByteReader::new(&bytes);
     assert_eq!(reader.u8(), Ok(1));
     assert_eq!(reader.u16(), Ok(0x0203));
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn split_reader_ends_with_its_part_and_the_first_reader_continues_after_it() {
+fn split_reader_is_bounded_and_the_original_continues_after_it() {
     let mut reader = ByteReader::new(&[1, 2, 3]);
     let mut part = reader.split(2).expect("three bytes are left");
     assert_eq!(part.u8(), Ok(1));
@@ -113,7 +113,7 @@
     assert_eq!(writer.into_bytes(), [7, 0, 0]);
 }
 
-/// Values of the test suite that the authors of the hash published.
+/// Values from the test suite that the authors of the hash published.
 #[test]
 fn hashes_match_the_published_values() {
     assert_eq!(fnv1a_32(b""), 0x811c_9dc5);
--- a/src/interner.rs
+++ b/src/interner.rs
@@ -1,13 +1,13 @@
-//! Names of the protocol as small indices, numbered in the order in which they first arrive.
+//! Maps names in the protocol to small indices, assigned in the order in which the names first arrive.
 
 use rustc_hash::FxHashMap;
 
-/// Indices of names.
+/// A map from names of one kind to indices.
 #[derive(Debug, Default)]
 pub struct NameInterner(FxHashMap<String, u32>);
 
 impl NameInterner {
-    /// The index of a name, which is added if it is unknown.
+    /// The index of a name. Adds the name if it is unknown.
     pub fn index(&mut self, name: &str) -> u32 {
         if let Some(&index) = self.0.get(name) {
             return index;
@@ -28,10 +28,10 @@
 pub struct Interner {
     /// Resource groups, in the order of the settings.
     pub groups: NameInterner,
-    /// Kinds of engines.
+    /// Engine kinds.
     pub kinds: NameInterner,
     /// Zones.
     pub zones: NameInterner,
-    /// Tenants, first those of the settings.
+    /// Tenants; those in the settings come first.
     pub tenants: NameInterner,
 }
--- a/src/peer_codec.rs
+++ b/src/peer_codec.rs
@@ -1,9 +1,12 @@
-//! The encoding of messages between dispatchers: a kind, then for each engine a tag of two bytes, computed from its
-//! number, and its low threads in one byte. Engines rarely share one of the 65,536 tags; then the first is meant.
+//! The encoding of messages between dispatchers.
+//!
+//! A message has one byte for its kind, and three bytes per engine: a tag of two bytes, computed from the engine id,
+//! and the engine's low-lane threads in one byte. It is rare that engines share one of the 65,536 tags; an entry then
+//! applies to the first of them.
 
-/// Kind of a message with the sender's own low threads.
+/// Kind of a message with the sender's own low-lane threads.
 pub const OWN_LOAD: u8 = 0;
-/// Kind of a message with the sum of all dispatchers' low threads.
+/// Kind of a message with the sum of all dispatchers' low-lane threads.
 pub const TOTAL_LOAD: u8 = 1;
 /// Length of an entry (bytes).
 const ENTRY_BYTES: usize = 3;
@@ -16,7 +19,8 @@
     [mixed[0], mixed[1]]
 }
 
-/// Encodes low threads by engine, and calls `send` with each of as many messages as needed; at least one.
+/// Encodes low-lane threads by engine id, and calls `send` with each message. There is at least one message, and more
+/// if the entries exceed `MAX_ENTRIES`. Thread counts are truncated to integers from 0 to 255.
 pub fn encode(
     kind: u8,
     threads_by_engine: impl Iterator<Item = (u64, f64)>,
@@ -24,21 +28,21 @@
 ) {
     let mut bytes = [0; 1 + ENTRY_BYTES * MAX_ENTRIES];
     bytes[0] = kind;
-    let mut end = 1;
+    let mut length = 1;
     for (engine_id, threads) in threads_by_engine {
-        if end == bytes.len() {
+        if length == bytes.len() {
             send(&bytes);
-            end = 1;
+            length = 1;
         }
         let [first, second] = engine_tag(engine_id);
         let threads = threads.clamp(0.0, 255.0) as u8;
-        bytes[end..end + ENTRY_BYTES].copy_from_slice(&[first, second, threads]);
-        end += ENTRY_BYTES;
+        bytes[length..length + ENTRY_BYTES].copy_from_slice(&[first, second, threads]);
+        length += ENTRY_BYTES;
     }
-    send(&bytes[..end]);
+    send(&bytes[..length]);
 }
 
-/// Decodes a message's entries: tags and low threads. An incomplete last entry is ignored.
+/// Decodes the entries of a message: tags and low-lane threads. Ignores an incomplete last entry.
 pub fn decode(content: &[u8]) -> impl Iterator<Item = ([u8; 2], f64)> + '_ {
     let entries = content.get(1..).unwrap_or(&[]).chunks_exact(ENTRY_BYTES);
     entries.map(|entry| ([entry[0], entry[1]], f64::from(entry[2])))
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -1,8 +1,8 @@
 //! The settings, read once into [`Settings`], with defaults and checks.
 //!
-//! They arrive as a flat map of paths and values ([`SettingsMap`]). [`keys`] holds the platform's keys and words,
-//! `types` what they are read into, and `read` does the reading: a malformed value counts as absent, unless the key
-//! is required.
+//! The settings arrive as a flat map of paths and values ([`SettingsMap`]). [`keys`] defines the platform's keys and
+//! values, `types` the records for them, and `read` reads the map into these records. A malformed value counts as
+//! absent, unless the key is required.
 
 pub mod keys;
 mod raw;
--- a/src/settings/raw.rs
+++ b/src/settings/raw.rs
@@ -1,12 +1,12 @@
-//! The flat map of paths and values in which settings arrive, and the errors of reading it.
+//! The flat map of paths and values in which the settings arrive, and the errors of reading it.
 
 use super::keys;
 use std::collections::BTreeMap;
 
-/// Settings as they arrive: path and value.
+/// The settings as they arrive: values by path.
 pub type SettingsMap = BTreeMap<String, String>;
 
-/// A required setting is missing or has a value that is not allowed.
+/// An error in the settings: a required setting is missing or invalid, or a pair cannot be parsed.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
     /// The key is missing.
@@ -22,7 +22,7 @@
         key: String,
         /// The value as given.
         value: String,
-        /// What is allowed.
+        /// A description of the allowed values.
         expected: &'static str,
     },
     /// A pair has no `=`.
@@ -33,20 +33,23 @@
     },
 }
 
-/// Reads values out of a [`SettingsMap`]. A malformed value counts as absent, except in `required`.
+/// Accessors for the values in a [`SettingsMap`]. A malformed value counts as absent, except in `required`.
 pub trait RawSettings {
-    /// A number.
+    /// The value of a setting as a number.
     fn number(&self, name: &str) -> Option<f64>;
-    /// A time that is given in microseconds, as milliseconds.
+    /// The value of a setting in microseconds, converted to milliseconds.
     fn millis(&self, name: &str) -> Option<f64>;
-    /// A number that is required.
+    /// The value of a required setting as a number.
+    ///
+    /// # Errors
+    /// The setting is missing or not a number.
     fn required(&self, name: &str) -> Result<f64, SettingsError>;
-    /// Whether a flag is `true` or `1`.
+    /// Whether a flag is set, to `true` or `1`.
     fn is_on(&self, name: &str) -> bool;
-    /// The values of a comma-separated list, without empty ones.
+    /// The non-empty items of a comma-separated list.
     fn list(&self, name: &str) -> Vec<&str>;
-    /// The number for an engine kind in the list `name`, which has one for each kind.
-    fn for_kind(&self, kind: &str, name: &str) -> Option<f64>;
+    /// The number for an engine kind in the list `name`, which has an item per kind.
+    fn number_for_kind(&self, kind: &str, name: &str) -> Option<f64>;
 }
 
 impl RawSettings for SettingsMap {
@@ -80,44 +83,44 @@
         })
     }
 
-    fn for_kind(&self, kind: &str, name: &str) -> Option<f64> {
+    fn number_for_kind(&self, kind: &str, name: &str) -> Option<f64> {
         let kinds = self.list(keys::ENGINE_KINDS);
         let index = kinds.iter().position(|known| *known == kind)?;
         self.list(name).get(index)?.parse().ok()
     }
 }
 
-/// Adds one setting: spaces and commas within a value become underscores, as on the wire.
+/// Adds one setting. Replaces spaces and commas in the value by underscores, as the wire format does.
 pub fn insert(map: &mut SettingsMap, path: &str, value: &str) {
     map.insert(path.to_owned(), value.replace([' ', ','], "_"));
 }
 
-/// Whether `known`, a value that [`insert`] stored, is this name.
-pub fn matches_name(known: &str, name: &str) -> bool {
-    let stored = |c: char| if matches!(c, ' ' | ',') { '_' } else { c };
-    known.chars().eq(name.chars().map(stored))
+/// Whether `stored_name`, a value that [`insert`] stored, stands for `name`.
+pub fn matches_name(stored_name: &str, name: &str) -> bool {
+    let stored_char = |c: char| if matches!(c, ' ' | ',') { '_' } else { c };
+    stored_name.chars().eq(name.chars().map(stored_char))
 }
 
-/// Adds a list of plain values, joined with commas.
+/// Adds a list of plain values, joined by commas.
 pub fn insert_list(map: &mut SettingsMap, path: &str, values: impl Iterator<Item = String>) {
     let values: Vec<String> = values.map(|value| value.replace([' ', ','], "_")).collect();
     map.insert(path.to_owned(), values.join(","));
 }
 
-/// The path of the object at `index` of a list; their number is the setting at [`list_count`].
+/// The path of the object at `index` of a list. The setting at [`list_count`] has the number of objects.
 pub fn list_item(path: &str, index: usize) -> String {
     format!("{path}.{index}")
 }
 
-/// The path of the number of objects in a list.
+/// The path of the setting with the number of objects in a list.
 pub fn list_count(path: &str) -> String {
     format!("{path}.count")
 }
 
-/// Reads settings that are already flat: pairs of path and value, separated by spaces.
+/// Parses settings in flat form: `path=value` pairs, separated by spaces.
 ///
 /// # Errors
-/// A pair without `=`.
+/// A pair has no `=`.
 pub fn parse_pairs(text: &str) -> Result<SettingsMap, SettingsError> {
     let mut settings = SettingsMap::new();
     for pair in text.split(' ').filter(|pair| !pair.is_empty()) {
--- a/src/settings/read.rs
+++ b/src/settings/read.rs
@@ -1,4 +1,4 @@
-//! Reading the settings out of the flat map in which they arrive.
+//! Reads the settings from the flat map in which they arrive.
 
 use super::keys;
 use super::raw::{is_true, list_count, list_item, RawSettings, SettingsError, SettingsMap};
@@ -8,10 +8,10 @@
 };
 
 impl Settings {
-    /// Reads the settings.
+    /// Reads the settings from the flat map.
     ///
     /// # Errors
-    /// A required key is missing or has a value that is not allowed: `services.count`, each group's `name`, `effect`
+    /// A required key is missing or invalid: `services.count`, each group's `name`, `effect`
     /// and `aim-us`, and `balancers`.
     pub fn read(raw: &SettingsMap) -> Result<Self, SettingsError> {
         let groups = read_groups(raw)?;
@@ -86,7 +86,7 @@
     })
 }
 
-/// The names of a comma-separated list, empty ones included; none where the setting is missing.
+/// The names in a comma-separated list, including empty names; `None` if the setting is missing.
 fn read_names(raw: &SettingsMap, key: &str) -> Option<Vec<String>> {
     let names = raw.get(key)?;
     Some(names.split(',').map(str::to_owned).collect())
@@ -106,7 +106,7 @@
     threads.unwrap_or(1.0_f64).max(1.0)
 }
 
-/// Whether a flag of the list `key`, which has one for each group, is set.
+/// Whether the flag of a group is set in the list `key`, which has an item per group.
 fn is_on_for_group(raw: &SettingsMap, key: &str, group: usize) -> bool {
     let by_group = raw.list(key);
     by_group.get(group).is_some_and(|value| is_true(value))
@@ -144,8 +144,12 @@
 fn read_kinds(raw: &SettingsMap) -> Vec<EngineKind> {
     let read_kind = |name: &str| EngineKind {
         name: name.to_owned(),
-        cores: raw.for_kind(name, keys::CORES_BY_KIND).unwrap_or(1.0),
-        memory_mb: raw.for_kind(name, keys::MEMORY_MB_BY_KIND).unwrap_or(0.0),
+        cores: raw
+            .number_for_kind(name, keys::CORES_BY_KIND)
+            .unwrap_or(1.0),
+        memory_mb: raw
+            .number_for_kind(name, keys::MEMORY_MB_BY_KIND)
+            .unwrap_or(0.0),
     };
     raw.list(keys::ENGINE_KINDS)
         .into_iter()
