--- a/src/control/admission.rs
+++ b/src/control/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: the lane, cost and quota of a query that arrives, and whether it can meet its deadline at all.
+//! Admission: determines the lane, cost and quota of an arriving query, and rejects it if it cannot meet its deadline.
 //!
 //! Uses the retry budget, the tenants' quotas, the low lane's mean work, the key queues and the resource groups.
 
@@ -6,14 +6,14 @@
 use crate::events::{DecisionSink, EndReason, QueryArrived, UnknownResourceGroup};
 use crate::model::{GroupIndex, Lane, Query, QueryIndex};
 
-/// Fraction of its group's usual timeout below which a client's timeout counts as short.
+/// Fraction of the group's usual timeout below which a client's timeout counts as short.
 const SHORT_TIMEOUT_FRACTION: f64 = 0.5;
 
 impl Control {
-    /// A query arrived: it is placed, waits for its key's turn, or ends at once.
+    /// Handles the arrival of a query: places it, queues it behind earlier queries of its ordering key, or rejects it.
     ///
     /// # Errors
-    /// The settings have no such resource group. Nothing is decided then.
+    /// Returns an error, and decides nothing, if the settings do not have the query's resource group.
     pub fn on_query_arrived(
         &mut self,
         event: &QueryArrived,
@@ -31,7 +31,7 @@
         } else if is_unattainable
             || self.now_ms + self.expected_run_time_ms(query) > event.deadline_ms
         {
-            self.finish(query, EndReason::NotInTime, out);
+            self.reject_or_fail(query, EndReason::NotInTime, out);
         }
         Ok(())
     }
@@ -49,16 +49,16 @@
         query.is_over_quota = self.tenant_quotas.record_query(tenant, self.now_ms);
         let index = self.queries.insert(query);
         if self.groups[group].settings.is_ordered_by_key {
-            let join = |key| self.key_queues.join(key, index, self.now_ms);
-            self.queries[index].key = event.key.map(join);
+            let enqueue = |key| self.key_queues.join(key, index, self.now_ms);
+            self.queries[index].key = event.key.map(enqueue);
         }
         index
     }
 
-    /// Whether a query cannot meet its deadline, so that running it would only delay others.
+    /// Returns whether a query cannot meet its deadline, so that running it would only delay others.
     ///
-    /// Uses the best run time of its group; for a client with a short timeout the recent median instead, as most such
-    /// queries would end late.
+    /// Compares the time left with the best run time of the query's group. For a client with a short timeout, compares
+    /// it with the recent median run time instead: at the best run time most such queries would complete too late.
     fn is_unattainable(&self, query: QueryIndex) -> bool {
         let cost = self.queries[query].cost;
         let group = self.group_of(&self.queries[query]);
--- a/src/control/completion.rs
+++ b/src/control/completion.rs
@@ -1,5 +1,6 @@
-//! Completion: what an attempt's end and notes change, and final answers. Every final answer that is not an engine's
-//! is given here.
+//! Completion: handles progress notes and the completion, failure or cancellation of attempts.
+//!
+//! Every final answer that does not come from an engine is sent here.
 //!
 //! Uses the tables of queries and engines, the key queues, the retry budget, the resource groups, slowdowns and stalls,
 //! the concurrency limits, engine health, the peer load and the zone plan.
@@ -10,14 +11,14 @@
     Attempt, AttemptResult, EngineIndex, GroupIndex, Lane, QueryCost, QueryIndex, TableLock,
 };
 
-/// Time after which a rejected client may come back (ms); cut to the longest that clients follow.
+/// Delay after which a rejected client may retry (ms), at full service; capped by the settings' maximum.
 const RETRY_AFTER_MS: f64 = 1000.0;
-/// Note intervals for which tables count as locked after a note of a wait for a load.
+/// Number of note intervals for which tables count as locked after a note reports a wait for a load.
 const LOCK_NOTE_INTERVALS: f64 = 1.5;
-/// Amount of a note of a wait that means a wait for a load.
-const WAITS_FOR_LOAD: f64 = 2.0;
+/// Amount in a [`NoteKind::Waiting`] note if the attempt waits for a load.
+const WAIT_FOR_LOAD_AMOUNT: f64 = 2.0;
 
-/// An attempt that has just ended.
+/// An attempt that is no longer in flight, with the data of its query.
 struct ClosedAttempt {
     query: QueryIndex,
     engine: EngineIndex,
@@ -30,12 +31,12 @@
 }
 
 impl Control {
-    /// An attempt ended. The event is ignored if the attempt is unknown or not in flight.
+    /// Handles an attempt that completed, failed or was cancelled. Ignores an attempt that is unknown or not in flight.
     pub fn on_attempt_ended(&mut self, event: &AttemptEnded, out: &mut dyn DecisionSink) {
         let Some(closed) = self.close_attempt(event) else {
             return;
         };
-        // Rule 5: after an attempt whose end is unknown its key cools down.
+        // Rule 5: the ordering key cools down after an attempt that may still be running or may have completed.
         if let Some(key) = closed.key.filter(|_| event.outcome.is_unknown()) {
             self.key_queues.cool_down(key, self.now_ms);
         }
@@ -48,18 +49,18 @@
         self.zone_plan.release(
             closed.attempt.reservation,
             closed.group,
-            self.planned(closed.engine),
+            self.location_of(closed.engine),
         );
         if self.queries[closed.query].is_over {
-            self.release(closed.query, out);
+            self.remove_if_done(closed.query, out);
         } else if event.outcome != Outcome::NotSent && self.has_time_for_run(closed.query) {
             self.place(closed.query, out);
         } else {
-            self.finish(closed.query, EndReason::NotInTime, out);
+            self.reject_or_fail(closed.query, EndReason::NotInTime, out);
         }
     }
 
-    /// Takes an ended attempt out of what is in flight. Returns none where it is unknown or not in flight.
+    /// Marks an attempt as no longer in flight. Returns `None` if it is unknown or not in flight.
     fn close_attempt(&mut self, event: &AttemptEnded) -> Option<ClosedAttempt> {
         let index = self.queries.find(event.query_id)?;
         let engine = self.engines.find(event.engine_id)?;
@@ -69,9 +70,9 @@
         attempt.may_have_run = !event.outcome.never_ran();
         let attempt = *attempt;
         let group = &self.groups[query.group];
-        let locked = group.settings.is_load.then_some(query.tables);
+        let locked_tables = group.settings.is_load.then_some(query.tables);
         let load = &mut self.engines[engine].load;
-        load.remove(&attempt, query.lane, group.threads(), locked);
+        load.remove(&attempt, query.lane, group.threads(), locked_tables);
         if query.is_migrating {
             query.is_migrating = false;
             self.retry_budget.finish_migration();
@@ -91,7 +92,7 @@
         })
     }
 
-    /// Learns what an answer shows of its query's cost, and of stalls and slowness on its engine.
+    /// Updates the group's cost estimate, and the engine's stall level and slowdown, from a completed attempt.
     fn learn_from_answer(&mut self, closed: &ClosedAttempt, event: &AttemptEnded) {
         self.groups[closed.group].learn_usage(closed.cost, event.used);
         let stalls = &mut self.engines[closed.engine].stalls;
@@ -99,11 +100,13 @@
         self.learn_slowdown(closed, event.latency_ms);
     }
 
-    /// Learns from an answer how slow its engine is. A late answer counts as slow whatever the best was: a dispatcher
-    /// that started during an incident has seen no better one.
+    /// Updates the engine's slowdown from the latency of an answer.
+    ///
+    /// An answer above the latency objective counts as slow even if the group's best run time is no lower: a dispatcher
+    /// that started during an incident has seen no faster answer.
     fn learn_slowdown(&mut self, closed: &ClosedAttempt, latency_ms: f64) {
         let group = &mut self.groups[closed.group];
-        let Some(above_best) = group.learn_run_time(closed.cost, latency_ms) else {
+        let Some(slowdown_over_best) = group.learn_run_time(closed.cost, latency_ms) else {
             return;
         };
         let engine = &mut self.engines[closed.engine];
@@ -112,12 +115,12 @@
                 .slowdowns
                 .record_slow_answer(engine, closed.lane, self.now_ms);
         }
-        let slowdown = above_best - group.tolerated_scatter();
+        let slowdown = slowdown_over_best - group.tolerated_scatter();
         self.slowdowns
             .record_answer(engine, closed.lane, slowdown, self.now_ms);
     }
 
-    /// Adapts the engine's concurrency limit to the end of an attempt.
+    /// Adapts the engine's concurrency limit to the outcome of an attempt.
     fn adapt_limit(&mut self, closed: &ClosedAttempt, event: &AttemptEnded, objective_ms: f64) {
         let share = self.peer_load.pool_share(self.now_ms);
         let engine = &mut self.engines[closed.engine];
@@ -133,7 +136,7 @@
             .adapt(&result, engine.cores, share, self.now_ms);
     }
 
-    /// Records what an attempt's end shows of its engine's health.
+    /// Records an attempt's outcome in its engine's health, or as a slow answer if the engine may be healthy but slow.
     fn detect_outlier(&mut self, closed: &ClosedAttempt, event: &AttemptEnded) {
         let is_slow = event.outcome == Outcome::Timeout && self.may_be_slow(&closed.attempt);
         let engine = &mut self.engines[closed.engine];
@@ -146,15 +149,15 @@
         }
     }
 
-    /// Whether an attempt that timed out may be slow on a healthy engine: the engine sent signals since, or no note was
-    /// due yet. The cause is then a busy engine, or a load that the attempt waits for.
+    /// Returns whether an attempt that timed out may be slow on a healthy engine: the engine has sent a signal since
+    /// the submission, or no note was due yet. The cause is then a busy engine, or a load that the attempt waits for.
     fn may_be_slow(&self, attempt: &Attempt) -> bool {
         let note_interval_ms = self.settings.engine_features.note_interval_ms;
         self.engines[attempt.engine].health.last_signal_ms() > attempt.sent_ms
             || self.now_ms - attempt.sent_ms < note_interval_ms
     }
 
-    /// An engine sent a note on a running attempt.
+    /// Handles an engine's note on a running attempt.
     pub fn on_progress_note(&mut self, event: &ProgressNote) {
         let Some(query) = self.queries.find(event.query_id) else {
             return;
@@ -169,7 +172,7 @@
             NoteKind::Progress => self.record_progress(query, event),
             NoteKind::Waiting => {
                 attempt.progress.begin_wait();
-                if event.amount == WAITS_FOR_LOAD {
+                if event.amount == WAIT_FOR_LOAD_AMOUNT {
                     self.lock_tables(query, engine);
                 }
             }
@@ -177,7 +180,7 @@
         }
     }
 
-    /// Assumes that the tables of a query that waits for a load stay locked until a while after its next note is due.
+    /// Records that a load locks the tables of a query on an engine, for [`LOCK_NOTE_INTERVALS`] from now.
     fn lock_tables(&mut self, query: QueryIndex, engine: EngineIndex) {
         let lock_ms = LOCK_NOTE_INTERVALS * self.settings.engine_features.note_interval_ms;
         let lock = TableLock {
@@ -187,7 +190,7 @@
         self.engines[engine].load.lock(lock);
     }
 
-    /// Records the fraction done, and learns from the run time that it predicts.
+    /// Records the fraction done, and updates the group and the engine's slowdown from the run time that it predicts.
     fn record_progress(&mut self, query: QueryIndex, event: &ProgressNote) {
         let query = &mut self.queries[query];
         let Some(attempt) = query.attempts.in_flight_mut(event.attempt) else {
@@ -198,24 +201,24 @@
         progress.record(self.now_ms, event.amount.clamp(0.0, 1.0));
         let run_time_ms = progress.run_time_ms().unwrap_or(0.0);
         let group = &mut self.groups[query.group];
-        let above_best = group.learn_progress(query.cost, run_time_ms);
-        // The first prediction alone counts: later ones of a query with a bad plan show nothing new about its engine.
-        if let Some(above_best) = above_best.filter(|_| is_first_prediction) {
+        let slowdown_over_best = group.learn_progress(query.cost, run_time_ms);
+        // Only the first prediction counts: if the query has a bad plan, later ones say nothing new about the engine.
+        if let Some(slowdown_over_best) = slowdown_over_best.filter(|_| is_first_prediction) {
             let engine = &mut self.engines[attempt.engine];
             self.slowdowns
-                .record_progress(engine, Lane::Low, above_best, self.now_ms);
+                .record_progress(engine, Lane::Low, slowdown_over_best, self.now_ms);
         }
     }
 
-    /// A query's client left: nothing is answered, and its attempt is cancelled.
+    /// Handles a client that disconnected: cancels its query's attempt and sends no answer.
     pub fn on_client_gone(&mut self, query_id: u64, out: &mut dyn DecisionSink) {
         if let Some(query) = self.queries.find(query_id) {
-            self.end(query, out);
+            self.end_query(query, out);
         }
     }
 
-    /// Ends the query at once: rejected where a retry is harmless, failed where it may not be.
-    pub(super) fn finish(
+    /// Ends a query without a result: rejects it if its client can safely retry, fails it otherwise.
+    pub(super) fn reject_or_fail(
         &mut self,
         index: QueryIndex,
         reason: EndReason,
@@ -226,8 +229,8 @@
             return;
         }
         out.note_end_reason(query.id, reason);
-        let is_safe = query.is_read_only() || query.in_flight().is_none();
-        if is_safe && self.may_repeat(index, None) {
+        let has_no_effect_in_flight = query.is_read_only() || query.in_flight().is_none();
+        if has_no_effect_in_flight && self.may_repeat(index, None) {
             let max_ms = self.settings.max_retry_after_ms;
             let level = &self.level;
             let retry_after_ms = level.retry_after_ms(RETRY_AFTER_MS, max_ms, &mut self.rng);
@@ -235,28 +238,29 @@
         } else {
             out.fail(query.id);
         }
-        self.end(index, out);
+        self.end_query(index, out);
     }
 
-    fn end(&mut self, query: QueryIndex, out: &mut dyn DecisionSink) {
+    /// Ends a query: cancels its attempt in flight and removes it once no attempt is in flight.
+    fn end_query(&mut self, query: QueryIndex, out: &mut dyn DecisionSink) {
         self.queries[query].is_over = true;
         self.cancel_in_flight(query, out);
-        self.release(query, out);
+        self.remove_if_done(query, out);
     }
 
-    /// Cancels the attempt of a query that is in flight, where the platform allows that, and once only.
+    /// Cancels a query's attempt in flight, at most once and only if the platform supports cancellation.
     pub(super) fn cancel_in_flight(&mut self, query: QueryIndex, out: &mut dyn DecisionSink) {
         let query = &mut self.queries[query];
-        let Some(number) = query.in_flight() else {
+        let Some(attempt_number) = query.in_flight() else {
             return;
         };
-        if self.settings.capabilities.cancellation && query.attempts.set_cancelled(number) {
-            out.cancel(query.id, number);
+        if self.settings.capabilities.cancellation && query.attempts.set_cancelled(attempt_number) {
+            out.cancel(query.id, attempt_number);
         }
     }
 
-    /// Removes a query that is over and has nothing in flight, and places the next one of its key.
-    fn release(&mut self, index: QueryIndex, out: &mut dyn DecisionSink) {
+    /// Removes a query that is over and has no attempt in flight, and places the next query of its ordering key.
+    fn remove_if_done(&mut self, index: QueryIndex, out: &mut dyn DecisionSink) {
         if !self.queries[index].is_done() {
             return;
         }
--- a/src/control/dispatch.rs
+++ b/src/control/dispatch.rs
@@ -1,40 +1,42 @@
-//! Dispatch: every attempt of a query is checked against rules 1 to 7 and sent here.
+//! Dispatch: checks each attempt of a query against rules 1 to 7 and submits it.
 //!
-//! Uses the retry budget, slow start, the key queues, the zone plan, engine health, the peer load and the service level.
+//! Uses the retry budget, slow start, the key queues, the zone plan, engine health, the peer load and the service
+//! level.
 
 use crate::control::Control;
 use crate::events::{AttemptLimits, DecisionSink, EndReason};
 use crate::model::{Attempt, EngineIndex, GroupIndex, Lane, QueryIndex, TableLock};
 use crate::settings::Effect;
 
-/// Multiple of the needed memory that is granted, where unused grants cost nothing.
+/// Memory grant as a multiple of the needed memory, for engines on which unused grants cost nothing.
 const AMPLE_GRANT_FACTOR: f64 = 2.0;
-/// Priority of the fast lane (the platform's scale), where engines support priorities.
+/// Priority weight of the fast lane on the platform's scale, for engines that support priorities.
 const FAST_PRIORITY: u8 = 3;
-/// Priority of the low lane.
+/// Priority weight of the low lane.
 const LOW_PRIORITY: u8 = 1;
 
 impl Control {
-    /// Whether the rules let a query go to an engine now.
+    /// Returns whether rules 1 to 7 allow an attempt of a query on an engine now.
     pub(super) fn may_submit(&mut self, query: QueryIndex, engine: EngineIndex) -> bool {
-        // Rule 7: the retry budget, also across zones; a service level may leave low work none.
+        // Rule 7: retry budgets, in total and across zones. A service level may withhold retries of low work.
         if self.queries[query].attempts.count() > 0 && !self.may_retry_on(query, engine) {
             return false;
         }
         let state = &self.queries[query];
         let group = state.group;
-        !state.is_over // Rule 1: nothing after the final answer,
-            && self.now_ms < state.deadline_ms // or once the client has left.
-            && state.in_flight().is_none() // Rule 2: never two attempts at a time,
-            && state.attempts.count() < self.settings.max_attempts // and no more than the settings allow.
-            && self.engines[engine].endpoint.ready // Rule 3: nothing to an engine that drains or is gone.
-            && self.may_repeat(query, Some(engine)) // Rule 2: an effect only once.
+        !state.is_over // Rule 1: no attempt after the final answer or after the client has disconnected,
+            && self.now_ms < state.deadline_ms // and none after the deadline.
+            && state.in_flight().is_none() // Rule 2: at most one attempt in flight,
+            && state.attempts.count() < self.settings.max_attempts // and no more attempts than the settings allow.
+            && self.engines[engine].endpoint.ready // Rule 3: no attempt on an engine that is draining or gone.
+            && self.may_repeat(query, Some(engine)) // Rule 2: an effect takes place at most once.
             && self.slow_start_admits(engine, group) // Rule 4: slow start of an engine that is warming up.
-            && self.is_first_of_key(query) // Rule 5: the key's turn.
-            && self.groups[group].may_use(&self.engines[engine]) // Rule 6: zones and kinds.
+            && self.is_first_of_key(query) // Rule 5: queries of an ordering key run one at a time, in order.
+            && self.groups[group].may_use(&self.engines[engine]) // Rule 6: the group's zones and kinds of engines.
     }
 
-    /// Rule 1, and rule 2 for an idempotency key: the time by which an attempt must have started (ms).
+    /// Returns the time by which a new attempt must have started (ms): the deadline (rule 1), or for a retry with an
+    /// idempotency key the end of the dedup window if that is earlier (rule 2).
     fn start_by_ms(&self, query: QueryIndex) -> f64 {
         let query = &self.queries[query];
         let window_ms = self.group_of(query).settings.dedup_window_ms;
@@ -46,7 +48,8 @@
         }
     }
 
-    /// Rule 2: whether the query may run again, on `engine` or, without one, by its client after a rejection.
+    /// Rule 2: returns whether a query may run again, on `engine` or, if `engine` is `None`, on any engine that a retry
+    /// by its client or a migration may reach.
     pub(super) fn may_repeat(&self, query: QueryIndex, engine: Option<EngineIndex>) -> bool {
         let query = &self.queries[query];
         let group = self.group_of(query);
@@ -63,14 +66,15 @@
         }
     }
 
-    /// Rule 4: whether slow start lets a query of this group go to an engine.
+    /// Rule 4: returns whether slow start admits a query of this group to an engine.
     fn slow_start_admits(&self, engine: EngineIndex, group: GroupIndex) -> bool {
         let engine = &self.engines[engine];
         self.slow_start
             .admits(engine, &self.groups[group], self.now_ms)
     }
 
-    /// Rule 5: whether a query is the first of its key, and the key has cooled down if this is its first attempt.
+    /// Rule 5: returns whether a query is the first in its ordering key's queue and, before its first attempt, the key
+    /// has cooled down.
     pub(super) fn is_first_of_key(&self, index: QueryIndex) -> bool {
         let query = &self.queries[index];
         let Some(key) = query.key else {
@@ -80,14 +84,14 @@
         self.key_queues.first(key) == Some(index) && (is_cool || query.attempts.count() > 0)
     }
 
-    /// Rule 7: whether a retry may go to an engine.
+    /// Rule 7: returns whether a retry of a query may be sent to an engine.
     fn may_retry_on(&mut self, query: QueryIndex, engine: EngineIndex) -> bool {
         !self.is_retry_withheld(query)
             && self.may_cross_zones(query, engine)
             && self.retry_budget.allows_retry(self.now_ms)
     }
 
-    /// Rule 7: whether an attempt may be cancelled in order to run elsewhere.
+    /// Rule 7: returns whether a query's attempt may be cancelled and the query sent to another engine.
     pub(super) fn may_migrate(&mut self, query: QueryIndex) -> bool {
         !self.is_retry_withheld(query)
             && self.settings.capabilities.cancellation
@@ -100,7 +104,7 @@
         self.level.withhold_low_retries && self.queries[query].lane == Lane::Low
     }
 
-    /// Whether the zone plan allows a retry on an engine, which may be in another zone than the last attempt.
+    /// Returns whether the zone plan allows a retry on an engine, which may be in another zone than the last attempt.
     fn may_cross_zones(&self, query: QueryIndex, engine: EngineIndex) -> bool {
         let zone = self.engines[engine].zone;
         self.zone_plan.allows_retry(self.last_zone(query), zone)
@@ -111,7 +115,7 @@
         Some(self.engines[last.engine].zone)
     }
 
-    /// Sends a query to an engine, or ends it where the rules do not allow that any more.
+    /// Submits a query to an engine, or ends the query if the rules no longer allow the attempt.
     pub(super) fn submit(
         &mut self,
         index: QueryIndex,
@@ -119,10 +123,10 @@
         out: &mut dyn DecisionSink,
     ) {
         if !self.may_submit(index, engine) {
-            return self.finish(index, EndReason::NotAllowed, out);
+            return self.reject_or_fail(index, EndReason::NotAllowed, out);
         }
         let start_by_ms = self.start_by_ms(index);
-        let memory_mb = self.open_attempt(index, engine);
+        let memory_mb = self.record_attempt(index, engine);
         self.grant(index, memory_mb, out);
         let query = &self.queries[index];
         let limits = AttemptLimits {
@@ -133,10 +137,10 @@
         out.submit(query.id, self.engines[engine].engine_id, limits);
     }
 
-    /// Records an attempt that is about to be sent in all components, and returns the memory that it needs (MB).
-    fn open_attempt(&mut self, index: QueryIndex, engine_index: EngineIndex) -> f64 {
+    /// Records a new attempt in all components, and returns the memory that it needs (MB).
+    fn record_attempt(&mut self, index: QueryIndex, engine_index: EngineIndex) -> f64 {
         let demand = self.zone_plan.is_active().then(|| self.demand_of(index));
-        let planned = self.planned(engine_index);
+        let location = self.location_of(engine_index);
         let last_zone = self.last_zone(index);
         let query = &mut self.queries[index];
         let group = &self.groups[query.group];
@@ -152,7 +156,7 @@
         if let Some(demand) = demand {
             attempt.reservation = self
                 .zone_plan
-                .reserve(&demand, planned, last_zone, self.now_ms);
+                .reserve(&demand, location, last_zone, self.now_ms);
         }
         attempt.is_trial = engine.health.begin_attempt(self.now_ms);
         let lock = group.settings.is_load.then_some(TableLock {
@@ -167,7 +171,7 @@
         memory_mb
     }
 
-    /// Sets priority and memory grant of the attempt that follows, where engines support them.
+    /// Sets the priority weight and memory grant of the query's next attempt, if engines support them.
     fn grant(&self, query: QueryIndex, memory_mb: f64, out: &mut dyn DecisionSink) {
         let features = self.settings.engine_features;
         let query = &self.queries[query];
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -1,14 +1,14 @@
-//! All decisions: which engine runs a query, what is rejected, migrated, cancelled or failed.
+//! All decisions: which engine runs a query, and which queries are rejected, migrated, cancelled or failed.
 //!
-//! A program calls [`Control::run_round`] once a round. Its [`EventSource`] calls the handlers with the events that
-//! arrived, and the decisions go straight into the [`DecisionSink`]. Times are milliseconds; "rule N" is the platform's
-//! rule of that number. docs/design.md gives the reasons for the mechanism.
+//! A program calls [`Control::run_round`] once per round. Its [`EventSource`] calls the handlers with the events that
+//! arrived, and the [`DecisionSink`] receives each decision as it is made. Times are milliseconds; "rule N" is the
+//! platform's rule of that number. docs/design.md gives the reasons for the mechanism.
 //!
-//! `Control` composes the components of `model`, which own their state and the constants of their rules and never name
-//! `Control`. The files of this module need several components at once. They follow a query's life: `admission`,
-//! `placement`, `dispatch` (rules 1 to 7), `completion`, and `periodic` for the checks in between. This file has the
-//! events that concern engines, peers and the program itself; it uses the endpoint list request, the peer load, the
-//! zone plan and the tables of engines and queries.
+//! `Control` composes the components of `model`, which own their state and the constants of their rules and do not
+//! depend on `Control`. This module has the logic that needs several components. Its files follow the life of a query:
+//! `admission`, `placement`, `dispatch` (rules 1 to 7), `completion`, and `periodic` for the checks in between. This
+//! file handles the events that concern engines, peers and the program itself; it uses the endpoint list request, the
+//! peer load, the zone plan and the tables of engines and queries.
 
 mod admission;
 mod completion;
@@ -32,17 +32,17 @@
 use crate::zone_plan::{ActiveZonePlan, ZonePlan};
 use periodic::CheckSchedule;
 
-/// One round's events, in order.
+/// Source of the events of one round, in order.
 pub trait EventSource {
     /// Calls the handlers of [`Control`] with the round's events.
     fn deliver(&mut self, control: &mut Control, out: &mut dyn DecisionSink);
 }
 
-/// One dispatcher's decisions and the state behind them: settings, what is in flight, and what was learned.
+/// Decision logic of one dispatcher and its state: settings, queries in flight, engines and learned statistics.
 ///
-/// Memory grows with the queries in flight, the engines listed and the keys, tenants and zones named.
+/// Memory grows with the queries in flight, the engines listed and the distinct keys, tenants and zones.
 pub struct Control {
-    /// The clock of the round (ms).
+    /// Time of the current round (ms).
     now_ms: f64,
     settings: Settings,
     /// The zone of this dispatcher.
@@ -63,15 +63,15 @@
     level: LevelEffects,
     zone_plan: ActiveZonePlan,
     schedule: CheckSchedule,
-    /// Scratch space of placement.
+    /// Buffer for the candidates of a placement, reused to avoid allocation.
     candidates: Vec<EngineIndex>,
 }
 
 impl Control {
-    /// Decisions with these settings, and with random draws that `seed` fixes.
+    /// Creates the decision logic from settings. `seed` determines all random draws.
     ///
     /// # Errors
-    /// Those of [`Settings::read`].
+    /// Returns the errors of [`Settings::read`].
     pub fn new(seed: u64, settings: &SettingsMap) -> Result<Self, SettingsError> {
         let settings = Settings::read(settings)?;
         let mut interner = Interner::default();
@@ -105,7 +105,7 @@
         })
     }
 
-    /// One round at `now_ms`: all events that arrived, then the periodic checks where they are due.
+    /// Runs one round at `now_ms`: handles all events of `source`, then runs the periodic checks if they are due.
     pub fn run_round(
         &mut self,
         now_ms: f64,
@@ -119,7 +119,7 @@
         self.set_timer(out);
     }
 
-    /// What the settings let this dispatcher do.
+    /// Returns the optional capabilities that the settings enable.
     pub fn capabilities(&self) -> Capabilities {
         self.settings.capabilities
     }
@@ -129,14 +129,14 @@
         self.level = effects;
     }
 
-    /// Cuts the deadline of all queries in flight to `deadline_ms`, by which the program ends.
+    /// Limits the deadlines of all queries in flight to `deadline_ms`, the time at which the program exits.
     pub fn limit_deadlines(&mut self, deadline_ms: f64) {
         for query in self.queries.iter_mut() {
             query.deadline_ms = query.deadline_ms.min(deadline_ms);
         }
     }
 
-    /// Applies a zone plan, or none. What is in flight stays counted.
+    /// Applies a zone plan, or removes it if `plan` is `None`. Reservations of attempts in flight are kept.
     pub fn set_zone_plan(&mut self, plan: Option<&ZonePlan>) {
         match plan {
             Some(plan) => {
@@ -148,14 +148,14 @@
         }
     }
 
-    /// An endpoint list begins; its entries follow until [`finish_update`](Control::finish_update).
+    /// Begins an endpoint list. Its entries follow until [`finish_update`](Control::finish_update).
     pub fn begin_update(&mut self, kind: EndpointListKind) {
         if matches!(kind, EndpointListKind::Snapshot | EndpointListKind::Cached) {
             self.engines.begin_snapshot();
         }
     }
 
-    /// One entry of the endpoint list.
+    /// Adds or updates the engine of one entry of the endpoint list.
     pub fn upsert_endpoint(&mut self, update: &EndpointUpdate) {
         let known = self.engines.find(update.engine_id);
         let engine = known.unwrap_or_else(|| self.add_engine(update));
@@ -175,7 +175,7 @@
         slot
     }
 
-    /// The endpoint list is complete, or, for [`EndpointListKind::Failed`], could not be obtained.
+    /// Completes an endpoint list, or for [`EndpointListKind::Failed`] records that none could be obtained.
     pub fn finish_update(&mut self, kind: EndpointListKind, out: &mut dyn DecisionSink) {
         match kind {
             EndpointListKind::Failed => return self.endpoint_list.record_failure(self.now_ms),
@@ -193,7 +193,7 @@
         }
     }
 
-    /// A health check ended.
+    /// Handles the outcome of a health check.
     pub fn on_health_check_ended(&mut self, event: &HealthCheckEnded) {
         if let Some(engine) = self.engines.find(event.engine_id) {
             let health = &mut self.engines[engine].health;
@@ -201,16 +201,16 @@
         }
     }
 
-    /// A message from another dispatcher arrived. A message of an unknown kind or sender is ignored.
+    /// Handles a message from another dispatcher. Ignores a message of an unknown kind or sender.
     pub fn on_peer_message(&mut self, message: &PeerMessage) {
         self.peer_load
             .record_message(message, &mut self.engines, self.now_ms);
     }
 }
 
-/// Metrics of the pool, by which service levels are set. A fraction of nothing is not a number.
+/// Metrics of the pool, which determine the service level. A fraction is NaN if its denominator is zero.
 impl Control {
-    /// Fraction of the ready engines, of a zone if one is named, that are under pressure.
+    /// Returns the fraction of the ready engines, in `zone` if one is given, that are under pressure.
     pub fn pressured_fraction(&self, zone: Option<&str>) -> f64 {
         let zone = zone.map(|name| {
             let zone = self.interner.zones.find(name);
@@ -219,39 +219,39 @@
         self.pool().pressured_fraction(zone)
     }
 
-    /// Low threads of all ready engines against their concurrency limits at full service.
+    /// Returns the threads of low work on all ready engines as a fraction of their concurrency limits at full service.
     pub fn concurrency_used_fraction(&self) -> f64 {
         self.pool().concurrency_used_fraction()
     }
 
-    /// Threads that this dispatcher's attempts run on; an attempt of the fast lane counts as one.
+    /// Returns the number of threads that this dispatcher's attempts use. An attempt of the fast lane counts as one.
     pub fn threads_in_flight(&self) -> f64 {
         self.pool().threads_in_flight()
     }
 
-    /// Fraction of the known engines that are ready.
+    /// Returns the fraction of the known engines that are ready.
     pub fn ready_fraction(&self) -> f64 {
         self.pool().ready_fraction()
     }
 
-    /// Fraction of the ready engines that are warming up.
+    /// Returns the fraction of the ready engines that are warming up.
     pub fn warming_fraction(&self) -> f64 {
         self.pool().warming_fraction()
     }
 
-    /// Fraction of the ready engines that are ejected.
+    /// Returns the fraction of the ready engines that are ejected.
     pub fn ejected_fraction(&self) -> f64 {
         self.pool().ejected_fraction()
     }
 
-    /// Threads of this dispatcher's low work in a zone that spilled over from elsewhere.
+    /// Returns the threads of this dispatcher's low work in `zone` that spilled over from other zones.
     pub fn spilled_threads(&self, zone: &str) -> f64 {
         let zone = self.interner.zones.find(zone);
         zone.map_or(0.0, |zone| self.zone_plan.spilled_threads(zone))
     }
 }
 
-/// What the other files of this module share.
+/// Helpers that the submodules share.
 impl Control {
     fn pool(&self) -> PoolView<'_> {
         PoolView {
@@ -268,18 +268,18 @@
         &self.groups[query.group]
     }
 
-    /// Expected run time of a new attempt (ms), by the recent answers of the query's group.
+    /// Returns the expected run time of a new attempt (ms), from the recent answers of the query's group.
     fn expected_run_time_ms(&self, query: QueryIndex) -> f64 {
         let query = &self.queries[query];
         self.group_of(query).expected_run_time_ms(query.cost)
     }
 
-    /// Time until the query's deadline (ms).
+    /// Returns the time until the query's deadline (ms).
     fn time_left_ms(&self, query: QueryIndex) -> f64 {
         self.queries[query].deadline_ms - self.now_ms
     }
 
-    /// Whether a new attempt would complete before the query's deadline.
+    /// Returns whether a new attempt is expected to complete before the query's deadline.
     fn has_time_for_run(&self, query: QueryIndex) -> bool {
         let end_ms = self.now_ms + self.expected_run_time_ms(query);
         end_ms < self.queries[query].deadline_ms
--- a/src/control/periodic.rs
+++ b/src/control/periodic.rs
@@ -1,4 +1,5 @@
-//! Periodic checks: of the endpoint list, engines, peers, and each query, which may migrate or be given up.
+//! Periodic checks: request the endpoint list, check engines, exchange load with peers, migrate queries from slow
+//! attempts, and end queries that cannot meet their deadline.
 //!
 //! Uses the low lane's token bucket, the endpoint list request, slow start, engine health, the peer load, stalls, the
 //! retry budget and the pool view.
@@ -7,30 +8,31 @@
 use crate::events::{DecisionSink, EndReason};
 use crate::model::{Attempt, QueryIndex, CHECK_INTERVAL_MS};
 
-/// A timer counts as due when it has this much left (ms).
+/// Time before its expiry from which a timer counts as due (ms).
 const TIMER_SLACK_MS: f64 = 1.0;
-/// A query migrates when its attempt needs this multiple of a new attempt's run time.
+/// Ratio of an attempt's remaining time to the run time of a new attempt above which the query migrates.
 const MIGRATION_FACTOR: f64 = 2.5;
-/// Without progress an attempt is overdue after this multiple of its expected run time ...
+/// Multiple of the expected run time after which, with [`OVERDUE_GRACE_MS`] added, an attempt without progress is
+/// overdue.
 const OVERDUE_RUN_TIME_FACTOR: f64 = 5.0;
-/// ... plus this (ms).
+/// Time added to the multiple of the expected run time (ms).
 const OVERDUE_GRACE_MS: f64 = 400.0;
-/// An attempt whose notes stopped is overdue after this many note intervals.
+/// Number of note intervals without a note after which an attempt is overdue.
 const OVERDUE_NOTE_INTERVALS: f64 = 2.5;
-/// An attempt cannot meet its deadline when it needs this multiple of the time left.
+/// Ratio of an attempt's remaining time to the time until its deadline above which it cannot meet the deadline.
 const UNATTAINABLE_FACTOR: f64 = 1.25;
 
-/// When periodic checks ran, and when they run again.
+/// Times of the last and the next periodic checks.
 #[derive(Debug, Default)]
 pub(super) struct CheckSchedule {
-    /// When the checks last ran (ms).
+    /// Time at which the checks last ran (ms).
     checked_ms: f64,
-    /// When the timer that was last set is due (ms).
+    /// Time at which the last timer that was set expires (ms).
     timer_due_ms: f64,
 }
 
 impl Control {
-    /// Runs all checks, if their interval has passed.
+    /// Runs all checks if [`CHECK_INTERVAL_MS`] has passed since they last ran.
     pub(super) fn run_periodic_checks(&mut self, out: &mut dyn DecisionSink) {
         let elapsed_ms = self.now_ms - self.schedule.checked_ms;
         if elapsed_ms < CHECK_INTERVAL_MS {
@@ -48,7 +50,7 @@
         }
     }
 
-    /// Sets a timer for the next checks, if they are needed and no timer is pending.
+    /// Sets a timer for the next checks if any are needed and no timer is pending.
     pub(super) fn set_timer(&mut self, out: &mut dyn DecisionSink) {
         let mut ready = self.engines.ready();
         let has_ejected = ready.any(|engine| engine.health.is_ejected());
@@ -66,7 +68,7 @@
         }
     }
 
-    /// Sends health checks to engines that are silent for longer than usual.
+    /// Sends health checks to engines that have been silent for longer than usual.
     fn check_engines(&mut self, out: &mut dyn DecisionSink) {
         if !self.settings.capabilities.health_checks {
             return;
@@ -97,14 +99,14 @@
         } else if self.is_first_of_key(index) {
             self.place(index, out);
         } else if self.expected_run_time_ms(index) + CHECK_INTERVAL_MS > self.time_left_ms(index) {
-            self.finish(index, EndReason::TurnTooLate, out);
+            self.reject_or_fail(index, EndReason::TurnTooLate, out);
         }
     }
 
-    /// Compares an attempt's remaining time with a new run and with the client's deadline.
+    /// Migrates or ends a query whose attempt needs too long, compared with a new attempt and with the deadline.
     ///
-    /// That covers attempts that stall or are slow whatever the cause: a bad plan, a slow or silent engine, a wait for a
-    /// load.
+    /// This covers stalled and slow attempts of any cause: a bad plan, a slow or silent engine, or tables that a load
+    /// locks.
     fn check_attempt(&mut self, query: QueryIndex, attempt: Attempt, out: &mut dyn DecisionSink) {
         let time_left_ms = self.time_left_ms(query);
         let new_run_ms = self.expected_run_time_ms(query);
@@ -119,16 +121,17 @@
         let is_predicted = progress.run_time_ms().is_some();
         let is_unattainable = is_predicted && remaining_ms > UNATTAINABLE_FACTOR * time_left_ms;
         let saves_time = remaining_ms > MIGRATION_FACTOR * new_run_ms && new_run_ms < time_left_ms;
-        // Under pressure a new run of a query that cannot meet its deadline would only delay others.
-        let would_delay_others = is_unattainable && self.pool().is_under_pressure(attempt.engine);
-        if saves_time && !would_delay_others && self.may_migrate(query) {
+        // Under pressure, a new attempt of a query that cannot meet its deadline would only delay other queries.
+        let would_only_delay_others =
+            is_unattainable && self.pool().is_under_pressure(attempt.engine);
+        if saves_time && !would_only_delay_others && self.may_migrate(query) {
             self.migrate(query, &attempt, is_overdue, out);
         } else if is_unattainable {
-            self.finish(query, EndReason::Unattainable, out);
+            self.reject_or_fail(query, EndReason::Unattainable, out);
         }
     }
 
-    /// Cancels an attempt; its query is placed elsewhere when the attempt has ended.
+    /// Cancels an attempt in order to migrate its query, which is placed again once the cancellation is confirmed.
     fn migrate(
         &mut self,
         query: QueryIndex,
@@ -148,8 +151,8 @@
         self.cancel_in_flight(query, out);
     }
 
-    /// Whether an attempt sent no note for longer than notes take, or made no progress for longer than a run takes: its
-    /// answer was lost, or nothing runs it.
+    /// Returns whether an attempt has sent no note for [`OVERDUE_NOTE_INTERVALS`], or has made no progress in the time
+    /// in which a run should complete: its answer was lost, or no engine is running it.
     fn is_overdue(&self, attempt: &Attempt, new_run_ms: f64) -> bool {
         let interval_ms = self.settings.engine_features.note_interval_ms;
         let silent_ms = self.now_ms - attempt.progress.last_note_ms();
--- a/src/events.rs
+++ b/src/events.rs
@@ -1,42 +1,44 @@
-//! The interface of the decisions: the events that they receive, and [`DecisionSink`], which receives the decisions.
+//! The interface of [`Control`](crate::control::Control): the events that it handles, and [`DecisionSink`], which
+//! receives its decisions.
 //!
-//! A program turns its input into these events, calls the handlers of [`Control`](crate::control::Control) with them,
-//! and carries out the decisions that its `DecisionSink` receives. Times are milliseconds on the caller's clock.
+//! A program converts its input into these events, passes them to the handlers of `Control`, and carries out the
+//! decisions that its `DecisionSink` receives. Times are milliseconds on the caller's clock.
 
 /// Receives the decisions as they are made.
 pub trait DecisionSink {
     /// Starts an attempt of query `query_id` on engine `engine_id`.
     fn submit(&mut self, query_id: u64, engine_id: u64, limits: AttemptLimits);
-    /// Rejects a query; its client may come back after `retry_after_ms`.
+    /// Rejects a query. Its client may retry after `retry_after_ms`.
     fn reject(&mut self, query_id: u64, retry_after_ms: f64);
     /// Ends a query with a final error.
     fn fail(&mut self, query_id: u64);
-    /// Reports why the query is about to be rejected or failed, for logs and metrics.
+    /// Reports, for logs and metrics, the reason for which a query is about to be rejected or failed.
     fn note_end_reason(&mut self, _query_id: u64, _reason: EndReason) {}
     /// Cancels one attempt of a query.
     fn cancel(&mut self, query_id: u64, attempt: usize);
-    /// Sets priority and memory grant of the query's next attempts (MB; with 0 the engine chooses).
+    /// Sets the priority weight and the memory grant (MB) of the query's next attempts. With a grant of 0 the engine
+    /// chooses the memory.
     fn grant(&mut self, query_id: u64, priority: u8, memory_mb: f64);
     /// Starts a health check of an engine.
     fn check_health(&mut self, engine_id: u64);
     /// Sends a message to another dispatcher, or to all others.
     fn send_to_peer(&mut self, peer: Option<u32>, content: &[u8]);
-    /// Requests another round after `delay_ms`.
+    /// Requests another round of decisions after `delay_ms`.
     fn set_timer(&mut self, delay_ms: f64, handle: u64);
-    /// Requests pushed updates of the endpoint list.
+    /// Subscribes to updates of the endpoint list.
     fn watch_endpoints(&mut self);
 }
 
-/// Why the decisions end a query without a result.
+/// Reason for which a query is ended without a result.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndReason {
-    /// No engine may or should take the query now: all are at their limits, ejected, draining or warming up.
+    /// No engine accepts the query now: all are at their limits, ejected, draining, warming up or excluded by a rule.
     NoEngine,
-    /// The engine that was chosen may not take the query any more.
+    /// The rules no longer allow an attempt on the chosen engine.
     NotAllowed,
-    /// A run would not complete before the deadline.
+    /// A new attempt is not expected to complete before the deadline.
     NotInTime,
-    /// The query waited for its key's turn until a run would not complete before the deadline.
+    /// The query waited in its ordering key's queue until an attempt could no longer complete before the deadline.
     TurnTooLate,
     /// The remaining run time of the query's attempt exceeds the time until the deadline.
     Unattainable,
@@ -52,7 +54,7 @@
         EndReason::Unattainable,
     ];
 
-    /// Its name in logs and counters.
+    /// Returns the name of the reason in logs and counters.
     pub fn name(self) -> &'static str {
         match self {
             EndReason::NoEngine => "no_engine",
@@ -64,23 +66,23 @@
     }
 }
 
-/// The time limits of one attempt.
+/// Time limits of one attempt.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AttemptLimits {
-    /// The attempt is abandoned at this time (ms).
+    /// Time at which the attempt times out (ms).
     pub deadline_ms: f64,
-    /// An attempt that has not started by this time (ms) must not start: the rules allow it until then only.
+    /// Time (ms) by which the attempt must have started; the rules do not allow a later start.
     pub start_by_ms: f64,
-    /// The query can be sent again even if this attempt runs without an answer.
+    /// Whether the query can be retried even if this attempt ran and its answer was lost.
     pub side_effect_free: bool,
 }
 
-/// What the analysis of a statement shows, beyond what its client declared.
+/// Properties of a statement found by analysis, in addition to those that its client declared.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StatementTraits {
     /// Confidence in the cost estimate, from 0 to 1.
     pub confidence: f64,
-    /// The statement may change tables, even if its resource group is read-only.
+    /// Whether the statement may change tables, even if its resource group is read-only.
     pub may_write: bool,
 }
 
@@ -92,49 +94,49 @@
     };
 }
 
-/// A query arrived.
+/// Event: a query arrived.
 #[derive(Debug, Clone, Copy)]
 pub struct QueryArrived<'a> {
     /// Number of the query, unique among those in flight.
     pub query_id: u64,
     /// Name of its resource group.
     pub group: &'a str,
-    /// Name of its tenant; empty where there is none.
+    /// Name of its tenant; empty if it has none.
     pub tenant: &'a str,
     /// Ordering key, if the query has one.
     pub key: Option<u64>,
     /// The client's deadline (ms).
     pub deadline_ms: f64,
-    /// Estimated thread time (ms); 0 where there is no estimate.
+    /// Estimated thread time (ms); 0 if there is no estimate.
     pub estimated_cost_ms: f64,
     /// Estimated memory (MB).
     pub memory_mb: f64,
-    /// The set of tables that the query uses, as a number.
+    /// Number that identifies the set of tables that the query uses.
     pub tables: u32,
     /// Traits of the statement.
     pub statement: StatementTraits,
 }
 
-/// An attempt ended.
+/// Event: an attempt completed, failed, or was cancelled or withdrawn.
 #[derive(Debug, Clone, Copy)]
 pub struct AttemptEnded {
-    /// The query of the attempt.
+    /// Number of the query.
     pub query_id: u64,
-    /// Which of the query's attempts, counted from 0.
+    /// Number of the attempt within its query, from 0.
     pub attempt: usize,
-    /// The engine that the attempt was sent to.
+    /// Number of the engine that the attempt was assigned to.
     pub engine_id: u64,
-    /// How the attempt ended.
+    /// Outcome of the attempt.
     pub outcome: Outcome,
-    /// The client already has the complete answer.
+    /// Whether the client already has the complete answer.
     pub answer_delivered: bool,
-    /// From submission to the end (ms).
+    /// Time from the submission to the outcome (ms).
     pub latency_ms: f64,
-    /// What the engine reported as used, where it reports that.
+    /// Resource usage that the engine reported, if any.
     pub used: Option<ResourceUsage>,
 }
 
-/// The resources that an attempt used, by its engine's report. A value of 0 is unknown.
+/// Resources that an attempt used, as reported by its engine. A value of 0 means unknown.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ResourceUsage {
     /// Thread time (ms).
@@ -143,20 +145,20 @@
     pub memory_mb: f64,
 }
 
-/// An engine's note on a running attempt.
+/// Event: an engine sent a note on a running attempt.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ProgressNote {
-    /// The query of the attempt.
+    /// Number of the query.
     pub query_id: u64,
-    /// Which of the query's attempts, counted from 0.
+    /// Number of the attempt within its query, from 0.
     pub attempt: usize,
-    /// What the note is about.
+    /// Kind of the note.
     pub kind: NoteKind,
-    /// Progress: the fraction done. Waiting: 2 for a wait behind a load. Unused in other notes.
+    /// For `Progress`, the fraction done. For `Waiting`, 2 if the attempt waits for a load. Unused for `Spilling`.
     pub amount: f64,
 }
 
-/// What a [`ProgressNote`] is about.
+/// Kind of a [`ProgressNote`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum NoteKind {
     /// A fraction of the work is done.
@@ -167,36 +169,36 @@
     Waiting,
 }
 
-/// A health check ended.
+/// Event: a health check completed or failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HealthCheckEnded {
-    /// The engine that was checked.
+    /// Number of the engine that was checked.
     pub engine_id: u64,
-    /// `Completed` where the engine answered.
+    /// Outcome of the check; `Completed` if the engine answered.
     pub outcome: Outcome,
 }
 
-/// A message from another dispatcher, in the form of [`peer_codec`](crate::peer_codec).
+/// Event: another dispatcher sent a message, encoded by [`peer_codec`](crate::peer_codec).
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PeerMessage<'a> {
-    /// Number of the sender.
+    /// Number of the dispatcher that sent the message.
     pub peer: u32,
-    /// The bytes of the message; malformed ones are ignored.
+    /// Encoded message; a malformed message is ignored.
     pub content: &'a [u8],
 }
 
-/// How an attempt or a health check ended.
+/// Outcome of an attempt or a health check.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// With a result.
+    /// The engine returned a result.
     Completed,
-    /// With an error of the engine's.
+    /// The engine returned an error.
     Error,
-    /// The engine refused it, being full.
+    /// The engine refused the attempt because it was at its capacity.
     Full,
-    /// No answer within its time limit.
+    /// No answer arrived within the time limit.
     Timeout,
-    /// No connection to the engine came up.
+    /// No connection to the engine could be established.
     NoConnection,
     /// The connection was lost before the answer.
     Reset,
@@ -204,13 +206,13 @@
     Cancelled,
     /// The attempt was never sent.
     NotSent,
-    /// The attempt never started, and its engine is not the reason: it was withdrawn in time, or this dispatcher lacked
-    /// a descriptor, a port or memory for a connection.
+    /// The attempt never started, for a reason other than its engine: it was withdrawn before it began, or this
+    /// dispatcher lacked a file descriptor, a port or memory for a connection.
     Withdrawn,
 }
 
 impl Outcome {
-    /// Whether the attempt certainly never ran.
+    /// Returns whether the attempt certainly never ran.
     pub(crate) fn never_ran(self) -> bool {
         matches!(
             self,
@@ -218,58 +220,58 @@
         )
     }
 
-    /// Whether the engine may still run the attempt, or may have completed it.
+    /// Returns whether the engine may still be running the attempt or may have completed it.
     pub(crate) fn is_unknown(self) -> bool {
         matches!(self, Outcome::Timeout | Outcome::Reset | Outcome::Cancelled)
     }
 }
 
-/// The kind of an endpoint list, or that none could be obtained.
+/// Kind of an endpoint list, or [`Failed`](Self::Failed) if none could be obtained.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointListKind {
-    /// Only endpoints that changed.
+    /// Only the endpoints that changed.
     Delta,
-    /// All endpoints; a known endpoint that is missing is gone.
+    /// All endpoints. A known endpoint that is not listed is gone.
     Snapshot,
-    /// All endpoints as last stored by this dispatcher: a newer list has to be requested.
+    /// All endpoints, as last stored by this dispatcher. A current list must be requested.
     Cached,
     /// The list could not be obtained.
     Failed,
 }
 
-/// An endpoint's state in the list.
+/// State of an endpoint in the list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndpointState {
-    /// Takes new queries.
+    /// The engine accepts new queries.
     Ready,
-    /// Completes what is in flight and takes no new queries.
+    /// The engine completes the attempts in flight and accepts no new queries.
     Draining,
-    /// No longer there.
+    /// The engine no longer exists.
     Gone,
 }
 
-/// One endpoint of a list.
+/// One entry of an endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EndpointUpdate<'a> {
     /// Number of the engine.
     pub engine_id: u64,
-    /// Its kind, by name.
+    /// Name of the engine's kind.
     pub kind: &'a str,
-    /// Its zone, by name.
+    /// Name of the engine's zone.
     pub zone: &'a str,
-    /// Its state.
+    /// State of the endpoint.
     pub state: EndpointState,
-    /// When the engine's process started (ms), if that is known.
+    /// Time at which the engine's process started (ms), if known.
     pub started_ms: Option<f64>,
-    /// Number of its cell.
+    /// Number of the engine's cell.
     pub cell: u32,
 }
 
-/// A query names a resource group that the settings do not have.
+/// Error: the resource group of a query is not in the settings.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("unknown resource group {name:?}")]
 pub struct UnknownResourceGroup {
-    /// The name in the query.
+    /// Name of the resource group in the query.
     pub name: String,
 }
 
--- a/src/zone_plan.rs
+++ b/src/zone_plan.rs
@@ -1,8 +1,8 @@
 //! The zone plan: tiers of preference, limits on low work that spills over into other zones, and the recovery ramp of
-//! engines that return.
+//! returning engines.
 //!
-//! Zone routing makes the plan; this file enforces it on what is in flight. Which of the admitted engines is chosen is
-//! decided in `control`. Without a plan all engines are admitted and of one tier.
+//! Zone routing computes the plan. This module enforces it by counting the threads of attempts in flight; `control`
+//! chooses among the admitted engines. Without a plan, all engines are admitted and have the same tier.
 
 #[cfg(test)]
 mod tests;
@@ -10,16 +10,17 @@
 use crate::interner::NameInterner;
 use crate::model::{EngineIndex, EngineTable, GroupIndex, Lane};
 
-/// A plan as zone routing makes it: zones by their names, engines by their numbers, groups in the order of the settings.
+/// A plan computed by zone routing: zones by name, engines by number, groups in the order of the settings.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct ZonePlan {
-    /// Limits of zones; a zone that is missing keeps the limits of the previous plan.
+    /// Limits by zone. A zone that is not listed keeps the limits of the previous plan.
     pub zones: Vec<ZoneLimits>,
-    /// Threads of this dispatcher that each engine may have, by the engine's number.
+    /// Limits on this dispatcher's threads per engine, each with the engine's number.
     pub engines: Vec<(u64, f64)>,
-    /// The fraction of retries that may go to another zone than the last attempt.
+    /// Ratio of retries in another zone than the previous attempt to retries in the same zone.
     pub cross_zone_retry_ratio: f64,
-    /// This dispatcher is cut off itself: low work is rejected rather than sent to engines that cannot answer.
+    /// Whether this dispatcher is itself cut off from the engines. Low work is then rejected instead of being sent to
+    /// engines that cannot answer.
     pub isolated: bool,
 }
 
@@ -28,35 +29,35 @@
 pub struct ZoneLimits {
     /// The zone's name.
     pub name: String,
-    /// The zone's tier by group; the lowest is preferred.
+    /// The zone's tier for each group; the lowest tier is preferred.
     pub tiers: Vec<u8>,
-    /// Threads of low work that may spill over into the zone from elsewhere.
+    /// Limit on the threads of low work that spill over into the zone from other zones.
     pub max_spill_threads: f64,
-    /// The same limit by group.
+    /// Limit on such threads for each group.
     pub max_spill_threads_by_group: Vec<f64>,
 }
 
-/// The plan's capacity that an attempt holds until it ends.
+/// Capacity of the plan that an attempt in flight holds.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Reservation {
     threads: f64,
-    /// The attempt is low work in a zone that is not of the best tier.
+    /// Whether the attempt is low work in a zone that is not of the best tier.
     is_spilled: bool,
 }
 
-/// Burst of the token bucket of cross-zone retries.
+/// Capacity of the token bucket of cross-zone retries.
 const MAX_CROSS_ZONE_TOKENS: f64 = 20.0;
-/// Tokens for cross-zone retries when a plan begins.
+/// Tokens for cross-zone retries at the activation of a plan.
 const INITIAL_CROSS_ZONE_TOKENS: f64 = 2.0;
-/// Fraction of the ratio by which a first attempt refills the bucket. It is small, so that first attempts of a calm time
-/// do not pay for the retries of a storm.
-const FIRST_ATTEMPT_REFILL: f64 = 0.05;
+/// Factor on the cross-zone retry ratio for the refill by a first attempt. It is small so that first attempts under
+/// normal conditions do not accumulate tokens for a retry storm.
+const FIRST_ATTEMPT_REFILL_FACTOR: f64 = 0.05;
 /// Lower bound of the run time of a query (ms).
 const MIN_RUN_TIME_MS: f64 = 1.0;
-/// Burst of the token bucket of thread time, in queries.
+/// Capacity of the token bucket of thread time, as a number of queries.
 const MAX_TOKENS_QUERIES: f64 = 2.0;
 
-/// What a query takes of the plan's capacity.
+/// Capacity of the plan that a query needs.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Demand {
     group: GroupIndex,
@@ -66,7 +67,7 @@
 }
 
 impl Demand {
-    /// The demand of a query that runs on so many threads for `run_time_ms`.
+    /// Returns the demand of a query that runs on `threads` threads for `run_time_ms`.
     pub(crate) fn new(group: GroupIndex, lane: Lane, threads: f64, run_time_ms: f64) -> Self {
         Demand {
             group,
@@ -76,29 +77,30 @@
         }
     }
 
+    /// Returns the thread time that the query needs (ms).
     fn thread_time_ms(&self) -> f64 {
         self.threads * self.run_time_ms
     }
 }
 
-/// An engine as the plan refers to it.
+/// An engine and its zone.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct PlannedEngine {
+pub(crate) struct EngineLocation {
     pub(crate) index: EngineIndex,
     pub(crate) zone: u32,
 }
 
-/// Threads that may be in flight in some place, and those that are.
+/// Limit on the threads in flight on an engine or in a zone, and their current number.
 ///
-/// Where the limit is below one query, as when many dispatchers share it, a token bucket of thread time decides when a
-/// single query may start: over time that keeps to the limit.
+/// If the limit is below one query, as when many dispatchers share it, a token bucket of thread time determines when a
+/// single query may start. On average over time this keeps within the limit.
 #[derive(Debug, Clone, Copy)]
 struct Capacity {
     max_threads: f64,
-    threads: f64,
+    threads_in_flight: f64,
     /// Thread time in the bucket (ms); negative while it is in debt.
     tokens_ms: f64,
-    /// When the bucket was last refilled (ms).
+    /// Time at which the bucket was last refilled (ms).
     refilled_ms: f64,
 }
 
@@ -106,7 +108,7 @@
     fn default() -> Self {
         Capacity {
             max_threads: f64::INFINITY,
-            threads: 0.0,
+            threads_in_flight: 0.0,
             tokens_ms: 0.0,
             refilled_ms: 0.0,
         }
@@ -114,7 +116,7 @@
 }
 
 impl Capacity {
-    /// Sets the limit. The bucket is empty when a limit begins, or opens again.
+    /// Sets the limit. The bucket starts empty if there was no limit before or the limit was zero.
     fn set_limit(&mut self, max_threads: f64, now_ms: f64) {
         if self.max_threads.is_infinite() || self.max_threads <= 0.0 {
             self.tokens_ms = 0.0;
@@ -123,38 +125,38 @@
         self.max_threads = max_threads;
     }
 
-    /// The thread time in the bucket (ms) after a refill at `now_ms`, at the rate of the limit.
+    /// Returns the thread time in the bucket (ms) after a refill up to `now_ms`, at the rate of the limit.
     fn refilled_tokens_ms(&self, demand: &Demand, now_ms: f64) -> f64 {
         let refill_ms = self.max_threads.min(demand.threads) * (now_ms - self.refilled_ms);
         self.tokens_ms + refill_ms
     }
 
     fn admits(&self, demand: &Demand, now_ms: f64) -> bool {
-        if self.threads + demand.threads <= self.max_threads {
+        if self.threads_in_flight + demand.threads <= self.max_threads {
             return true;
         }
         let tokens_ms = self.refilled_tokens_ms(demand, now_ms);
-        let is_idle = self.threads <= 0.0 && self.max_threads > 0.0;
+        let is_idle = self.threads_in_flight <= 0.0 && self.max_threads > 0.0;
         is_idle && tokens_ms >= demand.thread_time_ms()
     }
 
     fn reserve(&mut self, demand: &Demand, now_ms: f64) {
         if self.max_threads.is_finite() {
-            let needed_ms = demand.thread_time_ms();
+            let thread_time_ms = demand.thread_time_ms();
             let tokens_ms = self.refilled_tokens_ms(demand, now_ms);
-            let max_tokens_ms = MAX_TOKENS_QUERIES * needed_ms;
-            self.tokens_ms = (tokens_ms.min(max_tokens_ms) - needed_ms).max(-needed_ms);
+            let max_tokens_ms = MAX_TOKENS_QUERIES * thread_time_ms;
+            self.tokens_ms = (tokens_ms.min(max_tokens_ms) - thread_time_ms).max(-thread_time_ms);
             self.refilled_ms = now_ms;
         }
-        self.threads += demand.threads;
+        self.threads_in_flight += demand.threads;
     }
 
     fn release(&mut self, threads: f64) {
-        self.threads = (self.threads - threads).max(0.0);
+        self.threads_in_flight = (self.threads_in_flight - threads).max(0.0);
     }
 }
 
-/// A zone: its tier for each group, and the capacity for low work from elsewhere, in total and by group.
+/// A zone: its tier for each group, and its capacity for low work from other zones, in total and for each group.
 #[derive(Debug, Clone, Default)]
 struct ZoneState {
     tiers: Vec<u8>,
@@ -175,9 +177,9 @@
     }
 
     fn admits_spill(&self, demand: &Demand, now_ms: f64) -> bool {
-        let of_group = self.spill_by_group.get(demand.group.0);
+        let group_capacity = self.spill_by_group.get(demand.group.0);
         self.spill.admits(demand, now_ms)
-            && of_group.is_none_or(|capacity| capacity.admits(demand, now_ms))
+            && group_capacity.is_none_or(|capacity| capacity.admits(demand, now_ms))
     }
 
     fn reserve_spill(&mut self, demand: &Demand, now_ms: f64) {
@@ -195,7 +197,7 @@
     }
 }
 
-/// The plan in force, and what is in flight against it.
+/// The plan in force, and the threads in flight that count against its limits.
 #[derive(Debug, Default)]
 pub(crate) struct ActiveZonePlan {
     is_active: bool,
@@ -203,12 +205,12 @@
     zones: Vec<ZoneState>,
     engines: Vec<Capacity>,
     cross_zone_retry_ratio: f64,
-    /// Cross-zone retries in the token bucket.
+    /// Tokens in the bucket of cross-zone retries.
     cross_zone_tokens: f64,
 }
 
 impl ActiveZonePlan {
-    /// Applies a plan. What is in flight stays counted.
+    /// Applies a plan. Reservations of attempts in flight are kept.
     pub(crate) fn apply(
         &mut self,
         plan: &ZonePlan,
@@ -233,23 +235,23 @@
         }
     }
 
-    /// Ends the plan. What is in flight stays counted.
+    /// Removes the plan. Reservations of attempts in flight are kept.
     pub(crate) fn deactivate(&mut self) {
         self.is_active = false;
     }
 
-    /// Whether a plan is in force.
+    /// Returns whether a plan is in force.
     pub(crate) fn is_active(&self) -> bool {
         self.is_active
     }
 
-    /// Threads of low work in a zone that spilled over from elsewhere.
+    /// Returns the threads of low work in a zone that spilled over from other zones.
     pub(crate) fn spilled_threads(&self, zone: u32) -> f64 {
         let zone = self.zones.get(zone as usize);
-        zone.map_or(0.0, |zone| zone.spill.threads)
+        zone.map_or(0.0, |zone| zone.spill.threads_in_flight)
     }
 
-    /// The tier of a zone for a group; the lowest is preferred.
+    /// Returns the tier of a zone for a group; the lowest tier is preferred.
     pub(crate) fn tier(&self, zone: u32, group: GroupIndex) -> u8 {
         if !self.is_active {
             return 0;
@@ -259,8 +261,8 @@
         tier.copied().unwrap_or(0)
     }
 
-    /// Whether the plan lets a query go to an engine.
-    pub(crate) fn admits(&self, demand: &Demand, engine: PlannedEngine, now_ms: f64) -> bool {
+    /// Returns whether the plan admits a query to an engine.
+    pub(crate) fn admits(&self, demand: &Demand, engine: EngineLocation, now_ms: f64) -> bool {
         if demand.lane == Lane::Low && self.is_isolated {
             return false;
         }
@@ -275,27 +277,27 @@
         zone.is_none_or(|zone| zone.admits_spill(demand, now_ms))
     }
 
-    /// Whether a query in a zone is low work that spills over: the zone is not of the best tier.
+    /// Returns whether a query in a zone is low work that spills over, because the zone is not of the best tier.
     fn is_spill(&self, demand: &Demand, zone: u32) -> bool {
         demand.lane == Lane::Low && self.tier(zone, demand.group) > 0
     }
 
-    /// Whether the cross-zone retries allow a retry in `zone` after an attempt in `last_zone`.
+    /// Returns whether the budget of cross-zone retries allows a retry in `zone` after an attempt in `last_zone`.
     pub(crate) fn allows_retry(&self, last_zone: Option<u32>, zone: u32) -> bool {
-        let crosses = last_zone.is_some_and(|last_zone| last_zone != zone);
-        !(self.is_active && self.cross_zone_tokens < 1.0 && crosses)
+        let crosses_zones = last_zone.is_some_and(|last_zone| last_zone != zone);
+        !(self.is_active && self.cross_zone_tokens < 1.0 && crosses_zones)
     }
 
-    /// Reserves capacity for an attempt that is about to be sent, after one in `last_zone` if there was one.
+    /// Reserves capacity for a new attempt. `last_zone` is the zone of the query's previous attempt, if any.
     pub(crate) fn reserve(
         &mut self,
         demand: &Demand,
-        engine: PlannedEngine,
+        engine: EngineLocation,
         last_zone: Option<u32>,
         now_ms: f64,
     ) -> Reservation {
         let is_spilled = self.is_spill(demand, engine.zone);
-        self.count_crossing(last_zone, engine.zone);
+        self.update_cross_zone_tokens(last_zone, engine.zone);
         self.engine_mut(engine.index).reserve(demand, now_ms);
         if is_spilled {
             if let Some(zone) = self.zones.get_mut(engine.zone as usize) {
@@ -308,12 +310,12 @@
         }
     }
 
-    /// Releases the reservation of an ended attempt.
+    /// Releases the reservation of an attempt that is no longer in flight.
     pub(crate) fn release(
         &mut self,
         reservation: Reservation,
         group: GroupIndex,
-        engine: PlannedEngine,
+        engine: EngineLocation,
     ) {
         if reservation.threads <= 0.0 {
             return;
@@ -328,15 +330,15 @@
         }
     }
 
-    /// Takes a token for an attempt in another zone than the last one, or refills the bucket for any other attempt.
-    fn count_crossing(&mut self, last_zone: Option<u32>, zone: u32) {
+    /// Takes a token for a retry in another zone than the previous attempt; any other attempt refills the bucket.
+    fn update_cross_zone_tokens(&mut self, last_zone: Option<u32>, zone: u32) {
         let refill = match last_zone {
             Some(last_zone) if last_zone != zone => {
                 self.cross_zone_tokens = (self.cross_zone_tokens - 1.0).max(0.0);
                 return;
             }
             Some(_) => self.cross_zone_retry_ratio,
-            None => FIRST_ATTEMPT_REFILL * self.cross_zone_retry_ratio,
+            None => FIRST_ATTEMPT_REFILL_FACTOR * self.cross_zone_retry_ratio,
         };
         self.cross_zone_tokens = (self.cross_zone_tokens + refill).min(MAX_CROSS_ZONE_TOKENS);
     }
