--- a/src/control/completion.rs
+++ b/src/control/completion.rs
@@ -180,7 +180,8 @@
         }
     }
 
-    /// Records that a load locks the tables of a query on an engine, for [`LOCK_NOTE_INTERVALS`] from now.
+    /// Records that a load locks the tables of a query on an engine. The lock expires [`LOCK_NOTE_INTERVALS`] from now,
+    /// so that it lasts until the next note has had time to arrive.
     fn lock_tables(&mut self, query: QueryIndex, engine: EngineIndex) {
         let lock_ms = LOCK_NOTE_INTERVALS * self.settings.engine_features.note_interval_ms;
         let lock = TableLock {
