--- a/crates/dispatcher/src/engine/abandon.rs
+++ b/crates/dispatcher/src/engine/abandon.rs
@@ -1,4 +1,4 @@
-//! Abandons attempts: takes them off their connections and reports their ends.
+//! Abandons attempts: removes them from their connections and reports their ends.
 
 use super::channel::Channel;
 use super::connection::Abandoned;
@@ -8,8 +8,9 @@
 use std::rc::Rc;
 use tansymux::events::Outcome;
 
-/// The outcome of an attempt that provably never ran and was abandoned as `outcome`. It counts against the engine only
-/// where the engine kept it from being sent: no connection came up in time, or the engine did not read an open one.
+/// Returns the outcome of an attempt that was abandoned as `outcome` and provably never ran. It counts against
+/// the engine only if no connection came up in time, or if the engine did not read from a connection that was
+/// up.
 fn unsent_outcome(outcome: Outcome, is_connection_up: bool) -> Outcome {
     match outcome {
         Outcome::NoConnection => Outcome::NoConnection,
@@ -28,7 +29,8 @@
 }
 
 impl Abandoner {
-    /// An abandoner that reports to `reporter`, and to `silence` what may be lost.
+    /// Creates an abandoner. It reports the ends of attempts to `reporter`, and connections that may be lost to
+    /// `silence`.
     pub fn new(
         clock: Clock,
         max_silence_ms: f64,
@@ -43,7 +45,8 @@
         }
     }
 
-    /// Abandons an attempt and reports its end: as `outcome` if it may have run, else as [`unsent_outcome`].
+    /// Abandons an attempt and reports its end: with `outcome` if the attempt may have run, otherwise with
+    /// [`unsent_outcome`].
     pub fn abandon(&self, channel: &Channel, id: &str, outcome: Outcome) {
         let now_ms = self.clock.now();
         let mut connection = channel.connection.borrow_mut();
@@ -52,7 +55,8 @@
         };
         let was_sent = abandoned.was_sent();
         let Abandoned { attempt, cause } = abandoned;
-        // Silent for longer than the progress interval: the connection may be lost. The next attempt uses another one.
+        // No frame for longer than the progress interval: the connection may be lost, and later attempts use
+        // another one.
         let is_up = connection.is_up();
         let silent_ms = connection.silence_ms(now_ms, attempt.sent_ms);
         let may_be_lost = was_sent && silent_ms > self.max_silence_ms;
@@ -78,7 +82,7 @@
         self.reporter.report_lost(channel, &attempt, outcome, cause);
     }
 
-    /// Withdraws the attempts of whose requests no byte was written.
+    /// Withdraws the attempts whose requests have no byte written.
     pub fn withdraw_unstarted(&self, channel: &Channel) {
         let unstarted: Vec<Rc<str>> = channel.connection.borrow().unstarted_requests().collect();
         for id in &unstarted {
@@ -86,7 +90,7 @@
         }
     }
 
-    /// Abandons the attempts that are past their start limit and of whose requests no byte was written.
+    /// Abandons the attempts that are past their start limit and whose requests have no byte written.
     pub fn abandon_too_late(&self, channel: &Channel) {
         let now_ms = self.clock.now();
         let connection = channel.connection.borrow();
@@ -97,7 +101,7 @@
         }
     }
 
-    /// Abandons the attempts that are past their deadline, or past their start limit and not started.
+    /// Abandons the attempts that are past their deadline, or past their start limit without a byte written.
     pub fn abandon_expired(&self, channel: &Channel, now_ms: f64) {
         let expired = channel.connection.borrow().expired_attempts(now_ms);
         for id in &expired {
--- a/crates/dispatcher/src/engine/begin.rs
+++ b/crates/dispatcher/src/engine/begin.rs
@@ -1,4 +1,4 @@
-//! The single place that every attempt passes before the first byte of its request is written.
+//! Obtains the guard's permit for a request before its first byte is written. Every attempt passes [`RequestGate`].
 
 use super::abandon::Abandoner;
 use super::channel::Channel;
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use tansymux::events::Outcome;
 
-/// Asks the guard for permits to begin requests.
+/// Requests permits from the guard to begin writing requests.
 pub(super) struct RequestGate {
     registry: Rc<QueryRegistry>,
     clock: Clock,
@@ -17,7 +17,7 @@
 }
 
 impl RequestGate {
-    /// A gate for the connections in `engines`.
+    /// Creates a gate for the connections in `engines`.
     pub fn new(
         registry: Rc<QueryRegistry>,
         clock: Clock,
@@ -32,9 +32,9 @@
         }
     }
 
-    /// Releases the connection's next request if the guard permits it, and withdraws those that the guard refuses. One
-    /// request is released per write: the next one needs its own permit, once the socket has taken the bytes before it.
-    /// Returns the attempt whose request was released.
+    /// Releases the connection's next request that the guard permits, and withdraws the requests that it
+    /// refuses. Only one request is released per write, because the next request needs its own permit after the
+    /// socket has accepted the bytes before it. Returns the attempt whose request was released.
     pub fn begin_next(&self, channel: &Channel) -> Option<AttemptKey> {
         loop {
             let now_ms = self.clock.now();
--- a/crates/dispatcher/src/engine/close.rs
+++ b/crates/dispatcher/src/engine/close.rs
@@ -1,4 +1,4 @@
-//! Handles the end of a connection: reports the attempts and health checks that are lost with it.
+//! Handles closed connections: reports the attempts and health checks that are lost with them.
 
 use super::channel::error::ChannelError;
 use super::channel::Channel;
@@ -13,24 +13,24 @@
 use std::rc::Rc;
 use tansymux::events::Outcome;
 
-/// The consequences of a connection's end for its attempts in flight.
-struct Loss {
+/// Outcomes and end causes of the attempts and health checks that are lost with a connection.
+struct LossOutcomes {
     was_up: bool,
-    /// The outcome of the next attempt that may have run.
-    next_outcome: Outcome,
-    /// The outcome of attempts that cannot have run.
+    /// Outcome of the next attempt that may have run.
+    next_sent_outcome: Outcome,
+    /// Outcome of the attempts that cannot have run.
     unsent_outcome: Outcome,
-    /// What ends attempts whose requests were written.
-    cause: EndCause,
+    /// End cause of the attempts whose requests were written completely.
+    sent_cause: EndCause,
 }
 
-impl Loss {
+impl LossOutcomes {
     fn new(was_up: bool, error: Option<&ChannelError>) -> Self {
         let is_local_fault = error.is_some_and(ChannelError::is_local_fault);
-        Loss {
+        LossOutcomes {
             was_up,
-            cause: end_cause(was_up, error),
-            next_outcome: Outcome::Reset,
+            sent_cause: sent_cause(was_up, error),
+            next_sent_outcome: Outcome::Reset,
             unsent_outcome: if is_local_fault {
                 Outcome::Withdrawn
             } else {
@@ -39,28 +39,28 @@
         }
     }
 
-    /// The outcome of the next attempt. Only the first one that may have run counts against the engine: a lost
-    /// connection is one failure, however many attempts were in flight.
+    /// Returns the outcome of the next attempt. Only the first attempt that may have run counts against the engine,
+    /// because a lost connection is a single failure, regardless of the number of attempts in flight.
     fn outcome(&mut self, was_sent: bool) -> Outcome {
         if self.was_up && was_sent {
-            std::mem::replace(&mut self.next_outcome, Outcome::Cancelled)
+            std::mem::replace(&mut self.next_sent_outcome, Outcome::Cancelled)
         } else {
             self.unsent_outcome
         }
     }
 
-    /// What ends an attempt, by how much of its request was written.
-    fn cause(&self, written: RequestState) -> EndCause {
-        match written {
-            RequestState::Written => self.cause,
+    /// Returns the end cause of an attempt whose request has this write state.
+    fn end_cause(&self, request_state: RequestState) -> EndCause {
+        match request_state {
+            RequestState::Written => self.sent_cause,
             RequestState::PartlyWritten => EndCause::HalfWritten,
             RequestState::NotStarted if self.was_up => EndCause::NotBegun,
             RequestState::NotStarted => EndCause::NotConnected,
         }
     }
 
-    /// The outcome of health checks.
-    fn health_outcome(&self) -> Outcome {
+    /// Returns the outcome of the health checks in flight.
+    fn health_check_outcome(&self) -> Outcome {
         if self.was_up {
             Outcome::Reset
         } else {
@@ -69,8 +69,8 @@
     }
 }
 
-/// What the end of a connection is for attempts whose requests were written.
-fn end_cause(was_up: bool, error: Option<&ChannelError>) -> EndCause {
+/// Returns the end cause of attempts whose requests were written completely.
+fn sent_cause(was_up: bool, error: Option<&ChannelError>) -> EndCause {
     match error {
         _ if !was_up => EndCause::NotConnected,
         None => EndCause::EndOfStream,
@@ -80,7 +80,7 @@
     }
 }
 
-/// Handles the ends of connections.
+/// Handles closed connections.
 pub(super) struct Closer {
     registry: Rc<QueryRegistry>,
     clock: Clock,
@@ -89,7 +89,8 @@
 }
 
 impl Closer {
-    /// A closer that reports to `reporter`, and to `reuses` what was lost after idling.
+    /// Creates a closer. It reports lost attempts and health checks to `reporter`, and connections lost on their reuse
+    /// after idling to `reuses`.
     pub fn new(
         registry: Rc<QueryRegistry>,
         clock: Clock,
@@ -104,49 +105,49 @@
         }
     }
 
-    /// Reports the attempts lost with a connection: one whose request was written completely may have run, any other
-    /// cannot have.
+    /// Records the close of a connection and reports the attempts lost with it. An attempt whose request was
+    /// written completely may have run; any other attempt cannot have run.
     pub fn close(&self, channel: &Channel, error: Option<&ChannelError>) {
         let now_ms = self.clock.now();
         let mut connection = channel.connection.borrow_mut();
         let ClosedConnection {
             was_up,
             attempts,
-            ending,
+            unwritten_last_commands,
             health_checks,
         } = connection.on_closed();
-        self.note_close(channel, &connection, error, attempts.len());
-        let mut loss = Loss::new(was_up, error);
+        self.record_close(channel, &connection, error, attempts.len());
+        let mut outcomes = LossOutcomes::new(was_up, error);
         let is_closed_locally = error.is_some_and(ChannelError::is_closed_locally);
         let may_be_lost_reuse = was_up && !is_closed_locally && !attempts.is_empty();
         if may_be_lost_reuse && self.is_lost_reuse(&connection, now_ms) {
-            loss.next_outcome = Outcome::Cancelled;
+            outcomes.next_sent_outcome = Outcome::Cancelled;
         }
         for (id, attempt) in attempts {
-            let written = connection.request_state(&id);
-            let outcome = loss.outcome(written == RequestState::Written);
-            let cause = loss.cause(written);
+            let request_state = connection.request_state(&id);
+            let outcome = outcomes.outcome(request_state == RequestState::Written);
+            let cause = outcomes.end_cause(request_state);
             self.reporter.report_lost(channel, &attempt, outcome, cause);
         }
-        for attempt in ending {
+        for attempt in unwritten_last_commands {
             self.reporter.on_last_command(attempt);
         }
-        // A health check that could not leave this machine is no evidence about the engine.
+        // After a local fault the health checks did not leave this machine and say nothing about the engine.
         if !error.is_some_and(ChannelError::is_local_fault) {
-            let outcome = loss.health_outcome();
+            let outcome = outcomes.health_check_outcome();
             self.reporter
                 .report_failed_checks(channel, outcome, health_checks);
         }
     }
 
-    /// Whether the connection ended as soon as it was reused after idling.
+    /// Returns whether the connection was lost on its reuse after idling, and records this loss.
     fn is_lost_reuse(&self, connection: &Connection, now_ms: f64) -> bool {
         let reuse = connection.idle_reuse();
         reuse.is_some_and(|reuse| self.reuses.record_if_lost(now_ms, reuse))
     }
 
-    /// Counts and logs the end of a connection.
-    fn note_close(
+    /// Counts and logs the close of a connection.
+    fn record_close(
         &self,
         channel: &Channel,
         connection: &Connection,
--- a/crates/dispatcher/src/engine/connection.rs
+++ b/crates/dispatcher/src/engine/connection.rs
@@ -1,5 +1,5 @@
-//! State machine of one connection to an engine: its attempts, its health checks and its outbox. No I/O and no clock:
-//! the connection's task transfers the bytes, and times are passed in.
+//! State machine of one connection to an engine: its attempts, its health checks and its outbox. It performs no
+//! I/O and reads no clock: the connection's task transfers the bytes, and callers pass in the time.
 
 mod attempt;
 mod deadlines;
@@ -13,7 +13,7 @@
 pub use receive::FrameEvent;
 pub use state::{Abandoned, CloseReason, ConnectionState, HealthCheck, IdleReuse, Suitability};
 
-use state::EndingAttempt;
+use state::UnwrittenLastCommand;
 pub use transitions::ClosedConnection;
 
 use super::protocol::{Command, RequestFields};
@@ -29,7 +29,7 @@
 use std::io::IoSlice;
 use std::rc::Rc;
 
-/// A connection with an outbox of this size (bytes) or more accepts no attempt: a bound on memory.
+/// Outbox size (bytes) from which a connection accepts no more attempts; bounds its memory.
 const MAX_OUTBOX_BYTES: usize = 4 << 20;
 
 /// A connection to an engine. Times are milliseconds of the program's clock.
@@ -37,40 +37,40 @@
 pub struct Connection {
     /// Life-cycle state.
     state: ConnectionState,
-    /// When the last frame arrived; minus infinity if none has.
+    /// Arrival time of the last frame; minus infinity if no frame has arrived.
     last_frame_ms: f64,
-    /// When it was last used, or came up.
+    /// Time of the last activity: the connect, an attempt's submission or end, or a health check's submission.
     last_used_ms: f64,
-    /// Whether it was never used.
+    /// Whether the connection has not carried any attempt or health check.
     unused: bool,
     /// The last reuse after idling; cleared by the first frame that arrives.
     idle_reuse: Option<IdleReuse>,
-    /// Since when (ms) a frame has been incomplete.
+    /// Arrival time of the last bytes if they end within a frame.
     partial_frame_since_ms: Option<f64>,
-    /// When to check the engine over another connection if this one, reused after idling, is still silent; otherwise
-    /// infinity.
-    check_at_ms: f64,
-    /// Set when the connection is to close immediately, even with attempts in flight.
+    /// Time to check over another connection whether the engine is reachable, if this connection is still silent after
+    /// its reuse. Infinity if no check is scheduled.
+    reachability_check_at_ms: f64,
+    /// Reason to close the connection immediately, even with attempts in flight.
     close_reason: Option<CloseReason>,
-    /// Whether it accepts nothing new and closes when nothing is in flight.
+    /// Whether the connection accepts no new attempts and closes once nothing is in flight.
     retired: bool,
-    /// Attempts in flight, by the ids of their queries. A connection carries at most one attempt of a query
-    /// ([`ChannelRequest::used_connections`](super::channel_request::ChannelRequest)): a reply with its id is about it, or comes
-    /// too late.
+    /// Attempts in flight, by query id. A connection carries at most one attempt of a query
+    /// ([`ChannelRequest::used_connections`](super::channel_request::ChannelRequest)), so that a reply with a
+    /// query's id belongs to this attempt or arrives after its end.
     attempts: FxHashMap<Rc<str>, Attempt>,
     /// Health checks in flight.
     health_checks: Vec<HealthCheck>,
-    /// The engine's replies without effect.
+    /// Measures the engine's ignored replies.
     flood_meter: FloodMeter,
     outbox: Outbox,
-    /// Attempts that have ended here and whose last commands are not written, in the order of these commands.
-    ending: VecDeque<EndingAttempt>,
-    /// Attempts whose last commands were written since [`Connection::take_ended`].
-    ended: Vec<AttemptId>,
+    /// Last commands in the outbox, in the order of writing.
+    unwritten_last_commands: VecDeque<UnwrittenLastCommand>,
+    /// Attempts whose last commands were written since the last call of [`Connection::take_ended`].
+    written_last_commands: Vec<AttemptId>,
 }
 
 impl Connection {
-    /// A connection that has not started to connect.
+    /// Creates a connection that has not started to connect.
     pub fn new(now_ms: f64) -> Self {
         Connection {
             state: ConnectionState::Connecting,
@@ -79,15 +79,15 @@
             unused: true,
             idle_reuse: None,
             partial_frame_since_ms: None,
-            check_at_ms: f64::INFINITY,
+            reachability_check_at_ms: f64::INFINITY,
             close_reason: None,
             retired: false,
             attempts: FxHashMap::default(),
             health_checks: Vec::new(),
             flood_meter: FloodMeter::default(),
             outbox: Outbox::default(),
-            ending: VecDeque::new(),
-            ended: Vec::new(),
+            unwritten_last_commands: VecDeque::new(),
+            written_last_commands: Vec::new(),
         }
     }
 
@@ -103,27 +103,27 @@
         self.state == ConnectionState::Up
     }
 
-    /// Whether it accepts nothing new and closes when nothing is in flight.
+    /// Whether the connection accepts no new attempts and closes once nothing is in flight.
     pub fn is_retired(&self) -> bool {
         self.retired
     }
 
-    /// The reason for which the connection is to close immediately, if there is one.
+    /// Reason to close the connection immediately; `None` if it may stay open.
     pub fn close_reason(&self) -> Option<CloseReason> {
         self.close_reason
     }
 
-    /// Whether it was never used.
+    /// Whether the connection has not carried any attempt or health check.
     pub fn is_unused(&self) -> bool {
         self.unused
     }
 
-    /// When it was last used, or came up (ms).
+    /// Time of the last activity (ms): the connect, an attempt's submission or end, or a health check's submission.
     pub fn last_used_ms(&self) -> f64 {
         self.last_used_ms
     }
 
-    /// The attempt in flight for the query with this id.
+    /// Attempt in flight for the query with this id.
     pub fn attempt(&self, id: &str) -> Option<&Attempt> {
         self.attempts.get(id)
     }
@@ -140,7 +140,8 @@
         self.attempts.len() + self.health_checks.len()
     }
 
-    /// Start of the current idle time (ms); minus infinity if it is not up, is retired or has something in flight.
+    /// Start of the current idle time (ms); minus infinity if the connection is not up, is retired or has an
+    /// attempt or health check in flight.
     pub fn idle_since_ms(&self) -> f64 {
         if self.in_flight() == 0 && !self.retired && self.is_up() {
             self.last_used_ms
@@ -149,27 +150,28 @@
         }
     }
 
-    /// Its suitability for another attempt, if idle times below `trusted_idle_ms` are trusted.
+    /// Suitability of the connection for another attempt. Idle times below `trusted_idle_ms` are trusted.
     pub fn suitability(&self, now_ms: f64, trusted_idle_ms: f64) -> Suitability {
         if self.in_flight() > 0 {
             Suitability::Shared
         } else if self.unused {
             Suitability::Fresh
         } else if now_ms - self.last_used_ms < trusted_idle_ms {
-            Suitability::Proven
+            Suitability::RecentlyUsed
         } else {
             Suitability::Stale
         }
     }
 
-    /// Whether it accepts an attempt with this id; `max_streams` limits what is in flight.
+    /// Whether the connection accepts an attempt of the query with this id. `max_streams` is the maximum number of
+    /// attempts and health checks in flight.
     pub fn accepts(&self, id: &str, max_streams: usize) -> bool {
-        let open = matches!(
+        let is_open = matches!(
             self.state,
             ConnectionState::Connecting | ConnectionState::Up
         ) && !self.retired;
-        let has_room = self.in_flight() < max_streams && self.outbox.bytes() < MAX_OUTBOX_BYTES;
-        open && has_room && !self.attempts.contains_key(id)
+        let has_capacity = self.in_flight() < max_streams && self.outbox.bytes() < MAX_OUTBOX_BYTES;
+        is_open && has_capacity && !self.attempts.contains_key(id)
     }
 
     // ---- Messages to the engine ----
@@ -215,8 +217,9 @@
         }
     }
 
-    /// Abandons an attempt; `None` if it is not in flight here. An unwritten request is withdrawn, a partly written
-    /// one closes the connection, and for a written one the engine is told.
+    /// Abandons an attempt; returns `None` if it is not in flight on this connection. An unstarted request is
+    /// withdrawn, a partly written one closes the connection, and a written one is followed by a command that
+    /// aborts the attempt or releases its result.
     pub fn abandon(&mut self, id: &str, now_ms: f64) -> Option<Abandoned> {
         let attempt = self.attempts.remove(id)?;
         self.last_used_ms = now_ms;
@@ -227,7 +230,7 @@
                 EndCause::HalfWritten
             }
             RequestState::Written => {
-                // An engine that has sent a first page has ended the attempt, and holds its result.
+                // An engine that has sent the first page has completed the attempt and retains the result.
                 let command = if attempt.page_count() > 0 {
                     Command::ReleaseResult { id }
                 } else {
@@ -240,24 +243,24 @@
         Some(Abandoned { attempt, cause })
     }
 
-    /// The attempts of whose requests no byte was written.
+    /// Query ids of the attempts whose requests have no byte written.
     pub fn unstarted_requests(&self) -> impl Iterator<Item = Rc<str>> + '_ {
         self.outbox.unstarted_requests()
     }
 
-    /// The attempt whose request is next to be written and needs a permit.
+    /// Returns the attempt whose request is written next and needs a permit, with its query id.
     pub fn next_to_begin(&mut self) -> Option<(Rc<str>, &Attempt)> {
         let id = self.outbox.next_to_begin()?;
         let attempt = self.attempts.get(&id)?;
         Some((id, attempt))
     }
 
-    /// Whether `count` more written bytes reach the request that is next to be written.
+    /// Whether a write of `count` bytes includes the first byte of the next request.
     pub fn reaches_next_request(&self, count: usize) -> bool {
         count > self.outbox.bytes_before_next_request()
     }
 
-    /// Releases an attempt's request for writing.
+    /// Releases an attempt's request for writing, with the time limit of its permit.
     pub fn begin(&mut self, id: &str, permit: &BeginPermit) {
         self.outbox.begin(id, permit);
     }
@@ -267,12 +270,12 @@
         self.outbox.request_state(id) == RequestState::Written
     }
 
-    /// How much of an attempt's request was written.
+    /// Write state of an attempt's request.
     pub fn request_state(&self, id: &str) -> RequestState {
         self.outbox.request_state(id)
     }
 
-    /// Whether the outbox holds anything.
+    /// Whether the outbox holds any message.
     pub fn has_unwritten(&self) -> bool {
         !self.outbox.is_empty()
     }
@@ -284,24 +287,28 @@
 
     /// Records that `count` more bytes were written.
     pub fn advance(&mut self, count: usize) {
-        let last_commands = self.outbox.advance(count);
-        let ended = self.ending.drain(..last_commands.min(self.ending.len()));
-        self.ended.extend(ended.map(|ending| ending.attempt));
+        let completed_count = self.outbox.advance(count);
+        let completed = self
+            .unwritten_last_commands
+            .drain(..completed_count.min(self.unwritten_last_commands.len()));
+        self.written_last_commands
+            .extend(completed.map(|command| command.attempt));
     }
 
     /// Takes the attempts whose last commands were written since the previous call.
     pub fn take_ended(&mut self) -> Vec<AttemptId> {
-        std::mem::take(&mut self.ended)
+        std::mem::take(&mut self.written_last_commands)
     }
 
-    /// Queues the last command about an attempt, in place of those that were not written.
+    /// Queues the last command about an attempt. It replaces the attempt's commands that have no byte written.
     fn push_last_command(&mut self, command: &Command, attempt: AttemptId, now_ms: f64) {
         self.outbox.discard_commands_about(attempt);
         self.outbox.push_last_command(command);
-        self.ending.push_back(EndingAttempt {
-            attempt,
-            queued_ms: now_ms,
-        });
+        self.unwritten_last_commands
+            .push_back(UnwrittenLastCommand {
+                attempt,
+                queued_ms: now_ms,
+            });
     }
 }
 
--- a/crates/dispatcher/src/engine/connection/attempt.rs
+++ b/crates/dispatcher/src/engine/connection/attempt.rs
@@ -19,37 +19,38 @@
     pub query_id: u64,
     /// The attempt's number within the query, from 0.
     pub number: usize,
-    /// When it was queued on the connection.
+    /// Time at which the attempt was queued on the connection.
     pub sent_ms: f64,
-    /// When it is abandoned.
+    /// Time at which the attempt is abandoned.
     pub deadline_ms: f64,
-    /// Its request is withdrawn if no byte of it was written by then.
+    /// Start limit: the request is withdrawn if it has no byte written by this time.
     pub start_by_ms: f64,
-    /// Whether the engine has reported that some of its work is done.
+    /// Whether a progress note has reported that part of the work is done.
     has_progress: bool,
-    /// Pages by number; empty until the first page arrives, which announces their count.
+    /// Pages by number; empty until the first page arrives, because that page announces their count.
     pages: Vec<Option<Vec<u8>>>,
+    /// Number of pages that have not arrived.
     missing_pages: usize,
 }
 
-/// The effect of a page on its result.
+/// State of a result after the arrival of a page.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ResultProgress {
-    /// The first page arrived, and others are missing.
+    /// The first page has arrived, and other pages are missing.
     Begun {
-        /// The number of pages of the result.
+        /// Number of pages of the result.
         page_count: usize,
     },
     /// Pages are still missing.
     Incomplete,
-    /// The page arrived before; that copy is kept.
+    /// The page had already arrived; its first copy is kept.
     Duplicate,
     /// No page is missing.
     Complete,
 }
 
 impl Attempt {
-    /// An attempt that is queued on a connection at `sent_ms`.
+    /// Creates an attempt that is queued on a connection at `sent_ms`.
     pub fn new(query_id: u64, number: usize, sent_ms: f64, limits: AttemptLimits) -> Self {
         Attempt {
             query_id,
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Its identifier.
+    /// Identifier of the attempt.
     pub fn id(&self) -> AttemptId {
         AttemptId {
             query_id: self.query_id,
@@ -71,7 +72,7 @@
         }
     }
 
-    /// When this attempt next expires, by its deadline or its start limit.
+    /// Time of the attempt's next expiry (ms): its deadline, or its start limit if that is earlier and not yet past.
     pub fn next_deadline_ms(&self, now_ms: f64) -> f64 {
         if self.start_by_ms > now_ms {
             self.deadline_ms.min(self.start_by_ms)
@@ -86,12 +87,12 @@
         self.has_progress |= note.is_some_and(is_progress);
     }
 
-    /// Whether the engine has reported that some of its work is done.
+    /// Whether a progress note has reported that part of the work is done.
     pub fn has_progress(&self) -> bool {
         self.has_progress
     }
 
-    /// Number of pages of the result; 0 before the first one arrived.
+    /// Number of pages of the result; 0 until the first page has arrived.
     pub fn page_count(&self) -> usize {
         self.pages.len()
     }
--- a/crates/dispatcher/src/engine/connection/deadlines.rs
+++ b/crates/dispatcher/src/engine/connection/deadlines.rs
@@ -3,30 +3,30 @@
 use super::{Attempt, CloseReason, Connection};
 use std::rc::Rc;
 
-/// An incomplete frame that receives no byte for this long (ms) counts as truncated. Twice the operators' connect
-/// timeout.
-const FRAME_STALL_MS: f64 = 500.0;
+/// Time (ms) without a received byte after which an incomplete frame counts as truncated. Twice the connect
+/// timeout that operators configure.
+const PARTIAL_FRAME_TIMEOUT_MS: f64 = 500.0;
 
-/// A retired connection unused for this long (ms) is closed without writing its outbox: its engine does not read. Twice
-/// the operators' connect timeout.
-const LAST_WRITE_MS: f64 = 500.0;
+/// Time (ms) for which a retired connection with nothing in flight waits for its engine to read the outbox. After this
+/// time the outbox is discarded and the connection closes. Twice the connect timeout that operators configure.
+const RETIRED_FLUSH_TIMEOUT_MS: f64 = 500.0;
 
-/// An engine that has not read the last command about an attempt for this long (ms) is not waited for: the connection takes
-/// no other attempt, and closes as soon as none is in flight, which gives the attempt up as well. The operators' connect
-/// timeout.
+/// Time (ms) that an engine has to read the last command about an attempt. After this time the connection accepts no
+/// attempts and closes as soon as none is in flight; the close makes the engine end the attempt. Equal to the connect
+/// timeout that operators configure.
 const LAST_COMMAND_TIMEOUT_MS: f64 = 250.0;
 
 /// Health checks that timed out.
 #[derive(Debug, Clone, Copy)]
 pub struct ExpiredHealthChecks {
-    /// How many.
+    /// Number of health checks that timed out.
     pub count: usize,
-    /// Whether no frame has arrived on the connection since one of them was queued.
+    /// Whether no frame has arrived on the connection since at least one of these checks was queued.
     pub connection_silent: bool,
 }
 
 impl Connection {
-    /// The attempts that may no longer start and of whose requests no byte was written.
+    /// Query ids of the attempts that are past their start limit and whose requests have no byte written.
     pub fn too_late_to_begin(&self, now_ms: f64) -> impl Iterator<Item = Rc<str>> + '_ {
         let too_late = move |id: &Rc<str>| {
             let attempt = self.attempts.get(id);
@@ -35,7 +35,7 @@
         self.unstarted_requests().filter(too_late)
     }
 
-    /// The attempts that are past their deadline, or past their start limit and not started.
+    /// Query ids of the attempts that are past their deadline, or past their start limit without a byte written.
     pub fn expired_attempts(&self, now_ms: f64) -> Vec<Rc<str>> {
         let mut expired = Vec::new();
         for (id, attempt) in &self.attempts {
@@ -47,7 +47,7 @@
         expired
     }
 
-    /// Moves all later deadlines of attempts forward to `deadline_ms`.
+    /// Lowers the deadlines of all attempts to at most `deadline_ms`.
     pub fn limit_deadlines(&mut self, deadline_ms: f64) {
         for attempt in self.attempts.values_mut() {
             attempt.deadline_ms = attempt.deadline_ms.min(deadline_ms);
@@ -70,14 +70,14 @@
         }
     }
 
-    /// Whether an incomplete frame has stalled. True once per frame.
+    /// Returns whether an incomplete frame has timed out; true once per frame.
     pub fn take_stalled_frame(&mut self, now_ms: f64) -> bool {
-        let stalled = |since_ms: &mut f64| now_ms - *since_ms >= FRAME_STALL_MS;
-        self.partial_frame_since_ms.take_if(stalled).is_some()
+        let timed_out = |since_ms: &mut f64| now_ms - *since_ms >= PARTIAL_FRAME_TIMEOUT_MS;
+        self.partial_frame_since_ms.take_if(timed_out).is_some()
     }
 
-    /// Closes the connection if the engine does not read the last command about an attempt and nothing else is in flight;
-    /// retires it until then.
+    /// Handles an engine that has not read the last command about an attempt in time: retires the connection,
+    /// and closes it once nothing is in flight.
     pub fn expire_last_command(&mut self, now_ms: f64) {
         if self.last_command_due_ms() > now_ms {
             return;
@@ -88,33 +88,35 @@
         }
     }
 
-    /// When the engine must have read the last command about an attempt (ms); infinity if none is unwritten, or if the
-    /// connection closes, or is retired and waits for its attempts in flight.
+    /// Time by which the engine must have read the oldest unwritten last command (ms). Infinity if there is no such
+    /// command, if the connection is about to close, or if it is retired and has attempts or health checks in flight.
     fn last_command_due_ms(&self) -> f64 {
-        let is_waiting = self.close_reason.is_some() || self.retired && self.in_flight() > 0;
-        match self.ending.front() {
-            Some(ending) if !is_waiting => ending.queued_ms + LAST_COMMAND_TIMEOUT_MS,
+        let is_already_closing =
+            self.close_reason.is_some() || self.retired && self.in_flight() > 0;
+        match self.unwritten_last_commands.front() {
+            Some(command) if !is_already_closing => command.queued_ms + LAST_COMMAND_TIMEOUT_MS,
             _ => f64::INFINITY,
         }
     }
 
-    /// Whether it is time to check the engine over another connection. True once per reuse.
+    /// Returns whether the scheduled reachability check is due and the connection is still silent; true at most
+    /// once per scheduled check.
     pub fn take_due_reachability_check(&mut self, now_ms: f64) -> bool {
-        if self.check_at_ms > now_ms {
+        if self.reachability_check_at_ms > now_ms {
             return false;
         }
-        self.check_at_ms = f64::INFINITY;
+        self.reachability_check_at_ms = f64::INFINITY;
         self.is_reused_in_silence()
     }
 
-    /// Retires a connection that has idled for longer than `max_idle_ms`. Returns whether it is retired, by this call or
-    /// before.
+    /// Retires the connection if it has idled for longer than `max_idle_ms`. Returns whether it is retired, by
+    /// this call or an earlier one.
     pub fn retire_if_idle(&mut self, now_ms: f64, max_idle_ms: f64) -> bool {
         let is_idle = self.is_up() && self.in_flight() == 0;
         let unused_ms = now_ms - self.last_used_ms;
         self.retired |= is_idle && unused_ms > max_idle_ms;
-        // The abort of its last attempt is still written, if the engine reads it.
-        if self.retired && self.in_flight() == 0 && unused_ms >= LAST_WRITE_MS {
+        // Until this timeout the last attempt's abort is still written if the engine reads it.
+        if self.retired && self.in_flight() == 0 && unused_ms >= RETIRED_FLUSH_TIMEOUT_MS {
             self.outbox.clear();
         }
         self.retired
@@ -125,7 +127,7 @@
         self.partial_frame_since_ms = is_partial.then_some(now_ms);
     }
 
-    /// When something expires next (ms); infinity if nothing does.
+    /// Time of the next expiry on this connection (ms); infinity if there is none.
     pub fn next_deadline_ms(&self, now_ms: f64) -> f64 {
         let attempts = self
             .attempts
@@ -134,11 +136,11 @@
         let health_checks = self.health_checks.iter().map(|check| check.deadline_ms);
         let frame = self
             .partial_frame_since_ms
-            .map(|since_ms| since_ms + FRAME_STALL_MS);
+            .map(|since_ms| since_ms + PARTIAL_FRAME_TIMEOUT_MS);
         attempts
             .chain(health_checks)
             .chain(frame)
             .chain([self.last_command_due_ms()])
-            .fold(self.check_at_ms, f64::min)
+            .fold(self.reachability_check_at_ms, f64::min)
     }
 }
--- a/crates/dispatcher/src/engine/connection/flood_meter.rs
+++ b/crates/dispatcher/src/engine/connection/flood_meter.rs
@@ -1,17 +1,17 @@
-//! Measures replies without effect on one connection, and detects a flood of them.
+//! Measures the rate of ignored replies on one connection, and detects a flood of them.
 
-/// Span over which replies are counted (ms).
-const SPAN_MS: f64 = 1000.0;
-/// Replies without effect in a span above which an engine floods. Far above what repeated replies and answers that cross an
-/// abort add up to at the rate of one connection.
+/// Length of a measurement window (ms).
+const WINDOW_MS: f64 = 1000.0;
+/// Maximum number of ignored replies per window; more are a flood. Far above the number of duplicate replies
+/// and replies that cross an abort at the rate of one connection.
 const MAX_REPLIES: u64 = 2000;
-/// Size of these replies (bytes) above which an engine floods.
+/// Maximum total size (bytes) of the ignored replies per window; more are a flood.
 const MAX_BYTES: usize = 8 << 20;
 
-/// Counts the replies of the current span.
+/// Counts the ignored replies of the current window.
 #[derive(Debug)]
 pub(super) struct FloodMeter {
-    since_ms: f64,
+    window_start_ms: f64,
     replies: u64,
     bytes: usize,
 }
@@ -19,7 +19,7 @@
 impl Default for FloodMeter {
     fn default() -> Self {
         FloodMeter {
-            since_ms: f64::NEG_INFINITY,
+            window_start_ms: f64::NEG_INFINITY,
             replies: 0,
             bytes: 0,
         }
@@ -27,11 +27,11 @@
 }
 
 impl FloodMeter {
-    /// Counts a reply without effect. Returns whether there are too many of them.
-    pub fn is_flooded_by(&mut self, bytes: usize, now_ms: f64) -> bool {
-        if now_ms - self.since_ms >= SPAN_MS {
+    /// Counts an ignored reply of `bytes` bytes. Returns whether the window exceeds a limit.
+    pub fn record_ignored_reply(&mut self, bytes: usize, now_ms: f64) -> bool {
+        if now_ms - self.window_start_ms >= WINDOW_MS {
             *self = FloodMeter {
-                since_ms: now_ms,
+                window_start_ms: now_ms,
                 ..FloodMeter::default()
             };
         }
--- a/crates/dispatcher/src/engine/connection/outbox.rs
+++ b/crates/dispatcher/src/engine/connection/outbox.rs
@@ -1,5 +1,5 @@
-//! The queue of messages to write on one connection. A request is written only with a permit of the guard, which
-//! contains its time limit.
+//! Queue of the messages to write on one connection. A request is written only with a permit of the guard; the permit
+//! carries the attempt's time limit.
 
 use crate::engine::protocol::{Command, RequestFields};
 use crate::guard::BeginPermit;
@@ -17,7 +17,7 @@
     id: Rc<str>,
     fields: RequestFields,
     statement: Rc<[u8]>,
-    /// Encoded with the remaining time once the request may begin; empty before.
+    /// Encoded with the remaining time once the request has a permit; empty until then.
     head: Vec<u8>,
 }
 
@@ -53,12 +53,12 @@
         }
     }
 
-    /// Whether it is a command about an attempt in flight.
+    /// Whether the message is a command about this attempt in flight.
     fn is_command_about(&self, attempt: AttemptId) -> bool {
         matches!(self, Message::Command(about, _) if *about == attempt)
     }
 
-    /// The bytes to write; empty for a request that may not begin yet.
+    /// Bytes to write; empty for a request without a permit.
     fn slices(&self) -> [&[u8]; 3] {
         match self {
             Message::HealthCheck(bytes)
@@ -79,7 +79,7 @@
         self.request().is_some_and(|request| !request.has_permit())
     }
 
-    /// The message's size in the bound on memory (bytes).
+    /// Size (bytes) that the message counts in the bound on memory.
     fn held_bytes(&self) -> usize {
         match self {
             Message::HealthCheck(bytes)
@@ -94,12 +94,12 @@
     }
 }
 
-/// How much of a request was written.
+/// Write state of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestState {
     /// No byte was written.
     NotStarted,
-    /// Some bytes were written: without the rest the connection cannot be used any more.
+    /// Some bytes were written: the connection is unusable unless the rest is written.
     PartlyWritten,
     /// All bytes were written: the engine may have received them.
     Written,
@@ -109,10 +109,10 @@
 #[derive(Debug, Default)]
 pub struct Outbox {
     messages: VecDeque<Message>,
-    /// Bytes of all messages, including the written part of the first.
+    /// Size (bytes) of all messages, including the written part of the first.
     bytes: usize,
-    /// Bytes of the first message that were written.
-    written: usize,
+    /// Number of written bytes of the first message.
+    front_written_bytes: usize,
 }
 
 impl Outbox {
@@ -146,33 +146,33 @@
         self.messages.push_back(message);
     }
 
-    /// The request to write next, once the one before it is written. An earlier permit for it is revoked if no byte was
-    /// written: its time limit would be out of date.
+    /// Returns the query id of the next request to write; `None` while a request is partly written. Revokes an earlier
+    /// permit of the returned request, because its time limit is out of date.
     pub fn next_to_begin(&mut self) -> Option<Rc<str>> {
-        let is_started = self.written > 0;
+        let is_front_started = self.front_written_bytes > 0;
         let mut messages = self.messages.iter_mut().enumerate();
         let (position, next) = messages.find_map(|(position, message)| match message {
             Message::Request(request) => Some((position, request)),
             _ => None,
         })?;
-        if position == 0 && is_started {
+        if position == 0 && is_front_started {
             return None;
         }
         next.head.clear();
         Some(next.id.clone())
     }
 
-    /// How many bytes are to be written before the first byte of the next request.
+    /// Number of unwritten bytes before the first byte of the next request.
     pub fn bytes_before_next_request(&self) -> usize {
         let mut bytes = 0;
         for (position, message) in self.messages.iter().enumerate() {
-            let is_started = position == 0 && self.written > 0;
+            let is_started = position == 0 && self.front_written_bytes > 0;
             if message.request().is_some() && !is_started {
                 break;
             }
             bytes += message.len();
         }
-        bytes.saturating_sub(self.written)
+        bytes.saturating_sub(self.front_written_bytes)
     }
 
     /// Releases a request for writing, with the time limit of its permit.
@@ -187,7 +187,7 @@
         }
     }
 
-    /// Removes the request of an attempt if no byte of it was written. Returns how much of it was written.
+    /// Removes the request of an attempt if no byte of it was written. Returns its write state.
     pub fn withdraw(&mut self, id: &str) -> RequestState {
         let state = self.request_state(id);
         if state != RequestState::NotStarted {
@@ -200,11 +200,11 @@
         state
     }
 
-    /// How much of an attempt's request was written.
+    /// Write state of an attempt's request.
     pub fn request_state(&self, id: &str) -> RequestState {
         match self.position_of_request(id) {
             None => RequestState::Written,
-            Some(0) if self.written > 0 => RequestState::PartlyWritten,
+            Some(0) if self.front_written_bytes > 0 => RequestState::PartlyWritten,
             Some(_) => RequestState::NotStarted,
         }
     }
@@ -215,19 +215,22 @@
             .position(|message| message.is_request_of(id))
     }
 
-    /// The attempts of whose requests no byte was written.
+    /// Query ids of the attempts whose requests have no byte written.
     pub fn unstarted_requests(&self) -> impl Iterator<Item = Rc<str>> + '_ {
-        let unstarted = self.messages.iter().skip(usize::from(self.written > 0));
+        let unstarted = self
+            .messages
+            .iter()
+            .skip(usize::from(self.front_written_bytes > 0));
         unstarted.filter_map(|message| Some(message.request()?.id.clone()))
     }
 
-    /// Drops the commands about an attempt of which no byte was written.
+    /// Drops the commands about an attempt in flight that have no byte written.
     pub fn discard_commands_about(&mut self, attempt: AttemptId) {
         let mut position = 0;
-        let started = usize::from(self.written > 0);
+        let started_count = usize::from(self.front_written_bytes > 0);
         let bytes = &mut self.bytes;
         self.messages.retain(|message| {
-            let is_dropped = position >= started && message.is_command_about(attempt);
+            let is_dropped = position >= started_count && message.is_command_about(attempt);
             position += 1;
             if is_dropped {
                 *bytes -= message.held_bytes();
@@ -236,12 +239,12 @@
         });
     }
 
-    /// Drops everything but requests and a message that is partly written.
+    /// Drops all messages except requests and a partly written message.
     pub fn discard_commands(&mut self) {
-        let started = usize::from(self.written > 0);
+        let started_count = usize::from(self.front_written_bytes > 0);
         let mut kept = VecDeque::new();
         for (position, message) in std::mem::take(&mut self.messages).into_iter().enumerate() {
-            if position < started || message.request().is_some() {
+            if position < started_count || message.request().is_some() {
                 kept.push_back(message);
             }
         }
@@ -249,11 +252,11 @@
         self.messages = kept;
     }
 
-    /// Drops everything.
+    /// Drops all messages.
     pub fn clear(&mut self) {
         self.messages.clear();
         self.bytes = 0;
-        self.written = 0;
+        self.front_written_bytes = 0;
     }
 
     /// Whether nothing is queued.
@@ -261,14 +264,14 @@
         self.messages.is_empty()
     }
 
-    /// Size of the queued messages (bytes). A message counts until it is written completely.
+    /// Size (bytes) of the queued messages. A message counts in full until it is written completely.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
     /// Appends the bytes to write next, up to the first request without a permit, as `max` slices at most.
     pub fn slices<'a>(&'a self, out: &mut Vec<IoSlice<'a>>, max: usize) {
-        let mut skip = self.written;
+        let mut skip = self.front_written_bytes;
         let messages = self.messages.iter();
         let permitted = messages.take_while(|message| !message.waits_for_permit());
         for slice in permitted.flat_map(Message::slices) {
@@ -280,20 +283,20 @@
         }
     }
 
-    /// Records that `count` more bytes were written. Returns the number of last commands that were completed by them.
+    /// Records that `count` more bytes were written. Returns the number of last commands that these bytes complete.
     pub fn advance(&mut self, count: usize) -> usize {
-        let mut last_commands = 0;
-        self.written += count;
+        let mut last_command_count = 0;
+        self.front_written_bytes += count;
         while let Some(front) = self.messages.front() {
             let length = front.len();
-            if front.waits_for_permit() || length > self.written {
+            if front.waits_for_permit() || length > self.front_written_bytes {
                 break;
             }
-            self.written -= length;
+            self.front_written_bytes -= length;
             self.bytes -= front.held_bytes();
-            last_commands += usize::from(matches!(front, Message::LastCommand(_)));
+            last_command_count += usize::from(matches!(front, Message::LastCommand(_)));
             self.messages.pop_front();
         }
-        last_commands
+        last_command_count
     }
 }
--- a/crates/dispatcher/src/engine/connection/receive.rs
+++ b/crates/dispatcher/src/engine/connection/receive.rs
@@ -11,7 +11,7 @@
 use crate::query_registry::Pages;
 use tansymux::events::Outcome;
 
-/// The meaning of a frame.
+/// Effect of a received frame.
 #[derive(Debug, PartialEq)]
 pub enum FrameEvent {
     /// An attempt has its final answer.
@@ -20,15 +20,15 @@
         query_id: u64,
         /// The attempt's number within the query.
         attempt: usize,
-        /// How it ended.
+        /// Outcome of the attempt.
         outcome: Outcome,
-        /// What ended it.
+        /// Cause of the end.
         cause: EndCause,
-        /// When it was queued on the connection (ms).
+        /// Time at which the attempt was queued on the connection (ms).
         sent_ms: f64,
-        /// Its deadline (ms).
+        /// Deadline of the attempt (ms).
         deadline_ms: f64,
-        /// Its result.
+        /// Pages of the result.
         pages: Pages,
     },
     /// A progress note on an attempt in flight.
@@ -42,13 +42,13 @@
     },
     /// A health check was answered.
     HealthChecked(Outcome),
-    /// A page of a result that is not complete yet.
+    /// A page arrived, and the result is still incomplete.
     PageArrived,
     /// The frame has no effect.
     Ignored(IgnoredReply),
 }
 
-/// How an attempt ended, and what ended it.
+/// Outcome of an attempt and cause of its end.
 #[derive(Debug, Clone, Copy)]
 struct AttemptEnd {
     outcome: Outcome,
@@ -56,7 +56,8 @@
 }
 
 impl AttemptEnd {
-    /// The end by a reply that has this outcome. An attempt that has begun to run did run, whatever the reply says.
+    /// Returns the end of an attempt by a reply with this outcome. An attempt with a page or reported progress
+    /// has run: its outcome is an error, even if the reply states that the engine did not run it.
     fn of(attempt: &Attempt, outcome: Outcome) -> Self {
         if attempt.page_count() > 0 {
             return AttemptEnd {
@@ -78,7 +79,7 @@
     }
 }
 
-/// The effect of a reply on its attempt.
+/// Effect of a reply on its attempt.
 enum ReplyEffect {
     /// The attempt has ended.
     Final(AttemptEnd),
@@ -93,7 +94,7 @@
 }
 
 impl Connection {
-    /// Handles a frame. Duplicates, late answers and others that concern nothing in flight are ignored.
+    /// Handles a frame. Ignores duplicates, late replies and other replies that match nothing in flight.
     ///
     /// # Errors
     /// The frame violates the protocol. Its attempt stays in flight until the caller closes the connection.
@@ -103,14 +104,14 @@
         let mut health_checks = self.health_checks.iter();
         if let Some(index) = health_checks.position(|check| &*check.tag == id) {
             self.health_checks.swap_remove(index);
-            let outcome = health_outcome(HealthReply::parse(frame));
+            let outcome = health_check_outcome(HealthReply::parse(frame));
             return Ok(FrameEvent::HealthChecked(outcome));
         }
         match self.apply_reply(id, frame)? {
             ReplyEffect::Final(end) => Ok(self.complete(id, end, now_ms)),
             ReplyEffect::Interim(event) => {
                 let is_ignored = matches!(event, FrameEvent::Ignored(_));
-                if is_ignored && self.flood_meter.is_flooded_by(frame.size, now_ms) {
+                if is_ignored && self.flood_meter.record_ignored_reply(frame.size, now_ms) {
                     self.close_reason = Some(CloseReason::Flood);
                 }
                 Ok(event)
@@ -148,7 +149,7 @@
         Ok(ReplyEffect::Final(end))
     }
 
-    /// Requests the remaining pages after the first one.
+    /// Returns the effect of a page. Requests the remaining pages after the first one.
     fn on_page(&mut self, id: &str, attempt: AttemptId, progress: ResultProgress) -> ReplyEffect {
         match progress {
             ResultProgress::Begun { page_count } => {
@@ -166,8 +167,8 @@
         }
     }
 
-    /// Takes an attempt that has ended out of what is in flight. Commands about it that are not written are dropped, and the
-    /// engine is told that no more pages are wanted of a result of several.
+    /// Removes an attempt that has ended. Drops its commands that have no byte written. Releases its result if
+    /// pages were lost or if it has several pages.
     fn complete(&mut self, id: &str, end: AttemptEnd, now_ms: f64) -> FrameEvent {
         let Some(mut attempt) = self.attempts.remove(id) else {
             return FrameEvent::Ignored(IgnoredReply::NotInFlight);
@@ -192,7 +193,7 @@
     }
 }
 
-fn health_outcome(reply: HealthReply) -> Outcome {
+fn health_check_outcome(reply: HealthReply) -> Outcome {
     match reply {
         HealthReply::Healthy => Outcome::Completed,
         HealthReply::Unhealthy => Outcome::Error,
--- a/crates/dispatcher/src/engine/connection/state.rs
+++ b/crates/dispatcher/src/engine/connection/state.rs
@@ -1,4 +1,4 @@
-//! The parts of a connection's state.
+//! Types of a connection's state.
 
 use super::Attempt;
 use crate::attempt_end::EndCause;
@@ -12,7 +12,7 @@
 pub enum ConnectionState {
     /// Connecting, within the connect timeout.
     Connecting,
-    /// The connect timed out but continues. Nothing is queued here.
+    /// The connect timeout has passed, and the connect continues. The connection accepts no attempts.
     Late,
     /// Connected.
     Up,
@@ -20,68 +20,69 @@
     Closed,
 }
 
-/// How suitable a connection is for another attempt, best first.
+/// Suitability of a connection for another attempt, best first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Suitability {
     /// Idle for less than the trusted time.
-    Proven,
-    /// Never used.
+    RecentlyUsed,
+    /// Has not carried any attempt or health check.
     Fresh,
     /// Other attempts are in flight on it.
     Shared,
-    /// Idle for longer than is trusted: the other end may have closed it.
+    /// Idle for at least the trusted time: the engine may have closed or forgotten it.
     Stale,
 }
 
-/// Why this side closes a connection, even with attempts in flight.
+/// Reason for which this side closes a connection, even with attempts in flight.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum CloseReason {
     /// The engine violated the protocol.
     #[error("protocol error: {0}")]
     Protocol(#[from] ProtocolError),
-    /// A request was withdrawn after some of its bytes were written. Closing keeps the engine from receiving the rest.
-    #[error("a request was given up half written")]
+    /// A request was withdrawn after some of its bytes were written. The close prevents the engine from receiving the
+    /// rest.
+    #[error("request withdrawn after a partial write")]
     RequestPartlyWritten,
-    /// The connection has been silent since it was reused after idling, while its engine accepts connections and other
-    /// connections were lost in silence before.
-    #[error("silent after idling, as others before")]
+    /// The connection has been silent since its reuse after idling, while the engine accepts other connections.
+    /// Earlier connections that were reused after idling were lost in the same way.
+    #[error("connection silent since its reuse after idling, like earlier connections")]
     ForgottenByEngine,
     /// The engine sent too many replies without effect.
     #[error("too many replies for nothing in flight")]
     Flood,
-    /// The engine did not read the end of an attempt in time.
-    #[error("the engine does not read the end of an attempt")]
+    /// The engine did not read the last command about an attempt in time.
+    #[error("engine did not read the last command about an attempt in time")]
     EndNotRead,
-    /// The connection has been silent, and the engine accepts no other one.
-    #[error("no other connection comes up")]
+    /// The connection has been silent, and no other connection to the engine came up.
+    #[error("connection silent and no other connection to the engine came up")]
     EngineUnreachable,
 }
 
 /// A health check in flight. Times are milliseconds of the program's clock.
 #[derive(Debug)]
 pub struct HealthCheck {
-    /// The id that the reply repeats.
+    /// Id that the reply repeats.
     pub tag: Rc<str>,
-    /// When it was handed to the connection.
+    /// Time at which the health check was queued on the connection.
     pub sent_ms: f64,
-    /// When it counts as failed.
+    /// Time at which the health check counts as failed.
     pub deadline_ms: f64,
 }
 
-/// An attempt that has ended on a connection, and whose last command is queued there.
+/// The last command about an ended attempt, until it is written: an abort or the release of the result.
 #[derive(Debug)]
-pub(super) struct EndingAttempt {
+pub(super) struct UnwrittenLastCommand {
     pub attempt: AttemptId,
-    /// When the command was queued (ms).
+    /// Time at which the command was queued (ms).
     pub queued_ms: f64,
 }
 
-/// The reuse of a connection after it had idled.
+/// Reuse of a connection after an idle time.
 #[derive(Debug, Clone, Copy)]
 pub struct IdleReuse {
-    /// How long (ms) the connection had idled.
+    /// Idle time before the reuse (ms).
     pub idle_ms: f64,
-    /// When the attempt was queued (ms).
+    /// Time at which the attempt was queued (ms).
     pub sent_ms: f64,
 }
 
@@ -90,7 +91,7 @@
 pub struct Abandoned {
     /// The attempt.
     pub attempt: Attempt,
-    /// What ends it: [`EndCause::Aborted`] if its request was written completely.
+    /// Cause of its end: [`EndCause::Aborted`] if its request was written completely.
     pub cause: EndCause,
 }
 
--- a/crates/dispatcher/src/engine/connection/tests.rs
+++ b/crates/dispatcher/src/engine/connection/tests.rs
@@ -37,7 +37,7 @@
     }
 }
 
-/// Lets the request go out that is next, if the one before it has begun.
+/// Grants a permit to the next request, unless an earlier request is partly written.
 fn begin_next(connection: &mut Connection) {
     let next = connection.next_to_begin().map(|(id, _)| id);
     if let Some(id) = next {
@@ -102,7 +102,7 @@
     .map(|page| page.as_bytes().to_vec())
     .to_vec();
     let (query_id, attempt, outcome, sent_ms) = (4, 0, Outcome::Completed, 5.0);
-    let whole = Ok(FrameEvent::AttemptEnded {
+    let attempt_ended = Ok(FrameEvent::AttemptEnded {
         query_id,
         attempt,
         outcome,
@@ -113,7 +113,7 @@
     });
     assert_eq!(
         receive(&mut connection, &[b"i1", b"MORE", b"batch=1", b"b\t\t\n"]),
-        whole
+        attempt_ended
     );
     assert!(unwritten(&connection).contains("done") && connection.in_flight() == 0);
     assert_eq!(
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn unusable_replies_are_protocol_errors() {
+fn malformed_replies_are_protocol_errors() {
     let cases: [&[&[u8]]; 8] = [
         &[b"\xff", b"DONE", b"batches=1", b"a\t\t\n"],
         &[b"i1", b"DONE", b"batches=0", b"a\t\t\n"],
@@ -145,9 +145,9 @@
     }
     let mut connection = connection();
     submit(&mut connection, "i1", 4);
-    let broke = receive(&mut connection, &[b"i1", b"BROKE", b"-", b""]);
+    let failed = receive(&mut connection, &[b"i1", b"BROKE", b"-", b""]);
     assert!(matches!(
-        broke,
+        failed,
         Ok(FrameEvent::AttemptEnded {
             outcome: Outcome::Error,
             ..
@@ -202,7 +202,7 @@
 }
 
 #[test]
-fn late_answer_to_an_abandoned_attempt_is_ignored() {
+fn late_reply_to_an_abandoned_attempt_is_ignored() {
     let mut connection = connection();
     submit(&mut connection, "i1", 4);
     assert!(!connection.accepts("i1", 32) && connection.accepts("i2", 32));
@@ -217,20 +217,23 @@
 }
 
 #[test]
-fn request_behind_other_bytes_begins_with_its_own_first_byte() {
+fn write_reaches_a_request_behind_other_bytes_only_with_its_first_byte() {
     let mut connection = connection();
     connection.check_health("t1".into(), 6.0, 250.0);
-    let ahead = unwritten(&connection).len();
+    let bytes_before_request = unwritten(&connection).len();
     submit(&mut connection, "i1", 4);
-    assert!(!connection.reaches_next_request(ahead) && connection.reaches_next_request(ahead + 1));
-    connection.advance(ahead - 1);
+    assert!(
+        !connection.reaches_next_request(bytes_before_request)
+            && connection.reaches_next_request(bytes_before_request + 1)
+    );
+    connection.advance(bytes_before_request - 1);
     assert!(!connection.reaches_next_request(1) && connection.reaches_next_request(2));
     connection.advance(2);
     assert_eq!(connection.request_state("i1"), RequestState::PartlyWritten);
 }
 
 #[test]
-fn only_unwritten_requests_are_too_late_to_begin() {
+fn only_unstarted_requests_pass_their_start_limit() {
     let mut connection = connection();
     for (id, start_by_ms) in [("i1", 7.0), ("i2", 7.0), ("i3", 90.0)] {
         let limits = AttemptLimits {
@@ -243,12 +246,15 @@
     }
     begin_next(&mut connection);
     connection.advance(3);
-    let late = |now| connection.too_late_to_begin(now).collect::<Vec<_>>();
-    assert_eq!((late(6.9), late(7.0)), (vec![], vec!["i2".into()]));
+    let too_late_ids = |now_ms| connection.too_late_to_begin(now_ms).collect::<Vec<_>>();
+    assert_eq!(
+        (too_late_ids(6.9), too_late_ids(7.0)),
+        (vec![], vec!["i2".into()])
+    );
 }
 
 #[test]
-fn progress_notes_and_health_checks_are_distinguished() {
+fn progress_notes_and_health_check_replies_are_distinguished() {
     let mut connection = connection();
     submit(&mut connection, "i1", 4);
     connection.check_health("t1".into(), 6.0, 250.0);
@@ -298,10 +304,10 @@
 }
 
 #[test]
-fn abandoned_attempt_has_ended_with_the_last_byte_of_its_abort() {
+fn abandoned_attempt_ends_when_the_last_byte_of_its_abort_is_written() {
     let mut connection = connection_with_abort();
-    let abort = unwritten(&connection).len();
-    connection.advance(abort - 1);
+    let abort_len = unwritten(&connection).len();
+    connection.advance(abort_len - 1);
     assert!(connection.take_ended().is_empty());
     connection.advance(1);
     let attempt = AttemptId {
@@ -310,8 +316,11 @@
     };
     assert_eq!(connection.take_ended(), [attempt]);
     assert!(connection.take_ended().is_empty());
-    // Where the connection closes before that, its end is the attempt's.
-    assert_eq!(connection_with_abort().on_closed().ending, [attempt]);
+    // If the connection closes before that, the attempt ends with the close.
+    assert_eq!(
+        connection_with_abort().on_closed().unwritten_last_commands,
+        [attempt]
+    );
 }
 
 #[test]
@@ -328,19 +337,19 @@
 }
 
 #[test]
-fn result_given_up_half_way_is_released_and_its_unwritten_page_requests_are_dropped() {
+fn incomplete_result_is_released_and_its_unwritten_page_requests_are_dropped() {
     let first_page: [&[u8]; 4] = [b"i1", b"DONE", b"batches=3", b"a\t\t\n"];
-    // A page is lost, and the attempt is abandoned.
-    let mut lost = connection();
+    // One attempt loses a page, the other is abandoned.
+    let mut with_lost_page = connection();
     let mut abandoned = connection();
-    for connection in [&mut lost, &mut abandoned] {
+    for connection in [&mut with_lost_page, &mut abandoned] {
         submit(connection, "i1", 4);
         connection.advance(unwritten(connection).len());
         receive(connection, &first_page).unwrap();
-        // One byte of the first page request goes out.
+        // One byte of the first page request is written.
         connection.advance(1);
     }
-    let end = receive(&mut lost, &[b"i1", b"BROKE", b"-", b""]);
+    let end = receive(&mut with_lost_page, &[b"i1", b"BROKE", b"-", b""]);
     assert!(matches!(
         end,
         Ok(FrameEvent::AttemptEnded {
@@ -350,7 +359,7 @@
         })
     ));
     abandoned.abandon("i1", 9.0);
-    for connection in [&mut lost, &mut abandoned] {
+    for connection in [&mut with_lost_page, &mut abandoned] {
         let text = unwritten(connection);
         assert!(
             text.matches("more").count() == 1 && text.ends_with("$4\r\ndone\r\n$2\r\ni1\r\n"),
@@ -363,10 +372,11 @@
 }
 
 #[test]
-fn priority_that_is_not_written_when_its_attempt_ends_does_not_follow_the_retry() {
+fn unwritten_priority_change_is_dropped_when_its_attempt_ends() {
     let mut connection = connection();
     submit(&mut connection, "i1", 4);
     connection.advance(unwritten(&connection).len());
+    // Written after this end, the change would apply to a retry with the same query id.
     connection.set_priority("i1", 1);
     receive(&mut connection, &[b"i1", b"BROKE", b"-", b""]).unwrap();
     assert!(!connection.has_unwritten());
--- a/crates/dispatcher/src/engine/connection/transitions.rs
+++ b/crates/dispatcher/src/engine/connection/transitions.rs
@@ -4,20 +4,20 @@
 use crate::ids::AttemptId;
 use std::rc::Rc;
 
-/// The content of a connection at its end.
+/// Contents of a connection when it closes.
 pub struct ClosedConnection {
     /// Whether the connection was up.
     pub was_up: bool,
-    /// The attempts in flight with their ids, in the order of their queries' numbers.
+    /// Attempts in flight with their query ids, ordered by query number.
     pub attempts: Vec<(Rc<str>, Attempt)>,
-    /// Attempts that have ended here, and whose last command was not written.
-    pub ending: Vec<AttemptId>,
+    /// Attempts that ended before the close and whose last command was not written completely.
+    pub unwritten_last_commands: Vec<AttemptId>,
     /// Number of health checks in flight.
     pub health_checks: usize,
 }
 
 impl Connection {
-    /// Records that the connect timed out. Drops the health checks queued here and returns their number.
+    /// Records that the connect timed out. Drops the queued health checks and returns their number.
     pub fn on_connect_timeout(&mut self) -> usize {
         self.state = ConnectionState::Late;
         let dropped = std::mem::take(&mut self.health_checks).len();
@@ -25,8 +25,8 @@
         dropped
     }
 
-    /// Records that the connect succeeded. If nothing is queued here any more, the connection idles from now on and
-    /// counts as unused.
+    /// Records that the connect succeeded. If nothing is in flight, the connection is idle from now on and counts as
+    /// unused.
     pub fn on_connected(&mut self, now_ms: f64) {
         self.state = ConnectionState::Up;
         self.last_used_ms = now_ms;
@@ -36,7 +36,7 @@
         }
     }
 
-    /// Retires the connection: it accepts nothing new, and closes when nothing is in flight.
+    /// Retires the connection: it accepts no new attempts, and closes once nothing is in flight.
     pub fn retire(&mut self) {
         self.retired = true;
     }
@@ -53,10 +53,13 @@
         let mut attempts: Vec<(Rc<str>, Attempt)> = self.attempts.drain().collect();
         attempts.sort_by_key(|(_, attempt)| attempt.query_id);
         let health_checks = std::mem::take(&mut self.health_checks).len();
-        let ending = self.ending.drain(..).map(|ending| ending.attempt);
+        let unwritten_last_commands = self
+            .unwritten_last_commands
+            .drain(..)
+            .map(|command| command.attempt);
         ClosedConnection {
             was_up,
-            ending: ending.collect(),
+            unwritten_last_commands: unwritten_last_commands.collect(),
             attempts,
             health_checks,
         }
@@ -74,25 +77,27 @@
         self.idle_reuse.take()
     }
 
-    /// Takes the last reuse after idling if something is in flight and no frame has arrived for longer than
-    /// `max_silence_ms` since then.
+    /// Takes the last reuse after idling if no frame has arrived within `max_silence_ms` of it and an attempt
+    /// or health check is in flight.
     pub fn take_silent_reuse(&mut self, now_ms: f64, max_silence_ms: f64) -> Option<IdleReuse> {
         let is_busy = self.in_flight() > 0;
         self.idle_reuse
             .take_if(|reuse| is_busy && now_ms - reuse.sent_ms > max_silence_ms)
     }
 
-    /// Schedules a check of the engine over another connection, in case this one is still silent then.
+    /// Schedules a reachability check of the engine over another connection. The check is skipped if this
+    /// connection is no longer silent at `at_ms`.
     pub fn check_engine_at(&mut self, at_ms: f64) {
-        self.check_at_ms = at_ms;
+        self.reachability_check_at_ms = at_ms;
     }
 
-    /// Whether it was reused after idling, has something in flight and has been silent since.
+    /// Whether the connection has been silent since its reuse after idling and has an attempt or health check
+    /// in flight.
     pub fn is_reused_in_silence(&self) -> bool {
         self.idle_reuse.is_some() && self.in_flight() > 0
     }
 
-    /// How long (ms) no frame has arrived, counted from `since_ms` at the earliest.
+    /// Time (ms) since the last frame, or since `since_ms` if that is later.
     pub fn silence_ms(&self, now_ms: f64, since_ms: f64) -> f64 {
         now_ms - self.last_frame_ms.max(since_ms)
     }
--- a/crates/dispatcher/src/engine/protocol.rs
+++ b/crates/dispatcher/src/engine/protocol.rs
@@ -1,4 +1,4 @@
-//! The words of the engine protocol, mapped to the field's terms. Pure functions over bytes.
+//! Encodes and parses the messages of the engine protocol. Pure functions over bytes.
 //!
 //! All messages are RESP arrays of bulk strings ([`resp`]). The dispatcher sends requests ([`RequestFields`]) and
 //! [`Command`]s. An engine answers an attempt with [`EngineReply`]s and a health check with one [`HealthReply`].
@@ -22,19 +22,19 @@
 /// Command that checks the engine's health.
 const CHECK_HEALTH: &[u8] = b"alive";
 
-/// Reply word: a progress note.
+/// Reply type: a progress note.
 const PROGRESS: &[u8] = b"TELL";
-/// Reply word: the first page of the result.
+/// Reply type: the first page of the result.
 const FIRST_PAGE: &[u8] = b"DONE";
-/// Reply word: a page other than the first.
+/// Reply type: a page other than the first.
 const NUMBERED_PAGE: &[u8] = b"MORE";
-/// Reply word: the engine has no capacity for the attempt.
+/// Reply type: the engine has no capacity for the attempt.
 const FULL: &[u8] = b"WAIT";
-/// Reply word: the attempt's time limit had passed before it started.
+/// Reply type: the attempt's time limit had passed before it started.
 const DEADLINE_PASSED: &[u8] = b"PAST";
-/// Reply word: the attempt failed.
+/// Reply type: the attempt failed.
 const FAILED: &[u8] = b"BROKE";
-/// Reply word: the engine is healthy.
+/// Reply type: the engine is healthy.
 const HEALTHY: &[u8] = b"FIT";
 
 /// Request field: the resource group.
@@ -71,7 +71,7 @@
         /// The page's number, from 0.
         page: usize,
     },
-    /// Releases an attempt's result: all its pages arrived, or it is given up.
+    /// Releases an attempt's result: all its pages have arrived, or the attempt has ended without them.
     ReleaseResult {
         /// Id of the attempt's query.
         id: &'a str,
@@ -90,13 +90,13 @@
     },
     /// Checks the engine's health.
     CheckHealth {
-        /// The id that the reply repeats.
+        /// Id that the reply repeats.
         tag: &'a str,
     },
 }
 
 impl Command<'_> {
-    /// The command as it is sent.
+    /// Encodes the command as a RESP array.
     pub fn encode(&self) -> Vec<u8> {
         match self {
             Command::RequestPage { id, page } => {
@@ -120,7 +120,7 @@
     bytes
 }
 
-/// The fields of a request, without its time limit, which is known only when the request is written.
+/// The fields of a request without its time limit. The time limit is known only when the request is written.
 #[derive(Debug, Clone, Default)]
 pub struct RequestFields {
     /// The fields before the time limit, without a trailing comma.
@@ -130,7 +130,7 @@
 }
 
 impl RequestFields {
-    /// The request fields of a query's next attempt. The engine chooses values for those left out.
+    /// Returns the request fields of a query's next attempt. The engine chooses the values of omitted fields.
     pub fn of(query: &Query) -> Self {
         let mut after_limit = String::new();
         push_field(
@@ -152,8 +152,8 @@
         }
     }
 
-    /// Appends to `out` a request without the bytes of its statement and the line end after them. `limit_ms` is the
-    /// time that remains for the attempt.
+    /// Appends a request to `out`, except for the bytes of its statement and the line end after them.
+    /// `limit_ms` is the remaining time of the attempt.
     pub fn encode_head(&self, out: &mut Vec<u8>, id: &str, limit_ms: u64, statement_len: usize) {
         let RequestFields {
             before_limit,
@@ -175,7 +175,7 @@
 /// A reply to an attempt, with the fields of its frame.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum EngineReply<'a> {
-    /// A progress note; `None` for one of an unused kind or without a finite amount.
+    /// A progress note; `None` if its kind is unused or its amount is not a finite number.
     Progress(Option<ProgressNote>),
     /// The first page of the result.
     FirstPage {
@@ -191,7 +191,7 @@
         /// The page's rows.
         rows: &'a [u8],
     },
-    /// The engine had no capacity for the attempt.
+    /// The engine has no capacity for the attempt.
     Full,
     /// The attempt's time limit had passed before it started.
     DeadlinePassed,
@@ -203,7 +203,7 @@
     /// Parses the reply in a frame.
     ///
     /// # Errors
-    /// The reply's word is not part of the protocol.
+    /// The reply's type is not part of the protocol.
     pub fn parse(frame: &Frame<'a>) -> Result<Self, ProtocolError> {
         let fields = frame.element(2);
         match frame.element(1) {
@@ -227,9 +227,9 @@
 /// A progress note from the engine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ProgressNote {
-    /// What the note is about.
+    /// Kind of the note.
     pub kind: NoteKind,
-    /// The note's value; its meaning depends on the kind.
+    /// Value of the note; its meaning depends on the kind.
     pub amount: f64,
 }
 
@@ -266,7 +266,7 @@
     }
 }
 
-/// The id that a reply repeats: that of an attempt's query, or the tag of a health check.
+/// Returns the id that a reply repeats: the id of an attempt's query, or the tag of a health check.
 ///
 /// # Errors
 /// The id is not UTF-8.
@@ -274,7 +274,8 @@
     std::str::from_utf8(frame.element(0)).map_err(|_| ProtocolError::InvalidId)
 }
 
-/// The word of a reply, for logs; the id and the fields of a reply are the engine's, its word is one of the protocol's.
+/// Returns the name of a reply's type for log lines. The name is a fixed text, unlike the reply's id and fields, whose
+/// content the engine chooses.
 pub fn reply_name(frame: &Frame) -> &'static str {
     match frame.element(1) {
         PROGRESS => "progress",
--- a/crates/dispatcher/src/engine/protocol/tests.rs
+++ b/crates/dispatcher/src/engine/protocol/tests.rs
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn commands_are_encoded_with_the_words_of_the_protocol() {
+fn commands_are_encoded_as_resp_arrays() {
     for (command, bytes) in [
         (
             Command::RequestPage { id: "i1", page: 2 },
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn replies_are_parsed_to_terms_and_unknown_ones_are_errors() {
+fn known_reply_types_are_parsed_and_unknown_ones_are_errors() {
     for (elements, reply) in [
         (
             [b"i1".as_slice(), b"DONE", b"batches=3", b"rows"],
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn request_head_has_the_time_limit_between_group_and_grant() {
+fn request_head_has_the_time_limit_after_the_resource_group() {
     let fields = RequestFields {
         before_limit: "cls=look".to_owned(),
         after_limit: ",nonce=ab,nice=3".to_owned(),
--- a/crates/dispatcher/src/engine/protocol_error.rs
+++ b/crates/dispatcher/src/engine/protocol_error.rs
@@ -9,65 +9,65 @@
     /// The frame does not start with `*`, or an element does not start with `$`.
     #[error("not an array of bulk strings: expected {expected:?}, found {found:?}")]
     UnexpectedType {
-        /// The marker that RESP requires there.
+        /// Type byte that the protocol requires at this position.
         expected: char,
-        /// The byte that was there, as a character.
+        /// Received byte, as a character.
         found: char,
     },
-    /// The marker is not followed by a decimal number and CRLF.
-    #[error("a length is not a decimal number")]
+    /// The type byte is not followed by a decimal number and CRLF.
+    #[error("malformed RESP length: expected a decimal number and CRLF")]
     MalformedLength,
-    /// The number after a marker has too many digits.
-    #[error("a length has {digits} digits")]
+    /// The number after a type byte has too many digits.
+    #[error("RESP length too long: {digits} digits")]
     LengthTooLong {
-        /// Digits found.
+        /// Number of digits received.
         digits: usize,
     },
     /// An array has too many elements.
-    #[error("an array of {count} elements is too long")]
+    #[error("RESP array too long: {count} elements")]
     TooManyElements {
-        /// Elements announced.
+        /// Announced number of elements.
         count: usize,
     },
     /// An element is too long.
-    #[error("a bulk string of {length} bytes is too long")]
+    #[error("RESP bulk string too long: {length} bytes")]
     ElementTooLong {
-        /// Bytes announced.
+        /// Announced length in bytes.
         length: usize,
     },
     /// A bulk string is not followed by CRLF.
-    #[error("a bulk string does not end in CRLF")]
+    #[error("RESP bulk string not followed by CRLF")]
     MissingTerminator,
     /// The rest of a frame did not arrive in time.
-    #[error("an answer stopped short")]
+    #[error("reply truncated: the rest did not arrive in time")]
     StalledFrame,
-    /// The first element, the id of an attempt or of a health check, isn't UTF-8.
-    #[error("an id is not text")]
+    /// The first element, the id of a query or the tag of a health check, is not UTF-8.
+    #[error("reply id is not UTF-8")]
     InvalidId,
     /// The reply's type, its second element, is unknown.
-    #[error("the reply's word is unknown")]
+    #[error("unknown reply type")]
     UnknownReply,
     /// The number of pages in a first page is missing, malformed, 0 or over the limit.
-    #[error("a first page has no usable number of pages")]
+    #[error("first page without a valid number of pages")]
     InvalidPageCount,
-    /// The number of a later page is missing or malformed.
-    #[error("a page has no number")]
+    /// The number of a page other than the first is missing or malformed.
+    #[error("page without a valid page number")]
     MissingPageNumber,
-    /// The number of a later page is not below the number of pages.
-    #[error("page {number} of {pages}")]
+    /// The number of a page other than the first is not below the number of pages.
+    #[error("page number {number} out of range: the result has {pages} pages")]
     PageOutOfRange {
-        /// The page's number, from 0.
+        /// Number of the page, from 0.
         number: usize,
-        /// The number of pages in the first page.
+        /// Number of pages that the first page announced; 0 if it has not arrived.
         pages: usize,
     },
-    /// The rows of a page can't be read.
-    #[error("a page can't be read: {0}")]
+    /// The rows of a page are malformed.
+    #[error("malformed page: {0}")]
     MalformedPage(#[from] RowsError),
-    /// All pages together are too long.
-    #[error("a result of more than {limit} bytes is too long")]
+    /// The rows of all pages together are too long.
+    #[error("result too long: more than {limit} bytes")]
     ResultTooLong {
-        /// The limit in bytes.
+        /// Maximum length in bytes.
         limit: usize,
     },
 }
--- a/crates/dispatcher/src/engine/reports.rs
+++ b/crates/dispatcher/src/engine/reports.rs
@@ -1,5 +1,5 @@
-//! Reports the ends of attempts and health checks to the decisions. The only place that decides when the end of an attempt
-//! is known: [`Reporter::report`].
+//! Reports the ends of attempts and health checks to the dispatcher's decision logic. [`Reporter::report`]
+//! alone decides when the end of an attempt is reported.
 
 use super::channel::Channel;
 use super::connection::Attempt;
@@ -13,29 +13,30 @@
 use std::rc::Rc;
 use tansymux::events::Outcome;
 
-/// Delay (ms) between the last command about an attempt, or the close of its connection, and the report of its end. Its
-/// query may then be retried on another connection, and a busy engine reads its connections in any order: without the
-/// delay the retry could overtake the command. The protocol allows for 50 ms.
-const SETTLE_MS: f64 = 40.0;
+/// Delay (ms) between the last command about an attempt, or the close of its connection, and the report of its
+/// end. The report allows a retry of the query on another connection, and a busy engine reads its connections
+/// in any order: without the delay the retry could overtake the command or the close. The protocol allows for
+/// 50 ms.
+const END_REPORT_DELAY_MS: f64 = 40.0;
 
-/// The end of an attempt.
+/// Report of the end of an attempt.
 pub(super) struct AttemptReport {
     pub query_id: u64,
     pub attempt: usize,
     pub outcome: Outcome,
     pub cause: EndCause,
-    /// The connection that carried it, unless there was none.
+    /// Connection of the attempt; `None` if no connection was assigned.
     pub connection: Option<ConnectionId>,
     pub engine_id: u64,
-    /// The attempt's deadline (ms).
+    /// Deadline of the attempt (ms).
     pub deadline_ms: f64,
-    /// Time since the attempt was handed to its connection.
+    /// Time since the attempt was queued on its connection (ms).
     pub latency_ms: f64,
     pub pages: Pages,
 }
 
 impl AttemptReport {
-    /// The report of an attempt that ends on a connection without a result.
+    /// Creates the report of an attempt that ended on a connection without a result.
     fn without_result(
         channel: &Channel,
         attempt: &Attempt,
@@ -78,51 +79,52 @@
     }
 }
 
-/// When the end of an attempt is reported.
+/// Time of the report of an attempt's end.
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Due {
-    /// Once the last command about the attempt was written and had time to settle.
-    AfterCommand,
+enum PublishTime {
+    /// [`END_REPORT_DELAY_MS`] after the last command about the attempt is written.
+    AfterLastCommand,
     /// At this time (ms).
     At(f64),
 }
 
-/// The end of an attempt that is not proven yet.
-struct SettlingReport {
+/// The end of an attempt that is not reported yet, because the engine may still run the attempt.
+struct DelayedReport {
     attempt: AttemptId,
-    due: Due,
-    /// The attempt's deadline (ms). Its query is not retried after it, so that the report need not wait any longer.
+    publish_time: PublishTime,
+    /// Deadline of the attempt (ms). The query is not retried after it, so that the report need not be delayed
+    /// further.
     deadline_ms: f64,
     event: Event,
 }
 
-impl SettlingReport {
-    /// When it is published (ms), as far as that is known.
+impl DelayedReport {
+    /// Time at which the report is published (ms). May become earlier when the last command is written.
     fn publish_ms(&self) -> f64 {
-        match self.due {
-            Due::AfterCommand => self.deadline_ms,
-            Due::At(due_ms) => due_ms.min(self.deadline_ms),
+        match self.publish_time {
+            PublishTime::AfterLastCommand => self.deadline_ms,
+            PublishTime::At(time_ms) => time_ms.min(self.deadline_ms),
         }
     }
 }
 
-/// Reports to the decisions, through the registry.
+/// Reports to the dispatcher's decision logic through the registry.
 pub(super) struct Reporter {
     registry: Rc<QueryRegistry>,
     clock: Clock,
     engines: Rc<EngineTable>,
-    /// Ends of attempts that are not proven yet.
-    settling: RefCell<Vec<SettlingReport>>,
+    /// Ends of attempts that are not reported yet.
+    delayed: RefCell<Vec<DelayedReport>>,
 }
 
 impl Reporter {
-    /// A reporter without delayed reports.
+    /// Creates a reporter without delayed reports.
     pub fn new(registry: Rc<QueryRegistry>, clock: Clock, engines: Rc<EngineTable>) -> Self {
         Reporter {
             registry,
             clock,
             engines,
-            settling: RefCell::default(),
+            delayed: RefCell::default(),
         }
     }
 
@@ -135,7 +137,7 @@
         cause: EndCause,
     ) {
         let outcome = if self.engines.is_replaced(channel) {
-            without_blame(outcome)
+            neutral_outcome(outcome)
         } else {
             outcome
         };
@@ -144,60 +146,61 @@
         self.report(report);
     }
 
-    /// Reports the end of an attempt once its cause proves it: every end passes here.
+    /// Reports the end of an attempt as soon as its cause proves that the engine no longer runs it. All ends of
+    /// attempts are reported through this function.
     pub fn report(&self, report: AttemptReport) {
-        self.note_ended(&report);
-        let due = match report.cause.proof() {
+        self.record_end(&report);
+        let publish_time = match report.cause.proof() {
             EndProof::AtOnce => return self.registry.push_event(report.into()),
-            EndProof::AfterCommand => Due::AfterCommand,
-            EndProof::AfterClose => Due::At(self.clock.now() + SETTLE_MS),
+            EndProof::AfterCommand => PublishTime::AfterLastCommand,
+            EndProof::AfterClose => PublishTime::At(self.clock.now() + END_REPORT_DELAY_MS),
         };
-        let report = SettlingReport {
+        let report = DelayedReport {
             attempt: report.attempt_id(),
-            due,
+            publish_time,
             deadline_ms: report.deadline_ms,
             event: report.into(),
         };
         if report.publish_ms() <= self.clock.now() {
             return self.registry.push_event(report.event);
         }
-        self.settling.borrow_mut().push(report);
+        self.delayed.borrow_mut().push(report);
         self.registry.notify.notify();
     }
 
-    /// Handles that the last command about an attempt was written, or that its connection closed before that.
+    /// Handles the write of the last command about an attempt, or the close of its connection before this write.
     pub fn on_last_command(&self, attempt: AttemptId) {
-        let due = Due::At(self.clock.now() + SETTLE_MS);
-        let mut settling = self.settling.borrow_mut();
-        let waits = |report: &&mut SettlingReport| {
-            report.attempt == attempt && report.due == Due::AfterCommand
+        let publish_time = PublishTime::At(self.clock.now() + END_REPORT_DELAY_MS);
+        let mut delayed = self.delayed.borrow_mut();
+        let awaits_command = |report: &&mut DelayedReport| {
+            report.attempt == attempt && report.publish_time == PublishTime::AfterLastCommand
         };
-        if let Some(report) = settling.iter_mut().find(waits) {
-            report.due = due;
+        if let Some(report) = delayed.iter_mut().find(awaits_command) {
+            report.publish_time = publish_time;
             self.registry.notify.notify();
         }
     }
 
-    /// Moves all later deadlines forward to `deadline_ms`.
+    /// Lowers the deadlines of all delayed reports to at most `deadline_ms`.
     pub fn limit_deadlines(&self, deadline_ms: f64) {
-        for report in self.settling.borrow_mut().iter_mut() {
+        for report in self.delayed.borrow_mut().iter_mut() {
             report.deadline_ms = report.deadline_ms.min(deadline_ms);
         }
     }
 
-    /// Publishes the delayed reports that are due. Returns when the next one is (ms), or infinity.
+    /// Publishes the delayed reports that are due. Returns the time of the next one (ms); infinity if there is none.
     pub fn publish_settled(&self, now_ms: f64) -> f64 {
-        let mut settling = self.settling.borrow_mut();
-        let due = settling.extract_if(.., |report| report.publish_ms() <= now_ms);
+        let mut delayed = self.delayed.borrow_mut();
+        let due = delayed.extract_if(.., |report| report.publish_ms() <= now_ms);
         for report in due {
             self.registry.push_event(report.event);
         }
-        let times = settling.iter().map(SettlingReport::publish_ms);
-        times.fold(f64::INFINITY, f64::min)
+        let publish_times = delayed.iter().map(DelayedReport::publish_ms);
+        publish_times.fold(f64::INFINITY, f64::min)
     }
 
-    /// Reports the same failure of `count` health checks that were sent on a connection. A failure of a process that another
-    /// one has replaced is no evidence about the engine.
+    /// Reports the same failure of `count` health checks that were sent on a connection. Ignores failures of a process
+    /// that has been replaced, because they say nothing about the engine's current process.
     pub fn report_failed_checks(&self, channel: &Channel, outcome: Outcome, count: usize) {
         if !self.engines.is_replaced(channel) {
             self.report_health(channel.engine_id, outcome, count);
@@ -212,8 +215,8 @@
         }
     }
 
-    /// Counts and logs the end of an attempt.
-    fn note_ended(&self, report: &AttemptReport) {
+    /// Counts, traces and logs the end of an attempt.
+    fn record_end(&self, report: &AttemptReport) {
         self.registry.counters.count_outcome(report.outcome);
         self.registry.counters.count_end_cause(report.cause);
         let key = AttemptKey {
@@ -255,8 +258,8 @@
     }
 }
 
-/// The outcome of an attempt in place of one that counts against its engine: it may have run, or never ran, as before.
-fn without_blame(outcome: Outcome) -> Outcome {
+/// Returns an outcome that does not count against the engine and states equally whether the attempt may have run.
+fn neutral_outcome(outcome: Outcome) -> Outcome {
     match outcome {
         Outcome::Reset | Outcome::Timeout => Outcome::Cancelled,
         Outcome::NoConnection => Outcome::Withdrawn,
--- a/crates/dispatcher/src/engine/reports/tests.rs
+++ b/crates/dispatcher/src/engine/reports/tests.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn end_of_an_attempt_is_reported_immediately_and_of_an_abandoned_one_after_a_delay() {
+fn final_reply_is_reported_immediately_and_a_local_close_after_a_delay() {
     let (registry, reporter) = reporter();
     reporter.report(report(Outcome::Completed, EndCause::FinalReply));
     assert_eq!(next_outcome(&registry), Some(Outcome::Completed));
@@ -48,22 +48,22 @@
 }
 
 #[test]
-fn only_a_reset_a_final_reply_and_what_was_never_whole_are_proof_at_once() {
+fn only_resets_final_replies_and_incomplete_requests_are_reported_immediately() {
     for cause in EndCause::ALL {
         let (registry, reporter) = reporter();
         reporter.report(report(Outcome::Reset, cause));
-        let is_proof = match cause {
+        let is_immediate = match cause {
             EndCause::FinalReply | EndCause::Reset | EndCause::NotConnected => true,
             EndCause::NotBegun | EndCause::HalfWritten => true,
             EndCause::ResultLost | EndCause::Aborted | EndCause::ClosedHere => false,
             EndCause::EndOfStream | EndCause::ConnectionFailed => false,
         };
-        assert_eq!(next_outcome(&registry).is_some(), is_proof, "{cause}");
+        assert_eq!(next_outcome(&registry).is_some(), is_immediate, "{cause}");
     }
 }
 
 #[test]
-fn end_of_an_aborted_attempt_is_reported_after_its_abort_was_written() {
+fn end_of_an_aborted_attempt_is_reported_after_its_abort_is_written() {
     let (registry, reporter) = reporter();
     reporter.report(report(Outcome::Cancelled, EndCause::Aborted));
     let much_later_ms = 1e9;
@@ -72,8 +72,8 @@
     let written_ms = reporter.clock.now();
     reporter.on_last_command(ATTEMPT);
     let due_ms = reporter.publish_settled(0.0);
-    assert!(due_ms >= written_ms + SETTLE_MS && next_outcome(&registry).is_none());
-    // Its connection may close as well: that changes nothing.
+    assert!(due_ms >= written_ms + END_REPORT_DELAY_MS && next_outcome(&registry).is_none());
+    // A later close of the connection does not change the time of the report.
     reporter.on_last_command(ATTEMPT);
     assert_eq!(reporter.publish_settled(0.0), due_ms);
     reporter.publish_settled(due_ms);
@@ -90,7 +90,7 @@
     assert_eq!(next_outcome(&registry), None);
     reporter.publish_settled(deadline_ms);
     assert_eq!(next_outcome(&registry), Some(Outcome::Cancelled));
-    // An attempt that is abandoned at its deadline need not wait at all.
+    // The end of an attempt that is aborted after its deadline is reported immediately.
     reporter.report(AttemptReport {
         deadline_ms: 0.0,
         ..report(Outcome::Timeout, EndCause::Aborted)
@@ -106,7 +106,7 @@
     assert_eq!(events.count(), 2);
 }
 
-fn entry(started_ms: f64) -> EndpointEntry {
+fn endpoint(started_ms: f64) -> EndpointEntry {
     EndpointEntry {
         engine_id: 7,
         address: None,
@@ -119,10 +119,10 @@
 }
 
 #[test]
-fn failure_of_an_earlier_process_does_not_count_against_its_engine() {
+fn failure_of_a_replaced_process_does_not_count_against_its_engine() {
     let (registry, reporter) = reporter();
     let engines = reporter.engines.clone();
-    engines.upsert(&entry(1.0));
+    engines.upsert(&endpoint(1.0));
     let process = engines.with(7, Engine::process).unwrap();
     let channel = Channel::new(ConnectionId(1), 7, process, 0.0);
     let limits = AttemptLimits {
@@ -135,11 +135,11 @@
         reporter.report_lost(&channel, &attempt, outcome, EndCause::Reset);
         next_outcome(&registry)
     };
-    let blames = [Outcome::Reset, Outcome::Timeout, Outcome::NoConnection];
-    assert_eq!(blames.map(outcome_of), blames.map(Some));
-    engines.upsert(&entry(2.0));
-    let blameless = [Outcome::Cancelled, Outcome::Cancelled, Outcome::Withdrawn];
-    assert_eq!(blames.map(outcome_of), blameless.map(Some));
+    let failures = [Outcome::Reset, Outcome::Timeout, Outcome::NoConnection];
+    assert_eq!(failures.map(outcome_of), failures.map(Some));
+    engines.upsert(&endpoint(2.0));
+    let neutral_outcomes = [Outcome::Cancelled, Outcome::Cancelled, Outcome::Withdrawn];
+    assert_eq!(failures.map(outcome_of), neutral_outcomes.map(Some));
     reporter.report_failed_checks(&channel, Outcome::Reset, 1);
     assert!(registry.next_event().is_none());
 }
--- a/crates/dispatcher/src/engine/resp.rs
+++ b/crates/dispatcher/src/engine/resp.rs
@@ -6,7 +6,7 @@
 pub const MAX_ELEMENTS: usize = 8;
 /// Maximum size (bytes) of an element; the protocol's longest is a page of 6,000 bytes.
 pub const MAX_ELEMENT_BYTES: usize = 8 * 1024;
-/// Maximum number of digits of a count or a length; no value within the two limits above has as many.
+/// Maximum number of digits of a count or a length; all values within the two limits above have fewer.
 const MAX_LENGTH_DIGITS: usize = 8;
 /// Line end after each length and each element.
 const CRLF: &[u8] = b"\r\n";
@@ -32,21 +32,21 @@
     }
 }
 
-/// A parsed count or length, and the position of the next line.
+/// A parsed count or length, and the position after its line.
 struct Length {
     value: usize,
     next: usize,
 }
 
-/// Reads the line at `at`: `marker`, a decimal number, CRLF. `None` while it is incomplete.
-fn parse_length(bytes: &[u8], at: usize, marker: u8) -> Result<Option<Length>, ProtocolError> {
+/// Parses the line at position `at`: `type_byte`, a decimal number, CRLF. Returns `None` while it is incomplete.
+fn parse_length(bytes: &[u8], at: usize, type_byte: u8) -> Result<Option<Length>, ProtocolError> {
     let line = &bytes[at.min(bytes.len())..];
     let Some(&first) = line.first() else {
         return Ok(None);
     };
-    if first != marker {
+    if first != type_byte {
         return Err(ProtocolError::UnexpectedType {
-            expected: char::from(marker),
+            expected: char::from(type_byte),
             found: char::from(first),
         });
     }
@@ -70,7 +70,7 @@
     }
 }
 
-/// The array at the start of `bytes`; `None` while it is incomplete.
+/// Parses the array at the start of `bytes`. Returns `None` while it is incomplete.
 ///
 /// # Errors
 /// The bytes cannot be the beginning of an array within the limits.
@@ -108,8 +108,8 @@
     }))
 }
 
-/// Appends an array of `elements` to `out`. If `last_length` is given, the array has one more element of that many
-/// bytes: only its length line is written, the caller adds its bytes and CRLF.
+/// Appends an array of `elements` to `out`. If `last_length` is given, the array has one more element of this length
+/// (bytes). Only the length line of that element is written; the caller appends its bytes and CRLF.
 pub fn write(out: &mut Vec<u8>, elements: &[&[u8]], last_length: Option<usize>) {
     let count = elements.len() + usize::from(last_length.is_some());
     out.extend_from_slice(format!("*{count}\r\n").as_bytes());
@@ -123,7 +123,7 @@
     }
 }
 
-/// The value of `name` in a list of fields `name=value,name=value`.
+/// Returns the value of `name` in a list of fields `name=value,name=value`.
 pub fn field<'a>(fields: &'a [u8], name: &str) -> Option<&'a str> {
     let text = std::str::from_utf8(fields).ok()?;
     for pair in text.split(',') {
--- a/crates/dispatcher/src/engine/resp/tests.rs
+++ b/crates/dispatcher/src/engine/resp/tests.rs
@@ -48,12 +48,12 @@
 }
 
 #[test]
-fn no_flipped_byte_makes_the_parser_panic() {
-    let mut whole = Vec::new();
-    write(&mut whole, &[b"9b1f", b"DONE", b"batches=2", b"a\n"], None);
-    for at in 0..whole.len() {
+fn parser_does_not_panic_on_any_changed_byte() {
+    let mut valid = Vec::new();
+    write(&mut valid, &[b"9b1f", b"DONE", b"batches=2", b"a\n"], None);
+    for at in 0..valid.len() {
         for value in 0..=255 {
-            let mut bytes = whole.clone();
+            let mut bytes = valid.clone();
             bytes[at] = value;
             if let Ok(Some(frame)) = parse(&bytes) {
                 assert!(frame.size <= bytes.len());
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn an_array_can_be_written_without_its_last_element() {
+fn an_array_can_be_written_without_the_bytes_of_its_last_element() {
     let mut bytes = Vec::new();
     write(&mut bytes, &[b"fetch", b"id", b"-"], Some(3));
     bytes.extend_from_slice(b"abc\r\n");
--- a/crates/dispatcher/src/engine/rows.rs
+++ b/crates/dispatcher/src/engine/rows.rs
@@ -1,39 +1,39 @@
-//! Turns a page of rows (three columns, tabs between them, a line feed after each row) into JSON arrays of strings.
+//! Converts a page of rows (three columns, tabs between them, a line feed after each row) to JSON arrays of strings.
 
 use thiserror::Error;
 
-/// Columns of each row of the protocol's results.
+/// Number of columns of each row in the protocol's results.
 const COLUMNS: usize = 3;
 
-/// Why a page of rows can't be read.
+/// Defect of a malformed page of rows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum RowsError {
-    /// The page isn't UTF-8.
-    #[error("the page is not text")]
-    NotText,
-    /// The last row doesn't end in a line feed.
-    #[error("the last row is cut off")]
-    CutOff,
+    /// The page is not UTF-8.
+    #[error("rows are not UTF-8")]
+    InvalidUtf8,
+    /// The last row does not end in a line feed.
+    #[error("the last row does not end in a line feed")]
+    TruncatedRow,
     /// A row has too few or too many columns.
     #[error("row {row} has {columns} columns, expected {COLUMNS}")]
     WrongColumnCount {
-        /// The row's number in the page, from 0.
+        /// Number of the row in the page, from 0.
         row: usize,
-        /// Columns found.
+        /// Number of columns in the row.
         columns: usize,
     },
 }
 
-/// The page's rows as `["a","b","c"],["d","e","f"]`.
+/// Converts a page's rows to the form `["a","b","c"],["d","e","f"]`.
 ///
 /// # Errors
-/// The page is not text, a row has too few columns or too many, or the last one is cut off.
+/// The page is not UTF-8, a row has too few or too many columns, or the last row does not end in a line feed.
 pub fn json_rows(page: &[u8]) -> Result<Vec<u8>, RowsError> {
-    let text = std::str::from_utf8(page).map_err(|_| RowsError::NotText)?;
+    let text = std::str::from_utf8(page).map_err(|_| RowsError::InvalidUtf8)?;
     if text.is_empty() {
         return Ok(Vec::new());
     }
-    let rows = text.strip_suffix('\n').ok_or(RowsError::CutOff)?;
+    let rows = text.strip_suffix('\n').ok_or(RowsError::TruncatedRow)?;
     // Capacity for quotes, commas and brackets: avoids most reallocations.
     let mut json = Vec::with_capacity(page.len() + page.len() / 2 + 8);
     for (number, row) in rows.split('\n').enumerate() {
--- a/crates/dispatcher/src/engine/settings.rs
+++ b/crates/dispatcher/src/engine/settings.rs
@@ -6,9 +6,10 @@
 const MAX_CONNECTIONS_PER_ENGINE: usize = 12;
 /// Minimum number of attempts that the connections to one engine can carry together.
 const MAX_ATTEMPTS_PER_ENGINE: usize = 384;
-/// Fraction of the engines' idle timeout after which this side closes an idle connection, before the engine does.
+/// Fraction of the engines' idle timeout after which this side closes an idle connection, so that the engine does not
+/// close it first.
 const IDLE_FRACTION: f64 = 0.8;
-/// A connection that was silent for this multiple of the progress interval may be lost.
+/// Multiple of the progress interval after which a silent connection with an attempt in flight may be lost.
 const SILENCE_INTERVALS: f64 = 1.25;
 /// Silence (ms) below which a connection never counts as lost.
 pub const MIN_SILENCE_MS: f64 = 250.0;
@@ -24,12 +25,12 @@
     pub idle_timeout_ms: f64,
     /// Time (ms) between an engine's progress notes on an attempt, 0 if it sends none.
     pub progress_interval_ms: f64,
-    /// The shortest latency objective (ms) of all resource groups; used as the progress interval where engines send
+    /// Shortest latency objective (ms) of all resource groups; replaces the progress interval if engines send
     /// no notes.
     pub shortest_objective_ms: f64,
-    /// Attempts and health checks that one connection may carry at a time.
+    /// Maximum number of attempts and health checks in flight on one connection.
     pub max_streams: usize,
-    /// Limit of connections to all engines together.
+    /// Maximum number of connections to all engines together.
     pub max_connections: usize,
 }
 
@@ -40,12 +41,12 @@
         Duration::from_secs_f64(seconds.clamp(0.0, MAX_CONNECT_TIMEOUT_S))
     }
 
-    /// Limit of connections to one engine.
+    /// Maximum number of connections to one engine.
     pub fn max_connections_per_engine(&self) -> usize {
         MAX_CONNECTIONS_PER_ENGINE.max(MAX_ATTEMPTS_PER_ENGINE / self.max_streams.max(1))
     }
 
-    /// Idle time (ms) after which a connection is closed, even if the keep-alive estimate trusts longer ones.
+    /// Idle time (ms) after which a connection is closed, even if the keep-alive estimate trusts longer idle times.
     pub fn max_idle_ms(&self) -> f64 {
         IDLE_FRACTION * self.idle_timeout_ms
     }
--- a/crates/dispatcher/src/engine/tests.rs
+++ b/crates/dispatcher/src/engine/tests.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 use tansymux::events::{AttemptLimits, EndpointState, Outcome, StatementTraits};
 
-const LONG: AttemptLimits = AttemptLimits {
+const NO_TIME_LIMITS: AttemptLimits = AttemptLimits {
     deadline_ms: 1e15,
     start_by_ms: 1e15,
     side_effect_free: true,
@@ -45,7 +45,7 @@
     }
 }
 
-/// An attempt queued on a connection that stays connecting, as no task runs.
+/// Returns a pool with an attempt queued on a connection. The connection keeps connecting, because no task runs.
 fn queued_attempt(
     limits: AttemptLimits,
 ) -> (Rc<QueryRegistry>, Rc<EnginePool>, u64, Rc<AnswerSlot>) {
@@ -71,69 +71,69 @@
     (registry, pool, query, slot)
 }
 
-/// Whether the attempt's end was reported as one that was never sent, for no reason of its engine's.
+/// Whether an attempt's end was reported as [`Outcome::Withdrawn`]: not sent, without a failure of the engine.
 fn was_withdrawn(registry: &QueryRegistry) -> bool {
-    let closed = |e: Event| {
+    let is_withdrawal = |event: Event| {
         matches!(
-            e,
+            event,
             Event::AttemptEnded {
                 outcome: Outcome::Withdrawn,
                 ..
             }
         )
     };
-    std::iter::from_fn(|| registry.next_event()).any(closed)
+    std::iter::from_fn(|| registry.next_event()).any(is_withdrawal)
 }
 
 #[test]
 fn queued_attempt_is_withdrawn_when_its_engine_drains_leaves_or_restarts() {
-    for (then, withdrawn) in [
+    for (update, expected) in [
         (engine(EndpointState::Ready, None, 9), false),
         (engine(EndpointState::Draining, None, 9), true),
         (engine(EndpointState::Gone, None, 9), true),
         (engine(EndpointState::Ready, Some(5.0), 9), true),
         (engine(EndpointState::Ready, None, 10), true),
     ] {
-        let (registry, pool, ..) = queued_attempt(LONG);
-        pool.upsert_endpoint(&then);
-        assert_eq!(was_withdrawn(&registry), withdrawn, "{then:?}");
+        let (registry, pool, ..) = queued_attempt(NO_TIME_LIMITS);
+        pool.upsert_endpoint(&update);
+        assert_eq!(was_withdrawn(&registry), expected, "{update:?}");
     }
 }
 
 #[test]
-fn queued_attempt_is_withdrawn_when_its_query_completes() {
-    let (registry, pool, query, _slot) = queued_attempt(LONG);
+fn queued_attempt_is_withdrawn_when_its_client_leaves_or_its_query_completes() {
+    let (registry, pool, query, _slot) = queued_attempt(NO_TIME_LIMITS);
     registry.client_left(query);
     pool.execute_commands();
     assert!(was_withdrawn(&registry));
-    let (registry, pool, query, _slot) = queued_attempt(LONG);
+    let (registry, pool, query, _slot) = queued_attempt(NO_TIME_LIMITS);
     assert!(registry.answer(query, crate::query_registry::Answer::Failed));
     pool.execute_commands();
     assert!(was_withdrawn(&registry));
 }
 
 #[test]
-fn queued_attempt_is_withdrawn_once_it_may_not_begin() {
+fn queued_attempt_is_withdrawn_at_its_start_limit() {
     let (registry, pool, ..) = queued_attempt(AttemptLimits {
         start_by_ms: Clock::start().now() + 30.0,
-        ..LONG
+        ..NO_TIME_LIMITS
     });
-    let next = pool.expire();
+    let next_expiry_ms = pool.expire();
     assert!(!was_withdrawn(&registry));
-    // The call returns when it is due again.
+    // `expire` returns the time at which it is due again.
     std::thread::sleep(Duration::from_secs_f64(
-        (next - pool.clock.now()).max(0.0) / 1000.0 + 0.001,
+        (next_expiry_ms - pool.clock.now()).max(0.0) / 1000.0 + 0.001,
     ));
     pool.expire();
     assert!(was_withdrawn(&registry));
 }
 
 #[test]
-fn attempt_decided_before_a_list_that_closes_its_engine_does_not_go_there() {
-    // In one round: the decision to submit, the list, and only then the commands.
+fn submission_is_withdrawn_if_a_list_update_drains_or_removes_its_engine_first() {
+    // The decision to submit precedes the endpoint list update, and the commands are executed after it.
     for state in [EndpointState::Draining, EndpointState::Gone] {
-        let (registry, pool, ..) = queued_attempt(LONG);
-        let opened = pool.connection_count();
+        let (registry, pool, ..) = queued_attempt(NO_TIME_LIMITS);
+        let connection_count = pool.connection_count();
         let request = QueryRequest {
             id: "00000000000000bb",
             ..request()
@@ -142,11 +142,11 @@
             query_id: query,
             slot: _slot,
         } = registry.admit(&request).unwrap();
-        registry.submit(query, 7, LONG);
+        registry.submit(query, 7, NO_TIME_LIMITS);
         pool.upsert_endpoint(&engine(state, None, 9));
         while registry.next_event().is_some() {}
         pool.execute_commands();
         assert!(was_withdrawn(&registry), "{state:?}");
-        assert_eq!(pool.connection_count(), opened);
+        assert_eq!(pool.connection_count(), connection_count);
     }
 }
