--- a/crates/dispatcher/src/attempt_end.rs
+++ b/crates/dispatcher/src/attempt_end.rs
@@ -1,55 +1,57 @@
-//! What ended an attempt, and when that proves that its engine no longer runs it.
+//! Causes for which attempts end, and when each proves that the engine no longer runs the attempt.
 
 use thiserror::Error;
 
-/// What ended an attempt, from the point of view of this dispatcher.
+/// The cause for which an attempt ended, from the point of view of this dispatcher.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum EndCause {
-    /// The engine's final reply.
+    /// The engine sent its final reply.
     #[error("final_reply")]
     FinalReply,
-    /// The engine's first page arrived, and a later page is lost.
+    /// The first page of the result arrived, and a later page was lost.
     #[error("result_lost")]
     ResultLost,
-    /// No byte of its request was written.
+    /// No byte of the attempt's request was written.
     #[error("not_begun")]
     NotBegun,
-    /// Its request was written in part, and its connection closes: the engine never receives all of it.
+    /// The request was written in part and the connection is closed, so that the engine never receives all of it.
     #[error("half_written")]
     HalfWritten,
-    /// Its connection did not come up.
+    /// The connection did not come up.
     #[error("not_connected")]
     NotConnected,
-    /// Its connection was reset.
+    /// The connection was reset.
     #[error("reset")]
     Reset,
     /// The engine ended the stream, which may be a half-close.
     #[error("end_of_stream")]
     EndOfStream,
-    /// Its connection could not be read or written, for another reason than a reset.
+    /// The connection could not be read or written, for a reason other than a reset.
     #[error("connection_failed")]
     ConnectionFailed,
-    /// This side closed its connection.
+    /// This dispatcher closed the connection.
     #[error("closed_here")]
     ClosedHere,
-    /// This side aborted it.
+    /// This dispatcher aborted the attempt.
     #[error("aborted")]
     Aborted,
 }
 
-/// When an engine is known not to run an attempt any more.
+/// The point in time from which an engine is known not to run an attempt any more.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndProof {
-    /// At once: the engine has ended it, or never received all of it.
+    /// Immediately: the engine has ended the attempt, or never received its whole request.
     AtOnce,
-    /// A moment after the last command about it was written.
+    /// When the settling delay of the engine side's reports has passed since the last command about the attempt was
+    /// written.
     AfterCommand,
-    /// A moment after this side closed its connection, which gives up all that is open on it.
+    /// When the settling delay of the engine side's reports has passed since this dispatcher closed the connection,
+    /// which aborts all attempts on it.
     AfterClose,
 }
 
 impl EndCause {
-    /// When this cause proves the end.
+    /// When this cause proves that the engine no longer runs the attempt.
     pub fn proof(self) -> EndProof {
         match self {
             EndCause::FinalReply
@@ -64,7 +66,7 @@
         }
     }
 
-    /// All causes.
+    /// All causes, in the order of their counters.
     pub const ALL: [EndCause; 10] = [
         EndCause::FinalReply,
         EndCause::ResultLost,
--- a/crates/dispatcher/src/close_reason.rs
+++ b/crates/dispatcher/src/close_reason.rs
@@ -2,31 +2,31 @@
 
 use thiserror::Error;
 
-/// Why a client's connection ended.
+/// Reason for which a client's connection ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum ClientClose {
-    /// The client closed or reset it.
+    /// The client closed or reset the connection.
     #[error("by_client")]
     ByClient,
-    /// No byte arrived for too long.
+    /// No byte arrived within the idle timeout.
     #[error("idle")]
     Idle,
-    /// Its entry was needed for another connection.
+    /// The connection was closed to make room for a new one.
     #[error("evicted")]
     Evicted,
-    /// An unusable request was answered with an error.
+    /// A request was refused with an error: invalid, incomplete, or over a limit.
     #[error("refused")]
     Refused,
-    /// It was closed after an answer, at the client's request or during shutdown.
+    /// The connection was closed after an answer, at the client's request or during shutdown.
     #[error("after_answer")]
     AfterAnswer,
-    /// It could not be read or written.
+    /// The connection could not be read or written.
     #[error("failed")]
     Failed,
 }
 
 impl ClientClose {
-    /// All reasons.
+    /// All reasons, in the order of their counters.
     pub const ALL: [ClientClose; 6] = [
         ClientClose::ByClient,
         ClientClose::Idle,
@@ -37,13 +37,13 @@
     ];
 }
 
-/// Why a connection to an engine ended.
+/// Reason for which a connection to an engine ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum EngineClose {
-    /// The engine closed it.
+    /// The engine closed the connection.
     #[error("by_engine")]
     ByEngine,
-    /// It was idle for too long, or its engine is draining, gone or replaced.
+    /// The connection was idle for too long, or its engine is draining, gone or replaced.
     #[error("retired")]
     Retired,
     /// The engine violated the protocol.
@@ -52,31 +52,31 @@
     /// A request was withdrawn after some of its bytes were written.
     #[error("half_written")]
     HalfWritten,
-    /// The engine sent too many replies without effect.
+    /// The engine sent too many replies that were ignored.
     #[error("flood")]
     Flood,
-    /// The engine did not read the end of an attempt in time.
+    /// The engine did not read the last command about an attempt in time.
     #[error("end_not_read")]
     EndNotRead,
-    /// It was silent, and the engine accepts no other connection.
+    /// The connection was silent, and the engine accepts no other connection.
     #[error("unreachable")]
     Unreachable,
-    /// It was silent after it had idled, and the engine accepts other connections.
+    /// The connection was silent after it had idled, and the engine accepts other connections.
     #[error("forgotten")]
     Forgotten,
-    /// It did not come up in time.
+    /// The connection did not come up in time.
     #[error("connect_timeout")]
     ConnectTimeout,
-    /// This machine lacked a resource for the connection.
+    /// This machine lacked a descriptor, a port or memory for the connection.
     #[error("local_fault")]
     LocalFault,
-    /// It was refused, reset or could not be read or written.
+    /// The connection was refused or reset, or could not be read or written.
     #[error("failed")]
     Failed,
 }
 
 impl EngineClose {
-    /// All reasons.
+    /// All reasons, in the order of their counters.
     pub const ALL: [EngineClose; 11] = [
         EngineClose::ByEngine,
         EngineClose::Retired,
--- a/crates/dispatcher/src/engine/allocation.rs
+++ b/crates/dispatcher/src/engine/allocation.rs
@@ -1,4 +1,4 @@
-//! Allocation of connections: selects the connection of an attempt, and opens another within the limits.
+//! Allocation of connections: selects a connection for each attempt, and opens new connections within the limits.
 
 mod descriptor_limit;
 
@@ -10,7 +10,7 @@
 use super::engine_entry::Engine;
 use super::engine_table::EngineTable;
 use super::idle_reuse::ReuseTracker;
-use super::keep_alive::MIN_IDLE_MS;
+use super::keep_alive::MIN_TRUSTED_IDLE_MS;
 use super::settings::ConnectionSettings;
 use crate::clock::Clock;
 use crate::ids::{ConnectionId, EngineId};
@@ -20,25 +20,25 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// What the limit of all connections leaves for another one.
+/// Whether the limit of connections to all engines together allows a new one.
 struct Headroom {
     is_limit_reached: bool,
-    /// At the limit: the connection that would be closed in favour of a new one.
+    /// The idle connection that would be closed in favour of a new one, if the limit is reached and there is one.
     evictable: Option<Rc<Channel>>,
 }
 
 impl Headroom {
-    fn allows_another(&self) -> bool {
+    fn allows_new_connection(&self) -> bool {
         !self.is_limit_reached || self.evictable.is_some()
     }
 }
 
-/// How a new connection gets its descriptor.
+/// How a new connection is granted its file descriptor.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Descriptor {
-    /// Immediately.
-    Granted,
-    /// Once [`ChannelAllocator::release`] grants it one that another connection held.
+enum DescriptorGrant {
+    /// When it is opened.
+    Immediate,
+    /// When [`ChannelAllocator::release`] passes on the descriptor of a closed connection.
     Queued,
 }
 
@@ -79,27 +79,29 @@
         self.descriptors.connection_count()
     }
 
-    /// Selects or opens a connection; `None` if the engine is unknown or the connection limits are reached.
+    /// Selects or opens a connection; `None` if the engine is unknown or has no address, or if the limit of
+    /// connections to it is reached and none of them accepts the request.
     pub fn select<H: ChannelHandler + 'static>(
         &self,
         handler: &Rc<H>,
         request: &ChannelRequest,
     ) -> Option<Rc<Channel>> {
         let headroom = self.headroom();
-        let select = |engine: &mut Engine| self.select_of(handler, engine, request, &headroom);
+        let select =
+            |engine: &mut Engine| self.select_for_engine(handler, engine, request, &headroom);
         self.engines.with_mut(request.engine_id, select).flatten()
     }
 
     fn headroom(&self) -> Headroom {
         let is_limit_reached = self.descriptors.is_reached();
-        let evictable = is_limit_reached.then(|| self.engines.least_recently_used());
+        let evictable = is_limit_reached.then(|| self.engines.least_recently_used_idle());
         Headroom {
             is_limit_reached,
             evictable: evictable.flatten(),
         }
     }
 
-    fn select_of<H: ChannelHandler + 'static>(
+    fn select_for_engine<H: ChannelHandler + 'static>(
         &self,
         handler: &Rc<H>,
         engine: &mut Engine,
@@ -112,41 +114,44 @@
         let trusted_idle_ms = if request.side_effect_free {
             self.reuses.trusted_idle_ms(now_ms)
         } else {
-            MIN_IDLE_MS
+            MIN_TRUSTED_IDLE_MS
         };
         let max_streams = self.settings.max_streams;
         let best = engine.best_channel(request, now_ms, trusted_idle_ms, max_streams);
         let is_below_engine_limit = self.is_below_engine_limit(engine);
-        let may_open = is_below_engine_limit && headroom.allows_another();
-        // A lost connection loses every attempt in flight on it: they share one only at a connection limit.
+        let may_open = is_below_engine_limit && headroom.allows_new_connection();
+        // Attempts share a connection only at a connection limit: the loss of a connection loses every attempt on it.
         let channel = match best {
             Some(best) if best.suitability <= Suitability::Fresh || !may_open => best.channel,
             _ if may_open => {
                 headroom.evictable.iter().for_each(|idle| idle.retire());
-                self.open(handler, engine, address, Descriptor::Granted)
+                self.open(handler, engine, address, DescriptorGrant::Immediate)
+            }
+            // The new connection connects after another one has closed.
+            _ if is_below_engine_limit => {
+                self.open(handler, engine, address, DescriptorGrant::Queued)
             }
-            // It connects once another connection has closed.
-            _ if is_below_engine_limit => self.open(handler, engine, address, Descriptor::Queued),
             _ => {
                 let engine_id = EngineId(request.engine_id);
                 tracing::warn!(%engine_id, "connection limit reached");
                 return None;
             }
         };
-        // Where idle connections are not trusted, a spare is opened for the next attempt.
-        let needs_spare = may_open && !headroom.is_limit_reached && max_idle_ms <= MIN_IDLE_MS;
-        if needs_spare && !engine.has_spare_beside(&channel) {
-            self.open(handler, engine, address, Descriptor::Granted);
+        // While idle connections are not trusted, a spare connection is opened for the next attempt.
+        let needs_spare =
+            may_open && !headroom.is_limit_reached && max_idle_ms <= MIN_TRUSTED_IDLE_MS;
+        if needs_spare && !engine.has_spare_other_than(&channel) {
+            self.open(handler, engine, address, DescriptorGrant::Immediate);
         }
         Some(channel)
     }
 
-    /// Whether the limit of connections to one engine allows for another.
+    /// Whether the limit of connections to one engine allows a new one.
     fn is_below_engine_limit(&self, engine: &Engine) -> bool {
         engine.channels().len() < self.settings.max_connections_per_engine()
     }
 
-    /// Opens `count` connections, or as many as the limits allow.
+    /// Opens up to `count` connections, as far as the limits allow.
     pub fn open_up_to<H: ChannelHandler + 'static>(
         &self,
         handler: &Rc<H>,
@@ -156,7 +161,7 @@
     ) {
         for _ in 0..count {
             if self.is_below_engine_limit(engine) && !self.descriptors.is_reached() {
-                self.open(handler, engine, address, Descriptor::Granted);
+                self.open(handler, engine, address, DescriptorGrant::Immediate);
             }
         }
     }
@@ -167,16 +172,16 @@
         handler: &Rc<H>,
         engine: &mut Engine,
         address: SocketAddr,
-        descriptor: Descriptor,
+        grant: DescriptorGrant,
     ) -> Rc<Channel> {
         let opened = &self.registry.counters.engine_connections_opened;
         let id = ConnectionId(opened.get() + 1);
         let now_ms = self.clock.now();
         let channel = Channel::new(id, engine.engine_id(), engine.process(), now_ms);
         let channel = Rc::new(channel);
-        match descriptor {
-            Descriptor::Granted => self.descriptors.grant(&channel),
-            Descriptor::Queued => {
+        match grant {
+            DescriptorGrant::Immediate => self.descriptors.grant(&channel),
+            DescriptorGrant::Queued => {
                 self.registry.counters.waits_for_descriptor.increment();
                 self.descriptors.enqueue(channel.clone());
             }
@@ -188,17 +193,17 @@
         channel
     }
 
-    /// Closes idle connections in favour of those that wait for a descriptor.
-    pub fn evict_for_waiting(&self) {
+    /// Retires one idle connection for each connection that waits for a descriptor, the least recently used first.
+    pub fn retire_idle_for_waiting(&self) {
         for _ in 0..self.descriptors.waiting_count() {
-            match self.engines.least_recently_used() {
+            match self.engines.least_recently_used_idle() {
                 Some(idle) => idle.retire(),
                 None => return,
             }
         }
     }
 
-    /// Removes a closed connection. Its descriptor is granted to the connection that waits longest.
+    /// Removes a closed connection, and grants its descriptor to the connection that has waited longest.
     pub fn release(&self, channel: &Rc<Channel>) {
         self.engines.remove_channel(channel);
         self.descriptors.release(channel);
--- a/crates/dispatcher/src/engine/allocation/descriptor_limit.rs
+++ b/crates/dispatcher/src/engine/allocation/descriptor_limit.rs
@@ -1,21 +1,21 @@
-//! The limit of connections to all engines together, and the queue of connections that wait for a descriptor.
+//! The limit of connections to all engines together, and the queue of connections that wait for a file descriptor.
 
 use crate::engine::channel::Channel;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-/// Grants descriptors to connections, within a limit.
+/// Grants file descriptors to connections, within a limit.
 pub struct DescriptorLimit {
     max_connections: usize,
-    /// Connections that are open or connecting.
+    /// Number of connections that are open or connecting.
     connections: Cell<usize>,
-    /// Connections that wait for a descriptor, the longest first.
+    /// Connections that wait for a descriptor, in the order in which they were queued.
     waiting: RefCell<VecDeque<Rc<Channel>>>,
 }
 
 impl DescriptorLimit {
-    /// A limit of `max_connections`.
+    /// A limit of `max_connections` connections.
     pub fn new(max_connections: usize) -> Self {
         DescriptorLimit {
             max_connections,
@@ -45,12 +45,13 @@
         channel.grant_descriptor();
     }
 
-    /// Queues a connection for the next descriptor that is released.
+    /// Queues a connection for a released descriptor.
     pub fn enqueue(&self, channel: Rc<Channel>) {
         self.waiting.borrow_mut().push_back(channel);
     }
 
-    /// A connection has closed: its descriptor is granted to the connection that waits longest.
+    /// Releases the descriptor of a closed connection, and grants it to the connection that has waited longest.
+    /// Removes a connection without a descriptor from the queue.
     pub fn release(&self, channel: &Rc<Channel>) {
         if !channel.has_descriptor() {
             let mut waiting = self.waiting.borrow_mut();
--- a/crates/dispatcher/src/engine/allocation/descriptor_limit/tests.rs
+++ b/crates/dispatcher/src/engine/allocation/descriptor_limit/tests.rs
@@ -11,7 +11,7 @@
 }
 
 #[test]
-fn released_descriptor_is_granted_to_the_connection_that_waits_longest() {
+fn released_descriptor_is_granted_to_the_connection_that_has_waited_longest() {
     let limit = DescriptorLimit::new(1);
     let (first, second, third) = (channel(1), channel(2), channel(3));
     limit.grant(&first);
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn connection_that_closes_while_it_waits_leaves_the_queue() {
+fn connection_closed_while_waiting_is_removed_from_the_queue() {
     let limit = DescriptorLimit::new(1);
     let (first, second) = (channel(1), channel(2));
     limit.grant(&first);
--- a/crates/dispatcher/src/engine/channel.rs
+++ b/crates/dispatcher/src/engine/channel.rs
@@ -1,5 +1,5 @@
-//! The shared state of one connection: its state machine, the wake-up of its writer and its permission to hold a
-//! descriptor.
+//! The state of one connection that its task and the pool share: the state machine, the notification of the writer and
+//! the permission to hold a file descriptor.
 
 mod connect;
 pub mod error;
@@ -14,26 +14,26 @@
 use std::net::SocketAddr;
 use thiserror::Error;
 
-/// The engine process at the other end of a connection, as the endpoint list had it when the connection was opened.
+/// The engine process at the other end of a connection, as listed in the endpoint list when the connection was opened.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EngineProcess {
-    /// Where the process listens.
+    /// Address on which the process listens.
     pub address: Option<SocketAddr>,
-    /// When the process started (ms).
+    /// Start time of the process (ms).
     pub started_ms: Option<f64>,
 }
 
 /// A fault of this machine that keeps a connection from reaching its engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum LocalFault {
-    /// The limit of connections is reached.
-    #[error("no descriptor is free within the limits")]
+    /// The connection limit is reached, so that no descriptor is granted.
+    #[error("no file descriptor granted within the connection limit")]
     DescriptorLimit,
     /// The system lacks a resource.
-    #[error("no socket, port or memory on this machine")]
+    #[error("no socket, port or memory available on this machine")]
     ResourceShort,
     /// The engine's network is unreachable.
-    #[error("no route to the network of the engine")]
+    #[error("no route to the engine's network")]
     NetworkUnreachable,
 }
 
@@ -47,24 +47,25 @@
     }
 }
 
-/// A connection and the wake-up of its writer.
+/// A connection, with the notifications that wake its task.
 pub struct Channel {
-    /// The connection's number.
+    /// Number of the connection.
     pub id: ConnectionId,
-    /// The engine's number.
+    /// Number of the engine.
     pub engine_id: u64,
-    /// The process that the connection leads to.
+    /// The engine process that the connection was opened to.
     pub process: EngineProcess,
     /// The state machine.
     pub connection: RefCell<Connection>,
-    /// Notified when there may be something to write or a reason to close.
+    /// Wakes the writer when there may be something to write or a reason to close.
     pub notify: Notify,
-    /// Whether the connection may hold a descriptor.
+    /// Whether the connection may hold a file descriptor.
     has_descriptor: Cell<bool>,
+    /// Wakes the task when the connection is granted a descriptor.
     descriptor_granted: Notify,
-    /// Number of the engine's replies on it that had no effect.
+    /// Number of replies ignored on this connection.
     pub ignored_replies: Cell<u64>,
-    /// The fault of this machine that currently keeps it from connecting.
+    /// The fault of this machine that currently keeps the connection from being opened.
     pub local_fault: Cell<Option<LocalFault>>,
 }
 
@@ -91,12 +92,12 @@
         self.descriptor_granted.notify();
     }
 
-    /// Whether the connection holds a descriptor, or may open one.
+    /// Whether the connection holds a descriptor or may open one.
     pub fn has_descriptor(&self) -> bool {
         self.has_descriptor.get()
     }
 
-    /// Returns once the connection may hold a descriptor.
+    /// Waits until the connection may hold a descriptor.
     pub async fn wait_for_descriptor(&self) {
         while !self.has_descriptor() {
             self.descriptor_granted.notified().await;
@@ -113,7 +114,7 @@
         self.connection.borrow().idle_since_ms()
     }
 
-    /// Retires the connection: it accepts no new attempts, and closes when nothing is in flight.
+    /// Retires the connection: it accepts no new attempts and closes when nothing is in flight.
     pub fn retire(&self) {
         self.connection.borrow_mut().retire();
         self.notify.notify();
--- a/crates/dispatcher/src/engine/channel/error.rs
+++ b/crates/dispatcher/src/engine/channel/error.rs
@@ -7,10 +7,10 @@
 use std::io;
 use thiserror::Error;
 
-/// Why a connection ended, unless it was retired or the engine closed it.
+/// Reason for which a connection ended, unless it was retired or the engine closed it.
 #[derive(Debug, Error)]
 pub enum ChannelError {
-    /// This side closed the connection.
+    /// The dispatcher closed the connection.
     #[error(transparent)]
     Closed(#[from] CloseReason),
     /// The connection did not come up in time.
@@ -41,7 +41,7 @@
         matches!(self, ChannelError::Local(_))
     }
 
-    /// Whether this side closed the connection: its attempts count as abandoned.
+    /// Whether the dispatcher closed the connection, so that its attempts count as abandoned.
     pub fn is_closed_locally(&self) -> bool {
         match self {
             ChannelError::Closed(_) => true,
@@ -50,12 +50,12 @@
         }
     }
 
-    /// Whether the other end reset the connection.
+    /// Whether the engine or a middlebox reset the connection.
     pub fn is_reset(&self) -> bool {
         matches!(self, ChannelError::Io(error) if error.kind() == io::ErrorKind::ConnectionReset)
     }
 
-    /// The reason in logs and counters.
+    /// The close reason for logs and counters.
     pub fn close_reason(&self) -> EngineClose {
         match self {
             ChannelError::Closed(CloseReason::Protocol(_)) => EngineClose::Protocol,
--- a/crates/dispatcher/src/engine/channel/handler.rs
+++ b/crates/dispatcher/src/engine/channel/handler.rs
@@ -19,34 +19,34 @@
     /// The connect timeout.
     fn connect_timeout(&self) -> Duration;
 
-    /// The read buffer shared by all connections: idle ones hold no memory for reading.
+    /// The read buffer shared by all connections, so that idle connections hold no memory for reading.
     fn read_buffer(&self) -> &RefCell<Vec<u8>>;
 
-    /// A connect failed for a reason on this machine; it is retried.
+    /// Called when a connect failed for a reason on this machine, before it is retried.
     fn on_local_connect_fault(&self, channel: &Channel, error: &io::Error);
 
-    /// A connect timed out. It continues, and may succeed late.
+    /// Called when a connect timed out. The connect continues and may still succeed.
     fn on_connect_timeout(self: &Rc<Self>, channel: &Rc<Channel>);
 
-    /// A connection is up.
+    /// Called when a connection is up.
     fn on_connected(&self, channel: &Channel);
 
-    /// The connection's writer is about to write: releases the next request that may begin, and abandons those that may not.
-    /// Returns the attempt whose request was released.
+    /// Called before each write: releases the next request that may begin, and abandons those that may not. Returns the
+    /// attempt whose request was released.
     fn on_writable(&self, channel: &Channel) -> Option<AttemptKey>;
 
-    /// The first byte of an attempt's request was written.
+    /// Called when the first byte of an attempt's request was written.
     fn on_attempt_begun(&self, channel: &Channel, key: &AttemptKey);
 
-    /// Bytes were written.
+    /// Called after each write.
     fn on_written(&self, channel: &Channel);
 
-    /// A frame arrived.
+    /// Called for each frame that arrives.
     ///
     /// # Errors
-    /// The frame violates the protocol: the connection closes.
+    /// The frame violates the protocol. The connection is then closed.
     fn on_frame(&self, channel: &Channel, frame: &Frame) -> Result<(), ProtocolError>;
 
-    /// A connection ended, with this error unless it was retired or the engine closed it.
+    /// Called when a connection has ended. `error` is `None` if it was retired or the engine closed it.
     fn on_closed(&self, channel: &Rc<Channel>, error: Option<&ChannelError>);
 }
--- a/crates/dispatcher/src/engine/channel/task.rs
+++ b/crates/dispatcher/src/engine/channel/task.rs
@@ -1,7 +1,7 @@
 //! The task of one connection: connects, then reads and writes until the connection closes.
 //!
-//! [`Connection`](crate::engine::connection::Connection) holds the state and does no I/O; this module owns the socket. What
-//! an event means is decided by the [`ChannelHandler`].
+//! [`Connection`](crate::engine::connection::Connection) holds the state and does no I/O; this module owns the
+//! socket. The [`ChannelHandler`] handles the events.
 
 use super::connect::connect;
 use super::error::ChannelError;
@@ -22,13 +22,13 @@
 
 /// Result of one step of the writer.
 enum WriteStep {
-    /// The connection is retired and nothing is left to write: close it.
+    /// The connection is retired, with nothing in flight and nothing left to write. It can be closed.
     Done,
-    /// This many bytes were written.
+    /// Number of bytes written.
     Wrote(usize),
 }
 
-/// Runs a connection from its connect to its end.
+/// Runs a connection from its connect to its close.
 pub async fn run<H: ChannelHandler>(handler: Rc<H>, channel: Rc<Channel>, address: SocketAddr) {
     let result = serve(&handler, &channel, address).await;
     handler.on_closed(&channel, result.as_ref().err());
@@ -41,7 +41,8 @@
 ) -> Result<(), ChannelError> {
     let stream = connect(handler, channel, address).await?;
     handler.on_connected(channel);
-    // A failure only costs latency: small requests would wait for the acknowledgement of the one before.
+    // A failure is ignored because it costs only latency: with Nagle's algorithm a small request waits until the one
+    // before is acknowledged.
     let _ = stream.get_ref().set_nodelay(true);
     limit_unsent_bytes(stream.get_ref());
     let io = ChannelIo {
@@ -75,7 +76,7 @@
                     self.handler.on_written(self.channel);
                 }
                 Err(ChannelError::Io(error)) if is_lack_of_buffers(&error) => {
-                    tracing::debug!(%error, "write failed for now");
+                    tracing::debug!(%error, "write to engine failed for lack of buffers, retrying");
                     Timer::after(RESOURCE_RETRY_DELAY).await;
                 }
                 Err(error) => return Err(error),
@@ -85,7 +86,7 @@
 
     fn poll_write(&self, context: &mut Context) -> Poll<Result<WriteStep, ChannelError>> {
         while self.channel.notify.poll_notified(context).is_ready() {}
-        let begun = self.handler.on_writable(self.channel);
+        let begun_attempt = self.handler.on_writable(self.channel);
         let connection = self.channel.connection.borrow();
         if let Some(reason) = connection.close_reason() {
             return Poll::Ready(Err(reason.into()));
@@ -101,9 +102,9 @@
         let mut slices: Vec<IoSlice> = Vec::with_capacity(MAX_SLICES);
         connection.slices(&mut slices, MAX_SLICES);
         let written = poll_gathered(self.stream, context, &slices);
-        if let (Poll::Ready(Ok(count)), Some(begun)) = (&written, begun) {
+        if let (Poll::Ready(Ok(count)), Some(begun_attempt)) = (&written, begun_attempt) {
             if connection.reaches_next_request(*count) {
-                self.handler.on_attempt_begun(self.channel, &begun);
+                self.handler.on_attempt_begun(self.channel, &begun_attempt);
             }
         }
         written.map_ok(WriteStep::Wrote).map_err(ChannelError::Io)
@@ -119,7 +120,7 @@
             if count == 0 {
                 return Ok(());
             }
-            // Keeps an engine that sends without pause from starving other tasks.
+            // Keeps an engine that sends continuously from starving other tasks.
             future::yield_now().await;
             self.handle_frames(&mut inbox)?;
             let now_ms = self.handler.clock().now();
--- a/crates/dispatcher/src/engine/engine_entry.rs
+++ b/crates/dispatcher/src/engine/engine_entry.rs
@@ -1,4 +1,4 @@
-//! One engine of the endpoint list, and the choice among the connections to it.
+//! One engine of the endpoint list, with its connections and the selection among them.
 
 use super::channel::{Channel, EngineProcess};
 use super::channel_request::ChannelRequest;
@@ -10,16 +10,16 @@
 use std::rc::Rc;
 use tansymux::events::EndpointState;
 
-/// A reuse after idling that was abandoned before any frame arrived on its connection. The connection counts as lost if
-/// the engine soon sends a frame on another one.
+/// The reuse of an idle connection whose attempt was abandoned before any frame arrived. The connection counts as
+/// lost if the engine sends a frame on another connection within `SUSPICION_WINDOW_MS` (see [`super::silence`]).
 #[derive(Debug, Clone, Copy)]
 pub(super) struct SuspectedReuse {
     pub reuse: IdleReuse,
-    /// When it was abandoned (ms).
-    pub since_ms: f64,
+    /// When the attempt was abandoned (ms).
+    pub abandoned_ms: f64,
 }
 
-/// Whether an update of the endpoint list concerns the process that the connections lead to.
+/// The effect of an endpoint list update on the engine's process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ProcessChange {
     /// The same process is listed.
@@ -35,13 +35,13 @@
     zone: String,
     kind: String,
     state: EndpointState,
-    /// Start time of its process (ms), if the endpoint list has it.
+    /// Start time of the engine's process (ms), if the endpoint list contains it.
     started_ms: Option<f64>,
     /// Whether the engine has left the endpoint list.
     is_gone: bool,
-    /// Consecutive connects that timed out.
-    late_connects: u32,
-    /// When the last frame from the engine arrived (ms).
+    /// Number of consecutive connects that timed out.
+    consecutive_connect_timeouts: u32,
+    /// When the last frame from the engine arrived (ms); minus infinity if none has.
     last_frame_ms: f64,
     suspected_reuse: Option<SuspectedReuse>,
     channels: Vec<Rc<Channel>>,
@@ -58,7 +58,7 @@
             state: entry.state,
             started_ms: entry.started_ms,
             is_gone: false,
-            late_connects: 0,
+            consecutive_connect_timeouts: 0,
             last_frame_ms: f64::NEG_INFINITY,
             suspected_reuse: None,
             channels: Vec::new(),
@@ -83,27 +83,27 @@
         ProcessChange::Replaced
     }
 
-    /// The engine's number.
+    /// Number of the engine.
     pub fn engine_id(&self) -> u64 {
         self.engine_id
     }
 
-    /// Where the engine listens, if the endpoint list has it.
+    /// Address on which the engine listens, if the endpoint list contains it.
     pub fn address(&self) -> Option<SocketAddr> {
         self.address
     }
 
-    /// The name of the engine's zone.
+    /// Name of the engine's zone.
     pub fn zone(&self) -> &str {
         &self.zone
     }
 
-    /// Whether the engine is listed as taking queries.
+    /// Whether the endpoint list has the engine as ready for queries.
     pub fn is_ready(&self) -> bool {
         self.state == EndpointState::Ready
     }
 
-    /// The process that is listed now.
+    /// The engine's process, as currently listed.
     pub fn process(&self) -> EngineProcess {
         EngineProcess {
             address: self.address,
@@ -111,7 +111,7 @@
         }
     }
 
-    /// The engine's entry in the endpoint list, compared with the process that a connection leads to.
+    /// The engine's entry in the endpoint list, and whether `channel` leads to the process listed there.
     pub fn facts(&self, channel: &Channel) -> EndpointFacts<'_> {
         EndpointFacts {
             state: self.state,
@@ -143,20 +143,20 @@
         self.is_gone && self.channels.is_empty()
     }
 
-    /// Whether a connect is under way, within its timeout.
+    /// Whether a connect is in progress, within its timeout.
     pub fn is_connecting(&self) -> bool {
         let mut channels = self.channels.iter();
         channels.any(|channel| channel.connection.borrow().state() == ConnectionState::Connecting)
     }
 
-    /// Whether any connection was reused after idling and has been silent since.
-    pub fn has_reuse_in_silence(&self) -> bool {
+    /// Whether any connection was reused after idling and has received no frame since.
+    pub fn has_silent_reuse(&self) -> bool {
         let mut channels = self.channels.iter();
         channels.any(|channel| channel.connection.borrow().is_reused_in_silence())
     }
 
-    /// The most suitable of the connections that accept an attempt with this id and have carried no other attempt of its
-    /// query.
+    /// The most suitable connection that accepts the request and has carried no earlier attempt of its query; `None` if
+    /// there is none.
     pub fn best_channel(
         &self,
         request: &ChannelRequest,
@@ -182,8 +182,8 @@
         candidates.min_by(Candidate::compare)
     }
 
-    /// Whether another connection than `channel` is unused and either up or within its connect timeout.
-    pub fn has_spare_beside(&self, channel: &Rc<Channel>) -> bool {
+    /// Whether a connection other than `channel` is unused, and either up or within its connect timeout.
+    pub fn has_spare_other_than(&self, channel: &Rc<Channel>) -> bool {
         self.channels.iter().any(|other| {
             let connection = other.connection.borrow();
             !Rc::ptr_eq(other, channel)
@@ -194,39 +194,39 @@
 
     // ---- Health ----
 
-    /// Consecutive connects that timed out.
-    pub fn late_connects(&self) -> u32 {
-        self.late_connects
+    /// Number of consecutive connects that timed out.
+    pub fn consecutive_connect_timeouts(&self) -> u32 {
+        self.consecutive_connect_timeouts
     }
 
     /// Counts a connect that timed out.
-    pub fn record_late_connect(&mut self) {
-        self.late_connects += 1;
+    pub fn record_connect_timeout(&mut self) {
+        self.consecutive_connect_timeouts += 1;
     }
 
-    /// A connection came up.
+    /// Records that a connection came up.
     pub fn on_connected(&mut self) {
-        self.late_connects = 0;
+        self.consecutive_connect_timeouts = 0;
     }
 
-    /// A frame arrived. Returns the reuse that was suspected until now.
+    /// Records that a frame arrived. Takes and returns the suspected reuse.
     pub fn on_frame(&mut self, now_ms: f64) -> Option<SuspectedReuse> {
         self.last_frame_ms = now_ms;
         self.suspected_reuse.take()
     }
 
-    /// Whether a frame arrived after `since_ms`, on any connection.
+    /// Whether a frame has arrived on any connection after `since_ms`.
     pub fn has_frame_since(&self, since_ms: f64) -> bool {
         self.last_frame_ms > since_ms
     }
 
-    /// Suspects a reuse that was given up without any frame.
-    pub fn suspect(&mut self, suspected: SuspectedReuse) {
+    /// Records a reuse whose connection may be lost.
+    pub fn set_suspected_reuse(&mut self, suspected: SuspectedReuse) {
         self.suspected_reuse = Some(suspected);
     }
 }
 
-/// A connection that accepts an attempt, with the properties by which it is ranked.
+/// A connection that accepts a request, with the properties by which connections are ranked.
 pub(super) struct Candidate {
     pub channel: Rc<Channel>,
     pub suitability: Suitability,
@@ -236,8 +236,8 @@
 }
 
 impl Candidate {
-    /// Orders by suitability, then fewest in flight, then up before connecting, then most recently used: surplus
-    /// connections idle and can be closed.
+    /// Compares by suitability, then by the number in flight, then up before connecting, then most recently used first.
+    /// The last criterion lets surplus connections idle, so that they can be closed.
     fn compare(&self, other: &Candidate) -> Ordering {
         self.suitability
             .cmp(&other.suitability)
--- a/crates/dispatcher/src/engine/engine_entry/tests.rs
+++ b/crates/dispatcher/src/engine/engine_entry/tests.rs
@@ -44,8 +44,8 @@
     connection.submit(&id.into(), fields, statement, attempt);
 }
 
-/// Submits an attempt and abandons it, so that the connection idles from `idle_since_ms` on.
-fn use_until(channel: &Channel, idle_since_ms: f64) {
+/// Submits an attempt and abandons it, so that the connection has been idle since `idle_since_ms`.
+fn make_idle_since(channel: &Channel, idle_since_ms: f64) {
     submit(channel, "used", idle_since_ms);
     channel
         .connection
@@ -53,8 +53,8 @@
         .abandon("used", idle_since_ms);
 }
 
-/// The best connection for an attempt whose query has used these connections before.
-fn best_after(engine: &Engine, used_connections: &[ConnectionId]) -> Option<u64> {
+/// Number of the best connection for an attempt whose query has used `used_connections` before.
+fn best_unused_by_query(engine: &Engine, used_connections: &[ConnectionId]) -> Option<u64> {
     let request = ChannelRequest {
         engine_id: 7,
         id: "new",
@@ -65,40 +65,43 @@
     best.map(|best| best.channel.id.0)
 }
 
-fn best_number(engine: &Engine) -> Option<u64> {
-    best_after(engine, &[])
+fn best_channel_number(engine: &Engine) -> Option<u64> {
+    best_unused_by_query(engine, &[])
 }
 
 #[test]
-fn connection_that_carried_an_attempt_of_the_query_carries_no_other() {
+fn connection_used_by_an_earlier_attempt_of_the_query_is_not_selected() {
     let mut engine = engine();
     for number in 1..4 {
-        use_until(&add_channel(&mut engine, number), NOW_MS - 1.0);
+        make_idle_since(&add_channel(&mut engine, number), NOW_MS - 1.0);
     }
     let used = [1, 2, 3].map(ConnectionId);
-    assert!(best_after(&engine, &used[..2]) == Some(3) && best_after(&engine, &used).is_none());
+    assert!(
+        best_unused_by_query(&engine, &used[..2]) == Some(3)
+            && best_unused_by_query(&engine, &used).is_none()
+    );
 }
 
 #[test]
-fn best_connection_is_proven_then_fresh_then_shared_then_stale() {
+fn connections_are_preferred_in_the_order_proven_fresh_shared_stale() {
     let mut engine = engine();
-    assert_eq!(best_number(&engine), None);
+    assert_eq!(best_channel_number(&engine), None);
     let stale = add_channel(&mut engine, 1);
-    use_until(&stale, NOW_MS - TRUSTED_IDLE_MS - 1.0);
-    assert_eq!(best_number(&engine), Some(1));
+    make_idle_since(&stale, NOW_MS - TRUSTED_IDLE_MS - 1.0);
+    assert_eq!(best_channel_number(&engine), Some(1));
     let shared = add_channel(&mut engine, 2);
     submit(&shared, "other", NOW_MS);
-    assert_eq!(best_number(&engine), Some(2));
+    assert_eq!(best_channel_number(&engine), Some(2));
     add_channel(&mut engine, 3);
-    assert_eq!(best_number(&engine), Some(3));
+    assert_eq!(best_channel_number(&engine), Some(3));
     let proven = add_channel(&mut engine, 4);
-    use_until(&proven, NOW_MS - 1.0);
-    assert_eq!(best_number(&engine), Some(4));
+    make_idle_since(&proven, NOW_MS - 1.0);
+    assert_eq!(best_channel_number(&engine), Some(4));
 }
 
 #[test]
-fn update_reports_a_restarted_or_departed_process() {
-    for (update, change) in [
+fn update_reports_a_process_that_restarted_or_left_the_list() {
+    for (update, expected) in [
         (
             entry(EndpointState::Ready, Some(1.0)),
             ProcessChange::Unchanged,
@@ -113,12 +116,12 @@
         ),
         (entry(EndpointState::Gone, None), ProcessChange::Replaced),
     ] {
-        assert_eq!(engine().update(&update), change, "{update:?}");
+        assert_eq!(engine().update(&update), expected, "{update:?}");
     }
 }
 
 #[test]
-fn engine_is_removable_once_it_is_gone_and_its_last_connection_closed() {
+fn engine_is_removable_when_it_is_gone_and_its_last_connection_has_closed() {
     let mut engine = engine();
     let channel = add_channel(&mut engine, 1);
     engine.update(&entry(EndpointState::Gone, None));
--- a/crates/dispatcher/src/engine/engine_table.rs
+++ b/crates/dispatcher/src/engine/engine_table.rs
@@ -1,4 +1,4 @@
-//! The engines of the endpoint list, with the connections to them.
+//! The engines of the endpoint list, with their connections.
 
 use super::channel::Channel;
 use super::engine_entry::{Engine, ProcessChange};
@@ -8,35 +8,39 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// The result of an update of the endpoint list for one engine.
+/// The result of an endpoint list update for one engine.
 pub(super) struct EngineUpdate {
-    pub process: ProcessChange,
+    pub process_change: ProcessChange,
     /// The connections that the engine had before the update.
     pub channels: Vec<Rc<Channel>>,
 }
 
-/// The engines by their numbers.
+/// The engines, by their numbers.
 #[derive(Default)]
 pub(super) struct EngineTable {
     engines: RefCell<FxHashMap<u64, Engine>>,
 }
 
 impl EngineTable {
-    /// Applies an entry of the endpoint list. An engine that is gone stays until its last connection has closed.
+    /// Applies an entry of the endpoint list. An engine that is gone stays in the table until its last connection
+    /// closes.
     pub fn upsert(&self, entry: &EndpointEntry) -> EngineUpdate {
         let mut engines = self.engines.borrow_mut();
         let engine = engines
             .entry(entry.engine_id)
             .or_insert_with(|| Engine::new(entry));
-        let process = engine.update(entry);
+        let process_change = engine.update(entry);
         let channels = engine.channels().to_vec();
         if engine.is_removable() {
             engines.remove(&entry.engine_id);
         }
-        EngineUpdate { process, channels }
+        EngineUpdate {
+            process_change,
+            channels,
+        }
     }
 
-    /// Removes a closed connection, and the engine if it is gone and this was its last connection.
+    /// Removes a closed connection. Also removes its engine if that is gone and has no other connection.
     pub fn remove_channel(&self, channel: &Rc<Channel>) {
         let mut engines = self.engines.borrow_mut();
         if let Some(engine) = engines.get_mut(&channel.engine_id) {
@@ -47,22 +51,23 @@
         }
     }
 
-    /// Reads an engine; `None` if it is unknown.
+    /// Calls `read` with an engine and returns the result; `None` if the engine is unknown.
     pub fn with<T>(&self, engine_id: u64, read: impl FnOnce(&Engine) -> T) -> Option<T> {
         self.engines.borrow().get(&engine_id).map(read)
     }
 
-    /// Changes an engine; `None` if it is unknown.
+    /// Calls `change` with an engine and returns the result; `None` if the engine is unknown.
     pub fn with_mut<T>(&self, engine_id: u64, change: impl FnOnce(&mut Engine) -> T) -> Option<T> {
         self.engines.borrow_mut().get_mut(&engine_id).map(change)
     }
 
-    /// Visits all engines.
+    /// Calls `visit` with each engine, in no particular order.
     pub fn for_each(&self, visit: impl FnMut(&Engine)) {
         self.engines.borrow().values().for_each(visit);
     }
 
-    /// Reads the endpoint list's facts about the engine of a connection; `None` is passed if the engine is unknown.
+    /// Calls `read` with the endpoint list's entry for the engine of a connection, or with `None` if the engine is
+    /// unknown.
     pub fn with_facts<T>(
         &self,
         channel: &Channel,
@@ -73,14 +78,14 @@
         read(engine.map(|engine| engine.facts(channel)))
     }
 
-    /// Whether another process has taken the place of the one that a connection leads to.
+    /// Whether the endpoint list has another process for the engine than the one that a connection was opened to.
     pub fn is_replaced(&self, channel: &Channel) -> bool {
         self.with_facts(channel, |facts| {
             facts.is_some_and(|facts| !facts.is_same_process)
         })
     }
 
-    /// The connection to an engine that carries an attempt of a query.
+    /// The connection to an engine that carries an attempt of the query with this number and id.
     pub fn locate(&self, engine_id: u64, id: &str, query_id: u64) -> Option<Rc<Channel>> {
         let engines = self.engines.borrow();
         let carries = |channel: &&Rc<Channel>| {
@@ -92,15 +97,15 @@
         engine.channels().iter().find(carries).cloned()
     }
 
-    /// The idle connection that was used least recently, over all engines.
-    pub fn least_recently_used(&self) -> Option<Rc<Channel>> {
+    /// The least recently used idle connection of all engines.
+    pub fn least_recently_used_idle(&self) -> Option<Rc<Channel>> {
         let engines = self.engines.borrow();
         let channels = engines.values().flat_map(Engine::channels);
-        let idle = channels.filter(|channel| channel.is_idle());
-        let longest = idle.min_by(|first, second| {
+        let idle_channels = channels.filter(|channel| channel.is_idle());
+        let least_recent = idle_channels.min_by(|first, second| {
             let by_time = first.idle_since_ms().total_cmp(&second.idle_since_ms());
             by_time.then(first.engine_id.cmp(&second.engine_id))
         });
-        longest.cloned()
+        least_recent.cloned()
     }
 }
--- a/crates/dispatcher/src/engine/idle_reuse.rs
+++ b/crates/dispatcher/src/engine/idle_reuse.rs
@@ -1,14 +1,15 @@
-//! How long connections may idle and still be reused, learned from the outcomes of reuses.
+//! Tracks the reuses of idle connections, and learns from their outcomes how long a connection may idle and still be
+//! reused.
 
 use super::connection::IdleReuse;
-use super::keep_alive::{KeepAlive, ReuseOutcome, MIN_IDLE_MS};
+use super::keep_alive::{KeepAlive, ReuseOutcome, MIN_TRUSTED_IDLE_MS};
 use crate::clock::Clock;
 use crate::ids::EngineId;
 use crate::query_registry::QueryRegistry;
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// Records the outcomes of reuses, with their counters and log lines.
+/// Records the outcomes of reuses, and counts and logs the lost connections.
 pub(super) struct ReuseTracker {
     registry: Rc<QueryRegistry>,
     clock: Clock,
@@ -16,7 +17,7 @@
 }
 
 impl ReuseTracker {
-    /// A tracker without any outcome.
+    /// A tracker without outcomes.
     pub fn new(registry: Rc<QueryRegistry>, clock: Clock) -> Self {
         ReuseTracker {
             registry,
@@ -25,37 +26,38 @@
         }
     }
 
-    /// Longest idle time (ms) after which a connection is reused: see [`KeepAlive::max_idle_ms`].
+    /// Maximum idle time (ms) after which a connection is reused: see [`KeepAlive::max_idle_ms`].
     pub fn max_idle_ms(&self, now_ms: f64) -> f64 {
         self.keep_alive.borrow_mut().max_idle_ms(now_ms)
     }
 
-    /// Longest idle time (ms) after which a connection is reused now, with regard to a trial of a longer one: see
-    /// [`KeepAlive::trusted_idle_ms`].
+    /// Maximum idle time (ms) after which a connection is reused, reduced while a trial of a longer one is in
+    /// progress: see [`KeepAlive::trusted_idle_ms`].
     pub fn trusted_idle_ms(&self, now_ms: f64) -> f64 {
         self.keep_alive.borrow_mut().trusted_idle_ms(now_ms)
     }
 
-    /// Whether connections were lost in silence: see [`KeepAlive::has_silent_losses`].
+    /// Whether connections were lost silently: see [`KeepAlive::has_silent_losses`].
     pub fn has_silent_losses(&self) -> bool {
         self.keep_alive.borrow().has_silent_losses()
     }
 
-    /// A connection is reused after it idled.
+    /// Records that an idle connection is reused.
     pub fn begin(&self, now_ms: f64, reuse: IdleReuse) {
         let mut keep_alive = self.keep_alive.borrow_mut();
         keep_alive.begin_reuse(now_ms, reuse.idle_ms);
     }
 
-    /// The engine answered on a reused connection.
+    /// Records that the engine answered on a reused connection.
     pub fn record_answered(&self, now_ms: f64, reuse: IdleReuse) {
         self.record(now_ms, reuse, ReuseOutcome::Answered);
     }
 
-    /// A reused connection ended before any answer. Returns whether it counts as lost: it ended as soon as it was reused,
-    /// so the other end or a middlebox had closed it before, which is no evidence about the engine's health.
+    /// Handles a reused connection that ended before any answer. If it ended within [`MIN_TRUSTED_IDLE_MS`] of the
+    /// reuse, it is recorded as lost: the engine or a middlebox had closed it before, which is no evidence about the
+    /// engine's health. Returns whether it was recorded.
     pub fn record_if_lost(&self, now_ms: f64, reuse: IdleReuse) -> bool {
-        if now_ms - reuse.sent_ms >= MIN_IDLE_MS {
+        if now_ms - reuse.sent_ms >= MIN_TRUSTED_IDLE_MS {
             return false;
         }
         self.record(now_ms, reuse, ReuseOutcome::Lost);
@@ -63,12 +65,12 @@
         true
     }
 
-    /// A reused connection stayed silent while its engine sent frames on another one.
+    /// Records that a reused connection received no frame while its engine sent frames on another connection.
     pub fn record_silent_loss(&self, engine_id: u64, reuse: IdleReuse) {
         let engine_id = EngineId(engine_id);
         tracing::warn!(%engine_id, idle_ms = reuse.idle_ms, "idle connection lost in silence");
         self.registry.counters.idle_connections_lost.increment();
-        self.record(self.clock.now(), reuse, ReuseOutcome::LostInSilence);
+        self.record(self.clock.now(), reuse, ReuseOutcome::LostSilently);
     }
 
     fn record(&self, now_ms: f64, reuse: IdleReuse, outcome: ReuseOutcome) {
--- a/crates/dispatcher/src/engine/pool.rs
+++ b/crates/dispatcher/src/engine/pool.rs
@@ -1,8 +1,12 @@
-//! The engine side as one object: composes the owners of its state, and does what needs several of them.
+//! The pool of all engines: combines the components of the engine side, and implements the operations that need several
+//! of them.
 //!
-//! Engines and their connections are owned by [`EngineTable`], the opening and allocation of connections by
-//! [`ChannelAllocator`], the trust in idle connections by [`ReuseTracker`], silence by [`SilenceDetector`], the reports
-//! by [`Reporter`]. [`Abandoner`], [`RequestGate`], [`Timeouts`] and [`Closer`] each own one step of an attempt's life.
+//! - [`EngineTable`] owns the engines and their connections.
+//! - [`ChannelAllocator`] opens connections and allocates them to attempts.
+//! - [`ReuseTracker`] estimates how long a connection may idle and still be reused.
+//! - [`SilenceDetector`] detects connections that are lost without a reset.
+//! - [`RequestGate`] begins attempts; [`Abandoner`], [`Timeouts`] and [`Closer`] end them.
+//! - [`Reporter`] reports the outcomes.
 
 mod channel_events;
 mod commands;
@@ -26,7 +30,7 @@
 use std::rc::Rc;
 use tansymux::events::EndpointState;
 
-/// Size of the shared read buffer (bytes): the most that one read takes from a connection.
+/// Size (bytes) of the shared read buffer: the maximum that one read takes from a connection.
 const READ_BUFFER_BYTES: usize = 32 * 1024;
 
 /// All engines with their connections.
@@ -43,14 +47,14 @@
     timeouts: Timeouts,
     closer: Closer,
     allocator: ChannelAllocator,
-    /// Health checks sent so far. The number is part of each check's tag.
-    health_checks: Cell<u64>,
-    /// Read buffer shared by all connections: idle ones hold no memory for reading.
+    /// Number of health checks sent so far. Each check's tag contains its number.
+    health_checks_sent: Cell<u64>,
+    /// Read buffer shared by all connections, so that idle connections hold no memory for reading.
     read_buffer: RefCell<Vec<u8>>,
 }
 
-/// The dependencies of the pool's owners.
-struct Shared {
+/// The components that other components of the pool depend on.
+struct SharedComponents {
     registry: Rc<QueryRegistry>,
     clock: Clock,
     settings: ConnectionSettings,
@@ -61,7 +65,7 @@
     abandoner: Rc<Abandoner>,
 }
 
-impl Shared {
+impl SharedComponents {
     fn new(registry: Rc<QueryRegistry>, clock: Clock, settings: ConnectionSettings) -> Self {
         let engines = Rc::new(EngineTable::default());
         let reuses = Rc::new(ReuseTracker::new(registry.clone(), clock));
@@ -74,7 +78,7 @@
             reporter.clone(),
             silence.clone(),
         );
-        Shared {
+        SharedComponents {
             registry,
             clock,
             settings,
@@ -135,31 +139,32 @@
         executor: Rc<LocalExecutor<'static>>,
         settings: ConnectionSettings,
     ) -> Rc<Self> {
-        let shared = Shared::new(registry, clock, settings);
+        let components = SharedComponents::new(registry, clock, settings);
         Rc::new(EnginePool {
-            gate: shared.gate(),
-            timeouts: shared.timeouts(),
-            closer: shared.closer(),
-            allocator: shared.allocator(executor),
-            health_checks: Cell::default(),
+            gate: components.gate(),
+            timeouts: components.timeouts(),
+            closer: components.closer(),
+            allocator: components.allocator(executor),
+            health_checks_sent: Cell::default(),
             read_buffer: RefCell::new(vec![0; READ_BUFFER_BYTES]),
-            registry: shared.registry,
-            clock: shared.clock,
-            settings: shared.settings,
-            engines: shared.engines,
-            reuses: shared.reuses,
-            silence: shared.silence,
-            reporter: shared.reporter,
-            abandoner: shared.abandoner,
+            registry: components.registry,
+            clock: components.clock,
+            settings: components.settings,
+            engines: components.engines,
+            reuses: components.reuses,
+            silence: components.silence,
+            reporter: components.reporter,
+            abandoner: components.abandoner,
         })
     }
 
-    /// Applies an entry of the endpoint list. Connections to an engine that is gone, moved or restarted are retired.
-    /// Queued attempts on them, or on those to a draining engine, are withdrawn: they could be sent after the grace
-    /// period, or to another engine that has the same address by now.
+    /// Applies an entry of the endpoint list. Retires the connections to an engine that is gone, moved or restarted.
+    ///
+    /// Withdraws attempts that are still queued on these connections, or on those to a draining engine. Otherwise they
+    /// could be sent after the grace period, or to another engine that now has the same address.
     pub fn upsert_endpoint(&self, entry: &EndpointEntry) {
         let update = self.engines.upsert(entry);
-        let is_replaced = update.process == ProcessChange::Replaced;
+        let is_replaced = update.process_change == ProcessChange::Replaced;
         if is_replaced {
             for channel in &update.channels {
                 channel.retire();
@@ -177,7 +182,7 @@
         self.allocator.connection_count()
     }
 
-    /// Moves all later deadlines of attempts forward to `deadline_ms`.
+    /// Limits the deadlines of all attempts to at most `deadline_ms`.
     pub fn limit_deadlines(&self, deadline_ms: f64) {
         self.engines.for_each(|engine| {
             for channel in engine.channels() {
@@ -187,11 +192,12 @@
         self.reporter.limit_deadlines(deadline_ms);
     }
 
-    /// Expires what is due and closes idle connections. Returns the time (ms) at which to call it again, or infinity.
+    /// Expires attempts, health checks and incomplete frames that are due, and closes idle connections. Returns the
+    /// time (ms) at which to call this method again; infinity if nothing is due later.
     pub fn expire(self: &Rc<Self>) -> f64 {
         let expired = self.timeouts.expire();
-        self.allocator.evict_for_waiting();
-        for engine_id in expired.unsure_engines {
+        self.allocator.retire_idle_for_waiting();
+        for engine_id in expired.engines_to_check {
             self.check_reachability(engine_id);
         }
         expired.next_ms
--- a/crates/dispatcher/src/engine/pool/channel_events.rs
+++ b/crates/dispatcher/src/engine/pool/channel_events.rs
@@ -1,4 +1,4 @@
-//! Handles the events of connections: connects, frames and ends.
+//! Handles the events of connections: connects, writes, frames and closes.
 
 use super::EnginePool;
 use crate::clock::Clock;
@@ -18,7 +18,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Replies without effect that are logged of one connection: a bound on what an engine that floods costs.
+/// Maximum number of ignored replies that are logged per connection: bounds the log volume of an engine that floods.
 const MAX_LOGGED_IGNORED_REPLIES: u64 = 8;
 
 impl ChannelHandler for EnginePool {
@@ -59,7 +59,7 @@
     }
 
     fn on_writable(&self, channel: &Channel) -> Option<AttemptKey> {
-        // Last check before a request's first byte: none is started after its `start_by_ms`.
+        // No request is begun after its `start_by_ms`: this is the last check before its first byte.
         self.abandoner.abandon_too_late(channel);
         self.gate.begin_next(channel)
     }
@@ -70,8 +70,8 @@
     }
 
     fn on_written(&self, channel: &Channel) {
-        let ended = channel.connection.borrow_mut().take_ended();
-        for attempt in ended {
+        let ended_attempts = channel.connection.borrow_mut().take_ended();
+        for attempt in ended_attempts {
             self.reporter.on_last_command(attempt);
         }
     }
@@ -96,7 +96,7 @@
 }
 
 impl EnginePool {
-    /// Reports the event of a frame to the decisions.
+    /// Reports the event of a frame to the decision logic.
     fn report_frame(&self, channel: &Channel, frame: &Frame, event: FrameEvent, now_ms: f64) {
         let engine_id = channel.engine_id;
         match event {
@@ -133,12 +133,12 @@
                 self.reporter.report_health(engine_id, outcome, 1);
             }
             FrameEvent::PageArrived => {}
-            FrameEvent::Ignored(reason) => self.note_ignored(channel, frame, reason),
+            FrameEvent::Ignored(reason) => self.on_ignored_reply(channel, frame, reason),
         }
     }
 
-    /// Counts a reply without effect, and logs the first ones of each connection.
-    fn note_ignored(&self, channel: &Channel, frame: &Frame, reason: IgnoredReply) {
+    /// Counts an ignored reply, and logs the first [`MAX_LOGGED_IGNORED_REPLIES`] of each connection.
+    fn on_ignored_reply(&self, channel: &Channel, frame: &Frame, reason: IgnoredReply) {
         self.registry.counters.count_ignored_reply(reason);
         let count = channel.ignored_replies.get() + 1;
         channel.ignored_replies.set(count);
--- a/crates/dispatcher/src/engine/pool/commands.rs
+++ b/crates/dispatcher/src/engine/pool/commands.rs
@@ -1,4 +1,4 @@
-//! Executes the decisions' commands: submit, withdraw, cancel, set priority, check health.
+//! Executes the commands of the decision logic: submit, withdraw, cancel, set priority, check health.
 
 use super::EnginePool;
 use crate::attempt_end::EndCause;
@@ -14,26 +14,27 @@
 use std::rc::Rc;
 use tansymux::events::{AttemptLimits, Outcome};
 
-/// After an attempt was sent on a connection that had idled, the engine is checked over another connection if no
-/// frame arrived for this multiple of the attempt's estimated run time: a lost connection accepts writes and never
-/// answers.
-const CHECK_AFTER_RUN_TIMES: f64 = 2.0;
+/// Multiple of an attempt's estimated run time after which the engine is checked over another connection, if the
+/// attempt was sent on a connection that had idled and no frame has arrived since. A lost connection accepts writes
+/// and never answers.
+const REACHABILITY_CHECK_RUN_TIMES: f64 = 2.0;
 
-/// The connection that carries a query's attempt.
-struct Located {
+/// The location of a query's attempt in flight.
+struct AttemptLocation {
     channel: Rc<Channel>,
+    /// Id of the query, which also identifies the attempt on the connection.
     id: Rc<str>,
 }
 
-/// The command to start an attempt.
-struct AttemptOrder {
+/// The content of an [`EngineCommand::Submit`].
+struct Submission {
     query_id: u64,
     number: usize,
     engine_id: u64,
     limits: AttemptLimits,
 }
 
-/// The parts of a query that its attempt needs.
+/// The parts of a query that its attempt's request needs.
 struct Request {
     id: Rc<str>,
     /// Connections that have carried an earlier attempt of the query.
@@ -54,7 +55,7 @@
                     attempt,
                     engine_id,
                     limits,
-                } => self.submit(&AttemptOrder {
+                } => self.submit(&Submission {
                     query_id,
                     number: attempt,
                     engine_id,
@@ -70,120 +71,122 @@
         }
     }
 
-    fn submit(self: &Rc<Self>, order: &AttemptOrder) {
+    fn submit(self: &Rc<Self>, submission: &Submission) {
         let now_ms = self.clock.now();
-        let Some(request) = self.request_of(order) else {
+        let Some(request) = self.request_for(submission) else {
             return;
         };
-        let limits = order.limits;
-        // The endpoint list may have closed the engine since it was chosen, in the same round.
-        if !self.takes_attempts(order.engine_id) {
-            return self.report_not_sent(order, Outcome::Withdrawn);
+        let limits = submission.limits;
+        // An update of the endpoint list in the same round may have marked the engine as not ready after it was chosen.
+        if !self.accepts_attempts(submission.engine_id) {
+            return self.report_not_sent(submission, Outcome::Withdrawn);
         }
         let channel_request = ChannelRequest {
-            engine_id: order.engine_id,
+            engine_id: submission.engine_id,
             id: &request.id,
             used_connections: &request.used_connections,
             side_effect_free: limits.side_effect_free,
         };
         let Some(channel) = self.allocator.select(self, &channel_request) else {
-            // Only this dispatcher knows which connections it may not use again: no evidence about the engine.
+            // If the query may not reuse some connections, the failure may be due to that restriction of this
+            // dispatcher. It is then no evidence about the engine.
             let outcome = if request.used_connections.is_empty() {
                 Outcome::NoConnection
             } else {
                 Outcome::Withdrawn
             };
-            return self.report_not_sent(order, outcome);
+            return self.report_not_sent(submission, outcome);
         };
-        let attempt = Attempt::new(order.query_id, order.number, now_ms, limits);
+        let attempt = Attempt::new(submission.query_id, submission.number, now_ms, limits);
         let mut connection = channel.connection.borrow_mut();
         connection.submit(&request.id, request.fields, request.statement, attempt);
-        let is_reused_now = |reuse: &IdleReuse| reuse.sent_ms == now_ms;
-        if let Some(reuse) = connection.idle_reuse().filter(is_reused_now) {
+        let is_reused_by_this = |reuse: &IdleReuse| reuse.sent_ms == now_ms;
+        if let Some(reuse) = connection.idle_reuse().filter(is_reused_by_this) {
             self.reuses.begin(now_ms, reuse);
-            connection.check_engine_at(now_ms + self.check_after_ms(request.cost_ms));
+            connection.check_engine_at(now_ms + self.reachability_check_delay_ms(request.cost_ms));
         }
         drop(connection);
         channel.notify.notify();
     }
 
-    fn takes_attempts(&self, engine_id: u64) -> bool {
+    fn accepts_attempts(&self, engine_id: u64) -> bool {
         let is_ready = self.engines.with(engine_id, Engine::is_ready);
         is_ready.unwrap_or(false)
     }
 
-    fn report_not_sent(&self, order: &AttemptOrder, outcome: Outcome) {
+    fn report_not_sent(&self, submission: &Submission, outcome: Outcome) {
         self.reporter.report(AttemptReport {
-            query_id: order.query_id,
-            attempt: order.number,
+            query_id: submission.query_id,
+            attempt: submission.number,
             outcome,
             cause: EndCause::NotBegun,
             connection: None,
-            engine_id: order.engine_id,
-            deadline_ms: order.limits.deadline_ms,
+            engine_id: submission.engine_id,
+            deadline_ms: submission.limits.deadline_ms,
             latency_ms: 0.0,
             pages: Pages::new(),
         });
     }
 
-    fn request_of(&self, order: &AttemptOrder) -> Option<Request> {
-        self.registry.with_query(order.query_id, |query| Request {
-            id: query.id.clone(),
-            used_connections: query.used_connections.clone(),
-            fields: RequestFields::of(query),
-            statement: query.statement.clone(),
-            cost_ms: query.estimated_cost_ms,
-        })
+    fn request_for(&self, submission: &Submission) -> Option<Request> {
+        self.registry
+            .with_query(submission.query_id, |query| Request {
+                id: query.id.clone(),
+                used_connections: query.used_connections.clone(),
+                fields: RequestFields::of(query),
+                statement: query.statement.clone(),
+                cost_ms: query.estimated_cost_ms,
+            })
     }
 
-    /// Silence (ms) after which the engine is checked, for an attempt with this estimated run time. Where the estimate is
-    /// unknown (0), the limit of the settings applies.
-    fn check_after_ms(&self, cost_ms: f64) -> f64 {
-        let run_times_ms = if cost_ms > 0.0 {
-            CHECK_AFTER_RUN_TIMES * cost_ms
+    /// Delay (ms) after which the engine is checked if no frame has arrived, for an attempt with this estimated run
+    /// time. If the run time is unknown (0), the limit of the settings applies.
+    fn reachability_check_delay_ms(&self, cost_ms: f64) -> f64 {
+        let run_time_bound_ms = if cost_ms > 0.0 {
+            REACHABILITY_CHECK_RUN_TIMES * cost_ms
         } else {
             f64::INFINITY
         };
         MIN_SILENCE_MS
-            .max(run_times_ms)
+            .max(run_time_bound_ms)
             .min(self.settings.max_silence_ms())
     }
 
-    /// Finds the connection that carries the query's attempt: it leads to the engine of the last attempt.
-    fn locate(&self, query_id: u64) -> Option<Located> {
+    /// Finds the connection that carries the query's attempt, among those to the engine of its last attempt.
+    fn locate(&self, query_id: u64) -> Option<AttemptLocation> {
         let (id, engine_id) = self
             .registry
             .with_query(query_id, |query| (query.id.clone(), query.engine_id))?;
         let channel = self.engines.locate(engine_id, &id, query_id)?;
-        Some(Located { channel, id })
+        Some(AttemptLocation { channel, id })
     }
 
     /// Sends the engine a new priority for an attempt in flight.
     fn set_priority(&self, query_id: u64, priority: u8) {
-        if let Some(Located { channel, id }) = self.locate(query_id) {
+        if let Some(AttemptLocation { channel, id }) = self.locate(query_id) {
             channel.connection.borrow_mut().set_priority(&id, priority);
             channel.notify.notify();
         }
     }
 
-    /// Cancels an attempt if it is still in flight.
+    /// Cancels an attempt that is still in flight.
     fn cancel(&self, query_id: u64, number: usize) {
-        let Some(Located { channel, id }) = self.locate(query_id) else {
+        let Some(AttemptLocation { channel, id }) = self.locate(query_id) else {
             return;
         };
-        let current = channel
+        let current_number = channel
             .connection
             .borrow()
             .attempt(&id)
             .map(|attempt| attempt.number);
-        if current == Some(number) {
+        if current_number == Some(number) {
             self.abandoner.abandon(&channel, &id, Outcome::Cancelled);
         }
     }
 
-    /// Withdraws the attempt of a completed query, unless its request has been written completely.
+    /// Withdraws the attempt of a completed query, unless the attempt's request has been written completely.
     fn withdraw(&self, query_id: u64) {
-        let Some(Located { channel, id }) = self.locate(query_id) else {
+        let Some(AttemptLocation { channel, id }) = self.locate(query_id) else {
             return;
         };
         let is_written = channel.connection.borrow().is_fully_written(&id);
--- a/crates/dispatcher/src/engine/pool/reachability.rs
+++ b/crates/dispatcher/src/engine/pool/reachability.rs
@@ -1,4 +1,4 @@
-//! Whether engines are reachable: health checks, and connects that time out.
+//! Reachability of engines: health checks, and connects that time out.
 
 use super::EnginePool;
 use crate::engine::channel::Channel;
@@ -7,15 +7,16 @@
 use std::rc::Rc;
 use tansymux::events::Outcome;
 
-/// Consecutive connect timeouts after which an engine counts as unreachable. A single one may be due to packet loss.
-const UNREACHABLE_AFTER_LATE_CONNECTS: u32 = 2;
+/// Number of consecutive connect timeouts after which an engine counts as unreachable. A single timeout may be due to
+/// packet loss.
+const UNREACHABLE_AFTER_CONNECT_TIMEOUTS: u32 = 2;
 
 impl EnginePool {
     /// Sends a health check to an engine.
     pub(super) fn check_health(self: &Rc<Self>, engine_id: u64) {
         let now_ms = self.clock.now();
-        let number = self.health_checks.get() + 1;
-        self.health_checks.set(number);
+        let number = self.health_checks_sent.get() + 1;
+        self.health_checks_sent.set(number);
         let tag: Rc<str> = format!("t{number}").into();
         let request = ChannelRequest {
             engine_id,
@@ -35,8 +36,8 @@
         channel.notify.notify();
     }
 
-    /// Opens connections to find out whether the engine is reachable, unless a connect is under way: as many as must
-    /// time out for it to count as unreachable.
+    /// Opens connections to check whether the engine is reachable, unless a connect is in progress. Opens as many as
+    /// must time out for the engine to count as unreachable.
     pub(super) fn check_reachability(self: &Rc<Self>, engine_id: u64) {
         self.engines.with_mut(engine_id, |engine| {
             if engine.is_connecting() {
@@ -45,13 +46,14 @@
             let Some(address) = engine.address() else {
                 return;
             };
-            let count = UNREACHABLE_AFTER_LATE_CONNECTS.saturating_sub(engine.late_connects());
+            let count = UNREACHABLE_AFTER_CONNECT_TIMEOUTS
+                .saturating_sub(engine.consecutive_connect_timeouts());
             self.allocator.open_up_to(self, engine, address, count);
         });
     }
 
-    /// Handles a connect timeout: attempts and health checks queued on the connection fail as never sent. The connect
-    /// continues. If it succeeds later, new attempts may use the connection.
+    /// Handles a connect timeout. Attempts and health checks queued on the connection fail with
+    /// [`Outcome::NoConnection`]. The connect continues; if it succeeds later, new attempts may use the connection.
     pub(super) fn handle_connect_timeout(self: &Rc<Self>, channel: &Channel) {
         self.registry.counters.connect_timeouts.increment();
         let engine_id = channel.engine_id;
@@ -69,30 +71,30 @@
         let outcome = Outcome::NoConnection;
         self.reporter
             .report_failed_checks(channel, outcome, health_checks);
-        self.count_late_connect(engine_id);
+        self.count_connect_timeout(engine_id);
     }
 
-    /// Counts a connect timeout of an engine. The engine counts as unreachable after
-    /// [`UNREACHABLE_AFTER_LATE_CONNECTS`] of them; before that, it is checked again if a reused connection is silent.
-    fn count_late_connect(self: &Rc<Self>, engine_id: u64) {
-        let late_connects = self.engines.with_mut(engine_id, |engine| {
-            engine.record_late_connect();
-            engine.late_connects()
+    /// Counts a connect timeout of an engine. After [`UNREACHABLE_AFTER_CONNECT_TIMEOUTS`] consecutive ones the engine
+    /// counts as unreachable. Before that, the engine is checked again if a connection has been silent since its reuse.
+    fn count_connect_timeout(self: &Rc<Self>, engine_id: u64) {
+        let consecutive_connect_timeouts = self.engines.with_mut(engine_id, |engine| {
+            engine.record_connect_timeout();
+            engine.consecutive_connect_timeouts()
         });
-        let Some(late_connects) = late_connects else {
+        let Some(consecutive_connect_timeouts) = consecutive_connect_timeouts else {
             return;
         };
-        if late_connects >= UNREACHABLE_AFTER_LATE_CONNECTS {
+        if consecutive_connect_timeouts >= UNREACHABLE_AFTER_CONNECT_TIMEOUTS {
             self.silence.on_unreachable(engine_id);
-        } else if self.has_reuse_in_silence(engine_id) {
+        } else if self.has_silent_reuse(engine_id) {
             self.check_reachability(engine_id);
         }
     }
 
-    fn has_reuse_in_silence(&self, engine_id: u64) -> bool {
-        let has_reuse = self
+    fn has_silent_reuse(&self, engine_id: u64) -> bool {
+        let has_silent_reuse = self
             .engines
-            .with(engine_id, |engine| engine.has_reuse_in_silence());
-        has_reuse.unwrap_or(false)
+            .with(engine_id, |engine| engine.has_silent_reuse());
+        has_silent_reuse.unwrap_or(false)
     }
 }
--- a/crates/dispatcher/src/engine/silence.rs
+++ b/crates/dispatcher/src/engine/silence.rs
@@ -1,4 +1,5 @@
-//! Silent connections: which of them are lost, and which others may be lost with them.
+//! Detection of connections that are lost without a reset: the engine or a middlebox has dropped them, and no frame
+//! arrives on them any more. Other idle connections to the same engine or zone may be lost for the same reason.
 
 use super::connection::{CloseReason, IdleReuse};
 use super::engine_entry::SuspectedReuse;
@@ -8,16 +9,16 @@
 use crate::clock::Clock;
 use std::rc::Rc;
 
-/// A connection whose reuse was abandoned before any frame arrived counts as lost if its engine sends a frame on another
-/// connection within this time (ms).
-const SUSPICION_MS: f64 = 2000.0;
+/// Time (ms) after the abandonment of a reuse within which a frame on another connection to the engine shows that the
+/// reused connection was lost.
+const SUSPICION_WINDOW_MS: f64 = 2000.0;
 
-/// Which idle connections are suspected along with a silent one.
+/// The idle connections that are retired along with a silent one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum SilenceScope {
-    /// Those of the engine itself.
+    /// Idle connections to the same engine.
     Engine,
-    /// Those of all engines of its zone.
+    /// Idle connections to all engines of its zone.
     Zone,
 }
 
@@ -29,7 +30,7 @@
 }
 
 impl SilenceDetector {
-    /// A detector for the connections in `engines`.
+    /// A detector for the connections in `engines` that reports losses to `reuses`.
     pub fn new(engines: Rc<EngineTable>, reuses: Rc<ReuseTracker>, clock: Clock) -> Self {
         SilenceDetector {
             engines,
@@ -38,15 +39,18 @@
         }
     }
 
-    /// Handles a connection whose reuse after idling was abandoned before any frame arrived. It counts as lost if its engine
-    /// sent a frame on another connection since the reuse, or sends one within [`SUSPICION_MS`]: the engine or a middlebox
-    /// had dropped the connection.
+    /// Handles a connection that was reused after idling, and whose attempt was abandoned before any frame arrived.
+    /// If its engine has sent a frame on another connection since the reuse, or sends one within
+    /// [`SUSPICION_WINDOW_MS`], the connection counts as lost: the engine or a middlebox had dropped it.
     pub fn on_silent_reuse(&self, engine_id: u64, reuse: IdleReuse) {
-        let since_ms = self.clock.now();
+        let abandoned_ms = self.clock.now();
         let is_lost = self.engines.with_mut(engine_id, |engine| {
             let is_lost = engine.has_frame_since(reuse.sent_ms);
             if !is_lost {
-                engine.suspect(SuspectedReuse { reuse, since_ms });
+                engine.set_suspected_reuse(SuspectedReuse {
+                    reuse,
+                    abandoned_ms,
+                });
             }
             is_lost
         });
@@ -55,7 +59,8 @@
         }
     }
 
-    /// A frame arrived from an engine: a suspected reuse counts as lost.
+    /// Handles a frame from an engine. A suspected reuse that was abandoned less than [`SUSPICION_WINDOW_MS`] ago
+    /// counts as lost.
     pub fn on_frame(&self, engine_id: u64, now_ms: f64) {
         let suspected = self
             .engines
@@ -63,13 +68,14 @@
         let Some(suspected) = suspected.flatten() else {
             return;
         };
-        if now_ms - suspected.since_ms < SUSPICION_MS {
+        if now_ms - suspected.abandoned_ms < SUSPICION_WINDOW_MS {
             self.reuses.record_silent_loss(engine_id, suspected.reuse);
         }
     }
 
-    /// A connection to an engine came up, so the engine is reachable. Where connections were lost in silence before, one
-    /// that was reused after idling and has been silent since counts as lost as well, and closes.
+    /// Handles a new connection to an engine, which shows that the engine is reachable. If connections were lost
+    /// silently before, other connections to the engine that have been silent since their reuse after idling, for
+    /// longer than [`MIN_SILENCE_MS`], count as lost and are closed.
     pub fn on_reachable(&self, engine_id: u64) {
         if !self.reuses.has_silent_losses() {
             return;
@@ -88,8 +94,8 @@
         }
     }
 
-    /// Handles an engine that accepts no new connections: connections that were reused after idling and have been
-    /// silent since count as lost, and close.
+    /// Handles an engine that accepts no new connections. Closes the connections to it that have been silent since
+    /// their reuse after idling, and retires the idle connections to all engines of its zone.
     pub fn on_unreachable(&self, engine_id: u64) {
         self.retire_idle(engine_id, SilenceScope::Zone);
         self.engines.with(engine_id, |engine| {
@@ -103,8 +109,8 @@
         });
     }
 
-    /// Retires idle connections that may be lost like a silent one of `engine_id`. The next attempts open new
-    /// connections and so show whether the engines are reachable.
+    /// Retires the idle connections that may be lost like a silent connection to `engine_id`. The next attempts open
+    /// new connections, which shows whether the engines are reachable.
     pub fn retire_idle(&self, engine_id: u64, scope: SilenceScope) {
         let zone = self
             .engines
--- a/crates/dispatcher/src/engine/silence/tests.rs
+++ b/crates/dispatcher/src/engine/silence/tests.rs
@@ -35,7 +35,7 @@
         }
     }
 
-    fn lost_connections(&self) -> u64 {
+    fn lost_connection_count(&self) -> u64 {
         self.registry.counters.idle_connections_lost.get()
     }
 
@@ -70,22 +70,25 @@
 }
 
 #[test]
-fn silent_reuse_is_lost_if_its_engine_sent_a_frame_since() {
+fn silent_reuse_counts_as_lost_if_its_engine_has_sent_a_frame_since() {
     let fixture = Fixture::new();
     fixture.detector.on_frame(1, REUSE.sent_ms + 1.0);
     fixture.detector.on_silent_reuse(1, REUSE);
-    assert_eq!(fixture.lost_connections(), 1);
+    assert_eq!(fixture.lost_connection_count(), 1);
 }
 
 #[test]
-fn silent_reuse_is_lost_only_if_its_engine_sends_a_frame_soon() {
-    for (delay_ms, lost) in [(SUSPICION_MS - 100.0, 1), (SUSPICION_MS + 100.0, 0)] {
+fn silent_reuse_counts_as_lost_only_if_its_engine_sends_a_frame_within_the_window() {
+    for (delay_ms, expected) in [
+        (SUSPICION_WINDOW_MS - 100.0, 1),
+        (SUSPICION_WINDOW_MS + 100.0, 0),
+    ] {
         let fixture = Fixture::new();
         fixture.detector.on_silent_reuse(1, REUSE);
-        assert_eq!(fixture.lost_connections(), 0);
+        assert_eq!(fixture.lost_connection_count(), 0);
         let now_ms = fixture.clock.now();
         fixture.detector.on_frame(1, now_ms + delay_ms);
-        assert_eq!(fixture.lost_connections(), lost, "{delay_ms}");
+        assert_eq!(fixture.lost_connection_count(), expected, "{delay_ms}");
     }
 }
 
--- a/crates/dispatcher/src/engine/timeouts.rs
+++ b/crates/dispatcher/src/engine/timeouts.rs
@@ -5,56 +5,56 @@
 use super::connection::{CloseReason, Connection};
 use super::engine_table::EngineTable;
 use super::idle_reuse::ReuseTracker;
-use super::keep_alive::MIN_IDLE_MS;
+use super::keep_alive::MIN_TRUSTED_IDLE_MS;
 use super::protocol_error::ProtocolError;
 use super::reports::Reporter;
 use crate::clock::Clock;
 use std::rc::Rc;
 use tansymux::events::Outcome;
 
-/// How long connections may currently idle.
+/// Limits of the idle time of connections.
 struct IdleLimits {
-    /// Idle time (ms) that the keep-alive estimate trusts.
+    /// Maximum idle time (ms) by the keep-alive estimate.
     trusted_ms: f64,
-    /// Idle time (ms) that the settings allow.
+    /// Maximum idle time (ms) by the settings.
     allowed_ms: f64,
 }
 
 impl IdleLimits {
-    /// How long (ms) a connection may idle before it is closed. Where idle connections are not trusted, an unused one
-    /// stays open as the spare for the next attempt.
-    fn limit(&self, connection: &Connection, was_used_last: bool) -> f64 {
-        let keeps_spare = self.trusted_ms <= MIN_IDLE_MS;
+    /// Idle time (ms) after which a connection is closed. While idle connections are not trusted, an unused one stays
+    /// open as the spare for the next attempt.
+    fn max_idle_ms(&self, connection: &Connection, is_most_recently_used: bool) -> f64 {
+        let keeps_spare = self.trusted_ms <= MIN_TRUSTED_IDLE_MS;
         if connection.is_unused() && keeps_spare {
             self.allowed_ms
-        } else if was_used_last {
+        } else if is_most_recently_used {
             self.trusted_ms.min(self.allowed_ms)
         } else {
-            MIN_IDLE_MS
+            MIN_TRUSTED_IDLE_MS
         }
     }
 }
 
-/// A connection to examine.
-struct Entry {
+/// A connection whose timeouts are examined.
+struct ChannelEntry {
     channel: Rc<Channel>,
-    /// Whether it is the most recently used idle connection to its engine. Only that one may idle for longer: if every
-    /// dispatcher kept all of its own, each engine would hold too many.
-    was_used_last: bool,
+    /// Whether the connection is the most recently used idle one to its engine. Only that one may idle for longer than
+    /// [`MIN_TRUSTED_IDLE_MS`]: if every dispatcher kept all of its idle connections, each engine would hold too many.
+    is_most_recently_used: bool,
 }
 
-/// The result of an expiry.
+/// The result of [`Timeouts::expire`].
 pub(super) struct Expired {
-    /// When to expire again (ms), or infinity.
+    /// When to call [`Timeouts::expire`] again (ms); infinity if nothing is due later.
     pub next_ms: f64,
-    /// Engines whose reachability is due to be checked.
-    pub unsure_engines: Vec<u64>,
+    /// Engines whose reachability is to be checked now.
+    pub engines_to_check: Vec<u64>,
 }
 
-/// Expires what is due.
+/// Applies the timeouts of attempts, health checks, incomplete frames and idle connections.
 pub(super) struct Timeouts {
     clock: Clock,
-    /// Idle time (ms) that the settings allow.
+    /// Maximum idle time (ms) by the settings.
     max_idle_ms: f64,
     engines: Rc<EngineTable>,
     abandoner: Rc<Abandoner>,
@@ -63,7 +63,7 @@
 }
 
 impl Timeouts {
-    /// Timeouts of the connections in `engines`, which may idle for `max_idle_ms` by the settings.
+    /// The timeouts of the connections in `engines`. The settings limit their idle time to `max_idle_ms`.
     pub fn new(
         clock: Clock,
         max_idle_ms: f64,
@@ -82,45 +82,47 @@
         }
     }
 
-    /// Expires what is due on all connections, and retires those that have idled for too long.
+    /// Expires attempts, health checks and incomplete frames on all connections, retires connections that have idled
+    /// for too long, and publishes the delayed reports that are due.
     pub fn expire(&self) -> Expired {
         let now_ms = self.clock.now();
         let mut expired = Expired {
             next_ms: self.reporter.publish_settled(now_ms),
-            unsure_engines: Vec::new(),
+            engines_to_check: Vec::new(),
         };
         let idle_limits = IdleLimits {
             trusted_ms: self.reuses.max_idle_ms(now_ms),
             allowed_ms: self.max_idle_ms,
         };
-        for entry in self.entries() {
+        for entry in self.channel_entries() {
             self.expire_channel(&entry, &idle_limits, now_ms, &mut expired);
         }
         expired
     }
 
-    /// All connections; which one was used last is determined before anything expires.
-    fn entries(&self) -> Vec<Entry> {
-        let mut entries = Vec::new();
+    /// All connections. The most recently used idle ones are determined before anything expires, as an expiry may
+    /// change which connections are idle.
+    fn channel_entries(&self) -> Vec<ChannelEntry> {
+        let mut channel_entries = Vec::new();
         self.engines.for_each(|engine| {
-            let idle_times = engine
+            let idle_since_ms = engine
                 .channels()
                 .iter()
                 .map(|channel| channel.idle_since_ms());
-            let last_ms = idle_times.fold(f64::NEG_INFINITY, f64::max);
+            let most_recent_ms = idle_since_ms.fold(f64::NEG_INFINITY, f64::max);
             for channel in engine.channels() {
-                entries.push(Entry {
-                    was_used_last: channel.idle_since_ms() >= last_ms,
+                channel_entries.push(ChannelEntry {
+                    is_most_recently_used: channel.idle_since_ms() >= most_recent_ms,
                     channel: channel.clone(),
                 });
             }
         });
-        entries
+        channel_entries
     }
 
     fn expire_channel(
         &self,
-        entry: &Entry,
+        entry: &ChannelEntry,
         idle_limits: &IdleLimits,
         now_ms: f64,
         expired: &mut Expired,
@@ -138,9 +140,9 @@
             channel.notify.notify();
         }
         if connection.take_due_reachability_check(now_ms) {
-            expired.unsure_engines.push(channel.engine_id);
+            expired.engines_to_check.push(channel.engine_id);
         }
-        let max_idle_ms = idle_limits.limit(&connection, entry.was_used_last);
+        let max_idle_ms = idle_limits.max_idle_ms(&connection, entry.is_most_recently_used);
         if connection.retire_if_idle(now_ms, max_idle_ms) {
             channel.notify.notify();
         }
--- a/crates/dispatcher/src/ids.rs
+++ b/crates/dispatcher/src/ids.rs
@@ -1,16 +1,16 @@
-//! Identifiers.
+//! Identifiers of connections, engines and attempts.
 
 use std::fmt;
 
-/// The number of a connection to an engine, unique since the program's start.
+/// Number of a connection to an engine, unique within a run of the program.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ConnectionId(pub u64);
 
-/// The number of an engine, derived from its name: 32 bits, as eight hex digits in the log.
+/// Number of an engine, derived from its name: 32 bits, printed as eight hex digits in logs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EngineId(pub u64);
 
-/// Identifies an attempt of a query.
+/// Identifier of an attempt of a query.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct AttemptId {
     /// The query's number in the registry.
--- a/crates/dispatcher/src/ignored_reply.rs
+++ b/crates/dispatcher/src/ignored_reply.rs
@@ -1,26 +1,27 @@
-//! Why a reply of an engine is ignored, in logs and counters.
+//! Reasons for which an engine's reply is ignored, with their names in logs and counters.
 
 use thiserror::Error;
 
-/// Why a reply of an engine has no effect.
+/// Reason for which an engine's reply is ignored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum IgnoredReply {
-    /// Nothing is in flight under its id on its connection: it is late, a duplicate, or for nobody.
+    /// Nothing with the reply's id is in flight on its connection: the reply is late, a duplicate, or has an unknown
+    /// id.
     #[error("not_in_flight")]
     NotInFlight,
-    /// The first page arrived before.
+    /// The first page of the result had already arrived.
     #[error("duplicate_first_page")]
     DuplicateFirstPage,
-    /// This page arrived before.
+    /// This page of the result had already arrived.
     #[error("duplicate_page")]
     DuplicatePage,
-    /// A progress note of an unused kind, or without a finite amount.
+    /// The reply is a progress note of an unused kind, or without a finite amount.
     #[error("unused_note")]
     UnusedNote,
 }
 
 impl IgnoredReply {
-    /// All reasons.
+    /// All reasons, in the order of their counters.
     pub const ALL: [IgnoredReply; 4] = [
         IgnoredReply::NotInFlight,
         IgnoredReply::DuplicateFirstPage,
