--- a/crates/dispatcher/src/client/admission_limits.rs
+++ b/crates/dispatcher/src/client/admission_limits.rs
@@ -1,22 +1,22 @@
-//! Limits of clients' connections and requests, from the configuration.
+//! Limits on client connections and requests, read from the configuration.
 
-/// Limits of clients' connections and requests.
+/// Limits on client connections and requests.
 #[derive(Debug, Default)]
 pub struct AdmissionLimits {
-    /// Maximum number of clients' connections.
+    /// Maximum number of open client connections.
     pub max_connections: usize,
-    /// Maximum size (bytes) of all read buffers together.
+    /// Maximum total size (bytes) of all read buffers.
     pub max_buffered_bytes: usize,
     /// Names of the resource groups.
     pub resource_groups: Vec<String>,
-    /// Names of the tenants. If empty, requests need not name one.
+    /// Names of the tenants. If empty, requests need not name a tenant.
     pub tenants: Vec<String>,
-    /// Maximum wait (ms) in a request.
+    /// Maximum wait (ms) that a request may declare.
     pub max_wait_ms: f64,
-    /// Maximum estimate of thread time (ms) in a request.
+    /// Maximum estimate of thread time (ms) that a request may declare.
     pub max_cost_ms: f64,
-    /// Maximum estimate of memory (MB) in a request.
+    /// Maximum estimate of memory (MB) that a request may declare.
     pub max_memory_mb: f64,
-    /// The retry time (ms) that a 503 contains, if the settings define one.
+    /// Time (ms) after which a client may retry, sent with a 503. `None` if the settings define none.
     pub retry_after_ms: Option<f64>,
 }
--- a/crates/dispatcher/src/client/answer_writer.rs
+++ b/crates/dispatcher/src/client/answer_writer.rs
@@ -1,6 +1,6 @@
-//! Writes answers to a client's connection.
+//! Writes HTTP responses to a client connection.
 
-use super::http::AnswerHead;
+use super::http::ResponseHead;
 use super::protocol::{Status, FAILED_BODY, REJECTED_BODY};
 use super::request_error::RequestError;
 use crate::counters::Counters;
@@ -13,10 +13,11 @@
 use std::net::TcpStream;
 use std::time::Duration;
 
-/// A connection closes if an answer is not written within this time: a bound on clients that do not read.
+/// Time within which a response must be written; otherwise the connection closes. Bounds how long a client that does
+/// not read can hold its connection.
 const WRITE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Writes the answers of one connection.
+/// Writes the responses of one connection.
 pub struct AnswerWriter<'a> {
     /// The connection.
     pub stream: &'a Async<TcpStream>,
@@ -25,7 +26,7 @@
 }
 
 impl AnswerWriter<'_> {
-    /// Writes a query's answer.
+    /// Writes the response for a query's answer.
     pub async fn answer(
         &self,
         permit: AnswerPermit,
@@ -36,7 +37,7 @@
             Answer::Completed(pages) => self.result(permit, &pages, keep_alive).await,
             Answer::Rejected { retry_after_ms } => {
                 let retry_after_ms = retry_after_ms.max(0.0).ceil() as u64;
-                let head = AnswerHead {
+                let head = ResponseHead {
                     status: Status::TooManyRequests,
                     body_len: REJECTED_BODY.len(),
                     keep_alive,
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Writes a result: the rows of all pages in one JSON list, without copying them together.
+    /// Writes a result as one JSON list with the rows of all pages. The pages are not copied into one buffer.
     async fn result(
         &self,
         permit: AnswerPermit,
@@ -68,7 +69,7 @@
         }
         body.push(b"]}");
         let body_len = body.iter().map(|part| part.len()).sum();
-        let head = AnswerHead {
+        let head = ResponseHead {
             status: Status::Ok,
             body_len,
             keep_alive,
@@ -79,7 +80,7 @@
         self.write(permit, &body).await
     }
 
-    /// Writes an answer with this body.
+    /// Writes a response with a JSON body.
     pub async fn json(
         &self,
         permit: AnswerPermit,
@@ -87,7 +88,7 @@
         body: &str,
         keep_alive: bool,
     ) -> io::Result<()> {
-        let head = AnswerHead {
+        let head = ResponseHead {
             status,
             body_len: body.len(),
             keep_alive,
@@ -97,8 +98,8 @@
         self.write(permit, &[&head, body.as_bytes()]).await
     }
 
-    /// Refuses a request; its connection is closed after that. A 503 has the time after which the client may retry, if
-    /// that is known.
+    /// Writes an error response, after which the caller closes the connection. A 503 contains the time after which the
+    /// client may retry, if `retry_after_ms` is set.
     pub async fn error(
         &self,
         permit: AnswerPermit,
@@ -117,7 +118,7 @@
         let retry_after_ms = retry_after_ms
             .filter(|_| status == Status::ServiceUnavailable)
             .map(|ms| ms.ceil() as u64);
-        let head = AnswerHead {
+        let head = ResponseHead {
             status,
             body_len: body.len(),
             keep_alive: false,
@@ -127,7 +128,7 @@
         self.write(permit, &[&head, body.as_bytes()]).await
     }
 
-    /// Writes an answer. Every answer passes here and consumes its permit.
+    /// Writes a response. All responses are written here, and each consumes a permit.
     async fn write(&self, _permit: AnswerPermit, parts: &[&[u8]]) -> io::Result<()> {
         let timeout = async {
             Timer::after(WRITE_TIMEOUT).await;
--- a/crates/dispatcher/src/client/connection_table/tests.rs
+++ b/crates/dispatcher/src/client/connection_table/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn abandoned_connections_are_evicted_first_and_active_ones_never() {
+fn half_closed_then_abandoned_connections_are_evicted_first_and_active_ones_never() {
     let table = ConnectionTable::new(6);
     let states = [
         (ConnectionState::Active, 0.0),
@@ -9,13 +9,13 @@
         (ConnectionState::New, 9400.0),
         (ConnectionState::Idle, 2000.0),
     ];
-    let fresh = [
+    let recent_states = [
         (ConnectionState::New, 9950.0),
         (ConnectionState::Closing, 9940.0),
     ];
-    let taken: Vec<Rc<Entry>> = states
+    let entries: Vec<Rc<Entry>> = states
         .into_iter()
-        .chain(fresh)
+        .chain(recent_states)
         .map(|(state, since)| {
             let entry = table.insert(since);
             entry.set_state(state, since);
@@ -23,15 +23,24 @@
         })
         .collect();
     assert!(table.is_full());
-    let evicted = || taken.iter().map(|p| p.evicted.get()).collect::<Vec<bool>>();
-    for nth in [5, 3, 2, 1] {
+    let evicted = || {
+        entries
+            .iter()
+            .map(|entry| entry.evicted.get())
+            .collect::<Vec<bool>>()
+    };
+    for index in [5, 3, 2, 1] {
         let before = evicted();
         assert!(table.evict_one(10_000.0));
-        assert!(evicted()[nth] && !before[nth], "{nth}: {:?}", evicted());
+        assert!(
+            evicted()[index] && !before[index],
+            "{index}: {:?}",
+            evicted()
+        );
     }
-    // The others have a request under way, or have just connected.
+    // Of the remaining two, one has a request that is not answered yet, and the other has just connected.
     assert!(!table.evict_one(10_000.0));
     assert!(table.evict_one(10_100.0) && evicted()[4] && !evicted()[0]);
-    table.release(&taken[3]);
+    table.release(&entries[3]);
     assert!(!table.is_full());
 }
--- a/crates/dispatcher/src/client/http.rs
+++ b/crates/dispatcher/src/client/http.rs
@@ -1,4 +1,4 @@
-//! HTTP/1.1: parses the heads of requests in place, and writes the heads of answers. Pure functions over bytes.
+//! HTTP/1.1: parses request heads in place, and encodes response heads. Pure functions over bytes.
 
 use super::protocol::{RequestField, Status, RETRY_AFTER_FIELD};
 use super::request_error::RequestError;
@@ -9,23 +9,23 @@
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
 /// Maximum number of header fields of a request: a bound on the work for one request.
 const MAX_FIELDS: usize = 64;
-/// Maximum number of bytes of line ends that are skipped before a request line (RFC 9112, section 2.2).
+/// Maximum number of CR and LF bytes that are skipped before a request line (RFC 9112, section 2.2).
 const MAX_LEADING_LINE_ENDS: usize = 4;
 /// The empty line at the end of a head.
 const HEAD_END: &[u8] = b"\r\n\r\n";
 
-/// A request's head, borrowed from the received bytes. Fields that the protocol does not name are ignored.
+/// A request's head, borrowed from the received bytes. Header fields that the protocol does not define are ignored.
 #[derive(Debug, PartialEq)]
 pub struct Head<'a> {
     /// The method, as received.
     pub method: &'a str,
     /// The path with its query string.
     pub path: &'a str,
-    /// Whether the connection stays open after the answer.
+    /// Whether the connection stays open after the response.
     pub keep_alive: bool,
     /// `Req-Id`: the query's id.
     pub id: Option<&'a str>,
-    /// `Req-Wait-Ms`: how long (ms) the client waits for its answer.
+    /// `Req-Wait-Ms`: how long (ms) the client waits for the answer.
     pub wait_ms: Option<&'a str>,
     /// `Req-Owner`: the tenant.
     pub tenant: Option<&'a str>,
@@ -37,7 +37,7 @@
     pub idempotency_key: Option<&'a str>,
     /// `Req-Key`: the ordering key.
     pub ordering_key: Option<&'a str>,
-    /// Size of the head (bytes), with its last line end.
+    /// Size of the head (bytes), including the empty line at its end.
     pub head_len: usize,
     /// Size of the body (bytes).
     pub body_len: usize,
@@ -66,7 +66,7 @@
         self.head_len + self.body_len
     }
 
-    /// The place of a field's value.
+    /// The slot for a field's value.
     fn value_mut(&mut self, field: RequestField) -> &mut Option<&'a str> {
         match field {
             RequestField::QueryId => &mut self.id,
@@ -80,7 +80,7 @@
     }
 }
 
-/// Parses the head at the start of `bytes`; `None` while it is not complete.
+/// Parses the head at the start of `bytes`. Returns `None` while the head is incomplete.
 ///
 /// # Errors
 /// The head is malformed, too long, or uses an unsupported feature.
@@ -105,8 +105,8 @@
     let request_line = RequestLine::parse(lines.next().unwrap_or(""))?;
     let mut head = Head::new(&request_line, skipped + head_end + HEAD_END.len());
     let mut content_length = None;
-    for (count, line) in lines.enumerate() {
-        let (name, value) = parse_field(line, count)?;
+    for (preceding_fields, line) in lines.enumerate() {
+        let (name, value) = parse_field(line, preceding_fields)?;
         apply_field(&mut head, &mut content_length, name, value)?;
     }
     head.body_len = content_length.unwrap_or(0);
@@ -148,10 +148,10 @@
     }
 }
 
-/// Parses a header field, which is preceded by `count` others, into its name and value.
-fn parse_field(line: &str, count: usize) -> Result<(&str, &str), RequestError> {
+/// Parses a header field into its name and value.
+fn parse_field(line: &str, preceding_fields: usize) -> Result<(&str, &str), RequestError> {
     let (name, value) = line.split_once(':').ok_or(RequestError::MissingColon)?;
-    if count >= MAX_FIELDS {
+    if preceding_fields >= MAX_FIELDS {
         return Err(RequestError::TooManyFields);
     }
     if name.is_empty() || name.bytes().any(|byte| byte <= b' ' || byte == 127) {
@@ -165,7 +165,7 @@
     Ok((name, value))
 }
 
-/// Stores a header field in the head.
+/// Applies a header field to `head` or `content_length`.
 fn apply_field<'a>(
     head: &mut Head<'a>,
     content_length: &mut Option<usize>,
@@ -198,26 +198,26 @@
     value.parse().map_err(|_| malformed)
 }
 
-/// Whether a comma-separated list contains `token`, in any case of letters.
+/// Whether a comma-separated list contains `token`, ignoring case.
 fn has_token(list: &str, token: &str) -> bool {
     list.split(',')
-        .any(|word| word.trim().eq_ignore_ascii_case(token))
+        .any(|item| item.trim().eq_ignore_ascii_case(token))
 }
 
-/// The head of an answer.
-pub struct AnswerHead {
+/// The head of a response.
+pub struct ResponseHead {
     /// The status.
     pub status: Status,
     /// Size of the body (bytes).
     pub body_len: usize,
-    /// Whether the connection stays open after the answer.
+    /// Whether the connection stays open after the response.
     pub keep_alive: bool,
     /// How long (ms) the client is to wait before it retries.
     pub retry_after_ms: Option<u64>,
 }
 
-impl AnswerHead {
-    /// The head as it is sent.
+impl ResponseHead {
+    /// Encodes the status line and the header fields.
     pub fn encode(&self) -> Vec<u8> {
         let mut head = format!(
             "HTTP/1.1 {} {}\r\nContent-Type: application/json\r\nContent-Length: {}\r\n",
--- a/crates/dispatcher/src/client/http/tests.rs
+++ b/crates/dispatcher/src/client/http/tests.rs
@@ -4,15 +4,15 @@
     Req-Wait-Ms: 1500\r\nReq-Owner:acme\r\nReq-Cost: 820.0\r\nX-Need-Mb: 96\r\nContent-Length: 8\r\n\r\nSELECT 1";
 
 #[test]
-fn head_is_parsed_only_when_complete_however_it_is_split() {
-    let size = POST.len() - 8;
-    for end in 0..size {
+fn head_is_parsed_only_once_all_its_bytes_have_arrived() {
+    let head_len = POST.len() - 8;
+    for end in 0..head_len {
         assert_eq!(parse(&POST[..end]), Ok(None), "{end}");
     }
-    let head = parse(&POST[..size]).unwrap().unwrap();
+    let head = parse(&POST[..head_len]).unwrap().unwrap();
     assert_eq!(
         (head.method, head.path, head.head_len, head.body_len),
-        ("POST", "/invoke/report", size, 8)
+        ("POST", "/invoke/report", head_len, 8)
     );
     assert_eq!(
         (head.id, head.wait_ms, head.tenant),
@@ -26,14 +26,14 @@
 
 #[test]
 fn malformed_and_oversized_heads_are_refused() {
-    let long = [b"GET / HTTP/1.1\r\nA: ".as_slice(), &[b'x'; MAX_HEAD_BYTES]].concat();
-    let many = format!(
+    let long_head = [b"GET / HTTP/1.1\r\nA: ".as_slice(), &[b'x'; MAX_HEAD_BYTES]].concat();
+    let many_fields = format!(
         "GET / HTTP/1.1\r\n{}\r\n",
         "A: b\r\n".repeat(MAX_FIELDS + 1)
     );
     let cases: [(&[u8], u16); 16] = [
-        (&long, 431),
-        (many.as_bytes(), 431),
+        (&long_head, 431),
+        (many_fields.as_bytes(), 431),
         (b"GET /\r\n\r\n", 400),
         (b"GET  / HTTP/1.1\r\n\r\n", 400),
         (b"GET x HTTP/1.1\r\n\r\n", 400),
@@ -79,11 +79,11 @@
 }
 
 #[test]
-fn no_changed_byte_makes_the_parser_panic() {
-    for at in 0..POST.len() {
+fn changing_any_single_byte_does_not_make_the_parser_panic() {
+    for index in 0..POST.len() {
         for value in 0..=255 {
             let mut bytes = POST.to_vec();
-            bytes[at] = value;
+            bytes[index] = value;
             if let Ok(Some(head)) = parse(&bytes) {
                 assert!(head.head_len <= bytes.len());
             }
@@ -92,8 +92,8 @@
 }
 
 #[test]
-fn answer_head_has_length_and_retry_time() {
-    let head = AnswerHead {
+fn response_head_has_length_retry_time_and_connection_close() {
+    let head = ResponseHead {
         status: Status::TooManyRequests,
         body_len: 20,
         keep_alive: false,
--- a/crates/dispatcher/src/client/inbound.rs
+++ b/crates/dispatcher/src/client/inbound.rs
@@ -1,5 +1,5 @@
-//! The receiving half of a client's connection: reads requests within their time limits, and watches for the client's
-//! end.
+//! The receiving half of a client connection: reads requests within their time limits, and detects that the client has
+//! disconnected.
 
 use super::connection_table::{ConnectionState, Entry};
 use super::reader::ReadBuffer;
@@ -14,56 +14,56 @@
 use std::net::{Shutdown, TcpStream};
 use std::time::Duration;
 
-/// An idle connection is closed after this time (ms). Clients close theirs after 4 s, so the client of such a connection
-/// is dead or sends no more requests.
+/// An idle connection is closed after this time (ms). Clients usually close idle connections after 4 s, so by then the
+/// client has failed or sends no more requests.
 const IDLE_TIMEOUT_MS: f64 = 20_000.0;
-/// A request is refused unless it is complete within this time (ms) of its first byte, or of connecting for the first
-/// one: a bound on slow clients. A query's time counts from its last byte, so that no deadline is affected.
+/// Maximum time (ms) from a request's first byte to its last; for a connection's first request, from the accept. This
+/// bounds slow clients. Deadlines of queries are not affected, since they count from the last byte.
 const REQUEST_TIMEOUT_MS: f64 = 2400.0;
-/// During shutdown, a connection that has sent no byte stays open for its first request for this time (ms).
+/// During shutdown, how long (ms) after its accept a connection stays open for the first byte of its first request.
 const FIRST_REQUEST_TIMEOUT_MS: f64 = 500.0;
-/// How long (ms) a half-closed connection is read, so that the last answer is not lost to a reset.
+/// How long (ms) a half-closed connection is still read, so that a reset does not destroy the last answer.
 const LINGER_MS: f64 = 500.0;
 /// Maximum number of bytes that are read and discarded after a half-close.
 const MAX_DISCARDED_BYTES: usize = 1 << 20;
-/// Maximum number of bytes that are read ahead while a query is in flight. Further bytes stay in the system's buffers:
-/// every request that was read must be answered.
+/// Maximum number of bytes that are read ahead while a query is in flight. Further bytes stay in the kernel's receive
+/// buffer, because every request that was read must be answered.
 const MAX_READ_AHEAD_BYTES: usize = 1 << 20;
-/// How often it is checked whether a client whose bytes are not read has left.
-const HANGUP_POLL: Duration = Duration::from_millis(50);
+/// Interval between checks whether the client has disconnected, while its bytes are not read.
+const HANGUP_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The event that ended a wait for bytes.
-enum Waited {
+enum WaitOutcome {
     Received,
     TimedOut,
     /// The client closed or reset its side.
     Disconnected,
-    /// The connection is to close: its entry is needed, or the program is shutting down.
+    /// The connection should close: its table entry is needed, or the program is shutting down.
     CloseRequested,
 }
 
 /// The result of reading more of a request.
 pub enum ReadOutcome {
-    /// Parse again: more bytes arrived, or the deadlines changed.
+    /// Parse again: more bytes have arrived, or the time limits have changed.
     Continue,
     /// The client closed or reset its side.
     Disconnected,
-    /// No request is under way, and the connection is to close.
+    /// No byte of a request has arrived, and the connection should close.
     Close(ClientClose),
-    /// The request under way is refused.
+    /// The request that is being received is refused.
     Refuse(RequestError),
 }
 
-/// The bytes that a client has sent, and the time limits of the next ones.
+/// The bytes received from a client, and the time limits for receiving more.
 pub struct Inbound<'a> {
     frontend: &'a ClientFrontend,
     stream: &'a Async<TcpStream>,
     entry: &'a Entry,
     buffer: ReadBuffer<'a>,
     connected_ms: f64,
-    /// When the last buffered byte arrived: a query's time counts from its last byte.
+    /// Time (ms) at which the last byte arrived, or at which the connection became idle.
     last_byte_ms: f64,
-    /// By when the request under way must be complete.
+    /// Time (ms) by which the next request must have arrived completely.
     request_deadline_ms: f64,
 }
 
@@ -91,17 +91,17 @@
         &self.buffer
     }
 
-    /// When the last buffered byte arrived (ms).
+    /// Time (ms) at which the last byte arrived, or at which the connection became idle.
     pub fn last_byte_ms(&self) -> f64 {
         self.last_byte_ms
     }
 
-    /// Drops a request of `request_len` bytes.
+    /// Removes a request of `request_len` bytes from the buffer.
     pub fn consume(&mut self, request_len: usize) {
         self.buffer.consume(request_len);
     }
 
-    /// The connection's request was answered: its next one begins.
+    /// Sets the time limits of the next request, after a request was answered.
     pub fn begin_next_request(&mut self) {
         let now_ms = self.now_ms();
         if self.buffer.is_empty() {
@@ -116,7 +116,7 @@
 
     // ---- Reading a request ----
 
-    /// Waits for more of a request.
+    /// Waits for more bytes of a request.
     ///
     /// # Errors
     /// The connection cannot be read.
@@ -125,20 +125,20 @@
         let is_idle = is_empty && self.entry.is_idle();
         let until_ms = self.read_deadline_ms(is_empty, is_idle);
         let outcome = match self.wait_for_bytes(until_ms).await? {
-            Waited::Received if self.buffer.is_over_quota() => {
+            WaitOutcome::Received if self.buffer.is_over_quota() => {
                 ReadOutcome::Refuse(RequestError::Overloaded)
             }
-            Waited::Received => {
+            WaitOutcome::Received => {
                 self.on_received(is_idle);
                 ReadOutcome::Continue
             }
-            Waited::TimedOut if is_empty => ReadOutcome::Close(ClientClose::Idle),
-            Waited::TimedOut => ReadOutcome::Refuse(RequestError::Incomplete),
-            Waited::Disconnected => ReadOutcome::Disconnected,
-            // During shutdown, a request that has begun continues, and a first one is waited for.
-            Waited::CloseRequested if !self.entry.is_evicted() => ReadOutcome::Continue,
-            Waited::CloseRequested if is_empty => ReadOutcome::Close(ClientClose::Evicted),
-            Waited::CloseRequested => ReadOutcome::Refuse(RequestError::Overloaded),
+            WaitOutcome::TimedOut if is_empty => ReadOutcome::Close(ClientClose::Idle),
+            WaitOutcome::TimedOut => ReadOutcome::Refuse(RequestError::Incomplete),
+            WaitOutcome::Disconnected => ReadOutcome::Disconnected,
+            // During shutdown, a partly received request may continue, and a new connection may send its first request.
+            WaitOutcome::CloseRequested if !self.entry.is_evicted() => ReadOutcome::Continue,
+            WaitOutcome::CloseRequested if is_empty => ReadOutcome::Close(ClientClose::Evicted),
+            WaitOutcome::CloseRequested => ReadOutcome::Refuse(RequestError::Overloaded),
         };
         Ok(outcome)
     }
@@ -150,15 +150,15 @@
         }
     }
 
-    /// Until when to wait for more bytes (ms).
+    /// Time (ms) until which to wait for more bytes.
     fn read_deadline_ms(&self, is_empty: bool, is_idle: bool) -> f64 {
-        let is_last_call = self.frontend.phase.get().is_last_call();
-        if is_idle && is_last_call {
-            // This time is in the past: bytes that have arrived by now are still read.
+        let is_closing = self.frontend.phase.get().is_closing();
+        if is_idle && is_closing {
+            // This time is in the past: only bytes that have already arrived are still read.
             self.last_byte_ms
         } else if is_idle {
             self.last_byte_ms + IDLE_TIMEOUT_MS
-        } else if is_empty && is_last_call {
+        } else if is_empty && is_closing {
             let first_request_ms = self.connected_ms + FIRST_REQUEST_TIMEOUT_MS;
             self.request_deadline_ms.min(first_request_ms)
         } else {
@@ -166,8 +166,9 @@
         }
     }
 
-    /// Waits for bytes, for a request to close and for a time. Bytes are polled first, so they win over the other two.
-    async fn wait_for_bytes(&mut self, until_ms: f64) -> io::Result<Waited> {
+    /// Waits for bytes, for a request to close the connection, or until `until_ms`. Bytes are polled first, so they
+    /// take precedence over the other two.
+    async fn wait_for_bytes(&mut self, until_ms: f64) -> io::Result<WaitOutcome> {
         let deadline = self.frontend.clock.instant(until_ms);
         let entry = self.entry;
         let buffer = &mut self.buffer;
@@ -175,32 +176,33 @@
         let clock = self.frontend.clock;
         let received = async {
             match buffer.read(stream, clock).await? {
-                0 => Ok(Waited::Disconnected),
-                _ => Ok(Waited::Received),
+                0 => Ok(WaitOutcome::Disconnected),
+                _ => Ok(WaitOutcome::Received),
             }
         };
         let close_requested = async {
             entry.close.notified().await;
-            Ok(Waited::CloseRequested)
+            Ok(WaitOutcome::CloseRequested)
         };
         let timed_out = async {
             Timer::at(deadline).await;
-            Ok(Waited::TimedOut)
+            Ok(WaitOutcome::TimedOut)
         };
         future::or(received, future::or(close_requested, timed_out)).await
     }
 
     // ---- While a query is in flight ----
 
-    /// Returns once the client has left. Bytes that it sends meanwhile are kept for the next requests, up to a limit;
-    /// beyond it nothing is read, and the client's end is seen only if the system has received it already.
+    /// Waits until the client has disconnected. Bytes that arrive meanwhile are buffered for the next requests, up to a
+    /// limit. Beyond the limit nothing is read, and a disconnect is detected only once the kernel has received all bytes
+    /// before it.
     pub async fn wait_for_disconnect(&mut self) {
         loop {
             if self.buffer.len() >= MAX_READ_AHEAD_BYTES || self.buffer.is_over_quota() {
                 if has_hung_up(self.stream.get_ref()) {
                     return;
                 }
-                Timer::after(HANGUP_POLL).await;
+                Timer::after(HANGUP_POLL_INTERVAL).await;
                 continue;
             }
             let read = self.buffer.read(self.stream, self.frontend.clock).await;
@@ -214,8 +216,8 @@
 
     // ---- Closing ----
 
-    /// Half-closes, and discards what the client still sends: a close over unread bytes would be a reset, and could lose
-    /// the last answer.
+    /// Half-closes the connection, and discards the bytes that the client still sends: closing a socket with unread
+    /// bytes would send a reset, which could destroy the last answer.
     pub async fn linger(&mut self, _permit: ClosePermit) {
         self.buffer.clear();
         let now_ms = self.now_ms();
@@ -226,8 +228,8 @@
         let mut discarded_bytes = 0;
         while discarded_bytes < MAX_DISCARDED_BYTES {
             match self.wait_for_bytes(now_ms + LINGER_MS).await {
-                Ok(Waited::Received) => discarded_bytes += self.buffer.len(),
-                Ok(Waited::CloseRequested) if !self.entry.is_evicted() => {}
+                Ok(WaitOutcome::Received) => discarded_bytes += self.buffer.len(),
+                Ok(WaitOutcome::CloseRequested) if !self.entry.is_evicted() => {}
                 _ => return,
             }
             self.buffer.clear();
--- a/crates/dispatcher/src/client/listener.rs
+++ b/crates/dispatcher/src/client/listener.rs
@@ -1,4 +1,4 @@
-//! Accepts clients' connections, and starts a session for each.
+//! Accepts client connections, and starts a session for each.
 
 use super::phase::FrontendPhase;
 use super::session::Session;
@@ -11,14 +11,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Pause after an accept that failed, and between two attempts to evict a connection.
+/// Delay after a failed accept, and between two attempts to evict a connection.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 type Accepted = io::Result<(Async<TcpStream>, SocketAddr)>;
 
 impl ClientFrontend {
-    /// Accepts connections until [`ClientFrontend::last_call`], and then those that wait in the backlog. When the table
-    /// is full, another connection is evicted for the next one.
+    /// Accepts connections until [`ClientFrontend::last_call`], and then those that are left in the backlog. While the
+    /// table is full, connections are evicted to make room.
     pub async fn accept(
         self: Rc<Self>,
         listener: Async<TcpListener>,
@@ -28,7 +28,7 @@
             match accepted {
                 Ok((stream, _)) => {
                     self.clone().spawn_session(stream, &executor);
-                    // Lets the accepted connections read before the next one is accepted.
+                    // Lets the sessions read before the next connection is accepted.
                     future::yield_now().await;
                 }
                 Err(error) => {
@@ -41,37 +41,37 @@
         self.phase.set(FrontendPhase::ListenerClosed);
     }
 
-    /// The next connection; `None` once the last call is over. A client that has connected counts as accepted: the
-    /// listener is closed only once its backlog is empty.
+    /// Accepts the next connection. During shutdown, returns `None` once the backlog is empty, so that every client
+    /// whose connect has succeeded is served before the listener closes.
     async fn next_connection(&self, listener: &Async<TcpListener>) -> Option<Accepted> {
         loop {
             self.wait_for_free_entry().await;
-            if self.phase.get().is_last_call() {
+            if self.phase.get().is_closing() {
                 return future::poll_once(listener.accept()).await;
             }
             let accepted = async { Some(listener.accept().await) };
-            let last_call = async {
-                self.last_call.notified().await;
+            let closing = async {
+                self.closing_started.notified().await;
                 None
             };
-            let accepted = future::or(accepted, last_call).await;
+            let accepted = future::or(accepted, closing).await;
             if accepted.is_some() {
                 return accepted;
             }
         }
     }
 
-    /// Waits until the table has a free entry, and evicts connections for it.
+    /// Waits until the table has a free entry, and evicts a connection if none is free.
     async fn wait_for_free_entry(&self) {
         while self.table.is_full() {
             if self.table.evict_one(self.clock.now()) {
                 let counters = &self.registry.counters;
                 counters.client_connections_evicted.increment();
             }
-            let pause = async {
+            let retry_delay = async {
                 Timer::after(ACCEPT_RETRY_DELAY).await;
             };
-            future::or(self.table.released.notified(), pause).await;
+            future::or(self.table.released.notified(), retry_delay).await;
         }
     }
 
@@ -81,7 +81,7 @@
         let entry = self.table.insert(self.clock.now());
         let session = async move {
             Session::new(&self, &stream, &entry).run().await;
-            // Closed before its entry is freed: the table never counts fewer connections than are open.
+            // The stream closes before its entry is freed: the table never counts fewer connections than are open.
             drop(stream);
             self.table.release(&entry);
         };
--- a/crates/dispatcher/src/client/mod.rs
+++ b/crates/dispatcher/src/client/mod.rs
@@ -1,9 +1,9 @@
 //! Client side: accepts connections, parses queries from them, and writes their answers.
 //!
-//! This module owns clients' connections and their read buffers. It decides only whether a request is usable: the query
+//! This module owns the client connections and their read buffers. It only checks whether a request is valid; the query
 //! is admitted to the [`QueryRegistry`], which returns its answer. Start reading at [`ClientFrontend::accept`]
 //! (listener.rs), then `Session::run` (session.rs). docs/design/life-cycle.md has the states of a connection, and the
-//! events in each. [`protocol`] has the words of the client protocol.
+//! events in each. [`protocol`] defines the names of the client protocol.
 
 mod admission_limits;
 mod answer_writer;
@@ -35,7 +35,7 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-/// The client side as one object.
+/// The client side: the listener's phase, the connections and the status pages.
 pub struct ClientFrontend {
     registry: Rc<QueryRegistry>,
     clock: Clock,
@@ -44,12 +44,12 @@
     table: ConnectionTable,
     reader: Reader,
     phase: Cell<FrontendPhase>,
-    /// Wakes the listener for the last call.
-    last_call: Notify,
+    /// Wakes the listener when [`FrontendPhase::Closing`] is entered.
+    closing_started: Notify,
 }
 
 impl ClientFrontend {
-    /// The client side, not yet listening.
+    /// A client side that does not listen yet.
     pub fn new(
         registry: Rc<QueryRegistry>,
         clock: Clock,
@@ -74,7 +74,7 @@
             limits,
             pages,
             phase: Cell::default(),
-            last_call: Notify::default(),
+            closing_started: Notify::default(),
         }
     }
 
@@ -88,10 +88,10 @@
         self.phase.set(FrontendPhase::Draining);
     }
 
-    /// Accepts the connections in the backlog and then no more; idle connections are half-closed.
+    /// Stops accepting connections after those in the backlog, and half-closes idle connections.
     pub fn last_call(&self) {
-        self.phase.set(FrontendPhase::LastCall);
-        self.last_call.notify();
+        self.phase.set(FrontendPhase::Closing);
+        self.closing_started.notify();
         self.table.close_idle();
     }
 
@@ -105,7 +105,7 @@
         self.table.count()
     }
 
-    /// Threads that spilled into each zone, for the page of the zones.
+    /// Number of threads that spilled into each zone, for the zones page.
     pub fn spilled_threads(&self) -> &RefCell<Vec<(String, f64)>> {
         &self.pages.spilled_threads
     }
--- a/crates/dispatcher/src/client/protocol.rs
+++ b/crates/dispatcher/src/client/protocol.rs
@@ -1,19 +1,19 @@
-//! The words of the client protocol: paths, header fields, statuses and error codes, mapped to the field's terms.
+//! Names of the client protocol: paths, header fields, statuses and error codes, mapped to the terms of this code.
 
-/// The path of queries, followed by the name of the resource group.
+/// The path prefix of queries; the name of the resource group follows.
 pub const QUERY_PATH: &str = "/invoke/";
 /// The path of the health page.
 pub const HEALTH_PATH: &str = "/_health";
 /// The path of the counters page.
 pub const COUNTERS_PATH: &str = "/_counters";
-/// The path of the service levels.
+/// The path of the service levels page.
 pub const LEVELS_PATH: &str = "/_levels";
-/// The path of the service levels for a client that knows a version of them; the version follows.
+/// The path prefix of the service levels page for a client that waits for a change; the version that it has follows.
 pub const LEVELS_AFTER_PATH: &str = "/_levels?after=";
-/// The path of the zones.
+/// The path of the zones page.
 pub const ZONES_PATH: &str = "/_halls";
 
-/// The header field of an answer that says how long (ms) the client is to wait before it retries.
+/// The response header field with the time (ms) that the client should wait before a retry.
 pub const RETRY_AFTER_FIELD: &str = "Srv-Wait-Ms";
 
 /// Error code: the request was rejected, and the client may retry it.
@@ -21,9 +21,9 @@
 /// Error code: no such path or resource group.
 pub const UNKNOWN: &str = "Unknown";
 
-/// Body of the answer to a rejected query, which the client may retry.
+/// Body of the response for a rejected query, which the client may retry.
 pub const REJECTED_BODY: &str = "{\"error\":\"TryLater\"}";
-/// Body of the answer to a failed query, which must not be retried as it is.
+/// Body of the response for a failed query, which the client must not retry unchanged.
 pub const FAILED_BODY: &str = "{\"error\":\"Killed\"}";
 
 /// A header field of a query's request.
@@ -57,7 +57,7 @@
         RequestField::OrderingKey,
     ];
 
-    /// The field of this name, in any case of letters; `None` for names that the protocol does not define.
+    /// The field of this name, ignoring case; `None` for names that the protocol does not define.
     pub fn parse(name: &str) -> Option<Self> {
         let mut fields = Self::ALL.into_iter();
         fields.find(|field| name.eq_ignore_ascii_case(field.as_str()))
@@ -77,11 +77,11 @@
     }
 }
 
-/// An HTTP status that this program answers with.
+/// The HTTP status of a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[repr(u16)]
 pub enum Status {
-    /// The answer has what was requested.
+    /// The request succeeded.
     Ok = 200,
     /// The request is malformed.
     BadRequest = 400,
@@ -89,11 +89,11 @@
     Forbidden = 403,
     /// The path or the resource group is unknown.
     NotFound = 404,
-    /// A page was requested by another method than GET.
+    /// A status page was requested with a method other than GET.
     MethodNotAllowed = 405,
     /// The request was not complete in time.
     RequestTimeout = 408,
-    /// The query's id is in use.
+    /// The query's id is in flight or was used before.
     Conflict = 409,
     /// The statement is too long.
     ContentTooLarge = 413,
--- a/crates/dispatcher/src/client/protocol/tests.rs
+++ b/crates/dispatcher/src/client/protocol/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn field_names_are_recognised_in_any_case_and_others_are_not() {
+fn field_names_are_parsed_in_any_case_and_undefined_names_are_not() {
     for field in RequestField::ALL {
         let name = field.as_str();
         assert_eq!(RequestField::parse(name), Some(field));
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn status_has_the_code_of_its_reason() {
+fn status_codes_match_their_reason_phrases() {
     for (status, code, reason) in [
         (Status::Ok, 200, "OK"),
         (Status::BadRequest, 400, "Bad Request"),
--- a/crates/dispatcher/src/client/reader.rs
+++ b/crates/dispatcher/src/client/reader.rs
@@ -1,4 +1,4 @@
-//! Read buffers of clients' connections, and the limit of their total size.
+//! Read buffers of client connections, and the limit on their total size.
 
 use super::admission_limits::AdmissionLimits;
 use crate::clock::Clock;
@@ -23,7 +23,7 @@
 }
 
 impl Reader {
-    /// A reader with the bounds of `limits`.
+    /// A reader with the limits on buffered bytes and connections from `limits`.
     pub fn new(limits: &AdmissionLimits) -> Self {
         Reader {
             scratch: RefCell::new(vec![0; MAX_READ_BYTES]),
@@ -33,7 +33,7 @@
         }
     }
 
-    /// An empty buffer for a connection.
+    /// Creates an empty buffer for a connection.
     pub fn buffer(&self) -> ReadBuffer<'_> {
         ReadBuffer {
             reader: self,
@@ -55,12 +55,12 @@
 /// The bytes of one connection that are not consumed yet, with their arrival times.
 pub struct ReadBuffer<'a> {
     reader: &'a Reader,
-    /// The bytes from `start` on are not consumed yet; those before are not dropped yet.
+    /// Received bytes. Those before `start` are consumed, but their space is not freed yet.
     bytes: Vec<u8>,
     start: usize,
     /// Number of bytes consumed since the connection's first byte.
     consumed: u64,
-    /// Arrival times of the bytes that are not consumed yet, the earliest first.
+    /// Arrival times of the bytes that are not consumed yet, in order of arrival.
     arrivals: VecDeque<Arrival>,
 }
 
@@ -98,8 +98,8 @@
         Ok(count)
     }
 
-    /// Records that all bytes in the buffer have arrived by now. At the limit of arrival times the last one is extended:
-    /// bytes may then count as having arrived earlier, never later.
+    /// Records that all bytes in the buffer had arrived by `at_ms`. Beyond [`MAX_ARRIVALS`] records, the last one is
+    /// extended: the new bytes then count as having arrived earlier than they did, never later.
     fn record_arrival(&mut self, at_ms: f64) {
         let end = self.consumed + self.len() as u64;
         let is_full = self.arrivals.len() >= MAX_ARRIVALS;
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Arrival time (ms) of the last of the first `count` bytes.
+    /// Arrival time (ms) of the last of the first `count` bytes; `None` if it has not arrived.
     pub fn arrived_ms(&self, count: usize) -> Option<f64> {
         let end = self.consumed + count as u64;
         let arrival = self.arrivals.iter().find(|arrival| arrival.end >= end)?;
@@ -140,18 +140,18 @@
         }
     }
 
-    /// Drops all bytes.
+    /// Consumes all bytes.
     pub fn clear(&mut self) {
         self.consume(self.len());
     }
 
-    /// Whether the limit of all buffers is exceeded and this one holds more than an even share of it. Small requests are
-    /// always below their share.
+    /// Whether the total size of all buffers exceeds its limit, and this buffer is larger than an even share of that
+    /// limit. Small requests are always below an even share.
     pub fn is_over_quota(&self) -> bool {
         let reader = self.reader;
         let even_share = reader.max_buffered_bytes / reader.max_connections.max(1);
-        let is_full = reader.buffered_bytes.get() > reader.max_buffered_bytes;
-        is_full && self.len() > even_share
+        let is_over_limit = reader.buffered_bytes.get() > reader.max_buffered_bytes;
+        is_over_limit && self.len() > even_share
     }
 }
 
--- a/crates/dispatcher/src/client/reader/tests.rs
+++ b/crates/dispatcher/src/client/reader/tests.rs
@@ -8,14 +8,14 @@
     })
 }
 
-/// Bytes that came at this time.
+/// Appends bytes that arrived at `at_ms`.
 fn receive(buffer: &mut ReadBuffer, bytes: &[u8], at_ms: f64) {
     buffer.bytes.extend_from_slice(bytes);
     buffer.record_arrival(at_ms);
 }
 
 #[test]
-fn request_time_counts_from_its_own_last_byte_even_if_more_bytes_follow() {
+fn request_arrives_with_its_last_byte_even_if_later_bytes_are_buffered() {
     let reader = reader();
     let mut buffer = reader.buffer();
     receive(&mut buffer, b"first", 10.0);
@@ -33,11 +33,11 @@
 }
 
 #[test]
-fn at_the_limit_of_arrival_times_bytes_count_as_earlier_never_later() {
+fn bytes_beyond_the_limit_of_arrival_times_count_as_earlier_never_later() {
     let reader = reader();
     let mut buffer = reader.buffer();
-    for nth in 0..500 {
-        receive(&mut buffer, b"x", f64::from(nth));
+    for index in 0..500 {
+        receive(&mut buffer, b"x", f64::from(index));
     }
     assert_eq!(buffer.arrivals.len(), MAX_ARRIVALS);
     for count in 1..=500 {
--- a/crates/dispatcher/src/client/request.rs
+++ b/crates/dispatcher/src/client/request.rs
@@ -1,5 +1,5 @@
-//! Parses a request's head and body into a query that the registry can admit: checks each field, finds the tenant and the
-//! resource group, and sets the deadline.
+//! Parses a request's head and body into a query that the registry can admit: checks each field, looks up the tenant
+//! and the resource group, and sets the deadline.
 
 use super::admission_limits::AdmissionLimits;
 use super::http::Head;
@@ -11,41 +11,41 @@
 use tansymux::settings;
 use tansymux_sql_analysis::table_group;
 
-/// Digits of a query's id, by the protocol.
+/// Number of hex digits of a query's id, by the protocol.
 const ID_DIGITS: usize = 16;
-/// Maximum number of digits of an idempotency key, by the protocol: 128 bits.
+/// Maximum number of hex digits of an idempotency key, by the protocol: 128 bits.
 const MAX_IDEMPOTENCY_KEY_DIGITS: usize = 32;
-/// Maximum number of digits of an ordering key, by the protocol: 64 bits.
+/// Maximum number of hex digits of an ordering key, by the protocol: 64 bits.
 const MAX_ORDERING_KEY_DIGITS: usize = 16;
-/// Shortest wait (ms) that a client may request.
+/// Minimum wait (ms) that a request may declare.
 const MIN_WAIT_MS: f64 = 1.0;
-/// The deadline is this long (ms) before the client stops waiting, so that the answer arrives in time; at most half of the
-/// wait.
+/// Time (ms) by which a query's deadline precedes the end of its client's wait, so that the answer arrives in time. At
+/// most half of the wait.
 const ANSWER_MARGIN_MS: f64 = 10.0;
-/// The set of tables of a statement whose tables are not known.
+/// Number of the table set of a statement whose tables are unknown.
 const UNKNOWN_TABLES: u32 = u32::MAX;
 
 /// The fields of a query's request, checked.
 #[derive(Debug)]
 pub struct ParsedRequest<'a> {
     id: &'a str,
-    /// The resource group that the path names; `None` on the operators' path of queries without one.
+    /// The resource group that the path names; `None` on the path of queries without one, set in the operators' file.
     named_group: Option<&'a str>,
     tenant: &'a str,
     statement: &'a [u8],
     received_ms: f64,
     deadline_ms: f64,
-    /// The client's estimate of thread time (ms); 0 without one.
+    /// The client's estimate of thread time (ms); 0 if it sent none.
     cost_ms: f64,
-    /// The client's estimate of memory (MB); 0 without one.
+    /// The client's estimate of memory (MB); 0 if it sent none.
     memory_mb: f64,
     tables: u32,
     keys: RequestKeys<'a>,
 }
 
 impl<'a> ParsedRequest<'a> {
-    /// Checks a request whose last byte arrived at `received_ms`. Requests that no engine could run are refused here, so that
-    /// they do not affect what the decisions learn.
+    /// Checks a request whose last byte arrived at `received_ms`. Requests that no engine could run are refused here,
+    /// so that they do not affect what the admission controller learns.
     ///
     /// # Errors
     /// A field is missing, malformed or outside the limits; the first such field is reported.
@@ -81,7 +81,7 @@
         })
     }
 
-    /// Analyses the statement, if the operators' file enables that.
+    /// Analyses the statement, if the operators' file enables the analysis.
     pub fn classify(&self, classifier: &StatementClassifier) -> Option<ClassifiedStatement> {
         match self.named_group {
             Some(group) => classifier.check(group, self.id, self.statement),
@@ -89,7 +89,7 @@
         }
     }
 
-    /// The query, with what the analysis of its statement adds.
+    /// The query, with the results of its statement's analysis.
     ///
     /// # Errors
     /// Neither the path nor the analysis names a resource group.
@@ -110,7 +110,7 @@
         if self.cost_ms > 0.0 {
             traits.confidence = 1.0;
         }
-        // Estimates of the analysis are used only for a request without a resource group, where the client sent none.
+        // Estimates of the analysis are used only if the path names no resource group, and where the client sent none.
         let estimates = analysis.filter(|_| self.named_group.is_none());
         let estimated_cost_ms = estimates.map_or(0.0, |analysis| analysis.cost_ms);
         let estimated_memory_mb = estimates.map_or(0.0, |analysis| analysis.memory_mb);
@@ -134,12 +134,12 @@
     }
 }
 
-/// The number that the client declared, or `otherwise` if it declared none.
-fn declared_or(declared: f64, otherwise: f64) -> f64 {
+/// The number that the client declared, or `fallback` if it declared none.
+fn declared_or(declared: f64, fallback: f64) -> f64 {
     if declared > 0.0 {
         declared
     } else {
-        otherwise
+        fallback
     }
 }
 
@@ -157,8 +157,8 @@
     (number.is_finite() && number >= 0.0 && number <= max).then_some(number)
 }
 
-/// Parses both keys. They are forwarded to the engine unchanged, in a list of fields that a comma or an equals sign would
-/// corrupt.
+/// Parses both keys, which must be hex digits: they are forwarded to the engine unchanged, in a list of fields that a
+/// comma or an equals sign would corrupt.
 fn parse_keys<'a>(head: &Head<'a>) -> Result<RequestKeys<'a>, RequestError> {
     let is_key =
         |key: &str, max_digits: usize| !key.is_empty() && key.len() <= max_digits && is_hex(key);
@@ -180,7 +180,7 @@
     text.bytes().all(|byte| byte.is_ascii_hexdigit())
 }
 
-/// The resource group that the path names, if it names one.
+/// The resource group that the path names; `None` if the path is not below [`QUERY_PATH`].
 fn parse_group<'a>(
     limits: &AdmissionLimits,
     path: &'a str,
@@ -194,14 +194,14 @@
     Ok(Some(group))
 }
 
-/// The tenant by the settings' name; empty if the settings name no tenants.
-fn parse_tenant<'a>(limits: &'a AdmissionLimits, owner: &str) -> Result<&'a str, RequestError> {
+/// The tenant's name as in the settings; empty if the settings name no tenants.
+fn parse_tenant<'a>(limits: &'a AdmissionLimits, name: &str) -> Result<&'a str, RequestError> {
     if limits.tenants.is_empty() {
         return Ok("");
     }
     let mut tenants = limits.tenants.iter();
     tenants
-        .find(|known| settings::matches_name(known, owner))
+        .find(|known| settings::matches_name(known, name))
         .map(String::as_str)
         .ok_or(RequestError::UnknownTenant)
 }
--- a/crates/dispatcher/src/client/request_error.rs
+++ b/crates/dispatcher/src/client/request_error.rs
@@ -1,22 +1,22 @@
-//! Errors that make a request unusable. Their statuses and texts are part of the client protocol.
+//! Errors for which a request is refused. Their statuses and texts are part of the client protocol.
 
 use super::protocol::{RequestField, Status, TRY_LATER, UNKNOWN};
 use crate::query_registry::AdmissionError;
 
-/// Why a request is refused. Its text is the error in the JSON body of the answer.
+/// Why a request is refused. The text is the `error` in the JSON body of the response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 #[non_exhaustive]
 pub enum RequestError {
-    /// The dispatcher has no capacity for the request at the moment; the client may retry.
+    /// The dispatcher has no capacity for the request; the client may retry later.
     #[error("{TRY_LATER}")]
     Overloaded,
-    /// The path is unknown, or no resource group takes the statement.
+    /// The path is unknown, or neither the path nor the statement's analysis names a resource group.
     #[error("{UNKNOWN}")]
     Unknown,
-    /// The request was not complete in time.
+    /// The request did not arrive completely in time.
     #[error("the request did not become whole")]
     Incomplete,
-    /// The head has too many bytes.
+    /// The head exceeds its maximum size.
     #[error("the head is too long")]
     HeadTooLong,
     /// The head is not UTF-8.
@@ -55,7 +55,7 @@
     /// Transfer codings are not supported.
     #[error("Transfer-Encoding is not taken")]
     UnsupportedTransferEncoding,
-    /// The body has too many bytes.
+    /// The body exceeds its maximum size.
     #[error("the statement is too long")]
     StatementTooLong,
     /// The statement is empty, not UTF-8 or has a NUL character.
@@ -79,7 +79,7 @@
 }
 
 impl RequestError {
-    /// The status of the answer.
+    /// The status of the response.
     pub const fn status(self) -> Status {
         match self {
             RequestError::Overloaded => Status::ServiceUnavailable,
--- a/crates/dispatcher/src/client/route.rs
+++ b/crates/dispatcher/src/client/route.rs
@@ -1,4 +1,4 @@
-//! Routing: which page or query a request is for.
+//! Routing: maps a request's method and path to a query or a status page.
 
 use super::protocol::{
     COUNTERS_PATH, HEALTH_PATH, LEVELS_AFTER_PATH, LEVELS_PATH, QUERY_PATH, ZONES_PATH,
@@ -9,29 +9,29 @@
 pub enum Route<'a> {
     /// A query.
     Query,
-    /// Whether this dispatcher takes queries.
+    /// The health page: whether this dispatcher accepts queries.
     Health,
-    /// The counters, as text.
+    /// The counters page, as text.
     Counters,
-    /// The service levels, as JSON.
+    /// The service levels page, as JSON.
     Levels {
-        /// The version that the client knows: it waits for a later one.
+        /// The version that the client has: it waits for a different one.
         after: Option<&'a str>,
     },
-    /// The zones, as JSON.
+    /// The zones page, as JSON.
     Zones,
-    /// A page by another method than GET.
+    /// A status page, requested with a method other than GET.
     MethodNotAllowed,
-    /// No path of this program.
+    /// Any other method and path.
     Unknown,
 }
 
 impl<'a> Route<'a> {
-    /// The route of a method and a path. `is_bare_path` returns whether a path is the operators' path for
-    /// queries without a resource group.
-    pub fn of(method: &str, path: &'a str, is_bare_path: impl FnOnce(&str) -> bool) -> Self {
+    /// The route of a method and a path. `is_statements_path` returns whether a path is the one for queries without a
+    /// resource group, which the operators' file sets.
+    pub fn of(method: &str, path: &'a str, is_statements_path: impl FnOnce(&str) -> bool) -> Self {
         match (method, path) {
-            ("POST", _) if path.starts_with(QUERY_PATH) || is_bare_path(path) => Route::Query,
+            ("POST", _) if path.starts_with(QUERY_PATH) || is_statements_path(path) => Route::Query,
             ("GET", HEALTH_PATH) => Route::Health,
             ("GET", COUNTERS_PATH) => Route::Counters,
             ("GET", LEVELS_PATH) => Route::Levels { after: None },
--- a/crates/dispatcher/src/client/session.rs
+++ b/crates/dispatcher/src/client/session.rs
@@ -1,5 +1,5 @@
-//! One client's connection, from its first byte to its end: one request at a time, each answered before the next is
-//! parsed.
+//! A client connection from its accept to its close. Requests are handled one at a time: each is answered before the
+//! next is parsed.
 //!
 //! The state of the connection is in its [`Entry`] of the connection table: `New` until a request is complete, `Active`
 //! while it is answered, `Idle` until the next one begins, `Closing` once it is half-closed. Start reading at
@@ -25,10 +25,10 @@
 use std::ops::ControlFlow;
 
 /// How a connection ends.
-enum Closing {
-    /// The client has left: no answer is owed.
+enum ConnectionEnd {
+    /// The client has disconnected: no answer is owed.
     Disconnected,
-    /// This side half-closes the connection, and discards what the client still sends.
+    /// This side half-closes the connection, and discards the bytes that the client still sends.
     HalfClose(ClientClose),
 }
 
@@ -36,11 +36,13 @@
 enum Handled {
     /// A query was admitted.
     Query(AdmittedQuery),
+    /// A status page was sent.
     Answered,
+    /// The request is refused; the error is not sent yet.
     Refused(RequestError),
 }
 
-/// A client's connection.
+/// A client connection.
 pub struct Session<'a> {
     frontend: &'a ClientFrontend,
     stream: &'a Async<TcpStream>,
@@ -69,15 +71,15 @@
     pub async fn run(mut self) {
         let number = self.entry.number();
         let reason = match self.serve().await {
-            Ok(Closing::HalfClose(reason)) => {
+            Ok(ConnectionEnd::HalfClose(reason)) => {
                 let permit = self.ledger.borrow().may_close();
                 match permit {
                     Ok(permit) => self.inbound.linger(permit).await,
-                    Err(violation) => self.report(violation),
+                    Err(violation) => self.report_violation(violation),
                 }
                 reason
             }
-            Ok(Closing::Disconnected) => ClientClose::ByClient,
+            Ok(ConnectionEnd::Disconnected) => ClientClose::ByClient,
             Err(error) => {
                 tracing::info!(connection = number, %error, "client connection failed");
                 ClientClose::Failed
@@ -88,8 +90,8 @@
         tracing::debug!(connection = number, %reason, "client connection closed");
     }
 
-    async fn serve(&mut self) -> io::Result<Closing> {
-        // A failure only costs latency; a connection that is broken shows it at the next read.
+    async fn serve(&mut self) -> io::Result<ConnectionEnd> {
+        // Without TCP_NODELAY only latency increases; a broken connection is detected at the next read.
         let _ = self.stream.get_ref().set_nodelay(true);
         loop {
             let buffer = self.inbound.buffer();
@@ -97,16 +99,16 @@
                 Ok(Some(head)) if head.request_len() <= buffer.len() => {
                     let request_len = head.request_len();
                     let keep_alive = head.keep_alive;
-                    let entered = self.ledger.borrow_mut().on_request();
-                    entered.unwrap_or_else(|violation| self.report(violation));
+                    let recorded = self.ledger.borrow_mut().on_request();
+                    recorded.unwrap_or_else(|violation| self.report_violation(violation));
                     let handled = self.handle(&head).await?;
                     self.finish(handled, request_len, keep_alive).await?
                 }
                 Ok(_) => self.read_more().await?,
                 Err(error) => self.refuse(error).await?,
             };
-            if let ControlFlow::Break(closing) = step {
-                return Ok(closing);
+            if let ControlFlow::Break(end) = step {
+                return Ok(end);
             }
         }
     }
@@ -118,7 +120,7 @@
         }
     }
 
-    fn report(&self, violation: Violation) {
+    fn report_violation(&self, violation: Violation) {
         self.frontend.registry.report_violation(violation, None);
     }
 
@@ -126,7 +128,7 @@
     fn answer_permit(&self) -> io::Result<AnswerPermit> {
         let permit = self.ledger.borrow_mut().may_answer();
         permit.map_err(|violation| {
-            self.report(violation);
+            self.report_violation(violation);
             io::Error::other(violation.description)
         })
     }
@@ -135,35 +137,35 @@
         self.frontend.clock.now()
     }
 
-    /// Answers an unusable request. The connection closes after that: no further bytes are parsed as a request.
-    async fn refuse(&self, error: RequestError) -> io::Result<ControlFlow<Closing>> {
+    /// Answers a request with an error, and ends the connection: no further bytes are parsed as a request.
+    async fn refuse(&self, error: RequestError) -> io::Result<ControlFlow<ConnectionEnd>> {
         let retry_after_ms = self.frontend.limits.retry_after_ms;
         let permit = self.ledger.borrow_mut().may_refuse();
         self.writer().error(permit, error, retry_after_ms).await?;
-        let closing = Closing::HalfClose(ClientClose::Refused);
-        Ok(ControlFlow::Break(closing))
+        let end = ConnectionEnd::HalfClose(ClientClose::Refused);
+        Ok(ControlFlow::Break(end))
     }
 
-    /// Waits for more of a request.
-    async fn read_more(&mut self) -> io::Result<ControlFlow<Closing>> {
+    /// Waits for more bytes of a request.
+    async fn read_more(&mut self) -> io::Result<ControlFlow<ConnectionEnd>> {
         match self.inbound.read_more().await? {
             ReadOutcome::Continue => Ok(ControlFlow::Continue(())),
-            ReadOutcome::Disconnected => Ok(ControlFlow::Break(Closing::Disconnected)),
-            ReadOutcome::Close(reason) => Ok(ControlFlow::Break(Closing::HalfClose(reason))),
+            ReadOutcome::Disconnected => Ok(ControlFlow::Break(ConnectionEnd::Disconnected)),
+            ReadOutcome::Close(reason) => Ok(ControlFlow::Break(ConnectionEnd::HalfClose(reason))),
             ReadOutcome::Refuse(error) => self.refuse(error).await,
         }
     }
 
     // ---- Answering a request ----
 
-    /// Answers a request, or admits its query.
+    /// Admits a request's query, or answers a request for a status page.
     async fn handle(&self, head: &Head<'_>) -> io::Result<Handled> {
         self.entry
             .set_state(ConnectionState::Active, self.inbound.last_byte_ms());
         let frontend = self.frontend;
         let pages = &frontend.pages;
-        let is_bare_path = |path: &str| pages.classifier.is_path(path);
-        let (status, body) = match Route::of(head.method, head.path, is_bare_path) {
+        let is_statements_path = |path: &str| pages.classifier.is_path(path);
+        let (status, body) = match Route::of(head.method, head.path, is_statements_path) {
             Route::Query => match self.admit(head) {
                 Ok(query) => return Ok(Handled::Query(query)),
                 Err(error) => return Ok(Handled::Refused(error)),
@@ -187,7 +189,7 @@
         let frontend = self.frontend;
         let buffer = self.inbound.buffer();
         let body = &buffer.bytes()[head.head_len..head.request_len()];
-        // The query's own last byte: bytes of the next request may have arrived after it.
+        // Arrival of this request's last byte: bytes of the next request may have arrived since.
         let received_ms = buffer.arrived_ms(head.request_len());
         let received_ms = received_ms.unwrap_or(self.inbound.last_byte_ms());
         let parsed = ParsedRequest::parse(&frontend.limits, head, body, received_ms)?;
@@ -203,16 +205,16 @@
         handled: Handled,
         request_len: usize,
         mut keep_alive: bool,
-    ) -> io::Result<ControlFlow<Closing>> {
+    ) -> io::Result<ControlFlow<ConnectionEnd>> {
         match handled {
             Handled::Query(query) => {
                 self.inbound.consume(request_len);
                 let Some(answer) = self.wait_for_answer(&query).await else {
                     self.ledger.borrow_mut().on_client_left();
-                    return Ok(ControlFlow::Break(Closing::Disconnected));
+                    return Ok(ControlFlow::Break(ConnectionEnd::Disconnected));
                 };
-                let is_last_call = self.frontend.phase.get().is_last_call();
-                let is_last = is_last_call && self.inbound.buffer().is_empty();
+                let is_closing = self.frontend.phase.get().is_closing();
+                let is_last = is_closing && self.inbound.buffer().is_empty();
                 keep_alive &= !is_last;
                 let permit = self.answer_permit()?;
                 self.writer().answer(permit, answer, keep_alive).await?;
@@ -221,7 +223,7 @@
             Handled::Refused(error) => return self.refuse(error).await,
         }
         if !keep_alive {
-            return Ok(ControlFlow::Break(Closing::HalfClose(
+            return Ok(ControlFlow::Break(ConnectionEnd::HalfClose(
                 ClientClose::AfterAnswer,
             )));
         }
@@ -232,7 +234,7 @@
         Ok(ControlFlow::Continue(()))
     }
 
-    /// Waits for the answer of a query; `None` if the client left first.
+    /// Waits for the answer of a query. Returns `None` if the client disconnects first.
     async fn wait_for_answer(&mut self, query: &AdmittedQuery) -> Option<Answer> {
         let answered = async { Some(query.slot.answered().await) };
         let client_left = async {
--- a/crates/dispatcher/src/client/status_pages.rs
+++ b/crates/dispatcher/src/client/status_pages.rs
@@ -12,27 +12,27 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How often a request that waits for a change of the service level polls for it.
+/// Interval at which a request that waits for a change of the service level polls for it.
 const LEVEL_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The sources of the status pages.
+/// The data sources of the status pages.
 pub struct StatusPages {
     /// The queries in flight and the counters.
     pub registry: Rc<QueryRegistry>,
     /// The program's clock.
     pub clock: Clock,
-    /// Analysis of statements.
+    /// The statement classifier.
     pub classifier: Rc<StatementClassifier>,
-    /// Service levels.
+    /// The service levels.
     pub levels: Rc<ServiceLevels>,
-    /// Zones.
+    /// The zones.
     pub zones: Rc<ZoneRouting>,
-    /// Number of threads that spilled into each zone, by the last count of the decisions.
+    /// Zone names, and the number of threads that spilled into each, as last counted by the admission controller.
     pub spilled_threads: RefCell<Vec<(String, f64)>>,
 }
 
 impl StatusPages {
-    /// All counters, a line each.
+    /// All counters as text, one per line.
     pub fn counters(&self) -> String {
         subsystems::counters(&self.registry, &self.classifier, &self.levels, &self.zones)
     }
@@ -45,25 +45,25 @@
         self.levels.to_json(self.clock.now()).to_string()
     }
 
-    /// Waits until the service level has changed since version `after`, for a bounded time and while the program
-    /// serves. Returns immediately if the limit of waiting requests is reached.
+    /// Waits until the service levels have another version than `after`, for at most [`service_levels::MAX_WATCH_MS`]
+    /// and only while queries are served. Returns immediately if [`service_levels::MAX_WATCHERS`] requests wait.
     async fn wait_for_level_change(&self, after: u64, phase: &Cell<FrontendPhase>) {
         let until_ms = self.clock.now() + service_levels::MAX_WATCH_MS;
-        let waiting = &self.levels.watchers;
-        if waiting.get() >= service_levels::MAX_WATCHERS {
+        let watchers = &self.levels.watchers;
+        if watchers.get() >= service_levels::MAX_WATCHERS {
             return;
         }
-        waiting.set(waiting.get() + 1);
+        watchers.set(watchers.get() + 1);
         while self.levels.version() == after
             && self.clock.now() < until_ms
             && phase.get().is_healthy()
         {
             Timer::after(LEVEL_POLL_INTERVAL).await;
         }
-        waiting.set(waiting.get() - 1);
+        watchers.set(watchers.get() - 1);
     }
 
-    /// The zones as JSON.
+    /// The zones as JSON, with the threads that spilled into each.
     pub fn zones(&self) -> String {
         let spilled_threads = self.spilled_threads.borrow();
         let spilled_into = |name: &str| {
--- a/crates/dispatcher/src/query_registry/guarding.rs
+++ b/crates/dispatcher/src/query_registry/guarding.rs
@@ -1,5 +1,5 @@
-//! The registry's side of the guard: the facts about a query whose attempt is about to begin, and the records of refusals
-//! and violations.
+//! The registry's interface to the guard: passes the state of a query whose attempt is about to begin to the guard, and
+//! records refusals and violations.
 
 use super::{Query, QueryRegistry};
 use crate::guard::{AttemptFacts, BeginPermit, BeginRefusal, EndpointFacts, QueryFacts, Violation};
@@ -7,7 +7,7 @@
 use crate::trace::TraceEvent;
 use tansymux::events::EndReason;
 
-/// Maximum number of events that are written when an invariant is violated.
+/// Maximum number of trace events that are printed when an invariant is violated.
 const MAX_TRACE_LINES: usize = 64;
 
 /// Identifies an attempt.
@@ -15,25 +15,25 @@
 pub struct AttemptKey {
     /// The query.
     pub query_id: u64,
-    /// Which of the query's attempts, counted from 0.
+    /// Index of the attempt among the query's attempts, from 0.
     pub attempt: usize,
     /// The engine.
     pub engine_id: u64,
 }
 
-/// How an attempt is about to begin. Times are milliseconds of the program's clock.
+/// An attempt that is about to begin. Times are milliseconds on the program's clock.
 #[derive(Debug, Clone, Copy)]
 pub struct AttemptBegin {
-    /// The connection that carries it.
+    /// The connection that carries the attempt.
     pub connection: ConnectionId,
-    /// When the attempt is abandoned.
+    /// Time at which the attempt is abandoned.
     pub deadline_ms: f64,
-    /// By when the attempt must begin.
+    /// Latest time at which the attempt may begin.
     pub start_by_ms: f64,
 }
 
 impl QueryRegistry {
-    /// The permit to write the first byte of an attempt's request now.
+    /// Returns the permit to write the first byte of an attempt's request now.
     ///
     /// # Errors
     /// The attempt may not begin: see [`Guard::may_begin`](crate::guard::Guard::may_begin).
@@ -44,7 +44,7 @@
         endpoint: Option<EndpointFacts>,
         now_ms: f64,
     ) -> Result<BeginPermit, BeginRefusal> {
-        let may_begin = |query: Option<QueryFacts>| {
+        let check_facts = |query: Option<QueryFacts>| {
             let facts = AttemptFacts {
                 query,
                 attempt: key.attempt,
@@ -54,16 +54,16 @@
             };
             self.guard.may_begin(&facts, now_ms)
         };
-        let of_query = |query: &Query| {
-            may_begin(Some(QueryFacts {
+        let check_query = |query: &Query| {
+            check_facts(Some(QueryFacts {
                 is_over: query.is_over(),
                 attempt_in_flight: query.attempt_number_in_flight(),
                 is_connection_used: query.used_connections.contains(&begin.connection),
                 resource_group: &query.resource_group,
             }))
         };
-        let permit = self.queries.with(key.query_id, of_query);
-        permit.unwrap_or_else(|| may_begin(None))
+        let permit = self.queries.with(key.query_id, check_query);
+        permit.unwrap_or_else(|| check_facts(None))
     }
 
     /// Records that the first byte of an attempt's request was written on a connection.
@@ -76,8 +76,8 @@
         self.trace_attempt(key, TraceEvent::Begun { connection });
     }
 
-    /// Records that an attempt was refused: counts it by reason, and reports a violation if the rest of the program should
-    /// not have requested it.
+    /// Records that the guard refused an attempt: counts it by reason, and reports a violation if the rest of the
+    /// program should not have requested it.
     pub fn on_begin_refused(&self, key: &AttemptKey, refusal: BeginRefusal) {
         self.counters.count_begin_refusal(refusal);
         self.trace_attempt(key, TraceEvent::NotBegun(refusal));
@@ -91,7 +91,7 @@
         if let Some(rule) = refusal.violated_rule() {
             let violation = Violation {
                 rule,
-                description: "an attempt that may not begin came to its connection",
+                description: "an attempt that may not begin was submitted to its connection",
             };
             self.report_violation(violation, Some(key.query_id));
         }
@@ -103,7 +103,7 @@
             .record_attempt(key.query_id, key.attempt, key.engine_id, event);
     }
 
-    /// Records that the decisions end a query without a result.
+    /// Records that the admission controller ends a query without a result.
     pub fn on_end_reason(&self, query_id: u64, reason: EndReason) {
         if self.is_over(query_id) {
             return;
@@ -117,10 +117,10 @@
         );
     }
 
-    /// Whether the process may end.
+    /// Checks that the process may exit.
     ///
     /// # Errors
-    /// Queries are owed an answer.
+    /// Some queries are still owed an answer.
     pub fn may_end(&self) -> Result<(), Violation> {
         self.guard.may_end(self.queries.unanswered())
     }
--- a/crates/dispatcher/src/query_registry/messages.rs
+++ b/crates/dispatcher/src/query_registry/messages.rs
@@ -11,9 +11,9 @@
 /// An entry of the endpoint list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EndpointEntry {
-    /// Number of the engine, a hash of its name.
+    /// Id of the engine, a hash of its name.
     pub engine_id: u64,
-    /// Where the engine listens, if the list has it.
+    /// Address of the engine, if the list contains it.
     pub address: Option<SocketAddr>,
     /// The name of its machine type.
     pub kind: String,
@@ -21,18 +21,18 @@
     pub zone: String,
     /// Number of its cell.
     pub cell: u32,
-    /// Whether the engine takes queries.
+    /// Whether the engine accepts queries.
     pub state: EndpointState,
-    /// When its process started (ms), if the list has it.
+    /// Time (ms) at which its process started, if the list contains it.
     pub started_ms: Option<f64>,
 }
 
-/// An admitted query, for the next round of the decisions.
+/// An admitted query, passed to the next round of the admission controller.
 #[derive(Debug, Clone)]
 pub struct ArrivedQuery {
     /// The query's number in the registry, which is unique, unlike the id that the client chose.
     pub query_id: u64,
-    /// The tenant by the settings' name; empty if the settings name no tenants.
+    /// The tenant's name as in the settings; empty if the settings name no tenants.
     pub tenant: Rc<str>,
     /// The ordering key, if the client sent one.
     pub key: Option<u64>,
@@ -46,7 +46,7 @@
     pub statement: StatementTraits,
 }
 
-/// An event for the next round of the decisions.
+/// An event for the next round of the admission controller.
 #[derive(Debug, Clone)]
 pub enum Event {
     /// A query was admitted.
@@ -56,19 +56,19 @@
         /// The query.
         query_id: u64,
     },
-    /// An attempt ended.
+    /// An attempt completed, failed or was cancelled.
     AttemptEnded {
         /// The query.
         query_id: u64,
-        /// Which of the query's attempts, counted from 0.
+        /// Index of the attempt among the query's attempts, from 0.
         attempt: usize,
-        /// How it ended.
+        /// The outcome of the attempt.
         outcome: Outcome,
-        /// What ended it.
+        /// The cause of the outcome.
         cause: EndCause,
         /// The engine of the attempt.
         engine_id: u64,
-        /// Time from submission to the end (ms).
+        /// Time (ms) from the submission to the outcome.
         latency_ms: f64,
         /// The result of a completed attempt.
         pages: Pages,
@@ -77,21 +77,21 @@
     ProgressReported {
         /// The query.
         query_id: u64,
-        /// Which of the query's attempts, counted from 0.
+        /// Index of the attempt among the query's attempts, from 0.
         attempt: usize,
-        /// What the note is about.
+        /// Kind of the note.
         kind: NoteKind,
-        /// Its amount, in the unit of its kind.
+        /// Amount, in the unit of the kind.
         amount: f64,
     },
-    /// A health check ended.
+    /// A health check succeeded or failed.
     HealthCheckEnded {
         /// The engine that was checked.
         engine_id: u64,
-        /// `Completed` if the engine is healthy.
+        /// The outcome: `Completed` if the engine is healthy.
         outcome: Outcome,
     },
-    /// The endpoint list, or a change of it.
+    /// A new endpoint list, or a change to the current one.
     EndpointList {
         /// Whether it is a full list or a change.
         kind: EndpointListKind,
@@ -107,21 +107,21 @@
     },
 }
 
-/// A command of the decisions to the engine side.
+/// A command from the admission controller to the engine side.
 #[derive(Debug, PartialEq)]
 pub enum EngineCommand {
     /// Start an attempt.
     Submit {
         /// The query.
         query_id: u64,
-        /// Which of the query's attempts, counted from 0.
+        /// Index of the attempt among the query's attempts, from 0.
         attempt: usize,
         /// The engine to which the attempt is sent.
         engine_id: u64,
         /// Its time limits.
         limits: AttemptLimits,
     },
-    /// Withdraw the attempt of a query that is over, unless its request was written completely.
+    /// Withdraw the attempt of a query that is over, unless the attempt's request is written completely.
     Withdraw {
         /// The query.
         query_id: u64,
@@ -130,7 +130,7 @@
     Cancel {
         /// The query.
         query_id: u64,
-        /// Which of the query's attempts, counted from 0.
+        /// Index of the attempt among the query's attempts, from 0.
         attempt: usize,
     },
     /// Send the engine a new priority for the attempt in flight.
--- a/crates/dispatcher/src/query_registry/mod.rs
+++ b/crates/dispatcher/src/query_registry/mod.rs
@@ -1,9 +1,9 @@
-//! The query registry: where the client side, the engine side and the decisions meet. It owns the queries in flight, the
-//! events for the next round of the decisions, and the commands for the engine side. No I/O.
+//! The query registry connects the client side, the engine side and the admission controller. It owns the queries in
+//! flight, the events for the controller's next round, and the commands for the engine side. It does no I/O.
 //!
-//! The registry owns each query from its admission until its answer was given and its last attempt has ended. It enforces
-//! two rules whatever the decisions request: a query gets one answer, and no attempt of it begins after that. Start
-//! reading at [`QueryRegistry::admit`], [`QueryRegistry::submit`] and [`QueryRegistry::answer`].
+//! The registry owns each query from its admission until it is answered and no attempt is in flight. It enforces two
+//! rules, whatever the controller requests: a query gets exactly one answer, and no attempt begins after the answer.
+//! Start reading at [`QueryRegistry::admit`], [`QueryRegistry::submit`] and [`QueryRegistry::answer`].
 
 mod completed_ids;
 mod guarding;
@@ -31,7 +31,7 @@
 use std::rc::Rc;
 use tansymux::events::AttemptLimits;
 
-/// The queries in flight, and the events and commands that are not yet handled.
+/// The queries in flight, and the queues of events and commands.
 pub struct QueryRegistry {
     /// Wakes the driver when an event is queued.
     pub notify: Rc<Notify>,
@@ -46,7 +46,7 @@
 }
 
 impl QueryRegistry {
-    /// An empty registry for statements of `max_statement_bytes` in total.
+    /// An empty registry that holds at most `max_statement_bytes` of statements in total.
     pub fn new(max_statement_bytes: usize, guard: Guard, clock: Clock) -> Self {
         QueryRegistry {
             notify: Rc::default(),
@@ -64,7 +64,7 @@
     /// Admits a query.
     ///
     /// # Errors
-    /// The query's id is in flight or was used before, or the registry is full; the registry is unchanged then.
+    /// The query's id is in flight or was used before, or the registry is full. The registry is then unchanged.
     pub fn admit(&self, request: &QueryRequest) -> Result<AdmittedQuery, AdmissionError> {
         let admitted = self.queries.insert(request)?;
         let query_id = admitted.query_id;
@@ -83,9 +83,9 @@
         Ok(admitted)
     }
 
-    /// Records that the client has left: no answer is owed, and none will be given.
+    /// Records that the client has disconnected: no answer is owed any more, and none is written.
     pub fn client_left(&self, query_id: u64) {
-        if self.complete(query_id).is_some() {
+        if self.end_query(query_id).is_some() {
             self.counters.client_disconnects.increment();
             self.trace.record(query_id, TraceEvent::ClientLeft);
             tracing::debug!(query_id, "client left");
@@ -95,13 +95,13 @@
 
     // ---- All sides ----
 
-    /// Queues an event for the next round of the decisions, and wakes the driver.
+    /// Queues an event for the next round of the admission controller, and wakes the driver.
     pub fn push_event(&self, event: Event) {
         self.events.borrow_mut().push_back(event);
         self.notify.notify();
     }
 
-    /// Number of queries that have no answer yet, or an attempt in flight.
+    /// Number of queries that are owed an answer or have an attempt in flight.
     pub fn in_flight(&self) -> usize {
         self.queries.len()
     }
@@ -118,7 +118,7 @@
 
     // ---- Driver ----
 
-    /// Moves the deadlines of all queries, also of later ones, forward to `latest_ms`.
+    /// Limits the deadlines of all queries, including those admitted later, to `latest_ms`.
     pub fn limit_deadlines(&self, latest_ms: f64) {
         self.queries.limit_deadlines(latest_ms);
     }
@@ -135,7 +135,7 @@
 
     /// Gives a query its final answer. Returns false, and changes nothing, if no answer is owed.
     pub fn answer(&self, query_id: u64, answer: Answer) -> bool {
-        let Some(slot) = self.complete(query_id) else {
+        let Some(slot) = self.end_query(query_id) else {
             return false;
         };
         let (counter, outcome, status) = match answer {
@@ -153,9 +153,9 @@
 
     /// Ends a query. Returns the slot for its answer, or `None` if no answer is owed.
     ///
-    /// Every end of a query passes here once, from whichever side. A request that is not yet written is withdrawn,
-    /// whether or not the settings allow cancels.
-    fn complete(&self, query_id: u64) -> Option<Rc<AnswerSlot>> {
+    /// Every query ends here exactly once, whether it is answered or its client disconnects. An attempt whose request
+    /// is not yet written completely is withdrawn, even if the settings forbid cancels.
+    fn end_query(&self, query_id: u64) -> Option<Rc<AnswerSlot>> {
         let ended = self.queries.with_mut(query_id, |query| {
             let slot = query.slot.take()?;
             Some((slot, query.attempt_in_flight))
@@ -171,14 +171,14 @@
         self.commands.borrow_mut().push_back(command);
     }
 
-    /// Whether no answer is owed for the query: it was given, or the client left.
+    /// Whether no answer is owed for the query: it is answered, or the client has disconnected.
     pub fn is_over(&self, query_id: u64) -> bool {
         let is_over = self.queries.with(query_id, Query::is_over);
         is_over.unwrap_or(true)
     }
 
-    /// Starts an attempt. If the query is over or has an attempt in flight, the attempt is refused, and logged as an error
-    /// of this program.
+    /// Starts an attempt. If the query is over or has an attempt in flight, the attempt is refused, and logged as an
+    /// internal error.
     pub fn submit(&self, query_id: u64, engine_id: u64, limits: AttemptLimits) {
         let attempt = self
             .queries
@@ -193,7 +193,7 @@
             return;
         };
         self.counters.attempts.increment();
-        self.note_submitted(&AttemptKey {
+        self.log_submission(&AttemptKey {
             query_id,
             attempt,
             engine_id,
@@ -206,8 +206,8 @@
         });
     }
 
-    /// Logs that an attempt was submitted, and for a retry what ended the attempt before.
-    fn note_submitted(&self, key: &AttemptKey) {
+    /// Logs that an attempt was submitted. A retry is logged with the cause that ended the previous attempt.
+    fn log_submission(&self, key: &AttemptKey) {
         self.trace_attempt(key, TraceEvent::Submitted);
         let last_end = self.with_query(key.query_id, |query| query.last_end);
         let engine_id = EngineId(key.engine_id);
@@ -222,7 +222,7 @@
         tracing::info!(query_id, client_id, attempt, %engine_id, %after, "retry submitted");
     }
 
-    /// Whether an attempt is the one in flight of its query.
+    /// Whether `attempt` is in flight.
     pub fn is_in_flight(&self, attempt: AttemptId) -> bool {
         let in_flight = self.with_query(attempt.query_id, Query::attempt_number_in_flight);
         in_flight.flatten() == Some(attempt.number)
@@ -247,20 +247,22 @@
         self.push_command(EngineCommand::HealthCheck { engine_id });
     }
 
-    /// Sets the grant of the next attempts. A new priority is also sent to the engine of an attempt in flight.
+    /// Sets the grant of the query's next attempts. If an attempt is in flight, a changed priority is also sent to its
+    /// engine.
     pub fn grant(&self, query_id: u64, grant: Grant) {
         let priority = grant.priority;
-        let is_new_in_flight = self.queries.with_mut(query_id, |query| {
-            let before = query.grant.replace(grant);
-            let is_new = before.is_some_and(|before| before.priority != priority);
-            query.attempt_in_flight && is_new
+        let must_send_priority = self.queries.with_mut(query_id, |query| {
+            let previous = query.grant.replace(grant);
+            let is_changed = previous.is_some_and(|previous| previous.priority != priority);
+            query.attempt_in_flight && is_changed
         });
-        if is_new_in_flight == Some(true) {
+        if must_send_priority == Some(true) {
             self.push_command(EngineCommand::SetPriority { query_id, priority });
         }
     }
 
-    /// Records that the end of an attempt was delivered to the decisions. Ignored unless the attempt is in flight.
+    /// Records that the outcome of an attempt was delivered to the admission controller. Ignored unless the attempt is
+    /// in flight.
     pub fn attempt_ended(&self, attempt: AttemptId, cause: EndCause) {
         if !self.is_in_flight(attempt) {
             return;
@@ -273,7 +275,7 @@
         self.forget_if_over(query_id);
     }
 
-    /// Forgets a query that is over and has no attempt in flight. Its id is remembered if it ever had an attempt.
+    /// Removes a query that is over and has no attempt in flight. If it ever had an attempt, its id is remembered.
     pub fn forget_if_over(&self, query_id: u64) {
         self.queries.remove_if_over(query_id);
     }
--- a/crates/dispatcher/src/query_registry/query.rs
+++ b/crates/dispatcher/src/query_registry/query.rs
@@ -8,24 +8,24 @@
 use std::rc::Rc;
 use tansymux::events::StatementTraits;
 
-/// A result's pages, as rows in JSON.
+/// The pages of a result: each holds rows in JSON.
 pub type Pages = Vec<Vec<u8>>;
 
-/// The one final answer of a query.
+/// The final answer of a query, which gets exactly one.
 #[derive(Debug)]
 pub enum Answer {
     /// The query completed.
     Completed(Pages),
-    /// The query was rejected: it did not run, or can run again. The client may retry.
+    /// The query was rejected: it did not run, or can safely run again. The client may retry.
     Rejected {
-        /// How long (ms) the client is to wait before it retries.
+        /// Time (ms) that the client should wait before it retries.
         retry_after_ms: f64,
     },
-    /// The query failed, and must not be retried as it is.
+    /// The query failed, and the client must not retry it unchanged.
     Failed,
 }
 
-/// A slot in which the task of a client's connection waits for the answer.
+/// A slot through which the task of a client connection receives a query's answer.
 #[derive(Default)]
 pub struct AnswerSlot {
     filled: Notify,
@@ -58,9 +58,9 @@
 /// The optional keys of a request, as hex digits.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct RequestKeys<'a> {
-    /// Idempotency key: engines detect duplicates by it.
+    /// Idempotency key, by which engines detect duplicates.
     pub idempotency_key: Option<&'a str>,
-    /// Ordering key: queries with the same key run one after the other.
+    /// Ordering key: queries with the same key run one at a time.
     pub ordering_key: Option<&'a str>,
 }
 
@@ -72,19 +72,19 @@
     }
 }
 
-/// A query as the client side has parsed it. Times are milliseconds on the program's clock.
+/// A query as parsed by the client side. Times are milliseconds on the program's clock.
 pub struct QueryRequest<'a> {
     /// The id that the client chose: 16 hex digits.
     pub id: &'a str,
     /// Name of its resource group.
     pub resource_group: &'a str,
-    /// The tenant by the settings' name; empty if the settings name no tenants.
+    /// The tenant's name as in the settings; empty if the settings name no tenants.
     pub tenant: &'a str,
     /// Its SQL text.
     pub statement: &'a [u8],
-    /// When the last byte of the request arrived.
+    /// Time at which the last byte of the request arrived.
     pub received_ms: f64,
-    /// By when the query must be answered.
+    /// Time by which the query must be answered.
     pub deadline_ms: f64,
     /// Estimated thread time (ms); 0 without an estimate.
     pub estimated_cost_ms: f64,
@@ -129,29 +129,29 @@
     pub idempotency_key: Option<Rc<str>>,
     /// Its ordering key, if the client sent one.
     pub ordering_key: Option<Rc<str>>,
-    /// When the last byte of the request arrived.
+    /// Time at which the last byte of the request arrived.
     pub received_ms: f64,
     /// Estimated thread time (ms); 0 without an estimate.
     pub estimated_cost_ms: f64,
-    /// By when the query must be answered.
+    /// Time by which the query must be answered.
     pub deadline_ms: f64,
-    /// The grant of the next attempts, once it was decided.
+    /// The grant of the next attempts, once the admission controller has set it.
     pub grant: Option<Grant>,
     /// The statement's shape, if it was analysed.
     pub shape: Option<StatementShape>,
-    /// Whether the attempt in flight, or the last one, waited for a lock.
+    /// Whether the attempt in flight, or else the last attempt, waited for a lock.
     pub waited: bool,
     /// The engine of the last attempt.
     pub engine_id: u64,
-    /// The connections that have carried its attempts: one for each attempt at most.
+    /// The connections that have carried its attempts, at most one per attempt.
     pub used_connections: Vec<ConnectionId>,
     /// Number of attempts so far.
     pub(super) attempts: usize,
-    /// Whether an attempt is in flight, or its end was not yet delivered to the decisions.
+    /// Whether an attempt is in flight, or its outcome was not yet delivered to the admission controller.
     pub(super) attempt_in_flight: bool,
-    /// What ended the last attempt that has ended.
+    /// The cause that ended the most recent completed, failed or cancelled attempt.
     pub(super) last_end: Option<EndCause>,
-    /// The slot for the answer; `None` once it was given or the client left.
+    /// The slot for the answer; `None` once the query is answered or the client has disconnected.
     pub(super) slot: Option<Rc<AnswerSlot>>,
 }
 
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Begins an attempt on an engine and returns its number; `None` if the query is over or has an attempt in flight.
+    /// Begins an attempt on an engine and returns its index; `None` if the query is over or has an attempt in flight.
     pub(super) fn begin_attempt(&mut self, engine_id: u64) -> Option<usize> {
         if self.is_over() || self.attempt_in_flight {
             return None;
@@ -191,13 +191,13 @@
         Some(attempt)
     }
 
-    /// The number of the attempt in flight, if there is one.
+    /// The index of the attempt in flight, if there is one.
     pub(super) fn attempt_number_in_flight(&self) -> Option<usize> {
-        let last = self.attempts.checked_sub(1)?;
-        self.attempt_in_flight.then_some(last)
+        let last_attempt = self.attempts.checked_sub(1)?;
+        self.attempt_in_flight.then_some(last_attempt)
     }
 
-    /// Whether no answer is owed: it was given, or the client left.
+    /// Whether no answer is owed: the query is answered, or the client has disconnected.
     pub(super) fn is_over(&self) -> bool {
         self.slot.is_none()
     }
--- a/crates/dispatcher/src/query_registry/query_table.rs
+++ b/crates/dispatcher/src/query_registry/query_table.rs
@@ -1,4 +1,4 @@
-//! The queries in flight, by their numbers and by the ids that clients chose, within the bounds on memory.
+//! The queries in flight, indexed by their numbers and by the ids that clients chose, with limits on memory.
 
 use super::completed_ids::CompletedIds;
 use super::query::{AdmittedQuery, AnswerSlot, Query, QueryRequest};
@@ -15,20 +15,20 @@
     /// A query with the same id is in flight.
     #[error("a query with this id is in flight")]
     InFlight,
-    /// A query with the same id was submitted to an engine before: it may have had its effect.
+    /// A query with the same id was submitted to an engine before, and may have had its effect.
     #[error("a query with this id was submitted before")]
     AlreadySubmitted,
-    /// There are too many queries, or too many bytes of statements, in flight.
+    /// Too many queries, or too many bytes of statements, are in flight.
     #[error("too many queries or bytes of statements in flight")]
     Overloaded,
 }
 
 /// The queries in flight.
 pub(super) struct QueryTable {
-    /// No query has a deadline later than this (ms): the program ends then.
+    /// Upper limit (ms) of all deadlines: infinite until the program shuts down.
     latest_deadline_ms: Cell<f64>,
     queries: RefCell<FxHashMap<u64, Query>>,
-    /// Query numbers by the ids that clients chose.
+    /// Numbers of the queries, by the ids that clients chose.
     query_by_client_id: RefCell<FxHashMap<Rc<str>, u64>>,
     completed_ids: RefCell<CompletedIds>,
     last_query_id: Cell<u64>,
@@ -38,7 +38,7 @@
 }
 
 impl QueryTable {
-    /// An empty table for statements of `max_statement_bytes` in total.
+    /// An empty table that holds at most `max_statement_bytes` of statements in total.
     pub fn new(max_statement_bytes: usize) -> Self {
         QueryTable {
             latest_deadline_ms: Cell::new(f64::INFINITY),
@@ -54,7 +54,7 @@
     /// Adds a query.
     ///
     /// # Errors
-    /// The query's id is in flight or was used before, or the table is full; the table is unchanged then.
+    /// The query's id is in flight or was used before, or the table is full. The table is then unchanged.
     pub fn insert(&self, request: &QueryRequest) -> Result<AdmittedQuery, AdmissionError> {
         if self.query_by_client_id.borrow().contains_key(request.id) {
             return Err(AdmissionError::InFlight);
@@ -99,7 +99,7 @@
         self.queries.borrow_mut().get_mut(&query_id).map(change)
     }
 
-    /// Moves the deadlines of all queries, also of later ones, forward to `latest_ms`.
+    /// Limits the deadlines of all queries, including those admitted later, to `latest_ms`.
     pub fn limit_deadlines(&self, latest_ms: f64) {
         self.latest_deadline_ms.set(latest_ms);
         for query in self.queries.borrow_mut().values_mut() {
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Removes a query that is over and has no attempt in flight. Its id is remembered if it ever had an attempt.
+    /// Removes a query that is over and has no attempt in flight. If it ever had an attempt, its id is remembered.
     pub fn remove_if_over(&self, query_id: u64) {
         let mut queries = self.queries.borrow_mut();
         let is_over = |query: &Query| query.is_over() && !query.attempt_in_flight;
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Remembers the id of a query that was submitted to an engine and is over.
+    /// Remembers an id as that of a query that was submitted and is over.
     #[cfg(test)]
     pub fn remember_completed(&self, id: Rc<str>) {
         self.completed_ids.borrow_mut().remember(id);
--- a/crates/dispatcher/src/query_registry/tests.rs
+++ b/crates/dispatcher/src/query_registry/tests.rs
@@ -59,7 +59,7 @@
             )
     );
     assert!(matches!(slot.take(), Some(Answer::Failed)));
-    // What was not sent of it by now never is, whether or not the settings allow cancels.
+    // An attempt whose request is not sent yet is withdrawn, whether or not the settings allow cancels.
     assert_eq!(
         registry.next_command(),
         Some(EngineCommand::Withdraw { query_id })
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn new_priority_reaches_the_attempt_in_flight() {
+fn changed_priority_is_sent_for_the_attempt_in_flight() {
     let registry = QueryRegistry::default();
     let AdmittedQuery {
         query_id,
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn repeated_end_of_one_attempt_does_not_end_the_next() {
+fn duplicate_outcome_of_an_attempt_does_not_end_the_next_attempt() {
     let registry = QueryRegistry::default();
     let AdmittedQuery {
         query_id,
@@ -200,7 +200,7 @@
         registry.with_query(query_id, |query| query.waited),
         Some(false)
     );
-    // No third attempt goes out beside the second.
+    // No third attempt is submitted while the second is in flight.
     while registry.next_command().is_some() {}
     registry.submit(query_id, 7, LIMITS);
     assert_eq!(registry.next_command(), None);
