--- a/crates/dispatcher/src/client/inbound.rs
+++ b/crates/dispatcher/src/client/inbound.rs
@@ -194,8 +194,8 @@
     // ---- While a query is in flight ----
 
     /// Waits until the client has disconnected. Bytes that arrive meanwhile are buffered for the next requests, up to a
-    /// limit. Beyond the limit nothing is read, and a disconnect is detected only once the kernel has received all bytes
-    /// before it.
+    /// limit. Beyond the limit nothing is read, and a disconnect is detected only once the kernel has received all
+    /// bytes before it.
     pub async fn wait_for_disconnect(&mut self) {
         loop {
             if self.buffer.len() >= MAX_READ_AHEAD_BYTES || self.buffer.is_over_quota() {
