--- a/crates/dispatcher/src/discovery/departed_engines.rs
+++ b/crates/dispatcher/src/discovery/departed_engines.rs
@@ -1,27 +1,27 @@
-//! Engines that have left the endpoint list: an older list does not bring their processes back.
+//! Engines that have left the endpoint list, kept so that an older list does not add the same processes again.
 
 use super::records::start_of;
 use crate::query_registry::EndpointEntry;
 use rustc_hash::FxHashMap;
 use std::collections::VecDeque;
 
-/// The engines that left the list, up to a limit.
+/// The engines that left the list most recently, up to a limit.
 #[derive(Debug, Default)]
 pub struct DepartedEngines {
-    /// Start times of the processes that left (ms), by engine.
+    /// Start time (ms) of the process that left, by engine number; `None` if unknown.
     started_ms: FxHashMap<u64, Option<f64>>,
-    /// The engines in the order in which they left.
+    /// Engine numbers, in the order in which the engines left.
     order: VecDeque<u64>,
 }
 
 impl DepartedEngines {
-    /// Whether the process of an entry has left the list.
+    /// Whether the process of `entry` has left the list. A process with a later start time has not.
     pub fn contains(&self, entry: &EndpointEntry) -> bool {
         let departed = self.started_ms.get(&entry.engine_id);
         departed.is_some_and(|started_ms| start_of(entry) <= started_ms.unwrap_or(0.0))
     }
 
-    /// Whether any process of an engine has left the list, and none is listed.
+    /// Whether the engine is recorded as departed.
     pub fn contains_engine(&self, engine_id: u64) -> bool {
         self.started_ms.contains_key(&engine_id)
     }
--- a/crates/dispatcher/src/discovery/departed_engines/tests.rs
+++ b/crates/dispatcher/src/discovery/departed_engines/tests.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn departed_process_is_known_and_a_restarted_one_is_not() {
+fn departed_process_is_recognized_and_a_restarted_process_is_not() {
     let mut departed = DepartedEngines::default();
     departed.add(&[entry(1, Some(50.0))], 8);
     assert!(departed.contains(&entry(1, Some(50.0))));
@@ -28,6 +28,6 @@
     let mut departed = DepartedEngines::default();
     departed.add(&[entry(1, None), entry(2, None)], 2);
     departed.add(&[entry(3, None)], 2);
-    let known = [1, 2, 3].map(|engine_id| departed.contains_engine(engine_id));
-    assert_eq!(known, [false, true, true]);
+    let is_departed = [1, 2, 3].map(|engine_id| departed.contains_engine(engine_id));
+    assert_eq!(is_departed, [false, true, true]);
 }
--- a/crates/dispatcher/src/discovery/directory.rs
+++ b/crates/dispatcher/src/discovery/directory.rs
@@ -1,9 +1,10 @@
-//! The accepted endpoint list, and the rules by which an answer of the name service changes it. No I/O, no clock.
+//! The accepted endpoint list, and the rules for applying answers of the name service to it. No I/O; the only clock is
+//! the [`WallClock`] that translates start times.
 
 use super::departed_engines::DepartedEngines;
 use super::engine_ids::EngineIds;
 use super::engine_starts::EngineStarts;
-use super::list_version::{AnswerSource, ListVersion, Relation};
+use super::list_version::{AnswerVersion, ListVersion, Relation};
 use super::records::{
     drop_superseded, entry_of, fingerprint, merge_duplicates, start_of, HostName,
 };
@@ -14,14 +15,14 @@
 use rustc_hash::FxHashMap;
 use tansymux::events::EndpointState;
 
-/// Maximum number of endpoints in a list: a bound on memory, above the largest pool of the operators (3,200).
+/// Maximum number of endpoints in a list. Bounds memory; the operators' largest pool has 3,200 engines.
 const MAX_ENGINES: usize = 4096;
 
 /// The accepted endpoint list.
 #[derive(Debug, Default)]
 pub struct EndpointDirectory {
     engine_ids: EngineIds,
-    /// The list as last reported.
+    /// The entries of the list as last reported, by engine number.
     engines: FxHashMap<u64, EndpointEntry>,
     version: ListVersion,
     departed: DepartedEngines,
@@ -31,28 +32,28 @@
 /// The effect of an answer on the list.
 #[derive(Debug, PartialEq)]
 pub enum AnswerOutcome {
-    /// It was accepted: the complete list, followed by the engines that are gone.
+    /// The answer was accepted. Holds the complete new list, followed by the engines that are gone.
     Updated(Vec<EndpointEntry>),
-    /// It brings nothing new.
+    /// The answer changes nothing.
     Unchanged,
-    /// It was not accepted.
+    /// The answer was not accepted.
     Rejected(RejectReason),
 }
 
-/// An accepted update that has begun.
+/// An accepted answer that is about to be applied.
 struct Update {
-    source: AnswerSource,
-    /// Whether its serial is not above that of the list, so it may come from a name service that lags behind.
-    is_not_newer: bool,
+    version: AnswerVersion,
+    /// Whether the serial is not newer than that of the list, as in an answer of a name service that lags behind.
+    may_be_stale: bool,
 }
 
 impl EndpointDirectory {
-    /// The number of an engine, derived from its id alone: see [`EngineIds::assign`].
+    /// Returns the number of an engine, derived from its id alone: see [`EngineIds::assign`].
     pub fn engine_id(&mut self, id: &str) -> u64 {
         self.engine_ids.assign(id)
     }
 
-    /// The serial of the list: the number of its latest change.
+    /// Returns the serial of the list, the number of its latest change.
     #[cfg(test)]
     pub fn serial(&self) -> u32 {
         self.version.serial
@@ -68,7 +69,8 @@
         self.engines.insert(engine.engine_id, engine);
     }
 
-    /// Translates the list's start times, which are Unix times, to the program's clock, and all later ones.
+    /// Sets the wall clock, and translates the start times in the list from Unix time to the program's clock. Start times
+    /// of later answers are translated on arrival.
     pub fn set_wall_clock(&mut self, wall_clock: WallClock) {
         self.starts.set_wall_clock(wall_clock);
         let starts = &mut self.starts;
@@ -77,8 +79,8 @@
                 .started_ms
                 .map(|unix_ms| starts.translate(engine_id, unix_ms));
         }
-        // The list at the start is as of now.
-        starts.on_list();
+        // The list of the configuration counts as confirmed at startup.
+        starts.on_list_confirmed();
     }
 
     /// Checks whether the wall clock was stepped.
@@ -86,7 +88,7 @@
         self.starts.observe_wall_clock();
     }
 
-    /// All engines of the list, in the order of their numbers.
+    /// Returns all entries of the list, sorted by engine number.
     pub fn endpoints(&self) -> Vec<EndpointEntry> {
         let mut endpoints: Vec<EndpointEntry> = self.engines.values().cloned().collect();
         endpoints.sort_by_key(|engine| engine.engine_id);
@@ -94,8 +96,9 @@
     }
 
     /// Applies the answer to query number `query`. An answer with a plausibly newer serial is accepted
-    /// immediately. If its serial is implausibly far ahead or older, or its records differ under the same serial, it is
-    /// accepted once the answer to a later query confirms it. An engine without records is gone.
+    /// immediately. An answer whose serial is implausibly far ahead or older, or whose records differ under the same
+    /// serial, is accepted once the answer to a later query confirms it. A listed engine that is missing from an accepted
+    /// answer is gone.
     pub fn apply_answer(&mut self, answer: &Answer, query: u64) -> AnswerOutcome {
         let update = match self.begin_update(answer, query) {
             Ok(Some(update)) => update,
@@ -103,13 +106,13 @@
             Err(reason) => return AnswerOutcome::Rejected(reason),
         };
         let mut entries = self.entries_of(answer);
-        if update.is_not_newer {
-            self.keep_known_ends(&mut entries);
+        if update.may_be_stale {
+            self.keep_drains_and_departures(&mut entries);
         }
         AnswerOutcome::Updated(self.finish_update(&update, entries))
     }
 
-    /// Decides whether an answer is accepted; `None` if it brings nothing new.
+    /// Decides whether an answer is accepted. Returns `None` if it changes nothing.
     fn begin_update(
         &mut self,
         answer: &Answer,
@@ -119,33 +122,34 @@
         if answer.srv.len() > MAX_ENGINES {
             return Err(RejectReason::TooManyEndpoints);
         }
-        let source = AnswerSource {
+        let version = AnswerVersion {
             serial,
             fingerprint: fingerprint(answer),
             query,
         };
         let endpoints = self.engines.len() + answer.srv.len();
-        match self.version.relation(&source, endpoints) {
+        match self.version.relation(&version, endpoints) {
             Relation::Same => {
-                self.starts.on_list();
-                self.version.on_repeated(&source);
+                self.starts.on_list_confirmed();
+                self.version.on_repeated(&version);
                 return Ok(None);
             }
             Relation::Newer => {}
-            // An answer that arrived late is outdated, not suspicious.
-            Relation::Contradicting(_) if self.version.is_late(&source) => return Ok(None),
-            Relation::Contradicting(reason) if !self.version.confirm(source) => {
+            // An answer to an earlier query is outdated, not corrupt.
+            Relation::Contradicting(_) if self.version.is_late(&version) => return Ok(None),
+            Relation::Contradicting(reason) if !self.version.confirm(version) => {
                 return Err(reason);
             }
             Relation::Contradicting(_) => {}
         }
-        let is_not_newer = self.version.steps_to(&source) <= 0;
+        let may_be_stale = self.version.steps_to(&version) <= 0;
         Ok(Some(Update {
-            source,
-            is_not_newer,
+            version,
+            may_be_stale,
         }))
     }
 
+    /// Returns the endpoint list entries of an answer, without duplicates and superseded engines.
     fn entries_of(&mut self, answer: &Answer) -> Vec<EndpointEntry> {
         let mut entries = Vec::new();
         for srv in &answer.srv {
@@ -166,14 +170,15 @@
         entries
     }
 
-    /// Keeps engines draining or gone that were reported so, unless they have restarted since: an older list may come
-    /// from a name service that lags behind. If that would leave no engine ready, the list is accepted unchanged.
-    fn keep_known_ends(&self, entries: &mut Vec<EndpointEntry>) {
+    /// Applies known drains and departures to the entries of an answer that may be stale: an engine that was
+    /// reported as draining or gone stays so unless it has restarted. If no engine would be ready then, the entries stay
+    /// unchanged.
+    fn keep_drains_and_departures(&self, entries: &mut Vec<EndpointEntry>) {
         let is_ready = |entry: &EndpointEntry| entry.state == EndpointState::Ready;
-        let has_ended =
+        let is_draining_or_departed =
             |entry: &EndpointEntry| self.was_draining(entry) || self.departed.contains(entry);
         let mut ready = entries.iter().filter(|entry| is_ready(entry)).peekable();
-        if ready.peek().is_some() && ready.all(has_ended) {
+        if ready.peek().is_some() && ready.all(is_draining_or_departed) {
             return;
         }
         entries.retain(|entry| !self.departed.contains(entry));
@@ -184,7 +189,7 @@
         }
     }
 
-    /// Whether this process was reported as draining.
+    /// Whether the process of `entry` was reported as draining.
     fn was_draining(&self, entry: &EndpointEntry) -> bool {
         let known = self.engines.get(&entry.engine_id);
         known.is_some_and(|known| {
@@ -192,28 +197,28 @@
         })
     }
 
-    /// Replaces the list by `entries`. Returns them, followed by the engines that are gone.
+    /// Replaces the list by `entries`. Returns `entries`, followed by the engines that are gone.
     fn finish_update(
         &mut self,
         update: &Update,
         mut entries: Vec<EndpointEntry>,
     ) -> Vec<EndpointEntry> {
-        self.starts.on_list();
-        self.version.on_accepted(&update.source);
-        let before = std::mem::take(&mut self.engines);
+        self.starts.on_list_confirmed();
+        self.version.on_accepted(&update.version);
+        let previous = std::mem::take(&mut self.engines);
         for entry in &entries {
             self.engines.insert(entry.engine_id, entry.clone());
         }
-        let mut gone = self.missing_from_list(before);
+        let mut gone = self.missing_from_list(previous);
         self.record_departed(&gone);
         entries.append(&mut gone);
         entries
     }
 
-    /// The engines of the list before that are no longer listed, in the order of their numbers.
-    fn missing_from_list(&self, before: FxHashMap<u64, EndpointEntry>) -> Vec<EndpointEntry> {
+    /// Returns the entries of the previous list that are no longer listed, marked as gone and sorted by engine number.
+    fn missing_from_list(&self, previous: FxHashMap<u64, EndpointEntry>) -> Vec<EndpointEntry> {
         let mut gone = Vec::new();
-        for mut entry in before.into_values() {
+        for mut entry in previous.into_values() {
             if !self.engines.contains_key(&entry.engine_id) {
                 entry.state = EndpointState::Gone;
                 gone.push(entry);
@@ -223,7 +228,7 @@
         gone
     }
 
-    /// Remembers the engines that are gone, and frees the numbers of those that are not listed.
+    /// Records the engines that are gone, and frees the numbers of all engines that are not listed.
     fn record_departed(&mut self, gone: &[EndpointEntry]) {
         let engines = &self.engines;
         let is_listed = |engine_id: u64| engines.contains_key(&engine_id);
--- a/crates/dispatcher/src/discovery/engine_ids.rs
+++ b/crates/dispatcher/src/discovery/engine_ids.rs
@@ -1,20 +1,20 @@
-//! Assigns numbers to engines, derived from their ids alone: all dispatchers assign the same number to an engine.
+//! Assigns numbers to engines. A number is derived from the engine's id alone, so that all dispatchers assign the same one.
 
 use rustc_hash::{FxHashMap, FxHashSet};
 
 /// Largest engine number: 32 bits.
 const MAX_ENGINE_ID: u64 = 0xffff_ffff;
 
-/// The numbers of the engines, by their ids.
+/// The engine numbers, by engine id.
 #[derive(Debug, Default)]
 pub struct EngineIds {
     engine_ids: FxHashMap<String, u64>,
-    /// The numbers in `engine_ids`.
+    /// The engine numbers in `engine_ids`, for a fast check whether a number is free.
     assigned: FxHashSet<u64>,
 }
 
 impl EngineIds {
-    /// The number of an engine: a hash of its id, or the next free number if that is taken.
+    /// Returns the number of an engine: a hash of its id, or the next free number if the hash is already assigned.
     pub fn assign(&mut self, id: &str) -> u64 {
         if let Some(&engine_id) = self.engine_ids.get(id) {
             return engine_id;
@@ -27,20 +27,20 @@
         engine_id
     }
 
-    /// Frees the numbers of all engines for which `is_kept` is false. An engine that returns gets the same number by its
-    /// id.
+    /// Frees the numbers of all engines for which `is_kept` is false. An engine that returns is assigned a number from its
+    /// id again.
     pub fn retain(&mut self, is_kept: impl Fn(u64) -> bool) {
         self.engine_ids.retain(|_, engine_id| is_kept(*engine_id));
         self.assigned.retain(|engine_id| is_kept(*engine_id));
     }
 
-    /// How many ids and how many numbers are in use.
+    /// Returns the number of ids and of engine numbers in use.
     #[cfg(test)]
     pub fn counts(&self) -> (usize, usize) {
         (self.engine_ids.len(), self.assigned.len())
     }
 
-    /// Marks a number as taken, without an id.
+    /// Marks a number as assigned, without an id.
     #[cfg(test)]
     pub fn reserve(&mut self, engine_id: u64) {
         self.assigned.insert(engine_id);
--- a/crates/dispatcher/src/discovery/engine_starts.rs
+++ b/crates/dispatcher/src/discovery/engine_starts.rs
@@ -3,10 +3,11 @@
 use crate::clock::WallClock;
 use rustc_hash::FxHashMap;
 
-/// Maximum time (ms) between a change and its first answer here: 1.5 s by the protocol, and half a second to poll.
-const ANNOUNCED_WITHIN_MS: f64 = 2000.0;
+/// Maximum delay (ms) from a change of the endpoint list to the first answer that shows it: 1.5 s by the protocol, and
+/// 0.5 s for polling.
+const MAX_ANNOUNCE_DELAY_MS: f64 = 2000.0;
 
-/// A start time, as announced and on the program's clock.
+/// The start time of an engine, as announced (`unix_ms`) and on the program's clock (`at_ms`).
 #[derive(Debug, Clone, Copy)]
 struct Start {
     unix_ms: f64,
@@ -17,11 +18,12 @@
 /// step of the wall clock would change the translation of the same timestamp.
 #[derive(Debug, Default)]
 pub struct EngineStarts {
-    /// The wall clock; without one, Unix times are used as times of the program's clock.
+    /// The wall clock. Without it, Unix times are used as times of the program's clock.
     wall_clock: Option<WallClock>,
+    /// By engine number.
     starts: FxHashMap<u64, Start>,
-    /// When a list was last accepted or confirmed (ms).
-    last_list_ms: f64,
+    /// Time (ms) at which a list was last accepted or confirmed.
+    last_confirmed_ms: f64,
 }
 
 impl EngineStarts {
@@ -30,12 +32,11 @@
         self.wall_clock = Some(wall_clock);
     }
 
-    /// Records that a list was accepted or confirmed. An engine that appears in a later list, or with another start time,
-    /// has started after this list, less the time that the announcement takes; this holds whatever this machine's wall
-    /// clock shows.
-    pub fn on_list(&mut self) {
+    /// Records that a list was accepted or confirmed now. A start time that first appears in a later list is not earlier
+    /// than this list by more than [`MAX_ANNOUNCE_DELAY_MS`], whatever this machine's wall clock shows.
+    pub fn on_list_confirmed(&mut self) {
         if let Some(wall_clock) = &self.wall_clock {
-            self.last_list_ms = wall_clock.now_ms();
+            self.last_confirmed_ms = wall_clock.now_ms();
         }
     }
 
@@ -46,7 +47,7 @@
         }
     }
 
-    /// Translates an engine's start time in Unix time (ms) to the program's clock.
+    /// Translates an engine's start time from Unix time (ms) to the program's clock.
     pub fn translate(&mut self, engine_id: u64, unix_ms: f64) -> f64 {
         let Some(wall_clock) = &mut self.wall_clock else {
             return unix_ms;
@@ -54,7 +55,7 @@
         match self.starts.get(&engine_id) {
             Some(known) if known.unix_ms == unix_ms => known.at_ms,
             _ => {
-                let earliest_ms = self.last_list_ms - ANNOUNCED_WITHIN_MS;
+                let earliest_ms = self.last_confirmed_ms - MAX_ANNOUNCE_DELAY_MS;
                 let at_ms = wall_clock.translate_past(unix_ms).max(earliest_ms);
                 self.starts.insert(engine_id, Start { unix_ms, at_ms });
                 at_ms
--- a/crates/dispatcher/src/discovery/list_version.rs
+++ b/crates/dispatcher/src/discovery/list_version.rs
@@ -1,24 +1,26 @@
-//! Versions of the endpoint list: how an answer relates to the accepted list, and when a contradicting one is confirmed.
+//! The version of the accepted endpoint list: compares answers with it, and decides when a contradicting answer is
+//! confirmed.
 
 use super::reject_reason::RejectReason;
 
-/// Plausible number of serial steps per engine between two answers: it drains, leaves and is replaced, twice over.
-const MAX_EVENTS_PER_ENGINE: usize = 6;
+/// Maximum plausible number of list changes per engine between two answers: two drains, two departures and two
+/// replacements.
+const MAX_CHANGES_PER_ENGINE: usize = 6;
 
-/// The identity of an answer.
+/// The version of the list in an answer.
 #[derive(Debug, Clone, Copy)]
-pub struct AnswerSource {
-    /// The serial of its SOA record.
+pub struct AnswerVersion {
+    /// The serial of the SOA record.
     pub serial: u32,
-    /// A hash of its records.
+    /// A hash of the answer's records.
     pub fingerprint: u64,
-    /// The number of the query that it answers.
+    /// The number of the answered query.
     pub query: u64,
 }
 
-impl AnswerSource {
-    /// Whether a later answer has the same content, or a newer serial.
-    fn is_confirmed_by(&self, later: &AnswerSource) -> bool {
+impl AnswerVersion {
+    /// Whether `later` answers a later query, with the same content or a newer serial.
+    fn is_confirmed_by(&self, later: &AnswerVersion) -> bool {
         let steps = later.serial.wrapping_sub(self.serial) as i32;
         let is_same = steps == 0 && later.fingerprint == self.fingerprint;
         later.query > self.query && (is_same || steps > 0)
@@ -27,11 +29,11 @@
 
 /// The relation of an answer to the accepted list.
 pub enum Relation {
-    /// It is newer by a plausible number of changes.
+    /// The answer is newer by a plausible number of changes.
     Newer,
-    /// It is the accepted answer.
+    /// The answer has the content of the accepted one.
     Same,
-    /// It contradicts the list: one of the two is corrupt or outdated.
+    /// The answer contradicts the list: one of the two is corrupt or outdated.
     Contradicting(RejectReason),
 }
 
@@ -42,65 +44,66 @@
     pub serial: u32,
     /// Fingerprint of the accepted answer; `None` while the list comes from the configuration.
     fingerprint: Option<u64>,
-    /// Number of the query that was answered by the list.
+    /// Number of the query whose answer was accepted or repeated last.
     query: u64,
-    /// A contradicting answer that waits to be confirmed by a second one.
-    unconfirmed: Option<AnswerSource>,
+    /// A contradicting answer that a later one may confirm.
+    unconfirmed: Option<AnswerVersion>,
 }
 
 impl ListVersion {
-    /// The relation of an answer to the list. `endpoints` is the number of engines in both together.
-    pub fn relation(&self, source: &AnswerSource, endpoints: usize) -> Relation {
-        let steps = self.steps_to(source);
-        let max_steps = (MAX_EVENTS_PER_ENGINE * (endpoints + 1)) as i32;
+    /// Compares an answer with the accepted list. `endpoints` is the total number of entries in both.
+    pub fn relation(&self, answer: &AnswerVersion, endpoints: usize) -> Relation {
+        let steps = self.steps_to(answer);
+        let max_steps = (MAX_CHANGES_PER_ENGINE * (endpoints + 1)) as i32;
         // The list of the configuration has no fingerprint to compare with.
         let is_same = self
             .fingerprint
-            .is_none_or(|known| known == source.fingerprint);
+            .is_none_or(|known| known == answer.fingerprint);
         match steps {
             0 if is_same => Relation::Same,
             0 => Relation::Contradicting(RejectReason::RecordsDiffer),
             1.. if steps <= max_steps => Relation::Newer,
-            1.. => Relation::Contradicting(RejectReason::SerialLeapsAhead),
-            _ => Relation::Contradicting(RejectReason::SerialGoesBack),
+            1.. => Relation::Contradicting(RejectReason::SerialTooFarAhead),
+            _ => Relation::Contradicting(RejectReason::SerialOlder),
         }
     }
 
-    /// How many changes an answer is ahead of the list; negative or 0 if it is not newer.
-    pub fn steps_to(&self, source: &AnswerSource) -> i32 {
-        source.serial.wrapping_sub(self.serial) as i32
+    /// Returns the number of changes by which an answer is ahead of the list; 0 or negative if it is not newer.
+    pub fn steps_to(&self, answer: &AnswerVersion) -> i32 {
+        answer.serial.wrapping_sub(self.serial) as i32
     }
 
-    /// Whether an answer is to a query older than, or the same as, that of the list.
-    pub fn is_late(&self, source: &AnswerSource) -> bool {
-        source.query <= self.query
+    /// Whether the answered query is not later than that of the accepted list.
+    pub fn is_late(&self, answer: &AnswerVersion) -> bool {
+        answer.query <= self.query
     }
 
-    /// Whether this contradicting answer confirms the one before; otherwise it waits to be confirmed itself.
-    pub fn confirm(&mut self, source: AnswerSource) -> bool {
+    /// Returns whether a contradicting answer confirms the previous one. Otherwise the answer is kept, to be confirmed by a
+    /// later one.
+    pub fn confirm(&mut self, answer: AnswerVersion) -> bool {
         match self.unconfirmed {
-            Some(first) if first.is_confirmed_by(&source) => true,
-            // A copy of the waiting answer, or an earlier one, does not replace it.
-            Some(first) if source.query <= first.query => false,
+            Some(first) if first.is_confirmed_by(&answer) => true,
+            // A duplicate of the unconfirmed answer, or an earlier answer, does not replace it.
+            Some(first) if answer.query <= first.query => false,
             _ => {
-                self.unconfirmed = Some(source);
+                self.unconfirmed = Some(answer);
                 false
             }
         }
     }
 
-    /// The accepted answer was repeated.
-    pub fn on_repeated(&mut self, source: &AnswerSource) {
+    /// Records that the accepted answer was repeated.
+    pub fn on_repeated(&mut self, answer: &AnswerVersion) {
         self.unconfirmed = None;
-        self.query = self.query.max(source.query);
-        self.fingerprint = Some(source.fingerprint);
+        self.query = self.query.max(answer.query);
+        self.fingerprint = Some(answer.fingerprint);
     }
 
-    /// An answer was accepted.
-    pub fn on_accepted(&mut self, source: &AnswerSource) {
-        self.serial = source.serial;
-        self.fingerprint = Some(source.fingerprint);
-        self.query = source.query;
+    /// Records that an answer was accepted.
+    pub fn on_accepted(&mut self, answer: &AnswerVersion) {
+        self.serial = answer.serial;
+        self.fingerprint = Some(answer.fingerprint);
+        self.query = answer.query;
         self.unconfirmed = None;
     }
 }
--- a/crates/dispatcher/src/discovery/mod.rs
+++ b/crates/dispatcher/src/discovery/mod.rs
@@ -1,7 +1,7 @@
 //! Discovery: polls the name service for the endpoint list and reports changes.
 //!
-//! This module owns the socket and the [`EndpointDirectory`], the accepted endpoint list, which decides whether an answer
-//! is accepted. Each accepted update is reported as one event.
+//! This module owns the socket and the [`EndpointDirectory`], which holds the accepted endpoint list and decides whether an
+//! answer is accepted. Each accepted update is reported as one event.
 
 mod departed_engines;
 mod directory;
@@ -27,37 +27,37 @@
 use tansymux::events::EndpointListKind;
 use thiserror::Error;
 
-/// Polling interval. The platform counts a change as announced at most 7 s after it, and a drain's grace period may be as
-/// short as 0.25 s: one interval and one round trip fit into both.
+/// Polling interval. The platform considers a change announced at most 7 s after it, and the grace period of a drain may
+/// be as short as 0.25 s: one interval and one round trip fit into both.
 const QUERY_INTERVAL: Duration = Duration::from_millis(250);
-/// Maximum size (bytes) of an answer: that of a datagram.
+/// Maximum size of an answer (bytes): that of a UDP datagram.
 const MAX_ANSWER_BYTES: usize = 64 * 1024;
-/// Number of the latest queries to which answers are accepted.
-const OPEN_QUERIES: u64 = 20;
+/// Number of most recent queries whose answers are accepted.
+const MAX_OPEN_QUERIES: u64 = 20;
 /// Number of consecutive queries without a usable answer after which another socket is opened: a middlebox may have
-/// dropped the mapping of the old one.
+/// dropped the mapping of the old socket.
 const MAX_UNANSWERED_QUERIES: u32 = 8;
 
-/// Why a datagram is not an answer to an open query.
+/// The reasons for ignoring a datagram.
 #[derive(Debug, Error)]
 enum UnusableAnswer {
     #[error("{0}")]
     Malformed(#[from] DnsError),
-    #[error("it does not come from the name service")]
+    #[error("the sender is not the name service")]
     UnknownSender,
-    #[error("it answers no open query")]
+    #[error("no open query has its id")]
     UnknownQuery,
 }
 
-/// Keeps the endpoint list up to date until dropped. `resolver` may change at any time: the list stays, the next query is
-/// sent to the new address, and answers from the old one are ignored.
-pub async fn follow(
+/// Polls the name service and keeps the endpoint list up to date, until dropped. `resolver` may change at any time: the
+/// list stays, the next query is sent to the new address, and answers from the old address are ignored.
+pub async fn run(
     registry: Rc<QueryRegistry>,
     resolver: Rc<Cell<Option<SocketAddr>>>,
     directory: EndpointDirectory,
     first_id: u16,
 ) {
-    let watcher = Watcher {
+    let poller = NameServicePoller {
         registry,
         resolver,
         directory: RefCell::new(directory),
@@ -65,36 +65,37 @@
         queries: Cell::new(0),
         unanswered: Cell::new(0),
     };
-    let mut socket = watcher.bind(None).await;
+    let mut socket = poller.bind(None).await;
     loop {
         future::or(
-            watcher.send_queries(&socket),
-            watcher.receive_answers(&socket),
+            poller.send_queries(&socket),
+            poller.receive_answers(&socket),
         )
         .await;
         tracing::warn!(
             unanswered = MAX_UNANSWERED_QUERIES,
             "name service silent, opening another socket"
         );
-        socket = watcher.bind(Some(socket)).await;
+        socket = poller.bind(Some(socket)).await;
     }
 }
 
-struct Watcher {
+/// The state of discovery, apart from the socket.
+struct NameServicePoller {
     registry: Rc<QueryRegistry>,
     resolver: Rc<Cell<Option<SocketAddr>>>,
     directory: RefCell<EndpointDirectory>,
-    /// The id of query number 0; ids count up by one.
+    /// The DNS id of query number 0. The id increases by one per query.
     first_id: u16,
     /// Number of the latest query, counted from 1.
     queries: Cell<u64>,
-    /// Queries since the last usable answer.
+    /// Number of queries sent since the last usable answer.
     unanswered: Cell<u32>,
 }
 
-impl Watcher {
-    /// Opens a socket. If that fails, for example at the descriptor limit, returns the old one, or retries until it
-    /// succeeds: the program cannot work without an endpoint list.
+impl NameServicePoller {
+    /// Opens a socket. If that fails, for example at the descriptor limit, returns the old socket if there is one, else
+    /// retries until it succeeds: the program cannot work without an endpoint list.
     async fn bind(&self, old: Option<Async<UdpSocket>>) -> Async<UdpSocket> {
         self.unanswered.set(0);
         loop {
@@ -109,12 +110,12 @@
         }
     }
 
-    /// The id of the latest query.
+    /// Returns the DNS id of the latest query.
     fn last_id(&self) -> u16 {
         self.first_id.wrapping_add(self.queries.get() as u16)
     }
 
-    /// Sends queries until too many in a row had no usable answer.
+    /// Sends one query per interval until [`MAX_UNANSWERED_QUERIES`] in a row had no usable answer.
     async fn send_queries(&self, socket: &Async<UdpSocket>) {
         let mut ticks = Timer::interval_at(Instant::now(), QUERY_INTERVAL);
         while self.unanswered.get() < MAX_UNANSWERED_QUERIES && ticks.next().await.is_some() {
@@ -142,7 +143,7 @@
                     Timer::after(QUERY_INTERVAL).await;
                 }
             }
-            // Keeps a sender without pause from starving other tasks.
+            // A continuous stream of datagrams must not starve other tasks.
             future::yield_now().await;
         }
     }
@@ -163,19 +164,19 @@
         if Some(from) != self.resolver.get() {
             return Err(UnusableAnswer::UnknownSender);
         }
-        if self.age_of(&answer) >= OPEN_QUERIES.min(self.queries.get()) {
+        if self.queries_since(&answer) >= MAX_OPEN_QUERIES.min(self.queries.get()) {
             return Err(UnusableAnswer::UnknownQuery);
         }
         Ok(answer)
     }
 
-    /// Number of queries sent after the one that `answer` is for.
-    fn age_of(&self, answer: &Answer) -> u64 {
+    /// Returns the number of queries sent after the query that `answer` is for.
+    fn queries_since(&self, answer: &Answer) -> u64 {
         u64::from(self.last_id().wrapping_sub(answer.id))
     }
 
     fn handle_answer(&self, answer: &Answer) {
-        let query = self.queries.get() - self.age_of(answer);
+        let query = self.queries.get() - self.queries_since(answer);
         let outcome = self.directory.borrow_mut().apply_answer(answer, query);
         match outcome {
             AnswerOutcome::Updated(engines) => self.report_update(engines),
--- a/crates/dispatcher/src/discovery/protocol.rs
+++ b/crates/dispatcher/src/discovery/protocol.rs
@@ -1,26 +1,26 @@
-//! The names and words under which the name service lists engines.
+//! The DNS names and values with which the name service lists engines.
 
 use tansymux::events::EndpointState;
 
 /// The service name whose SRV records list the engines.
 pub const SERVICE_NAME: &str = "_back._tcp.pool.lan";
 
-/// The priority of the SRV record of an engine that takes queries; any other one is that of a draining engine.
+/// SRV priority of an engine that accepts queries. Any other priority means that the engine is draining.
 const READY_PRIORITY: u16 = 0;
 
 /// An attribute of an engine in the strings of its TXT record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EngineAttribute {
-    /// The machine type, by name.
+    /// The name of the machine type.
     Kind,
     /// The number of the cell.
     Cell,
-    /// The start of the process (Unix time, ms).
+    /// The start time of the process (Unix ms).
     Started,
 }
 
 impl EngineAttribute {
-    /// The attribute's name.
+    /// Returns the attribute's name in the TXT record.
     pub const fn as_str(self) -> &'static str {
         match self {
             EngineAttribute::Kind => "kind",
@@ -29,7 +29,7 @@
         }
     }
 
-    /// The attribute's value among strings `name=value`.
+    /// Returns the attribute's value in `texts`, the strings `name=value` of a TXT record.
     pub fn find(self, texts: &[String]) -> Option<&str> {
         for text in texts {
             match text.split_once('=') {
@@ -41,7 +41,7 @@
     }
 }
 
-/// The state of an engine by the priority of its SRV record.
+/// Returns the state of an engine from the priority of its SRV record.
 pub fn endpoint_state(priority: u16) -> EndpointState {
     match priority {
         READY_PRIORITY => EndpointState::Ready,
--- a/crates/dispatcher/src/discovery/records.rs
+++ b/crates/dispatcher/src/discovery/records.rs
@@ -8,7 +8,7 @@
 use std::net::SocketAddr;
 use tansymux::events::EndpointState;
 
-/// The first two labels of a host's name.
+/// The first two labels of a host name, which identify an engine.
 pub struct HostName<'a> {
     /// The id of the engine.
     pub id: &'a str,
@@ -17,7 +17,7 @@
 }
 
 impl<'a> HostName<'a> {
-    /// Parses a host's name; `None` if it has fewer than two labels.
+    /// Parses a host name. Returns `None` if it has fewer than two labels.
     pub fn parse(name: &'a str) -> Option<Self> {
         let mut labels = name.split('.');
         let id = labels.next()?;
@@ -26,8 +26,8 @@
     }
 }
 
-/// The endpoint list entry of one SRV record; `started_ms` is Unix time, as announced. An address or kind that is
-/// missing from the answer is copied from the known entry.
+/// Returns the endpoint list entry of an SRV record. `started_ms` is Unix time, as announced. An address or kind that is
+/// missing from the answer is copied from `known`, the engine's current entry.
 pub fn entry_of(
     answer: &Answer,
     srv: &Srv,
@@ -61,7 +61,7 @@
     }
 }
 
-/// Merges several entries of one engine into the first, which becomes draining if any of them is.
+/// Merges several entries of an engine into the first, which becomes draining if any of the entries is.
 pub fn merge_duplicates(entries: Vec<EndpointEntry>) -> Vec<EndpointEntry> {
     let mut merged: Vec<EndpointEntry> = Vec::new();
     let mut seen_ids = FxHashSet::default();
@@ -78,7 +78,7 @@
     merged
 }
 
-/// Drops entries whose address belongs to a more recently started engine: the older one no longer exists, and its
+/// Drops entries whose address belongs to a more recently started engine: the older engine no longer exists, and its
 /// attempts would reach the newer one.
 pub fn drop_superseded(entries: &mut Vec<EndpointEntry>) {
     let mut newest_start: FxHashMap<SocketAddr, f64> = FxHashMap::default();
@@ -94,12 +94,12 @@
     });
 }
 
-/// Start time of the engine (ms), 0 if unknown.
+/// Returns the start time of the engine (ms), 0 if unknown.
 pub fn start_of(entry: &EndpointEntry) -> f64 {
     entry.started_ms.unwrap_or(0.0)
 }
 
-/// A hash of the answer's records, independent of their order.
+/// Returns a hash of the answer's records, independent of their order.
 pub fn fingerprint(answer: &Answer) -> u64 {
     let mut sum = 0_u64;
     for srv in &answer.srv {
--- a/crates/dispatcher/src/discovery/reject_reason.rs
+++ b/crates/dispatcher/src/discovery/reject_reason.rs
@@ -2,22 +2,22 @@
 
 use thiserror::Error;
 
-/// Why an update of the endpoint list was rejected.
+/// The reasons for rejecting an answer as an update of the endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum RejectReason {
     /// The answer has no SOA record, so its age is unknown.
-    #[error("no serial")]
+    #[error("answer has no SOA record")]
     MissingSerial,
-    /// The answer has more SRV records than there can be engines.
+    /// The answer has more SRV records than the maximum size of a list.
     #[error("too many endpoints")]
     TooManyEndpoints,
-    /// The serial is ahead of the accepted list by more changes than the engines can have caused.
-    #[error("serial leaps ahead")]
-    SerialLeapsAhead,
+    /// The serial is ahead of the accepted list by more changes than the engines plausibly caused.
+    #[error("serial is implausibly far ahead")]
+    SerialTooFarAhead,
     /// The serial is older than that of the accepted list.
-    #[error("serial goes back")]
-    SerialGoesBack,
+    #[error("serial is older than that of the accepted list")]
+    SerialOlder,
     /// The serial is that of the accepted list, but the records differ.
-    #[error("different records under the same serial")]
+    #[error("records differ under the same serial")]
     RecordsDiffer,
 }
--- a/crates/dispatcher/src/dispatcher.rs
+++ b/crates/dispatcher/src/dispatcher.rs
@@ -1,17 +1,17 @@
-//! The driver: one task that passes events to the decisions, has their commands executed, and moves the program
+//! The driver: one task that passes events to the decision logic, has its commands executed, and moves the program
 //! through its phases.
 //!
-//! It owns the decisions ([`Control`]) and the phase. It never waits for a socket: clients, engines, discovery, peers
-//! and the fleet are separate tasks on the same thread, which queue their events in the query registry. Start reading
-//! at [`Dispatcher::run`] and `run_round`.
+//! The driver owns the decision logic ([`Control`], called "the decisions" below) and the phase. It never waits for a
+//! socket: clients, engines, discovery, peers and the fleet are separate tasks on the same thread, which queue their
+//! events in the query registry. Start reading at [`Dispatcher::run`] and `run_round`.
 //!
 //! | file | concern |
 //! | --- | --- |
-//! | `startup` | from a checked configuration to bound sockets |
-//! | `event_feed` | events of the registry, delivered to the decisions and the subsystems |
-//! | `decision_sink` | decisions, turned into commands of the registry and messages to peers |
-//! | `reload` | reload of both files at SIGHUP |
-//! | `start_retry` | retry with backoff for steps of the start that fail transiently |
+//! | `startup` | startup from a valid configuration to bound sockets |
+//! | `event_feed` | delivery of the registry's events to the decisions and the subsystems |
+//! | `decision_sink` | conversion of decisions into commands in the registry and messages to peers |
+//! | `reload` | reload of the configuration and the operators' file at SIGHUP |
+//! | `start_retry` | retry with backoff of startup steps that fail transiently |
 
 mod decision_sink;
 mod event_feed;
@@ -46,14 +46,14 @@
 use tansymux::events::EndpointListKind;
 use tansymux::settings::SettingsMap;
 
-/// Longest time (ms) between two rounds: a bound on the delay that a missed wake-up could cause.
+/// Maximum time (ms) between two rounds. Bounds the delay that a missed wake-up could cause.
 const MAX_SLEEP_MS: f64 = 1000.0;
-/// Longest time (ms) between two rounds during shutdown: no event reports that the last connection closed.
+/// Maximum time (ms) between two rounds during shutdown: no event reports that the last connection closed.
 const SHUTDOWN_POLL_MS: f64 = 20.0;
 /// Maximum number of trace events that SIGUSR1 writes to the log.
 const MAX_DUMPED_EVENTS: usize = 256;
 
-/// The program as one object.
+/// The driver, and all parts of the program that it uses.
 pub struct Dispatcher {
     phase: Phase,
     clock: Clock,
@@ -65,18 +65,18 @@
     subsystems: Subsystems,
     /// Maximum number of descriptors that the program may hold.
     max_sockets: f64,
-    /// The tasks beside the driver. Dropping a task cancels it.
+    /// The tasks that run concurrently with the driver. Dropping a task cancels it.
     tasks: Vec<Task<()>>,
     /// Time (ms) from SIGTERM until every query is answered.
     shutdown_grace_ms: f64,
-    /// The configuration file of the start, with which a reload compares its own.
-    started_with: Value,
+    /// The configuration file as read at startup. A reload compares the new content with it.
+    startup_source: Value,
     settings: SettingsMap,
     /// Address of the name service, shared with discovery and changed by a reload.
     resolver: Rc<Cell<Option<SocketAddr>>>,
     /// Flags, which override the operators' file.
     common: Common,
-    /// Time (ms) at which the decisions want their next round.
+    /// Time (ms) at which the decisions requested their next round; infinite if they requested none.
     timer_ms: f64,
 }
 
@@ -101,21 +101,21 @@
         loop {
             let next_round_ms = self.run_round();
             if self.phase == Phase::Ended {
-                // Too late to answer queries that are still owed an answer, but the violation is reported.
+                // Queries that are still unanswered cannot be answered any more. Reports the violation.
                 if let Err(violation) = self.registry.may_end() {
                     self.registry.report_violation(violation, None);
                 }
                 break;
             }
             self.wait(&mut wakes, next_round_ms).await;
-            // The other tasks must run even if the next round is already due.
+            // Lets the other tasks run even if the next round is already due.
             future::yield_now().await;
         }
         self.tasks.clear();
         eprint!("{}", self.subsystems.counters(&self.registry));
     }
 
-    /// Runs one round: deadlines of the engine side, events and decisions, periodic work, commands, the next phase.
+    /// Runs one round: deadlines of the engine side, events and decisions, periodic work, commands, change of phase.
     /// Returns the time (ms) at which the next round is due.
     fn run_round(&mut self) -> f64 {
         let engines_due_ms = self.engines.expire();
@@ -131,7 +131,7 @@
         engines_due_ms.min(self.timer_ms).min(now_ms + MAX_SLEEP_MS)
     }
 
-    /// Delivers the queued events to the decisions, and queues the commands that they decide on.
+    /// Delivers the queued events to the decisions, and queues the resulting commands.
     fn run_decisions(&mut self, now_ms: f64) {
         if now_ms >= self.timer_ms {
             self.timer_ms = f64::INFINITY;
@@ -152,7 +152,7 @@
         self.control.run_round(now_ms, &mut feed, &mut sink);
     }
 
-    /// Evaluates the service level, and sends its message to peers where one is due.
+    /// Evaluates the service level, and sends its message to peers if one is due.
     fn tick_levels(&mut self, now_ms: f64, open_descriptors: usize) {
         let levels = &self.subsystems.levels;
         if let Some(message) = levels.tick(now_ms, open_descriptors, &mut self.control) {
@@ -160,7 +160,8 @@
         }
     }
 
-    /// Evaluates zone routing: its message to peers, its health check, and the spills that the client side shows.
+    /// Evaluates zone routing: sends its message to peers, requests its health check, and updates the spills that the
+    /// client side reports.
     fn tick_zones(&mut self, now_ms: f64) {
         let zones = &self.subsystems.zones;
         let fleet = self.subsystems.fleet.as_deref();
@@ -180,7 +181,7 @@
         *self.clients.spilled_threads().borrow_mut() = spills;
     }
 
-    /// Reports this dispatcher's load to the fleet, and queues the endpoint changes that the fleet decided on.
+    /// Reports this dispatcher's load to the fleet, and queues the endpoint changes that the fleet decided.
     fn tick_fleet(&mut self, now_ms: f64, open_descriptors: usize) {
         let Some(fleet) = &self.subsystems.fleet else {
             return;
@@ -198,7 +199,7 @@
         }
     }
 
-    /// Sends a subsystem's message to all peers, where the settings allow messages between dispatchers.
+    /// Sends a subsystem's message to all peers, if the settings allow messages between dispatchers.
     fn send_to_all_peers(&self, message: &[u8]) {
         if !self.control.capabilities().peer_messages {
             return;
@@ -208,7 +209,7 @@
         }
     }
 
-    /// Enters the next phase, if it is due.
+    /// Enters the next phase if it is due.
     fn advance_phase(&mut self, now_ms: f64) {
         let next = self.phase.next(PhaseInput {
             now_ms,
@@ -223,8 +224,8 @@
         self.phase = next;
     }
 
-    /// Begins the graceful shutdown at SIGTERM: the health path answers 503 from now on, and all deadlines are cut to the
-    /// end of the program.
+    /// Begins the graceful shutdown at SIGTERM: the health path answers 503 from now on, and all deadlines are limited to
+    /// the end of the grace period.
     fn begin_shutdown(&mut self) {
         if !self.phase.is_before_shutdown() {
             return;
@@ -243,7 +244,7 @@
         self.phase = Phase::Draining { since_ms: now_ms };
     }
 
-    /// Writes the last trace events to the log at SIGUSR1, as one piece that the log's rate limit does not apply to.
+    /// Writes the last trace events to the log at SIGUSR1, in one write that is exempt from the log's rate limit.
     fn dump_trace(&self) {
         let lines = self.registry.trace.lines(None, MAX_DUMPED_EVENTS);
         let mut text = String::new();
@@ -256,7 +257,7 @@
         tracing::info!(events = lines.len(), "trace written");
     }
 
-    /// Waits for an event, a signal or the time of the next round (ms), and handles the signal.
+    /// Waits for an event, a signal or the time of the next round (`next_round_ms`), and handles the signal.
     async fn wait(
         &mut self,
         wakes: &mut (impl Stream<Item = Wake> + Unpin),
--- a/crates/dispatcher/src/dispatcher/decision_sink.rs
+++ b/crates/dispatcher/src/dispatcher/decision_sink.rs
@@ -1,4 +1,5 @@
-//! The sink of decisions: commands in the registry for the engine side, answers for the client side, messages to peers.
+//! The sink of decisions: queues commands for the engine side in the registry, answers queries, and sends messages to
+//! peers.
 
 use crate::peers::Peers;
 use crate::query_registry::{Answer, Grant, QueryRegistry};
@@ -12,7 +13,7 @@
     pub levels: &'a ServiceLevels,
     /// Time of the round (ms).
     pub now_ms: f64,
-    /// Time (ms) of the next round that the decisions want: the earliest of their timers.
+    /// Time (ms) of the next round that the decisions request: the earliest of their timers.
     pub timer_ms: &'a mut f64,
 }
 
@@ -68,7 +69,7 @@
     fn watch_endpoints(&mut self) {}
 }
 
-/// Counts an answer for the service levels, if the query is not answered yet. Must be called before the answer is given.
+/// Reports an answer to the service levels, if the query is not answered yet. Must be called before the query is answered.
 pub(super) fn record_answer(
     registry: &QueryRegistry,
     levels: &ServiceLevels,
--- a/crates/dispatcher/src/dispatcher/event_feed.rs
+++ b/crates/dispatcher/src/dispatcher/event_feed.rs
@@ -1,4 +1,4 @@
-//! The event source of a round: takes events from the registry, and passes each to the subsystems and the decisions.
+//! The event source of a round: takes the events from the registry, and passes them to the subsystems and the decisions.
 
 use super::decision_sink::record_answer;
 use crate::attempt_end::EndCause;
@@ -16,7 +16,7 @@
     Outcome, PeerMessage, ProgressNote, QueryArrived,
 };
 
-/// The events that are queued in the registry, as an [`EventSource`].
+/// An [`EventSource`] of the events that are queued in the registry.
 pub(super) struct EventFeed<'a> {
     pub registry: &'a QueryRegistry,
     pub engines: &'a EnginePool,
@@ -122,8 +122,8 @@
         self.registry.forget_if_over(query_id);
     }
 
-    /// Passes the end of an attempt to the subsystems, answers the query if it completed, and then lets the decisions
-    /// know whether it has its answer.
+    /// Handles an attempt that completed, failed or was cancelled: informs the subsystems, answers the query if the
+    /// attempt completed, and then informs the decisions, including whether the query is answered.
     fn on_attempt_ended(
         &self,
         mut ended: AttemptEnded,
@@ -189,7 +189,7 @@
         control.on_health_check_ended(ended);
     }
 
-    /// Passes a message to the subsystem that it is for, else to the decisions.
+    /// Passes a peer's message to the subsystem that handles it, or else to the decisions.
     fn on_peer_message(&self, peer: u32, content: &[u8], control: &mut Control) {
         let message = PeerMessage { peer, content };
         if !self.subsystems.on_peer_message(&message, self.now_ms) {
@@ -197,7 +197,8 @@
         }
     }
 
-    /// Passes endpoints to the subsystems, which may change them, and then to the engine side and the decisions.
+    /// Passes an endpoint list to the subsystems, which may change its entries, and then to the engine side and the
+    /// decisions.
     fn on_endpoint_list(
         &self,
         kind: EndpointListKind,
@@ -222,7 +223,7 @@
     }
 }
 
-/// The input that the statement classifier learns from; none where the query's statement was not classified.
+/// Returns the input that the statement classifier learns from; `None` if the query's statement was not classified.
 fn classified_attempt(query: &Query) -> Option<ClassifiedAttempt> {
     Some(ClassifiedAttempt {
         shape: query.shape?,
--- a/crates/dispatcher/src/dispatcher/reload.rs
+++ b/crates/dispatcher/src/dispatcher/reload.rs
@@ -1,7 +1,7 @@
-//! Reload at SIGHUP of the configuration and the operators' file. Each file is either applied or rejected, independently
-//! of the other.
+//! Reload of the configuration and the operators' file at SIGHUP. Each file is applied or rejected independently of the
+//! other.
 //!
-//! In the configuration only `resolver` takes effect; the log names other keys that differ. In the operators' file
+//! Of the configuration, only `resolver` takes effect; the log names the other keys that changed. Of the operators' file,
 //! everything takes effect except most of `fleet`.
 
 use super::Dispatcher;
@@ -34,7 +34,7 @@
     }
 
     fn apply_config(&mut self, config: &StartupConfig) {
-        let pending = config::keys_pending_restart(&self.started_with, &config.source);
+        let pending = config::keys_pending_restart(&self.startup_source, &config.source);
         if !pending.is_empty() {
             let keys = pending.join(",");
             tracing::warn!(%keys, "configuration reloaded, changed keys need a restart");
--- a/crates/dispatcher/src/dispatcher/start_retry.rs
+++ b/crates/dispatcher/src/dispatcher/start_retry.rs
@@ -1,49 +1,49 @@
-//! Retry with exponential backoff for steps of the start that fail transiently, such as binding an address that is still
-//! in use. A permanent error ends the start at once.
+//! Retries startup steps that fail transiently, such as binding an address that is still in use, with exponential
+//! backoff. A permanent error ends the startup immediately.
 
 use std::io;
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Total time of all steps, retries included. The platform allows 10 s until a dispatcher is ready.
-const MAX_START_TIME: Duration = Duration::from_secs(8);
+/// Maximum total time of all steps, including retries. The platform allows 10 s until a dispatcher is ready.
+const MAX_STARTUP_TIME: Duration = Duration::from_secs(8);
 /// Backoff before the first retry. It doubles with each retry.
-const FIRST_PAUSE: Duration = Duration::from_millis(10);
-/// Longest backoff between two retries.
-const MAX_PAUSE: Duration = Duration::from_millis(500);
+const FIRST_BACKOFF: Duration = Duration::from_millis(10);
+/// Maximum backoff between two retries.
+const MAX_BACKOFF: Duration = Duration::from_millis(500);
 
-/// The retries of one start.
+/// The time limit that all steps of one startup share.
 #[derive(Debug, Clone, Copy)]
 pub struct StartRetry {
-    until: Instant,
+    deadline: Instant,
 }
 
 impl StartRetry {
     /// Starts the time limit.
     pub fn begin() -> Self {
         StartRetry {
-            until: Instant::now() + MAX_START_TIME,
+            deadline: Instant::now() + MAX_STARTUP_TIME,
         }
     }
 
-    /// Runs a step until it succeeds, fails permanently, or the time limit leaves no further retry. The log names it
-    /// `step`.
+    /// Runs `operation` until it succeeds, fails permanently, or the next retry would exceed the time limit. The log
+    /// calls the operation `step`.
     ///
     /// # Errors
-    /// The last error of the step.
-    pub fn run<T>(self, step: &str, mut attempt: impl FnMut() -> io::Result<T>) -> io::Result<T> {
-        let mut pause = FIRST_PAUSE;
+    /// The error of the last try.
+    pub fn run<T>(self, step: &str, mut operation: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+        let mut backoff = FIRST_BACKOFF;
         loop {
-            match attempt() {
-                Err(error) if is_transient(&error) && Instant::now() + pause < self.until => {
+            match operation() {
+                Err(error) if is_transient(&error) && Instant::now() + backoff < self.deadline => {
                     tracing::warn!(
                         step,
                         %error,
-                        retry_after_ms = pause.as_millis(),
+                        retry_after_ms = backoff.as_millis(),
                         "address not bound or resource short, trying again"
                     );
-                    thread::sleep(pause);
-                    pause = (2 * pause).min(MAX_PAUSE);
+                    thread::sleep(backoff);
+                    backoff = (2 * backoff).min(MAX_BACKOFF);
                 }
                 result => return result,
             }
@@ -52,7 +52,7 @@
 }
 
 /// Whether an error of socket, bind, listen, open or pipe is transient (socket(2), bind(2), listen(2)). An address that
-/// is not local, or that the process may not bind, is a permanent error.
+/// is not local, or that the process is not permitted to bind, is a permanent error.
 fn is_transient(error: &io::Error) -> bool {
     matches!(
         error.raw_os_error(),
--- a/crates/dispatcher/src/dispatcher/startup.rs
+++ b/crates/dispatcher/src/dispatcher/startup.rs
@@ -1,5 +1,5 @@
-//! The start: turns a valid configuration into a dispatcher whose sockets are bound. No connection is accepted before the
-//! first round.
+//! Startup: creates a dispatcher with bound sockets from a valid configuration. No connection is accepted before the first
+//! round.
 
 use super::{Dispatcher, StartRetry};
 use crate::cli::Common;
@@ -31,16 +31,16 @@
 use tansymux::settings::{Settings, SettingsError};
 use tansymux_operator_config::Operator;
 
-/// Salt of the seed for the hash key of shapes, so that the key is independent of other draws from the same seed.
+/// Salt of the seed for the hash key of shapes, which makes the key independent of other random numbers from that seed.
 const SHAPE_KEY_SALT: u64 = 0x5DEE_CE66_D1CE_B00C;
 
-/// An error that prevents the start.
+/// An error that ends the startup.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
     /// The operators' file contradicts the settings.
     #[error("the operators' file: {0}")]
     OperatorConfig(OperatorConfigErrors),
-    /// The settings are invalid for the decisions.
+    /// The decisions reject the settings.
     #[error("settings: {0}")]
     Settings(#[from] SettingsError),
     /// The address for messages of other dispatchers cannot be bound.
@@ -48,7 +48,7 @@
     Peers {
         /// The address.
         address: SocketAddr,
-        /// The system's error.
+        /// The error of the operating system.
         source: io::Error,
     },
     /// The fleet service cannot start.
@@ -59,13 +59,13 @@
     Listen {
         /// The address.
         address: SocketAddr,
-        /// The system's error.
+        /// The error of the operating system.
         source: io::Error,
     },
 }
 
 impl Dispatcher {
-    /// Binds all sockets and starts the tasks beside the driver.
+    /// Binds all sockets and spawns the tasks that run concurrently with the driver.
     ///
     /// # Errors
     /// The operators' file contradicts the settings, the settings are invalid, or an address cannot be bound.
@@ -101,7 +101,7 @@
             max_sockets: config.max_sockets,
             tasks: launcher.tasks,
             shutdown_grace_ms: config.shutdown_grace_ms,
-            started_with: config.source,
+            startup_source: config.source,
             settings: config.settings,
             resolver,
             common,
@@ -110,18 +110,18 @@
     }
 }
 
-/// Creates the two sides of the program, and starts the parts that are tasks beside the driver.
+/// Creates the client side and the engine side, and spawns the tasks that run concurrently with the driver.
 struct Launcher {
     clock: Clock,
     registry: Rc<QueryRegistry>,
     executor: Rc<LocalExecutor<'static>>,
     retry: StartRetry,
-    /// The tasks that are already running.
+    /// The tasks spawned so far.
     tasks: Vec<Task<()>>,
 }
 
 impl Launcher {
-    /// Starts the program's clock. No task runs yet.
+    /// Starts the program's clock, without spawning a task.
     fn new(
         config: &StartupConfig,
         settings: &Settings,
@@ -140,7 +140,7 @@
         }
     }
 
-    /// The engine side, without connections.
+    /// Creates the engine side, without connections.
     fn new_engine_pool(&self, settings: ConnectionSettings) -> Rc<EnginePool> {
         EnginePool::new(
             self.registry.clone(),
@@ -150,7 +150,7 @@
         )
     }
 
-    /// The client side, without its listener.
+    /// Creates the client side, without its listener.
     fn new_client_frontend(
         &self,
         limits: AdmissionLimits,
@@ -170,7 +170,7 @@
         self.tasks.push(self.executor.spawn(task));
     }
 
-    /// Starts the exchange with other dispatchers, where the configuration has an address for it.
+    /// Starts the message exchange with other dispatchers, if the configuration has an address for it.
     fn start_peers(
         &mut self,
         addresses: Option<PeerAddresses>,
@@ -189,7 +189,7 @@
         Ok(Some(peers))
     }
 
-    /// Starts this dispatcher's membership of a fleet, where the operators' file defines one.
+    /// Starts this dispatcher's membership of a fleet, if the operators' file defines a fleet.
     fn start_fleet(
         &mut self,
         operator: &Operator,
@@ -222,15 +222,10 @@
             endpoints: directory.endpoints(),
         });
         let registry = self.registry.clone();
-        self.spawn(discovery::follow(
-            registry,
-            resolver,
-            directory,
-            seed as u16,
-        ));
+        self.spawn(discovery::run(registry, resolver, directory, seed as u16));
     }
 
-    /// Binds the address for clients. It is the last one, so that no client connects to a program whose start fails.
+    /// Binds the address for clients. This is the last step, so that no client connects to a program whose startup fails.
     fn start_listener(
         &mut self,
         clients: &Rc<ClientFrontend>,
@@ -246,7 +241,7 @@
     }
 }
 
-/// All subsystems, still disabled.
+/// Creates all subsystems, disabled until they are configured.
 fn new_subsystems(config: &StartupConfig, settings: &Rc<Settings>) -> Subsystems {
     let limits = ResourceLimits {
         memory_bytes: config.max_memory_bytes,
@@ -265,7 +260,7 @@
     }
 }
 
-/// The secret hash key of shapes, derived from the seed of this start.
+/// Returns the secret hash key of shapes, derived from the seed of this process.
 fn shape_hash_key(seed: u64) -> [u8; 16] {
     let mut rng = Pcg::new(seed ^ SHAPE_KEY_SALT);
     std::array::from_fn(|_| rng.below(256) as u8)
--- a/crates/dispatcher/src/dns.rs
+++ b/crates/dispatcher/src/dns.rs
@@ -18,19 +18,20 @@
 const TXT: u16 = 16;
 /// Class IN.
 const INTERNET: u16 = 1;
-/// Flag: recursion desired.
+/// Flag RD: recursion desired.
 const RECURSION_DESIRED: u16 = 0x0100;
-/// Flag QR: this is an answer.
+/// Flag QR: the message is an answer.
 const IS_ANSWER: u16 = 0x8000;
 /// Flag TC: the answer is truncated.
-const IS_CUT_OFF: u16 = 0x0200;
+const IS_TRUNCATED: u16 = 0x0200;
 /// Mask of RCODE, which is 0 unless there is an error.
 const ERROR_CODE: u16 = 0x000f;
-/// Length of a message's header in bytes.
-const HEADER: usize = 12;
-/// Maximum length of a label in bytes (RFC 1035).
-const MAX_LABEL: usize = 63;
-/// Maximum number of records in one message; a datagram holds fewer of even the smallest records.
+/// Length of a message header (bytes).
+const HEADER_BYTES: usize = 12;
+/// Maximum length of a label (bytes, RFC 1035).
+const MAX_LABEL_BYTES: usize = 63;
+/// Maximum number of records in a message, and of questions. A datagram has no room for that many records, even of the
+/// smallest size.
 const MAX_RECORDS: usize = 8192;
 
 /// An SRV record.
@@ -38,7 +39,7 @@
 pub struct Srv {
     /// Lower values are preferred.
     pub priority: u16,
-    /// The service's port.
+    /// The port of the service.
     pub port: u16,
     /// The host's name, in lower case.
     pub target: String,
@@ -65,9 +66,9 @@
 /// The records of an answer that discovery uses. Names are in lower case.
 #[derive(Debug, Default, PartialEq)]
 pub struct Answer {
-    /// The id of the query that this answers.
+    /// The id of the answered query.
     pub id: u16,
-    /// The serial of the SOA record.
+    /// The serial of the SOA record; `None` without such a record.
     pub serial: Option<u32>,
     /// SRV records.
     pub srv: Vec<Srv>,
@@ -77,15 +78,15 @@
     pub texts: Vec<Text>,
 }
 
-/// Encodes the query for records of one type under `name`.
+/// Encodes a query for the records of one type under `name`.
 pub fn encode_query(id: u16, name: &str, record_type: u16) -> Vec<u8> {
-    let mut bytes = Vec::with_capacity(HEADER + name.len() + 6);
-    // One question, and no answers, authorities or additionals.
+    let mut bytes = Vec::with_capacity(HEADER_BYTES + name.len() + 6);
+    // Id, flags, one question, and no answers, authorities or additionals.
     for number in [id, RECURSION_DESIRED, 1, 0, 0, 0] {
         bytes.extend_from_slice(&number.to_be_bytes());
     }
     for label in name.split('.').filter(|label| !label.is_empty()) {
-        let label = &label.as_bytes()[..label.len().min(MAX_LABEL)];
+        let label = &label.as_bytes()[..label.len().min(MAX_LABEL_BYTES)];
         bytes.push(label.len() as u8);
         bytes.extend_from_slice(label);
     }
@@ -131,8 +132,8 @@
     if flags & IS_ANSWER == 0 {
         return Err(DnsError::NotAnAnswer);
     }
-    if flags & IS_CUT_OFF != 0 {
-        return Err(DnsError::CutOff);
+    if flags & IS_TRUNCATED != 0 {
+        return Err(DnsError::Truncated);
     }
     match flags & ERROR_CODE {
         0 => Ok(()),
--- a/crates/dispatcher/src/dns/error.rs
+++ b/crates/dispatcher/src/dns/error.rs
@@ -1,38 +1,38 @@
-//! Errors of DNS messages.
+//! Errors of parsing DNS messages.
 
 use thiserror::Error;
 
-/// Why a message can't be used as an answer.
+/// The reasons why a message cannot be used as an answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum DnsError {
     /// The message ends within a field.
-    #[error("the message ends early")]
+    #[error("message ends within a field")]
     UnexpectedEnd,
     /// The message is a query.
-    #[error("the message is not an answer")]
+    #[error("message is not an answer")]
     NotAnAnswer,
-    /// The sender truncated the answer.
-    #[error("the answer is marked as cut off")]
-    CutOff,
+    /// The answer has the flag TC: its sender truncated it.
+    #[error("answer is truncated by its sender")]
+    Truncated,
     /// The name service reports an error.
-    #[error("the answer has error code {0}")]
+    #[error("name service answered with error code {0}")]
     ErrorCode(u16),
-    /// There are more questions or records than the limit.
-    #[error("{count} records are too many")]
+    /// The message has more questions or records than the limit.
+    #[error("too many records: {count}")]
     TooManyRecords {
-        /// Records announced.
+        /// Number of questions or records according to the header.
         count: usize,
     },
     /// A name is longer than the protocol allows.
-    #[error("a name is too long")]
+    #[error("name exceeds 255 bytes")]
     NameTooLong,
     /// A name has too many compression pointers, perhaps in a loop.
-    #[error("a name has too many compression pointers")]
+    #[error("too many compression pointers in a name")]
     TooManyPointers,
-    /// The first bits of a label's length have no meaning.
-    #[error("a label has a reserved type")]
+    /// The type bits of a label are reserved by the protocol.
+    #[error("label has a reserved type")]
     ReservedLabelType,
-    /// The data of a record is longer than the record.
-    #[error("a record is longer than it says")]
+    /// The fields of a record extend beyond the record's length.
+    #[error("fields of a record exceed its length")]
     RecordOverrun,
 }
--- a/crates/dispatcher/src/dns/tests.rs
+++ b/crates/dispatcher/src/dns/tests.rs
@@ -1,21 +1,21 @@
 use super::*;
 
-fn record(to: &mut Vec<u8>, name: &[u8], kind: u16, data: &[u8]) {
-    to.extend_from_slice(name);
-    for number in [kind, INTERNET, 0, 60, data.len() as u16] {
-        to.extend_from_slice(&number.to_be_bytes());
+fn push_record(message: &mut Vec<u8>, name: &[u8], record_type: u16, data: &[u8]) {
+    message.extend_from_slice(name);
+    for number in [record_type, INTERNET, 0, 60, data.len() as u16] {
+        message.extend_from_slice(&number.to_be_bytes());
     }
-    to.extend_from_slice(data);
+    message.extend_from_slice(data);
 }
 
-/// An answer with one engine `s-1.east.hosts`, its names compressed against the question's.
+/// Returns an answer with one engine, `s-1.east.hosts`. Its names are compressed with pointers into the question.
 pub fn answer(id: u16, serial: u32, priority: u8) -> Vec<u8> {
     let mut bytes = encode_query(id, "_back._tcp.pool.lan", SRV);
     bytes[2] = 0x84;
     (bytes[7], bytes[9], bytes[11]) = (1, 1, 2);
-    let question = [0xc0, HEADER as u8];
-    let at = bytes.len() + 12;
-    record(
+    let question = [0xc0, HEADER_BYTES as u8];
+    let position = bytes.len() + 12;
+    push_record(
         &mut bytes,
         &question,
         SRV,
@@ -28,10 +28,10 @@
     let mut soa = [question, question].concat();
     soa.extend_from_slice(&serial.to_be_bytes());
     soa.extend_from_slice(&[0; 16]);
-    record(&mut bytes, &question, SOA, &soa);
-    let target = [0xc0, at as u8 + 6];
-    record(&mut bytes, &target, A, &[10, 1, 0, 9]);
-    record(
+    push_record(&mut bytes, &question, SOA, &soa);
+    let target = [0xc0, position as u8 + 6];
+    push_record(&mut bytes, &target, A, &[10, 1, 0, 9]);
+    push_record(
         &mut bytes,
         &target,
         TXT,
@@ -42,11 +42,11 @@
 
 #[test]
 fn an_answer_with_compressed_names_is_parsed() {
-    let read = parse_answer(&answer(77, 41, 1)).unwrap();
+    let parsed = parse_answer(&answer(77, 41, 1)).unwrap();
     let target = "s-1.east.hosts".to_owned();
-    assert_eq!((read.id, read.serial), (77, Some(41)));
+    assert_eq!((parsed.id, parsed.serial), (77, Some(41)));
     assert_eq!(
-        read.srv,
+        parsed.srv,
         [Srv {
             priority: 1,
             port: 10080,
@@ -54,14 +54,14 @@
         }]
     );
     assert_eq!(
-        read.addresses,
+        parsed.addresses,
         [Address {
             name: target.clone(),
             ip: Ipv4Addr::new(10, 1, 0, 9)
         }]
     );
     assert_eq!(
-        read.texts,
+        parsed.texts,
         [Text {
             name: target,
             strings: ["kind=std", "cell=2", "started=0"]
@@ -73,23 +73,23 @@
 
 #[test]
 fn malformed_answers_are_errors_and_never_panic() {
-    let whole = answer(1, 2, 0);
-    for end in 0..whole.len() {
-        assert_eq!(parse_answer(&whole[..end]).ok(), None, "{end}");
+    let complete = answer(1, 2, 0);
+    for end in 0..complete.len() {
+        assert_eq!(parse_answer(&complete[..end]).ok(), None, "{end}");
     }
-    // Every byte changed: some still parse, none panics or loops forever.
-    for at in 0..whole.len() {
+    // One byte changed: some of these messages are still valid, and none may cause a panic or an endless loop.
+    for position in 0..complete.len() {
         for value in [0, 0x3f, 0xc0, 0xff] {
-            let mut bytes = whole.clone();
-            bytes[at] = value;
+            let mut bytes = complete.clone();
+            bytes[position] = value;
             let _ = parse_answer(&bytes);
         }
     }
-    let ring = [
+    let pointer_loop = [
         &[0, 1, 0x84, 0, 0, 1, 0, 0, 0, 0, 0, 0],
         [0xc0, 12].as_slice(),
         &[0; 4],
     ]
     .concat();
-    assert_eq!(parse_answer(&ring).ok(), None);
+    assert_eq!(parse_answer(&pointer_loop).ok(), None);
 }
