--- a/crates/dispatcher/src/counters.rs
+++ b/crates/dispatcher/src/counters.rs
@@ -1,5 +1,5 @@
-//! Counters of queries, connections and messages since the program's start. Operators' tools read a counter's printed
-//! name, which therefore differs from the name of its field in places.
+//! Counters of queries, connections and messages since the start of the program. Operators' tools read the printed
+//! names, which therefore stay as they are, and differ from the names of the fields in places.
 
 use crate::attempt_end::EndCause;
 use crate::close_reason::{ClientClose, EngineClose};
@@ -19,16 +19,16 @@
         self.0.set(self.0.get() + 1);
     }
 
-    /// The count so far.
+    /// Returns the count so far.
     pub fn get(&self) -> u64 {
         self.0.get()
     }
 }
 
-/// Appends the lines of a subsystem's own counters.
+/// Appends the lines of a subsystem's counters to the text.
 pub type Report = Box<dyn Fn(&mut String)>;
 
-/// How attempts end, with the printed names.
+/// The outcomes of attempts, with their printed names.
 const OUTCOMES: [(Outcome, &str); 9] = [
     (Outcome::Completed, "finished"),
     (Outcome::Error, "error"),
@@ -41,37 +41,37 @@
     (Outcome::Withdrawn, "withdrawn"),
 ];
 
-/// Declares `Counters`: each counter's doc, field and printed name, in the order of printing.
+/// Declares `Counters` from the doc comment, field and printed name of each counter, in the order of printing.
 macro_rules! counters {
     ($($(#[$doc:meta])* $name:ident: $label:literal),* $(,)?) => {
         /// All counters of the program.
         #[derive(Default)]
         pub struct Counters {
             $($(#[$doc])* pub $name: Counter,)*
-            /// Reports of subsystems that have counters of their own, printed after all others.
+            /// Reports of the subsystems' counters, printed after all other counters.
             pub extra_reports: RefCell<Vec<Report>>,
-            /// Attempts that ended, in the order of `OUTCOMES`.
+            /// Ended attempts by outcome, in the order of `OUTCOMES`.
             attempts_by_outcome: [Counter; OUTCOMES.len()],
-            /// Attempts that ended, in the order of `EndCause::ALL`.
+            /// Ended attempts by cause, in the order of `EndCause::ALL`.
             attempts_by_cause: [Counter; EndCause::ALL.len()],
-            /// Retries, by what ended the attempt before, in the order of `EndCause::ALL`.
+            /// Retries by the cause that ended the previous attempt, in the order of `EndCause::ALL`.
             retries_by_cause: [Counter; EndCause::ALL.len()],
-            /// Replies of engines without effect, in the order of `IgnoredReply::ALL`.
+            /// Ignored replies of engines by reason, in the order of `IgnoredReply::ALL`.
             ignored_replies: [Counter; IgnoredReply::ALL.len()],
-            /// Attempts that the guard refused, in the order of `BeginRefusal::ALL`.
+            /// Attempts that the guard refused by reason, in the order of `BeginRefusal::ALL`.
             begin_refusals: [Counter; BeginRefusal::ALL.len()],
-            /// Queries that ended without a result, in the order of `EndReason::ALL`.
+            /// Queries that ended without a result by reason, in the order of `EndReason::ALL`.
             end_reasons: [Counter; EndReason::ALL.len()],
-            /// Clients' connections that ended, in the order of `ClientClose::ALL`.
+            /// Closed connections of clients by reason, in the order of `ClientClose::ALL`.
             client_closes: [Counter; ClientClose::ALL.len()],
-            /// Connections to engines that ended, in the order of `EngineClose::ALL`.
+            /// Closed connections to engines by reason, in the order of `EngineClose::ALL`.
             engine_closes: [Counter; EngineClose::ALL.len()],
-            /// Violations, in the order of `RULES`.
+            /// Violations by rule, in the order of `RULES`.
             violations: [Counter; RULES.len()],
         }
 
         impl Counters {
-            /// Printed name and count of each plain counter.
+            /// Returns the printed name and the count of each counter that is not part of a group.
             fn plain(&self) -> impl Iterator<Item = (&'static str, u64)> {
                 [$(($label, self.$name.get())),*].into_iter()
             }
@@ -80,42 +80,42 @@
 }
 
 counters! {
-    /// Queries admitted: the sum of those completed, rejected, failed and left by their clients, and of those that have
-    /// no answer yet.
+    /// Queries admitted. Equals the sum of the queries completed, rejected and failed, those whose clients left, and
+    /// those that are not answered yet.
     admitted: "taken",
     /// Queries answered with a result.
     completed: "finished",
-    /// Queries rejected with a retry time.
+    /// Queries rejected with a time after which to retry.
     rejected: "deferred",
     /// Queries answered with a final error.
     failed: "killed",
     /// Queries whose clients left before the answer.
     client_disconnects: "vanished",
-    /// Requests that were refused before they became a query.
+    /// Requests rejected before they were admitted as queries.
     requests_rejected: "requests_rejected",
     /// Answers that could not be written to their clients.
     answer_write_failures: "answers_not_written",
     /// Connections accepted from clients.
     client_connections: "connections_from_clients",
-    /// Clients' connections that were evicted for others.
+    /// Connections of clients that were closed to make room for others.
     client_connections_evicted: "connections_evicted",
     /// Connections opened to engines.
     engine_connections_opened: "connections_to_engines",
-    /// Connections to engines that were not up within the connect timeout.
+    /// Connections to engines that were not established within the connect timeout.
     connect_timeouts: "connections_late",
-    /// Connections to engines that came up after the connect timeout.
+    /// Connections to engines that were established after the connect timeout.
     connects_after_timeout: "connections_late_up",
-    /// Connections to engines that ended because the engine violated the protocol.
+    /// Connections to engines that were closed because the engine violated the protocol.
     protocol_errors: "connections_spoilt",
-    /// Idle connections to engines that were lost when they were reused.
+    /// Idle connections to engines that turned out to be lost when they were reused.
     idle_connections_lost: "connections_lost_idle",
-    /// Connects to engines that failed for a fault of this machine, and were retried.
+    /// Connects to engines that failed because of a fault of this machine, and were retried.
     local_connect_faults: "connects_failed_here",
-    /// Connections to engines that had to wait for a descriptor, at the limit of open connections.
+    /// Connections to engines that waited for a descriptor at the limit of open connections.
     waits_for_descriptor: "connections_waited",
-    /// Attempts begun: the sum of those that ended, by outcome, and of those in flight.
+    /// Attempts begun. Equals the sum of the ended attempts over all outcomes, and of the attempts in flight.
     attempts: "submissions",
-    /// Ends of attempts that were not in flight, which the engine side should never report.
+    /// Reports that an attempt ended that was not in flight. The engine side should never send one.
     ends_ignored: "ends_ignored",
     /// Health checks that the decisions requested.
     health_checks: "probes",
@@ -125,9 +125,9 @@
     endpoint_updates_rejected: "lists_passed_over",
     /// Queries sent to the name service.
     dns_queries: "lookups",
-    /// Valid configurations read while running.
+    /// Valid configurations read by reloads.
     config_reloads: "configurations_read",
-    /// Valid operators' files read while running.
+    /// Valid operators' files read by reloads.
     operator_config_reloads: "operator_files_read",
     /// Messages sent to other dispatchers.
     peer_messages_sent: "messages_sent",
@@ -138,7 +138,7 @@
 }
 
 impl Counters {
-    /// Counts the end of an attempt.
+    /// Counts an ended attempt by its outcome.
     pub fn count_outcome(&self, outcome: Outcome) {
         for ((known, _), counter) in OUTCOMES.iter().zip(&self.attempts_by_outcome) {
             if *known == outcome {
@@ -147,17 +147,17 @@
         }
     }
 
-    /// Counts what ended an attempt.
+    /// Counts an ended attempt by its cause.
     pub fn count_end_cause(&self, cause: EndCause) {
         count_in(&EndCause::ALL, &self.attempts_by_cause, cause);
     }
 
-    /// Counts a retry by what ended the attempt before.
+    /// Counts a retry by the cause that ended the previous attempt.
     pub fn count_retry_after(&self, cause: EndCause) {
         count_in(&EndCause::ALL, &self.retries_by_cause, cause);
     }
 
-    /// Counts a reply of an engine that has no effect.
+    /// Counts an ignored reply of an engine.
     pub fn count_ignored_reply(&self, reason: IgnoredReply) {
         count_in(&IgnoredReply::ALL, &self.ignored_replies, reason);
     }
@@ -172,12 +172,12 @@
         count_in(&EndReason::ALL, &self.end_reasons, reason);
     }
 
-    /// Counts the end of a client's connection.
+    /// Counts a closed connection of a client.
     pub fn count_client_close(&self, close: ClientClose) {
         count_in(&ClientClose::ALL, &self.client_closes, close);
     }
 
-    /// Counts the end of a connection to an engine.
+    /// Counts a closed connection to an engine.
     pub fn count_engine_close(&self, close: EngineClose) {
         count_in(&EngineClose::ALL, &self.engine_closes, close);
     }
@@ -187,8 +187,8 @@
         count_in(&RULES, &self.violations, rule);
     }
 
-    /// All counters as text, a line each with name and count; then the attempts in flight, the queries without an
-    /// answer and those `in_flight` in the registry.
+    /// Returns all counters as text, one line per counter with its name and count. After the counters come the
+    /// attempts in flight, the unanswered queries, and `in_flight`, the number of queries in the registry.
     pub fn report(&self, in_flight: usize) -> String {
         let mut text = String::new();
         for (name, count) in self.plain() {
@@ -251,24 +251,24 @@
 }
 
 /// Increments the counter of `value`.
-fn count_in<T: PartialEq + Copy>(known: &[T], counters: &[Counter], value: T) {
-    let counter = known
+fn count_in<T: PartialEq + Copy>(values: &[T], counters: &[Counter], value: T) {
+    let counter = values
         .iter()
         .zip(counters)
-        .find(|(known, _)| **known == value);
+        .find(|(candidate, _)| **candidate == value);
     if let Some((_, counter)) = counter {
         counter.increment();
     }
 }
 
-/// Appends the lines of counters that belong to the values `known`, each with its name.
+/// Appends one line per counter. `name` returns the printed name of a counter from its value in `values`.
 fn write_group<T>(
     text: &mut String,
-    known: &[T],
+    values: &[T],
     counters: &[Counter],
     name: impl Fn(&T) -> String,
 ) {
-    for (value, counter) in known.iter().zip(counters) {
+    for (value, counter) in values.iter().zip(counters) {
         write_line(text, &name(value), counter.get());
     }
 }
--- a/crates/dispatcher/src/counters/tests.rs
+++ b/crates/dispatcher/src/counters/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn report_lists_every_counter_and_its_sums_agree() {
+fn report_lists_counters_and_consistent_sums() {
     let counters = Counters::default();
     (0..3).for_each(|_| counters.admitted.increment());
     (0..2).for_each(|_| counters.attempts.increment());
--- a/crates/dispatcher/src/discovery/directory.rs
+++ b/crates/dispatcher/src/discovery/directory.rs
@@ -1,5 +1,5 @@
-//! The accepted endpoint list, and the rules for applying answers of the name service to it. No I/O; the only clock is
-//! the [`WallClock`] that translates start times.
+//! The accepted endpoint list, and the rules for applying answers of the name service to it. No I/O; the only clock
+//! is the [`WallClock`] that translates start times.
 
 use super::departed_engines::DepartedEngines;
 use super::engine_ids::EngineIds;
@@ -69,8 +69,8 @@
         self.engines.insert(engine.engine_id, engine);
     }
 
-    /// Sets the wall clock, and translates the start times in the list from Unix time to the program's clock. Start times
-    /// of later answers are translated on arrival.
+    /// Sets the wall clock, and translates the start times in the list from Unix time to the program's clock. Start
+    /// times of later answers are translated on arrival.
     pub fn set_wall_clock(&mut self, wall_clock: WallClock) {
         self.starts.set_wall_clock(wall_clock);
         let starts = &mut self.starts;
@@ -95,10 +95,10 @@
         endpoints
     }
 
-    /// Applies the answer to query number `query`. An answer with a plausibly newer serial is accepted
-    /// immediately. An answer whose serial is implausibly far ahead or older, or whose records differ under the same
-    /// serial, is accepted once the answer to a later query confirms it. A listed engine that is missing from an accepted
-    /// answer is gone.
+    /// Applies the answer to query number `query`. An answer with a plausibly newer serial is accepted immediately.
+    /// An answer whose serial is implausibly far ahead or older, or whose records differ under the same serial, is
+    /// accepted once the answer to a later query confirms it. A listed engine that is missing from an accepted answer
+    /// is gone.
     pub fn apply_answer(&mut self, answer: &Answer, query: u64) -> AnswerOutcome {
         let update = match self.begin_update(answer, query) {
             Ok(Some(update)) => update,
@@ -170,8 +170,8 @@
         entries
     }
 
-    /// Applies known drains and departures to the entries of an answer that may be stale: an engine that was
-    /// reported as draining or gone stays so unless it has restarted. If no engine would be ready then, the entries stay
+    /// Applies known drains and departures to the entries of an answer that may be stale: an engine that was reported
+    /// as draining or gone stays so unless it has restarted. If no engine would be ready then, the entries stay
     /// unchanged.
     fn keep_drains_and_departures(&self, entries: &mut Vec<EndpointEntry>) {
         let is_ready = |entry: &EndpointEntry| entry.state == EndpointState::Ready;
@@ -215,7 +215,8 @@
         entries
     }
 
-    /// Returns the entries of the previous list that are no longer listed, marked as gone and sorted by engine number.
+    /// Returns the entries of the previous list that are no longer listed, marked as gone and sorted by engine
+    /// number.
     fn missing_from_list(&self, previous: FxHashMap<u64, EndpointEntry>) -> Vec<EndpointEntry> {
         let mut gone = Vec::new();
         for mut entry in previous.into_values() {
--- a/crates/dispatcher/src/discovery/directory/tests.rs
+++ b/crates/dispatcher/src/discovery/directory/tests.rs
@@ -194,8 +194,8 @@
 
 #[test]
 fn a_lagging_name_service_does_not_revert_drains_or_departures() {
-    // One name service reported that s-1 is draining and s-3 is gone. The next answers come from another name service,
-    // which lags behind.
+    // One name service reported that s-1 is draining and s-3 is gone. The next answers come from another name
+    // service, which lags behind.
     let mut directory = directory_of_two(5);
     let three = [
         ("s-1", false, 0.0),
--- a/crates/dispatcher/src/discovery/engine_ids.rs
+++ b/crates/dispatcher/src/discovery/engine_ids.rs
@@ -1,4 +1,5 @@
-//! Assigns numbers to engines. A number is derived from the engine's id alone, so that all dispatchers assign the same one.
+//! Assigns numbers to engines. A number is derived from the engine's id alone, so that all dispatchers assign the
+//! same one.
 
 use rustc_hash::{FxHashMap, FxHashSet};
 
@@ -27,8 +28,8 @@
         engine_id
     }
 
-    /// Frees the numbers of all engines for which `is_kept` is false. An engine that returns is assigned a number from its
-    /// id again.
+    /// Frees the numbers of all engines for which `is_kept` is false. An engine that returns is assigned a number
+    /// from its id again.
     pub fn retain(&mut self, is_kept: impl Fn(u64) -> bool) {
         self.engine_ids.retain(|_, engine_id| is_kept(*engine_id));
         self.assigned.retain(|engine_id| is_kept(*engine_id));
--- a/crates/dispatcher/src/discovery/engine_starts.rs
+++ b/crates/dispatcher/src/discovery/engine_starts.rs
@@ -3,8 +3,8 @@
 use crate::clock::WallClock;
 use rustc_hash::FxHashMap;
 
-/// Maximum delay (ms) from a change of the endpoint list to the first answer that shows it: 1.5 s by the protocol, and
-/// 0.5 s for polling.
+/// Maximum delay (ms) from a change of the endpoint list to the first answer that shows it: 1.5 s by the protocol,
+/// and 0.5 s for polling.
 const MAX_ANNOUNCE_DELAY_MS: f64 = 2000.0;
 
 /// The start time of an engine, as announced (`unix_ms`) and on the program's clock (`at_ms`).
@@ -32,8 +32,8 @@
         self.wall_clock = Some(wall_clock);
     }
 
-    /// Records that a list was accepted or confirmed now. A start time that first appears in a later list is not earlier
-    /// than this list by more than [`MAX_ANNOUNCE_DELAY_MS`], whatever this machine's wall clock shows.
+    /// Records that a list was accepted or confirmed now. A start time that first appears in a later list is not
+    /// earlier than this list by more than [`MAX_ANNOUNCE_DELAY_MS`], whatever this machine's wall clock shows.
     pub fn on_list_confirmed(&mut self) {
         if let Some(wall_clock) = &self.wall_clock {
             self.last_confirmed_ms = wall_clock.now_ms();
--- a/crates/dispatcher/src/discovery/mod.rs
+++ b/crates/dispatcher/src/discovery/mod.rs
@@ -1,7 +1,7 @@
 //! Discovery: polls the name service for the endpoint list and reports changes.
 //!
-//! This module owns the socket and the [`EndpointDirectory`], which holds the accepted endpoint list and decides whether an
-//! answer is accepted. Each accepted update is reported as one event.
+//! This module owns the socket and the [`EndpointDirectory`], which holds the accepted endpoint list and decides
+//! whether an answer is accepted. Each accepted update is reported as one event.
 
 mod departed_engines;
 mod directory;
@@ -27,8 +27,8 @@
 use tansymux::events::EndpointListKind;
 use thiserror::Error;
 
-/// Polling interval. The platform considers a change announced at most 7 s after it, and the grace period of a drain may
-/// be as short as 0.25 s: one interval and one round trip fit into both.
+/// Polling interval. The platform considers a change announced at most 7 s after it, and the grace period of a drain
+/// may be as short as 0.25 s: one interval and one round trip fit into both.
 const QUERY_INTERVAL: Duration = Duration::from_millis(250);
 /// Maximum size of an answer (bytes): that of a UDP datagram.
 const MAX_ANSWER_BYTES: usize = 64 * 1024;
@@ -49,8 +49,8 @@
     UnknownQuery,
 }
 
-/// Polls the name service and keeps the endpoint list up to date, until dropped. `resolver` may change at any time: the
-/// list stays, the next query is sent to the new address, and answers from the old address are ignored.
+/// Polls the name service and keeps the endpoint list up to date, until dropped. `resolver` may change at any time:
+/// the list stays, the next query is sent to the new address, and answers from the old address are ignored.
 pub async fn run(
     registry: Rc<QueryRegistry>,
     resolver: Rc<Cell<Option<SocketAddr>>>,
@@ -94,8 +94,8 @@
 }
 
 impl NameServicePoller {
-    /// Opens a socket. If that fails, for example at the descriptor limit, returns the old socket if there is one, else
-    /// retries until it succeeds: the program cannot work without an endpoint list.
+    /// Opens a socket. If that fails, for example at the descriptor limit, returns the old socket if there is one,
+    /// else retries until it succeeds: the program cannot work without an endpoint list.
     async fn bind(&self, old: Option<Async<UdpSocket>>) -> Async<UdpSocket> {
         self.unanswered.set(0);
         loop {
--- a/crates/dispatcher/src/discovery/tests.rs
+++ b/crates/dispatcher/src/discovery/tests.rs
@@ -3,8 +3,8 @@
 use async_executor::LocalExecutor;
 use std::time::Duration;
 
-/// Runs discovery until `is_done` returns true, or fails after ten seconds. The name service sends the datagrams that `respond`
-/// returns for a query's id, index and sender.
+/// Runs discovery until `is_done` returns true, or fails after ten seconds. The name service sends the datagrams that
+/// `respond` returns for a query's id, index and sender.
 fn run_discovery(
     respond: impl Fn(u16, usize, SocketAddr) -> Vec<Vec<u8>> + 'static,
     mut is_done: impl FnMut(&QueryRegistry) -> bool,
@@ -78,8 +78,8 @@
         let current = answer(id, 1 + index as u32 / 2, 0);
         let mut sent = sent.borrow_mut();
         sent.push(current.clone());
-        // Two copies of the answer, the previous answer, a truncated copy, a malformed datagram, and an answer to a query
-        // that was never sent.
+        // Two copies of the answer, the previous answer, a truncated copy, a malformed datagram, and an answer to a
+        // query that was never sent.
         let previous = sent[index.saturating_sub(1)].clone();
         let unknown_query = answer(id.wrapping_add(9), 900, 1);
         vec![
--- a/crates/dispatcher/src/dispatcher.rs
+++ b/crates/dispatcher/src/dispatcher.rs
@@ -64,7 +64,7 @@
     peers: Option<Rc<Peers>>,
     subsystems: Subsystems,
     /// Maximum number of descriptors that the program may hold.
-    max_sockets: f64,
+    max_descriptors: f64,
     /// The tasks that run concurrently with the driver. Dropping a task cancels it.
     tasks: Vec<Task<()>>,
     /// Time (ms) from SIGTERM until every query is answered.
@@ -187,7 +187,7 @@
             return;
         };
         let load = LoadReport {
-            descriptors_used: open_descriptors as f64 / self.max_sockets.max(1.0),
+            descriptors_used: open_descriptors as f64 / self.max_descriptors.max(1.0),
             threads_in_flight: self.control.threads_in_flight(),
         };
         let changes = fleet.tick(now_ms, load);
@@ -224,8 +224,8 @@
         self.phase = next;
     }
 
-    /// Begins the graceful shutdown at SIGTERM: the health path answers 503 from now on, and all deadlines are limited to
-    /// the end of the grace period.
+    /// Begins the graceful shutdown at SIGTERM: the health path answers 503 from now on, and all deadlines are
+    /// limited to the end of the grace period.
     fn begin_shutdown(&mut self) {
         if !self.phase.is_before_shutdown() {
             return;
--- a/crates/dispatcher/src/dispatcher/event_feed.rs
+++ b/crates/dispatcher/src/dispatcher/event_feed.rs
@@ -1,4 +1,5 @@
-//! The event source of a round: takes the events from the registry, and passes them to the subsystems and the decisions.
+//! The event source of a round: takes the events from the registry, and passes them to the subsystems and the
+//! decisions.
 
 use super::decision_sink::record_answer;
 use crate::attempt_end::EndCause;
--- a/crates/dispatcher/src/dispatcher/reload.rs
+++ b/crates/dispatcher/src/dispatcher/reload.rs
@@ -1,8 +1,8 @@
-//! Reload of the configuration and the operators' file at SIGHUP. Each file is applied or rejected independently of the
-//! other.
+//! Reload of the configuration and the operators' file at SIGHUP. Each file is applied or rejected independently of
+//! the other.
 //!
-//! Of the configuration, only `resolver` takes effect; the log names the other keys that changed. Of the operators' file,
-//! everything takes effect except most of `fleet`.
+//! Of the configuration, only `resolver` takes effect; the log names the other keys that changed. Of the operators'
+//! file, everything takes effect except most of `fleet`.
 
 use super::Dispatcher;
 use crate::config::{self, StartupConfig};
--- a/crates/dispatcher/src/dispatcher/start_retry.rs
+++ b/crates/dispatcher/src/dispatcher/start_retry.rs
@@ -51,8 +51,8 @@
     }
 }
 
-/// Whether an error of socket, bind, listen, open or pipe is transient (socket(2), bind(2), listen(2)). An address that
-/// is not local, or that the process is not permitted to bind, is a permanent error.
+/// Whether an error of socket, bind, listen, open or pipe is transient (socket(2), bind(2), listen(2)). An address
+/// that is not local, or that the process is not permitted to bind, is a permanent error.
 fn is_transient(error: &io::Error) -> bool {
     matches!(
         error.raw_os_error(),
--- a/crates/dispatcher/src/dispatcher/startup.rs
+++ b/crates/dispatcher/src/dispatcher/startup.rs
@@ -1,5 +1,5 @@
-//! Startup: creates a dispatcher with bound sockets from a valid configuration. No connection is accepted before the first
-//! round.
+//! Startup: creates a dispatcher with bound sockets from a valid configuration. No connection is accepted before the
+//! first round.
 
 use super::{Dispatcher, StartRetry};
 use crate::cli::Common;
@@ -31,7 +31,8 @@
 use tansymux::settings::{Settings, SettingsError};
 use tansymux_operator_config::Operator;
 
-/// Salt of the seed for the hash key of shapes, which makes the key independent of other random numbers from that seed.
+/// Salt of the seed for the hash key of shapes, which makes the key independent of other random numbers from that
+/// seed.
 const SHAPE_KEY_SALT: u64 = 0x5DEE_CE66_D1CE_B00C;
 
 /// An error that ends the startup.
@@ -98,7 +99,7 @@
             engines,
             peers,
             subsystems,
-            max_sockets: config.max_sockets,
+            max_descriptors: config.max_sockets,
             tasks: launcher.tasks,
             shutdown_grace_ms: config.shutdown_grace_ms,
             startup_source: config.source,
@@ -225,7 +226,8 @@
         self.spawn(discovery::run(registry, resolver, directory, seed as u16));
     }
 
-    /// Binds the address for clients. This is the last step, so that no client connects to a program whose startup fails.
+    /// Binds the address for clients. This is the last step, so that no client connects to a program whose startup
+    /// fails.
     fn start_listener(
         &mut self,
         clients: &Rc<ClientFrontend>,
--- a/crates/dispatcher/src/dns.rs
+++ b/crates/dispatcher/src/dns.rs
@@ -30,8 +30,8 @@
 const HEADER_BYTES: usize = 12;
 /// Maximum length of a label (bytes, RFC 1035).
 const MAX_LABEL_BYTES: usize = 63;
-/// Maximum number of records in a message, and of questions. A datagram has no room for that many records, even of the
-/// smallest size.
+/// Maximum number of records in a message, and of questions. A datagram has no room for that many records, even of
+/// the smallest size.
 const MAX_RECORDS: usize = 8192;
 
 /// An SRV record.
--- a/crates/dispatcher/src/guard/ledger.rs
+++ b/crates/dispatcher/src/guard/ledger.rs
@@ -1,23 +1,25 @@
-//! The answers owed on one client's connection: each request that was read is answered once before the connection closes.
+//! Tracks the answer owed on a client's connection: each request that was read is answered exactly once, before the
+//! connection closes.
 
 use super::violation::{Rule, Violation};
 
-/// Permission to write an answer. Only a ledger creates it, and writing the answer consumes it.
+/// Permission to write an answer. Only a [`ConnectionLedger`] creates it, and writing the answer consumes it.
 #[derive(Debug)]
 pub struct AnswerPermit {
     _made_by_ledger: (),
 }
 
-/// Permission to close the connection from this side. Only a ledger creates it, and the close consumes it.
+/// Permission to close the connection from this side. Only a [`ConnectionLedger`] creates it, and closing the
+/// connection consumes it.
 #[derive(Debug)]
 pub struct ClosePermit {
     _made_by_ledger: (),
 }
 
-/// The account of one connection.
+/// The state of one connection.
 #[derive(Debug, Default)]
 pub struct ConnectionLedger {
-    /// Whether a complete request was read and is not answered.
+    /// Whether a complete request was read and is not answered yet.
     is_owed: bool,
 }
 
@@ -25,23 +27,23 @@
     /// Records that a complete request was read.
     ///
     /// # Errors
-    /// The previous request is not answered.
+    /// The previous request is not answered yet.
     pub fn on_request(&mut self) -> Result<(), Violation> {
         if std::mem::replace(&mut self.is_owed, true) {
             return Err(Violation {
                 rule: Rule::FinalAnswer,
-                description: "a request is handled before the one ahead of it is answered",
+                description: "a request is handled before the previous request is answered",
             });
         }
         Ok(())
     }
 
-    /// Records that the client has left: no answer is owed.
+    /// Records that the client has left: no answer is owed any more.
     pub fn on_client_left(&mut self) {
         self.is_owed = false;
     }
 
-    /// The permit to write the answer that is owed.
+    /// Returns the permit to write the answer that is owed.
     ///
     /// # Errors
     /// No answer is owed.
@@ -57,7 +59,7 @@
         })
     }
 
-    /// The permit to answer an unusable request with an error, after which the connection closes.
+    /// Returns the permit to answer an unusable request with an error, after which the connection closes.
     pub fn may_refuse(&mut self) -> AnswerPermit {
         self.is_owed = false;
         AnswerPermit {
@@ -65,15 +67,15 @@
         }
     }
 
-    /// The permit to close the connection.
+    /// Returns the permit to close the connection.
     ///
     /// # Errors
-    /// A request is owed an answer.
+    /// A request is not answered yet.
     pub fn may_close(&self) -> Result<ClosePermit, Violation> {
         if self.is_owed {
             return Err(Violation {
                 rule: Rule::FinalAnswer,
-                description: "a connection closes while a request on it is owed an answer",
+                description: "a connection closes before its request is answered",
             });
         }
         Ok(ClosePermit {
--- a/crates/dispatcher/src/guard/mod.rs
+++ b/crates/dispatcher/src/guard/mod.rs
@@ -1,11 +1,12 @@
-//! The guard: decides whether an attempt's first byte may be written now, whether an answer may be written, whether a
-//! client's connection may close and whether the process may end. No I/O, no clock.
+//! The guard: decides whether an attempt's first byte may be written, whether an answer may be written, whether a
+//! client's connection may close, and whether the process may end. No I/O, no clock.
 //!
-//! The decisions place queries by the rules; the guard checks the rules again when the bytes are written, against the state
-//! at that time. It grants permits that only it can create and that each of these steps consumes: code without a permit
-//! does not compile. The end of the process is only checked, not prevented, as the platform ends it anyway. A step that
-//! the rest of the program should never request is a [`Violation`]: it is refused, counted by rule, logged with the ids,
-//! and panics in debug builds. docs/design/invariants.md maps each rule to its deciding place.
+//! The decision logic ([`tansymux::control`]) follows the rules when it places a query. The guard checks them again
+//! when the bytes are written, against the state at that time. Each of the first three steps consumes a permit, which
+//! only the guard can create: code without a permit does not compile. The end of the process is only checked, not
+//! prevented, because the platform ends the process anyway. A step that the rest of the program should never request
+//! is a [`Violation`]: it is refused, counted by rule, logged with the ids, and panics in debug builds.
+//! docs/design/invariants.md maps each rule to the code that enforces it.
 //!
 //! Start reading at [`Guard::may_begin`].
 
@@ -24,7 +25,7 @@
 use std::cell::RefCell;
 use tansymux::events::EndpointState;
 
-/// Factor by which the protocol allows retries to exceed the budget, in addition to one retry.
+/// Factor by which the protocol allows retries to exceed the budget. One retry more is allowed on top.
 const BUDGET_TOLERANCE: f64 = 1.15;
 
 /// The state of an attempt whose first byte is about to be written. Times are milliseconds of the program's clock.
@@ -32,11 +33,11 @@
 pub struct AttemptFacts<'a> {
     /// The query in the registry; `None` once it is over and removed.
     pub query: Option<QueryFacts<'a>>,
-    /// Which of the query's attempts this is, from 0.
+    /// Number of the attempt within its query, from 0.
     pub attempt: usize,
-    /// When the attempt is abandoned.
+    /// Time at which the attempt is abandoned.
     pub deadline_ms: f64,
-    /// By when the attempt must begin.
+    /// Time before which the attempt must begin.
     pub start_by_ms: f64,
     /// The engine's entry in the endpoint list; `None` once it has left the list.
     pub endpoint: Option<EndpointFacts<'a>>,
@@ -47,24 +48,24 @@
 pub struct QueryFacts<'a> {
     /// Whether the query was answered, or its client left.
     pub is_over: bool,
-    /// The attempt in flight, if there is one.
+    /// Number of the attempt in flight, if there is one.
     pub attempt_in_flight: Option<usize>,
-    /// Whether an earlier attempt of the query was written to the connection of this one.
+    /// Whether an earlier attempt of the query was written to this attempt's connection.
     pub is_connection_used: bool,
     /// The query's resource group.
     pub resource_group: &'a str,
 }
 
-/// An engine's entry in the endpoint list, as far as the guard uses it.
+/// The fields of an engine's entry in the endpoint list that the guard uses.
 #[derive(Debug, Clone, Copy)]
 pub struct EndpointFacts<'a> {
-    /// Whether the engine takes queries.
+    /// The engine's state.
     pub state: EndpointState,
     /// The name of the engine's zone.
     pub zone: &'a str,
     /// The name of the engine's machine type.
     pub kind: &'a str,
-    /// Whether the connection leads to the process that is listed now.
+    /// Whether the connection leads to the process in the current list, not to an earlier process of the engine.
     pub is_same_process: bool,
 }
 
@@ -75,12 +76,12 @@
 }
 
 impl BeginPermit {
-    /// The time limit of the request (ms): the time that remains until the attempt's deadline.
+    /// Returns the time limit of the request (ms): the time left until the attempt's deadline.
     pub fn limit_ms(&self) -> u64 {
         self.limit_ms
     }
 
-    /// A permit for tests.
+    /// Creates a permit for tests.
     #[cfg(test)]
     pub fn for_test(limit_ms: u64) -> Self {
         BeginPermit { limit_ms }
@@ -96,7 +97,7 @@
 }
 
 impl Guard {
-    /// A guard by these rules.
+    /// Creates a guard that enforces `rules`.
     pub fn new(rules: GuardRules) -> Self {
         let span_ms = rules.retry_budget.map_or(0.0, |budget| budget.span_ms);
         Guard {
@@ -111,11 +112,11 @@
         self.arrivals.borrow_mut().count(now_ms);
     }
 
-    /// The permit to write the first byte of an attempt's request now.
+    /// Returns the permit to write the first byte of an attempt's request now.
     ///
     /// # Errors
-    /// The attempt may not begin, and is to be withdrawn. [`BeginRefusal::violated_rule`] returns the rule that the rest of
-    /// the program violated by requesting it, if any.
+    /// The attempt may not begin, and must be withdrawn. [`BeginRefusal::violated_rule`] returns the rule that the
+    /// rest of the program violated by requesting the attempt, if any.
     pub fn may_begin(
         &self,
         facts: &AttemptFacts,
@@ -171,17 +172,17 @@
         (retries + 1) as f64 <= BUDGET_TOLERANCE * allowed + 1.0
     }
 
-    /// Whether the process may end with this number of unanswered queries.
+    /// Checks whether the process may end with `unanswered` queries.
     ///
     /// # Errors
-    /// Queries are owed an answer.
+    /// At least one query is not answered yet.
     pub fn may_end(&self, unanswered: usize) -> Result<(), Violation> {
         if unanswered == 0 {
             return Ok(());
         }
         Err(Violation {
             rule: Rule::FinalAnswer,
-            description: "the process ends while queries are owed an answer",
+            description: "the process ends while queries are unanswered",
         })
     }
 }
--- a/crates/dispatcher/src/guard/refusal.rs
+++ b/crates/dispatcher/src/guard/refusal.rs
@@ -1,29 +1,30 @@
-//! Reasons for which an attempt may not begin.
+//! The reasons for which the guard refuses an attempt.
 
 use super::violation::Rule;
 
-/// The reasons, and their names in counters.
+/// The reason of a refusal. Its text is the name in counters and logs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum BeginRefusal {
     /// The query was answered or its client left while the attempt was queued.
     #[error("query_over")]
     QueryOver,
-    /// Another attempt of the query is in flight, or none.
+    /// The attempt is not the one in flight for its query.
     #[error("not_current_attempt")]
     NotCurrentAttempt,
-    /// Its connection has carried an earlier attempt of the query, whose late replies would be taken for its own.
+    /// The connection has carried an earlier attempt of the query, whose late replies could be mistaken for replies
+    /// to this attempt.
     #[error("connection_used")]
     ConnectionUsed,
     /// The attempt's deadline has passed.
     #[error("deadline_passed")]
     DeadlinePassed,
-    /// The time until which the rules allowed the attempt has passed, for example the end of its dedup window.
+    /// The latest time at which the rules allow the attempt has passed, for example the end of its dedup window.
     #[error("too_late_to_begin")]
     TooLateToBegin,
     /// The engine is draining or gone.
     #[error("engine_closed")]
     EngineClosed,
-    /// The process that the attempt was placed on has been replaced by another one.
+    /// The engine process that the attempt was placed on has been replaced.
     #[error("engine_replaced")]
     EngineReplaced,
     /// The resource group may not use this zone or kind of engine.
@@ -48,8 +49,8 @@
         BeginRefusal::RetryBudgetUsed,
     ];
 
-    /// The rule that the rest of the program violated by queueing the attempt; `None` if time, a client or the endpoint list
-    /// may have changed while the attempt was queued.
+    /// Returns the rule that the rest of the program violated by queueing the attempt. Returns `None` for reasons
+    /// that can arise while the attempt is queued: a client that leaves, or time that passes.
     pub fn violated_rule(self) -> Option<Rule> {
         match self {
             BeginRefusal::QueryOver
--- a/crates/dispatcher/src/guard/rules.rs
+++ b/crates/dispatcher/src/guard/rules.rs
@@ -1,4 +1,4 @@
-//! The parameters of the guard's rules, from the settings.
+//! The parameters of the guard's rules, read from the settings.
 
 use super::EndpointFacts;
 use rustc_hash::FxHashMap;
@@ -14,13 +14,14 @@
 /// The parameters of the guard's rules.
 #[derive(Debug, Default)]
 pub struct GuardRules {
-    /// Rule 7, if the settings have it.
+    /// The retry budget (rule 7), if the settings define one.
     pub retry_budget: Option<RetryBudgetRule>,
+    /// By name of the resource group.
     placements: FxHashMap<String, Placement>,
 }
 
 impl GuardRules {
-    /// The parameters in the settings.
+    /// Reads the parameters from the settings.
     pub fn of(settings: &Settings) -> Self {
         let mut placements = FxHashMap::default();
         for group in &settings.groups {
@@ -36,7 +37,7 @@
         }
     }
 
-    /// Whether a resource group may use an engine (rule 6).
+    /// Whether a resource group may use an engine (rule 6). A group without a placement may use all engines.
     pub fn allows_placement(&self, group: &str, endpoint: &EndpointFacts) -> bool {
         let Some(placement) = self.placements.get(group) else {
             return true;
--- a/crates/dispatcher/src/guard/tests.rs
+++ b/crates/dispatcher/src/guard/tests.rs
@@ -30,13 +30,13 @@
 }
 
 #[test]
-fn permit_has_the_remaining_time_as_its_limit() {
+fn the_time_limit_of_a_permit_is_the_time_left_until_the_deadline() {
     let permit = Guard::default().may_begin(&facts(), 399.5).unwrap();
     assert_eq!(permit.limit_ms(), 600);
 }
 
 #[test]
-fn each_rule_refuses_an_attempt() {
+fn an_attempt_is_refused_for_each_reason() {
     let over = QueryFacts {
         is_over: true,
         ..query()
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn retries_beyond_the_budget_and_its_tolerance_are_refused_until_the_span_has_passed() {
+fn retries_beyond_the_budget_and_its_tolerance_are_refused_until_the_window_has_passed() {
     let retry_budget = Some(RetryBudgetRule {
         span_ms: 1000.0,
         free: 2.0,
@@ -102,7 +102,7 @@
     rules.retry_budget = retry_budget;
     let guard = Guard::new(rules);
     (0..4).for_each(|_| guard.on_query_admitted(100.0));
-    // (2 + 0.5 * 4) * 1.15 + 1 allows five.
+    // (2 + 0.5 * 4) * 1.15 + 1 = 5.6 allows five retries.
     let retry = AttemptFacts {
         attempt: 1,
         query: Some(QueryFacts {
--- a/crates/dispatcher/src/guard/violation.rs
+++ b/crates/dispatcher/src/guard/violation.rs
@@ -1,23 +1,23 @@
-//! Violations: steps that the rest of the program should never request.
+//! Violations: steps that break a rule, which the rest of the program should never request.
 
 use std::fmt;
 
-/// The rules that the guard enforces, by their number in the operators' protocol.
+/// The rules that the guard enforces, with their numbers in the operators' protocol.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Rule {
-    /// One final answer, in time, and nothing after it.
+    /// One final answer per query, in time, and nothing after it.
     FinalAnswer = 1,
-    /// No effect twice.
+    /// No effect is applied twice.
     EffectOnce = 2,
     /// No new attempt on an engine that is draining or gone.
     Drain = 3,
-    /// Only zones and kinds of engine that the resource group may use.
+    /// Attempts only in zones and on kinds of engine that the resource group may use.
     Placement = 6,
-    /// Retries within their budget.
+    /// Retries within the retry budget.
     RetryBudget = 7,
 }
 
-/// All rules.
+/// All rules that the guard enforces.
 pub const RULES: [Rule; 5] = [
     Rule::FinalAnswer,
     Rule::EffectOnce,
@@ -27,7 +27,7 @@
 ];
 
 impl Rule {
-    /// The rule's number.
+    /// Returns the rule's number in the operators' protocol.
     pub fn number(self) -> u8 {
         self as u8
     }
@@ -36,7 +36,7 @@
 /// A step that was refused because it would have violated a rule.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Violation {
-    /// The rule.
+    /// The violated rule.
     pub rule: Rule,
     /// The refused step.
     pub description: &'static str,
--- a/crates/dispatcher/src/lifecycle.rs
+++ b/crates/dispatcher/src/lifecycle.rs
@@ -1,20 +1,22 @@
 //! The phases of the program from start to end, and their durations.
 //!
-//! Starting, Serving, Draining, Closing, Ended: docs/design/life-cycle.md lists the events of each. This module only computes
-//! phases; the driver ([`crate::dispatcher`]) acts on them.
+//! Starting, Serving, Draining, Closing, Ended: docs/design/life-cycle.md lists the events of each phase. This module
+//! only computes phases; the driver ([`crate::dispatcher`]) acts on them.
 
-/// How long (ms) after SIGTERM new connections are still accepted. The platform sends new connections for 0.4 s after
-/// the signal, and requests on open ones for 0.2 s more.
+/// Time (ms) after SIGTERM for which new connections are still accepted. The platform sends new connections for 0.4 s
+/// after the signal, and requests on open ones for 0.2 s more.
 pub const ACCEPT_AFTER_SIGTERM_MS: f64 = 700.0;
-/// How long (ms) answered connections may take to close, after the time by which all queries are answered.
+/// Time (ms) for which connections may still be open after the time by which all queries are answered.
 const FINAL_LINGER_MS: f64 = 250.0;
-/// Maximum grace period (ms) after SIGTERM. The platform waits for the longest deadline of the settings, but no longer
-/// than this, before it kills the program.
+/// Maximum grace period (ms) after SIGTERM. Before the platform kills the program, it waits for the longest deadline
+/// in the settings, but no longer than this.
 const MAX_GRACE_MS: f64 = 3000.0;
-/// All queries are answered this long (ms) before the platform's kill, so that the last answers are written in time.
+/// Time (ms) before the platform's kill by which all queries are answered, so that the last answers are written in
+/// time.
 const LAST_WRITES_MS: f64 = 500.0;
 
-/// Time (ms) after SIGTERM by which all queries are answered, from the longest deadline of the settings.
+/// Returns the time (ms) after SIGTERM by which all queries are answered. `max_deadline_ms` is the longest deadline
+/// in the settings.
 pub fn shutdown_grace_ms(max_deadline_ms: Option<f64>) -> f64 {
     max_deadline_ms.unwrap_or(MAX_GRACE_MS).min(MAX_GRACE_MS) + ACCEPT_AFTER_SIGTERM_MS
         - LAST_WRITES_MS
@@ -23,29 +25,29 @@
 /// A phase of the program.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Phase {
-    /// Sockets are bound, nothing is accepted yet.
+    /// Sockets are bound, and no connection is accepted yet.
     Starting,
-    /// The ordinary state.
+    /// Connections and queries are accepted.
     Serving,
     /// After SIGTERM: the health path answers 503, and requests are still served.
     Draining {
-        /// Time of the signal.
+        /// Time of the signal (ms).
         since_ms: f64,
     },
-    /// New connections are no longer accepted, and idle ones are half-closed. Queries in flight are completed, and each
-    /// connection closes after its last answer.
+    /// New connections are no longer accepted, and idle ones are half-closed. Queries in flight are completed, and
+    /// each connection closes after its last answer.
     Closing {
-        /// Time of the signal.
+        /// Time of the signal (ms).
         since_ms: f64,
     },
     /// The program may end.
     Ended,
 }
 
-/// The inputs of a change of phase.
+/// The input of [`Phase::next`].
 #[derive(Debug, Clone, Copy)]
 pub struct PhaseInput {
-    /// Now.
+    /// The current time (ms).
     pub now_ms: f64,
     /// Time (ms) after SIGTERM by which all queries are answered: [`shutdown_grace_ms`].
     pub shutdown_grace_ms: f64,
@@ -54,7 +56,7 @@
 }
 
 impl Phase {
-    /// Whether SIGTERM or SIGHUP still has an effect.
+    /// Whether no SIGTERM has been received. SIGTERM and SIGHUP have an effect only in these phases.
     pub fn is_before_shutdown(self) -> bool {
         matches!(self, Phase::Starting | Phase::Serving)
     }
@@ -64,7 +66,8 @@
         matches!(self, Phase::Draining { .. } | Phase::Closing { .. })
     }
 
-    /// The next phase, or the same. Only SIGTERM leads from Serving to Draining.
+    /// Returns the next phase, or the current one if no change is due. Serving changes to Draining only at SIGTERM,
+    /// by the driver.
     pub fn next(self, input: PhaseInput) -> Phase {
         match self {
             Phase::Starting => Phase::Serving,
--- a/crates/dispatcher/src/main.rs
+++ b/crates/dispatcher/src/main.rs
@@ -1,10 +1,10 @@
-//! The tansymux program: takes queries from clients over HTTP, lets the decisions of the `tansymux` package place them,
-//! and runs them on engines.
+//! The tansymux program: receives queries from clients over HTTP, places them by the decisions of the `tansymux`
+//! package, and runs them on engines.
 //!
-//! It owns sockets, files, the clock and everything in flight; it decides nothing about queries itself. Start reading
-//! at [`dispatcher`], the driver. [`lifecycle`] has the phases from start to end, [`config`] the startup configuration,
-//! [`query_registry`] the queries in flight, [`client`] and [`engine`] the two sides, [`subsystems`] the optional parts
-//! such as service levels and zone routing.
+//! It owns sockets, files, the clock and the queries in flight, and makes no decisions about queries itself. Start
+//! reading at [`dispatcher`], the driver. [`lifecycle`] has the phases from start to end, [`config`] the startup
+//! configuration, [`query_registry`] the queries in flight, [`client`] and [`engine`] the two sides, [`subsystems`]
+//! the optional parts such as service levels and zone routing.
 
 mod attempt_end;
 mod check;
@@ -58,13 +58,13 @@
     }
 }
 
-/// An error of a command, which is printed and ends the program with exit code 1.
+/// An error of a command. It is printed, and the program ends with exit code 1.
 #[derive(Debug, thiserror::Error)]
 enum CommandError {
-    /// Errors of the operators' file, one a line, each with the program's name as prefix.
+    /// Errors of the operators' file, one per line, each with the program's name as prefix.
     #[error("{}", .0.joined_by("\ntansymux: "))]
     OperatorConfig(#[from] OperatorConfigErrors),
-    #[error("signal handlers cannot be set: {0}")]
+    #[error("cannot set signal handlers: {0}")]
     Signals(io::Error),
     #[error(transparent)]
     StartupConfig(#[from] StartupConfigError),
@@ -88,7 +88,7 @@
             let operator = operator_config::read_optional(cli.common.operator.as_deref())?;
             match classify::run(arguments, &operator) {
                 Ok(()) => Ok(ExitCode::SUCCESS),
-                // The reader closed the output, as `head` does: no error.
+                // The reader of the output has closed the pipe, as `head` does. This is not an error.
                 Err(error) if error.kind() == io::ErrorKind::BrokenPipe => Ok(ExitCode::SUCCESS),
                 Err(error) => Err(CommandError::Classify(error)),
             }
@@ -98,7 +98,7 @@
 
 fn serve(common: Common) -> Result<ExitCode, CommandError> {
     log::init();
-    // Handlers first: without one, a SIGHUP or SIGTERM during the start ends the process at once.
+    // Subscribes first: without a handler, SIGHUP or SIGTERM during startup ends the process immediately.
     let retry = StartRetry::begin();
     let signals = retry
         .run("signals", signals::subscribe)
--- a/crates/dispatcher/src/notify.rs
+++ b/crates/dispatcher/src/notify.rs
@@ -1,4 +1,4 @@
-//! Notifications between tasks of one thread.
+//! Notifications between tasks on the same thread.
 
 use futures_lite::{future, Stream};
 use std::cell::{Cell, RefCell};
@@ -6,8 +6,9 @@
 use std::rc::Rc;
 use std::task::{Context, Poll, Waker};
 
-/// A notification for one task. It is stored until the task waits for it; several notifications become one. If two tasks
-/// wait at the same time, only the last is woken: the program has one task for each `Notify`.
+/// A notification for one task. It is stored until the task waits for it; several pending notifications become one.
+/// Only one task may wait for a `Notify`, as holds for this program: of two waiting tasks, only the last would be
+/// woken.
 #[derive(Default)]
 pub struct Notify {
     is_notified: Cell<bool>,
@@ -15,7 +16,7 @@
 }
 
 impl Notify {
-    /// Wakes the waiting task, or the next one that waits.
+    /// Wakes the waiting task. Without a waiting task, the next call that waits returns immediately.
     pub fn notify(&self) {
         self.is_notified.set(true);
         if let Some(waiter) = self.waiter.borrow_mut().take() {
@@ -23,7 +24,7 @@
         }
     }
 
-    /// Ready once after a notification; otherwise the task of `context` is woken by the next one.
+    /// Returns `Ready` once per stored notification. Otherwise the next notification wakes the task of `context`.
     pub fn poll_notified(&self, context: &mut Context) -> Poll<()> {
         if self.is_notified.replace(false) {
             return Poll::Ready(());
--- a/crates/dispatcher/src/task_loop.rs
+++ b/crates/dispatcher/src/task_loop.rs
@@ -1,22 +1,22 @@
-//! Runs the driver and all other tasks on one thread, in slices of time: however much work the tasks have, the driver,
-//! timers and sockets get a turn after each slice.
+//! Runs the driver and all other tasks on one thread. After each time slice of the tasks, the driver, timers and
+//! sockets are polled, however much work the tasks have.
 
 use async_executor::LocalExecutor;
 use futures_lite::future;
 use std::future::Future;
 use std::time::{Duration, Instant};
 
-/// How long tasks run before the driver, timers and sockets get a turn. A task that is running is not interrupted.
-const SLICE: Duration = Duration::from_millis(1);
+/// Time for which tasks run before the driver, timers and sockets are polled. A running task is not interrupted.
+const TIME_SLICE: Duration = Duration::from_millis(1);
 
-/// Runs the tasks of `executor` until `driver` is complete.
+/// Runs `driver` and the tasks of `executor` until `driver` completes.
 pub async fn run<T>(executor: &LocalExecutor<'_>, driver: impl Future<Output = T>) -> T {
     let tasks = async {
         loop {
             executor.tick().await;
-            let from = Instant::now();
+            let slice_start = Instant::now();
             while executor.try_tick() {
-                if from.elapsed() >= SLICE {
+                if slice_start.elapsed() >= TIME_SLICE {
                     future::yield_now().await;
                     break;
                 }
--- a/crates/dispatcher/src/task_loop/tests.rs
+++ b/crates/dispatcher/src/task_loop/tests.rs
@@ -3,19 +3,19 @@
 use std::rc::Rc;
 
 #[test]
-fn driver_gets_a_turn_while_tasks_are_always_ready() {
+fn driver_is_polled_while_tasks_are_always_ready() {
     let executor = LocalExecutor::new();
-    let turns = Rc::new(Cell::new(0));
+    let polls = Rc::new(Cell::new(0));
     for _ in 0..8 {
-        let turns = turns.clone();
-        let busy = async move {
+        let polls = polls.clone();
+        let busy_task = async move {
             loop {
-                turns.set(turns.get() + 1);
-                std::thread::sleep(SLICE);
+                polls.set(polls.get() + 1);
+                std::thread::sleep(TIME_SLICE);
                 future::yield_now().await;
             }
         };
-        executor.spawn(busy).detach();
+        executor.spawn(busy_task).detach();
     }
     let driver = async {
         for _ in 0..10 {
@@ -23,5 +23,5 @@
         }
     };
     future::block_on(run(&executor, driver));
-    assert!(turns.get() <= 30, "{} turns of tasks", turns.get());
+    assert!(polls.get() <= 30, "tasks were polled {} times", polls.get());
 }
--- a/crates/dispatcher/src/trace.rs
+++ b/crates/dispatcher/src/trace.rs
@@ -1,4 +1,4 @@
-//! A ring buffer of the last events of queries, which is logged when an invariant is violated or on SIGUSR1.
+//! A ring buffer of the latest events of queries. It is logged when an invariant is violated, and at SIGUSR1.
 
 use crate::attempt_end::EndCause;
 use crate::clock::Clock;
@@ -7,7 +7,7 @@
 use std::fmt;
 use tansymux::events::{EndReason, Outcome};
 
-/// Size of the ring buffer. An event takes 32 bytes.
+/// Maximum number of events in the ring buffer. An event takes 32 bytes.
 const MAX_EVENTS: usize = 2048;
 
 /// An event of a query.
@@ -15,31 +15,31 @@
 pub enum TraceEvent {
     /// The query was admitted.
     Admitted,
-    /// An attempt was handed to the engine side.
+    /// An attempt was queued for the engine side.
     Submitted,
     /// The first byte of an attempt was written.
     Begun {
-        /// The connection.
+        /// The id of the connection.
         connection: u32,
     },
     /// The guard refused an attempt.
     NotBegun(BeginRefusal),
-    /// An attempt ended.
+    /// An attempt completed, failed or was cancelled.
     AttemptEnded {
-        /// How it ended.
+        /// The outcome of the attempt.
         outcome: Outcome,
-        /// What ended it.
+        /// The cause of the outcome.
         cause: EndCause,
     },
     /// The decisions ended the query without a result.
     Ends(EndReason),
-    /// The query was answered with this status.
+    /// The query was answered with this HTTP status.
     Answered(u16),
     /// The client left before the answer.
     ClientLeft,
 }
 
-/// An event with its query, and its attempt and engine if it has them.
+/// An event with its query, attempt and engine. Events that concern no attempt have 0 for attempt and engine.
 #[derive(Debug, Clone, Copy)]
 struct Entry {
     at_ms: f64,
@@ -65,7 +65,7 @@
     }
 }
 
-/// The events of queries.
+/// The ring buffer of events.
 pub struct EventTrace {
     clock: Clock,
     entries: RefCell<Ring>,
@@ -74,12 +74,12 @@
 #[derive(Default)]
 struct Ring {
     entries: Vec<Entry>,
-    /// Position of the next entry, once the ring buffer is full.
+    /// Position of the next entry to overwrite, once the ring buffer is full.
     next: usize,
 }
 
 impl EventTrace {
-    /// An empty ring buffer.
+    /// Creates an empty ring buffer.
     pub fn new(clock: Clock) -> Self {
         EventTrace {
             clock,
@@ -111,7 +111,8 @@
         }
     }
 
-    /// The last `count` events of one query or of all, as one line each, the earliest first.
+    /// Returns the last `count` events of one query, or of all queries if `query_id` is `None`, as one line per
+    /// event, earliest first.
     pub fn lines(&self, query_id: Option<u64>, count: usize) -> Vec<String> {
         let ring = self.entries.borrow();
         let (later, earlier) = ring.entries.split_at(ring.next);
--- a/crates/dispatcher/src/trace/tests.rs
+++ b/crates/dispatcher/src/trace/tests.rs
@@ -1,10 +1,10 @@
 use super::*;
 
 #[test]
-fn the_ring_keeps_the_last_events_in_order_and_finds_those_of_a_query() {
+fn the_ring_buffer_keeps_the_latest_events_in_order_and_lists_those_of_a_query() {
     let trace = EventTrace::new(Clock::start());
-    for nth in 0..(MAX_EVENTS as u64 + 100) {
-        trace.record(nth, TraceEvent::Admitted);
+    for query_id in 0..(MAX_EVENTS as u64 + 100) {
+        trace.record(query_id, TraceEvent::Admitted);
     }
     trace.record_attempt(
         7,
