--- a/crates/dispatcher/src/check.rs
+++ b/crates/dispatcher/src/check.rs
@@ -1,4 +1,4 @@
-//! `tansymux check`: reports all errors of configurations and operators' files.
+//! `tansymux check`: reports all errors in configurations and operators' files.
 
 use crate::config::{self, locate, ConfigError, StartupConfig};
 use crate::file::read_text;
@@ -7,7 +7,7 @@
 use std::process::ExitCode;
 use tansymux_operator_config::Operator;
 
-/// Files that are valid on their own.
+/// Files without errors, before operators' files are checked against configurations.
 #[derive(Default)]
 struct ValidFiles {
     configs: Vec<StartupConfig>,
@@ -15,20 +15,21 @@
     operators: Vec<(String, Operator)>,
 }
 
-/// Runs the command: prints all errors, one a line. The exit code is 1 if there are any.
+/// Runs the command: prints all errors, one per line. The exit code is 1 if there are errors.
 pub fn run(files: &[PathBuf]) -> ExitCode {
     let lines = find_errors(files);
     for line in &lines {
         println!("{line}");
     }
     if lines.is_empty() {
-        println!("no fault in {} files", files.len());
+        println!("no errors in {} files", files.len());
         return ExitCode::SUCCESS;
     }
     ExitCode::FAILURE
 }
 
-/// The lines to print: the errors of each file, then the contradictions between operators' files and configurations.
+/// Returns the lines to print: the errors in each file, then the mismatches between operators' files and
+/// configurations.
 fn find_errors(files: &[PathBuf]) -> Vec<String> {
     let mut lines = Vec::new();
     let mut valid = ValidFiles::default();
@@ -72,7 +73,7 @@
     }
 }
 
-/// The error in the form of compilers: path, line, error.
+/// Formats an error like a compiler message: `path:line: error`, or `path: error` if the line is unknown.
 fn error_line(path: &str, error: ConfigError) -> String {
     match error.line {
         Some(line) => {
--- a/crates/dispatcher/src/classify.rs
+++ b/crates/dispatcher/src/classify.rs
@@ -1,6 +1,6 @@
-//! `tansymux classify`: reads SQL statements and writes one JSON line for each, in order.
+//! `tansymux classify`: reads SQL statements and writes one JSON line per statement, in the order of the input.
 //!
-//! A malformed entry gets a line with an `error` and does not end the run.
+//! A malformed entry yields a line with an `error` and does not end the run.
 
 use crate::cli::Classify;
 use crate::subsystems::statement_classifier::analysis_settings;
@@ -9,48 +9,48 @@
 use tansymux_operator_config::Operator;
 use tansymux_sql_analysis::{Config, StatementAnalyzer};
 
-/// Longest entry that is read, in bytes. A longer one is answered with an error and skipped up to its separator.
+/// Maximum length (bytes) of an entry. A longer entry yields an error, and is skipped up to its separator.
 const MAX_ENTRY_BYTES: usize = 256 * 1024;
-/// Hash key of shapes. It is fixed, so that a shape has the same id in every run: the input of this command is not an
-/// attacker's.
+/// Hash key of shapes, fixed so that a shape has the same id in every run. The key need not be secret, because this
+/// command's input is trusted.
 const SHAPE_HASH_KEY: [u8; 16] = *b"tansymuxclassify";
 
-/// An entry without a valid statement.
+/// Error in an entry without a valid statement.
 #[derive(Debug, thiserror::Error)]
 enum EntryError {
     #[error("not JSON: {0}")]
     NotJson(#[from] serde_json::Error),
     #[error("the statement is not a string")]
     StatementNotString,
-    #[error("there is no statement")]
+    #[error("the entry has no statement")]
     NoStatement,
     #[error("the entry is longer than {MAX_ENTRY_BYTES} bytes")]
     TooLong,
 }
 
-/// An entry of the input: the id for its line of output, and its statement.
+/// Entry of the input: the id for its output line, and its statement.
 struct Entry {
     id: Value,
     statement: Result<Vec<u8>, EntryError>,
 }
 
-/// The result of [`read_entry`].
+/// Result of [`read_entry`].
 enum EntryRead {
     Whole,
     TooLong,
     EndOfInput,
 }
 
-/// The format of the input's entries.
+/// Format of the input's entries.
 #[derive(Debug, Clone, Copy)]
 struct InputFormat {
     /// Each entry is a plain statement instead of an object with `id` and `statement`.
     plain: bool,
-    /// The byte that ends an entry.
+    /// Byte that ends an entry.
     separator: u8,
 }
 
-/// Reads the bytes of the next entry into `entry`, without its separator.
+/// Reads the next entry into `entry`, without its separator.
 fn read_entry(
     input: &mut impl BufRead,
     separator: u8,
@@ -100,9 +100,9 @@
     }
 }
 
-/// The line of output for one entry. An entry without a valid statement has the result of an empty statement, and the
-/// error.
-fn describe(analyzer: &mut StatementAnalyzer, entry: &Entry) -> Value {
+/// Returns the output line for an entry. An entry without a valid statement gets the result of an empty statement and
+/// its own error.
+fn output_line(analyzer: &mut StatementAnalyzer, entry: &Entry) -> Value {
     let (statement, error) = match &entry.statement {
         Ok(statement) => (statement.as_slice(), None),
         Err(error) => (&[][..], Some(error.to_string())),
@@ -127,7 +127,7 @@
 /// Runs the command.
 ///
 /// # Errors
-/// Reading the input or writing the output failed. Earlier entries have their lines.
+/// The input cannot be read, or the output cannot be written. Lines for earlier entries may have been written.
 pub fn run(arguments: &Classify, operator: &Operator) -> io::Result<()> {
     let config = operator
         .statements
@@ -169,7 +169,7 @@
             }
         };
         number += 1;
-        serde_json::to_writer(&mut *output, &describe(&mut analyzer, &entry))?;
+        serde_json::to_writer(&mut *output, &output_line(&mut analyzer, &entry))?;
         output.write_all(b"\n")?;
     }
     output.flush()
--- a/crates/dispatcher/src/operator_config.rs
+++ b/crates/dispatcher/src/operator_config.rs
@@ -1,6 +1,6 @@
-//! The operators' file on disk: read and checked at the start and at SIGHUP, and checked against the settings.
+//! Reads the operators' file at the start and at SIGHUP, and checks it, also against the settings.
 //!
-//! A file with an error is rejected, and nothing of it is applied.
+//! A file with an error is rejected as a whole.
 
 mod settings_check;
 
@@ -10,13 +10,13 @@
 use std::path::Path;
 use tansymux_operator_config::{ConfigError, Operator, MAX_BYTES};
 
-/// One error of an operators' file.
+/// An error in an operators' file.
 #[derive(Debug, thiserror::Error)]
 pub enum OperatorConfigError {
     /// The file cannot be read.
     #[error(transparent)]
     File(#[from] FileError),
-    /// The file itself is invalid.
+    /// The file is invalid, independent of the settings.
     #[error("{path}:{error}")]
     Invalid {
         /// The file's path.
@@ -29,23 +29,23 @@
     Mismatch(#[from] SettingsMismatch),
 }
 
-/// All errors of an operators' file.
+/// All errors in an operators' file.
 #[derive(Debug, thiserror::Error)]
 #[error("{}", self.joined_by("; "))]
 pub struct OperatorConfigErrors(pub Vec<OperatorConfigError>);
 
 impl OperatorConfigErrors {
-    /// The texts of all errors, with a separator between them.
+    /// Joins the texts of all errors with a separator.
     pub fn joined_by(&self, separator: &str) -> String {
         let texts: Vec<String> = self.0.iter().map(ToString::to_string).collect();
         texts.join(separator)
     }
 }
 
-/// Reads and checks a file.
+/// Reads and checks an operators' file.
 ///
 /// # Errors
-/// The file cannot be read, or is invalid: then all of its errors.
+/// The file cannot be read, or is invalid. All errors of an invalid file are returned.
 pub fn read(path: &Path) -> Result<Operator, OperatorConfigErrors> {
     let path = path.display().to_string();
     let text = read_text(&path, MAX_BYTES as u64)
@@ -59,10 +59,10 @@
     })
 }
 
-/// Reads and checks the file, if a path is given; otherwise returns the configuration of an empty file.
+/// Reads and checks the operators' file if a path is given. Without a path, returns the configuration of an empty file.
 ///
 /// # Errors
-/// As [`read`].
+/// The same as for [`read`].
 pub fn read_optional(path: Option<&Path>) -> Result<Operator, OperatorConfigErrors> {
     path.map_or_else(|| Ok(Operator::default()), read)
 }
--- a/crates/dispatcher/src/operator_config/settings_check.rs
+++ b/crates/dispatcher/src/operator_config/settings_check.rs
@@ -1,5 +1,5 @@
-//! Check of an operators' file against the settings: the settings must have the resource groups that it names, and the
-//! groups for statements that may write must be non-idempotent.
+//! Checks an operators' file against the settings: the settings must define all resource groups that the file names,
+//! and the groups for statements that may write must be non-idempotent.
 
 use super::{OperatorConfigError, OperatorConfigErrors};
 use crate::config::{read_groups, ConfiguredGroup};
@@ -11,7 +11,7 @@
 /// A key of the operators' file that contradicts the settings.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsMismatch {
-    /// One of the names below the key is a group that the settings do not have.
+    /// A name below the key is not a resource group of the settings.
     #[error("{key} names {name:?}, allowed is a resource group of the settings")]
     UnknownName {
         /// Path of the key.
@@ -19,7 +19,7 @@
         /// The unknown name.
         name: String,
     },
-    /// The key's value is a group that the settings do not have.
+    /// The key's value is not a resource group of the settings.
     #[error("{key} is {name:?}, allowed is a resource group of the settings")]
     UnknownGroup {
         /// Path of the key.
@@ -27,7 +27,7 @@
         /// The key's value.
         name: String,
     },
-    /// Statements that may write would run in a group whose queries are retried.
+    /// Statements that may write would run in a group whose queries may be retried.
     #[error(
         "{key} is {name:?} with the effect {effect:?}, allowed is a group of mutating queries"
     )]
@@ -44,7 +44,7 @@
 /// Checks the file against the settings.
 ///
 /// # Errors
-/// All mismatches, in the order of the file's parts.
+/// Returns all mismatches: those of `levels`, then `halls`, then `statements`.
 pub fn check_against_settings(
     operator: &Operator,
     settings: &SettingsMap,
@@ -58,8 +58,8 @@
         check_zones(zones, &groups, &mut mismatches);
     }
     let statements = operator.statements.as_ref();
-    if let Some(named) = statements.and_then(|statements| statements.groups.as_ref()) {
-        check_statement_groups(named, &groups, &mut mismatches);
+    if let Some(statement_groups) = statements.and_then(|statements| statements.groups.as_ref()) {
+        check_statement_groups(statement_groups, &groups, &mut mismatches);
     }
     if mismatches.is_empty() {
         return Ok(());
@@ -68,7 +68,7 @@
     Err(OperatorConfigErrors(errors.collect()))
 }
 
-/// The group with this name.
+/// Returns the group with this name.
 fn find_group<'a>(groups: &'a [ConfiguredGroup], name: &str) -> Option<&'a ConfiguredGroup> {
     groups.iter().find(|group| group.is_named(name))
 }
@@ -103,7 +103,7 @@
     }
 }
 
-/// Checks the groups that routes and spill limits name. An empty name means all groups.
+/// Checks the groups that routes and spill limits name. An empty name stands for all groups.
 fn check_zones(zones: &Halls, groups: &[ConfiguredGroup], mismatches: &mut Vec<SettingsMismatch>) {
     let routed = zones.route.iter().map(|route| route.class());
     let spilled = zones.spill.iter().map(|spill| spill.class());
@@ -117,19 +117,34 @@
     }
 }
 
-/// Checks the groups of statements without a class.
+/// Checks the groups that the file assigns to queries that name no class.
 fn check_statement_groups(
-    named: &Groups,
+    statement_groups: &Groups,
     groups: &[ConfiguredGroup],
     mismatches: &mut Vec<SettingsMismatch>,
 ) {
-    check_statement_group("look_up", named.look_up.as_deref(), groups, mismatches);
-    check_statement_group("report", named.report.as_deref(), groups, mismatches);
-    check_mutating_group("load", named.load.as_deref(), groups, mismatches);
-    check_mutating_group("unknown", named.unknown.as_deref(), groups, mismatches);
+    check_statement_group(
+        "look_up",
+        statement_groups.look_up.as_deref(),
+        groups,
+        mismatches,
+    );
+    check_statement_group(
+        "report",
+        statement_groups.report.as_deref(),
+        groups,
+        mismatches,
+    );
+    check_mutating_group("load", statement_groups.load.as_deref(), groups, mismatches);
+    check_mutating_group(
+        "unknown",
+        statement_groups.unknown.as_deref(),
+        groups,
+        mismatches,
+    );
 }
 
-/// Checks that the settings have the group, if one is named. Returns the group if it exists.
+/// Checks that the settings define the group, if the key has a value. Returns the group if it exists.
 fn check_statement_group<'a>(
     key: &str,
     name: Option<&str>,
@@ -147,7 +162,7 @@
     group
 }
 
-/// Checks that the settings have the group, if one is named, and that it is non-idempotent.
+/// Checks that the settings define the group as non-idempotent, if the key has a value.
 fn check_mutating_group(
     key: &str,
     name: Option<&str>,
--- a/crates/dispatcher/src/subsystems/endpoint_list.rs
+++ b/crates/dispatcher/src/subsystems/endpoint_list.rs
@@ -1,10 +1,11 @@
-//! A subsystem's own copy of the endpoint list.
+//! Keeps a subsystem's copy of the endpoint list up to date.
 
 use crate::query_registry::EndpointEntry;
 use tansymux::events::EndpointState;
 
-/// Merges entries of an update into a list that is sorted by engine id: replaces known engines, and removes engines that
-/// are gone. `engine_id` returns the id of an item, `convert` the item for an entry.
+/// Applies an endpoint list update to `list`, which stays sorted by engine id. An entry replaces the item with the same
+/// engine id; an entry in state `Gone` removes it. `engine_id` returns an item's engine id, and `convert` builds an
+/// item from an entry.
 pub(super) fn merge_endpoints<Item>(
     list: &mut Vec<Item>,
     entries: &[EndpointEntry],
@@ -12,7 +13,7 @@
     convert: impl Fn(&EndpointEntry) -> Item,
 ) {
     for entry in entries {
-        list.retain(|known| engine_id(known) != entry.engine_id);
+        list.retain(|item| engine_id(item) != entry.engine_id);
         if entry.state != EndpointState::Gone {
             list.push(convert(entry));
         }
--- a/crates/dispatcher/src/subsystems/fleet.rs
+++ b/crates/dispatcher/src/subsystems/fleet.rs
@@ -1,13 +1,14 @@
-//! The fleet in the program: its datagrams, this dispatcher's reports, and the engines that the fleet has drained. The
-//! decisions of the fleet are made in `tansymux-rollout` and `tansymux-coordination`.
+//! Runs this dispatcher as a member of its fleet: exchanges datagrams with the other members, reports the dispatcher's
+//! status, and drains the engines that the fleet takes out of service. The fleet's decisions are made in
+//! `tansymux-rollout` and `tansymux-coordination`.
 //!
-//! [`FleetService::run`] is the task on the socket; everything else is called by the driver.
+//! [`FleetService::run`] is the task that serves the socket. The dispatcher's event loop calls the other methods.
 //!
 //! | file | concern |
 //! | --- | --- |
-//! | `definition` | values of the operators' file and the environment |
-//! | `socket` | datagrams in and out, and their counts |
-//! | `engine_watch` | the endpoint list, and the engines that the fleet has drained |
+//! | `definition` | settings from the operators' file and the environment |
+//! | `socket` | UDP socket and datagram counters |
+//! | `engine_watch` | endpoint list and drained engines |
 
 mod definition;
 mod engine_watch;
@@ -36,14 +37,14 @@
 use tansymux_rollout::{FleetAction, FleetEvent, FleetNode, MemberStatus};
 use tansymux_zone_evacuation::{Evidence as ZoneEvidence, ZoneUse};
 
-/// Interval (ms) of this dispatcher's reports.
+/// Interval (ms) between this dispatcher's status reports.
 const REPORT_INTERVAL_MS: f64 = 200.0;
-/// Maximum number of datagrams that are received before the answers to them are sent.
+/// Maximum number of datagrams received before replies are sent.
 const MAX_RECEIVE_BATCH: usize = 128;
-/// Pause after an error of the socket, so that a lasting one does not take all processor time.
+/// Pause after a receive error, so that a persistent error does not cause a busy loop.
 const ERROR_PAUSE: Duration = Duration::from_millis(20);
 
-/// An error that prevents the start of the fleet service.
+/// Error that prevents the start of the fleet service.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetStartError {
     /// A required key of `fleet` is missing.
@@ -60,17 +61,17 @@
     Bind {
         /// The address.
         address: SocketAddr,
-        /// The system's error.
+        /// The operating system's error.
         source: io::Error,
     },
 }
 
-/// The load of this dispatcher, for its report.
+/// Load of this dispatcher, as reported to the fleet.
 #[derive(Debug, Clone, Copy)]
 pub struct LoadReport {
-    /// Fraction of its maximum number of descriptors that is in use.
+    /// Fraction of the descriptor limit that is in use.
     pub descriptors_used: f64,
-    /// Threads that the dispatcher's queries use on engines.
+    /// Engine threads used by this dispatcher's queries in flight.
     pub threads_in_flight: f64,
 }
 
@@ -81,21 +82,22 @@
     clock: Clock,
     registry: Rc<QueryRegistry>,
     engine_outcomes: RefCell<EngineOutcomes>,
-    /// The failures at which an engine counts as an outlier; none where engines are not ejected.
+    /// Failures at which an engine is an outlier; `None` while outlier detection is off.
     failure_threshold: Cell<Option<FailureThreshold>>,
     zone_hash: u32,
     version_hash: Cell<u32>,
     engines: RefCell<EngineWatch>,
     last_report_ms: Cell<f64>,
-    /// Whether this member was the leader at the last report; none before the first.
+    /// Whether this member was the leader at the last report; `None` before the first report.
     was_leader: Cell<Option<bool>>,
 }
 
 impl FleetService {
-    /// Joins the fleet; none where the operators' file defines no fleet. `bind` binds the address of `fleet.listen`.
+    /// Joins the fleet. Returns `None` if the operators' file defines no fleet. `bind` binds the address of
+    /// `fleet.listen`.
     ///
     /// # Errors
-    /// A required key is missing, or the address cannot be bound.
+    /// A required key is missing, `fleet.listen` is invalid, or its address cannot be bound.
     pub fn start(
         definition: Option<&schema::Fleet>,
         settings: &Rc<Settings>,
@@ -130,44 +132,44 @@
         Ok(Some(service))
     }
 
-    /// Adds the fleet's counters to those that the registry reports.
+    /// Adds the fleet's counters to the registry's report.
     fn register_counters(self: Rc<Self>) {
         let registry = self.registry.clone();
         let mut reports = registry.counters.extra_reports.borrow_mut();
         reports.push(Box::new(move |text| self.write_counters(text)));
     }
 
-    /// Applies the keys of `fleet` that may change while the program runs; the others take effect at the next start.
+    /// Applies the keys of `fleet` that can change at run time. Changes of other keys take effect at the next start.
     pub fn reconfigure(&self, definition: Option<&schema::Fleet>) {
         let Some(definition) = definition else {
-            tracing::warn!("fleet kept as it was: the operators' file defines none any more");
+            tracing::warn!("operators' file defines no fleet, keeping the previous definition");
             return;
         };
-        let Some(settings) = tansymux_operator_config::fleet_config(definition, 0) else {
-            tracing::warn!("fleet kept as it was: a required key is missing");
+        let Some(config) = tansymux_operator_config::fleet_config(definition, 0) else {
+            tracing::warn!("fleet not reconfigured: a required key is missing");
             return;
         };
         self.failure_threshold.set(failure_threshold(definition));
         self.version_hash.set(version_hash(definition));
-        let zones = settings.zones.map(|zones| zones.config);
+        let zones = config.zones.map(|zones| zones.config);
         self.member
             .borrow_mut()
-            .set_config(settings.rollout, settings.keys, zones);
+            .set_config(config.rollout, config.keys, zones);
     }
 
-    /// Receives and sends datagrams until it is dropped.
+    /// Receives and sends datagrams until the future is dropped.
     pub async fn run(self: Rc<Self>) {
         let mut buffer = [0; MAX_DATAGRAM_BYTES];
         loop {
             let wake_ms = self.send_due();
-            let datagram = async { Some(self.socket.receive(&mut buffer).await) };
+            let received = async { Some(self.socket.receive(&mut buffer).await) };
             let timer = async {
                 Timer::at(self.clock.instant(wake_ms)).await;
                 None
             };
-            match future::or(datagram, timer).await {
-                Some(Ok((count, from))) => {
-                    self.handle_datagram(from, &buffer[..count]);
+            match future::or(received, timer).await {
+                Some(Ok((length, from))) => {
+                    self.handle_datagram(from, &buffer[..length]);
                     self.handle_pending_datagrams(&mut buffer);
                 }
                 Some(Err(error)) => {
@@ -180,13 +182,14 @@
         }
     }
 
-    /// Handles the datagrams that have already arrived, up to the rest of a batch.
+    /// Handles the datagrams that are already queued on the socket. The caller has handled the first datagram of the
+    /// batch of up to [`MAX_RECEIVE_BATCH`].
     fn handle_pending_datagrams(&self, buffer: &mut [u8]) {
         for _ in 1..MAX_RECEIVE_BATCH {
-            let Ok((count, from)) = self.socket.try_receive(buffer) else {
+            let Ok((length, from)) = self.socket.try_receive(buffer) else {
                 return;
             };
-            self.handle_datagram(from, &buffer[..count]);
+            self.handle_datagram(from, &buffer[..length]);
         }
     }
 
@@ -196,7 +199,7 @@
         self.member.borrow_mut().handle(event, self.clock.now());
     }
 
-    /// Sends the datagrams that are due. Returns the time (ms) at which the next may be due.
+    /// Sends the datagrams that are due. Returns the earliest time (ms) at which another datagram may be due.
     fn send_due(&self) -> f64 {
         let mut member = self.member.borrow_mut();
         let now_ms = self.clock.now();
@@ -206,22 +209,23 @@
         member.next_poll_ms()
     }
 
-    /// Reports this dispatcher's evidence on zones to the fleet. `isolated`: the dispatcher itself is cut off.
+    /// Reports this dispatcher's evidence on zones to the fleet. `isolated`: this dispatcher reaches no zone, so it is
+    /// itself cut off.
     pub fn report_zones(&self, evidence: Vec<ZoneEvidence>, isolated: bool) {
         self.member.borrow_mut().observe_zones(evidence, isolated);
     }
 
-    /// The use of a zone that the fleet agreed on.
+    /// Returns the fleet's decision on the use of a zone.
     pub fn zone_use(&self, zone: &str) -> ZoneUse {
         self.member.borrow().zone_use(name_hash(zone))
     }
 
-    /// Whether the fleet decides on the evacuation of zones and the return to them.
+    /// Whether the fleet coordinates zone evacuation and recovery.
     pub fn coordinates_zones(&self) -> bool {
         self.member.borrow().zones().is_some()
     }
 
-    /// Leaves the fleet, and notifies the other members at once.
+    /// Leaves the fleet and notifies the other members immediately.
     pub fn leave(&self) {
         self.member
             .borrow_mut()
@@ -229,7 +233,7 @@
         self.send_due();
     }
 
-    /// Counts an attempt's end as evidence for or against its engine, where engines may be ejected.
+    /// Records an attempt's outcome for outlier detection, unless outlier detection is off.
     pub fn on_attempt_ended(&self, event: &AttemptEnded, now_ms: f64) {
         if self.failure_threshold.get().is_none() {
             return;
@@ -244,27 +248,29 @@
             .record(event.engine_id, is_failure, now_ms);
     }
 
-    /// Merges entries of an endpoint list. Ready engines that the fleet has drained are marked as draining.
+    /// Applies an endpoint list update. Sets the state of ready entries to `Draining` if the fleet has drained their
+    /// engines.
     pub fn on_endpoints(&self, entries: &mut [EndpointEntry]) {
         let mut member = self.member.borrow_mut();
         self.engines.borrow_mut().merge(entries, &mut member);
     }
 
-    /// Updates this dispatcher's report, every [`REPORT_INTERVAL_MS`]. Returns endpoint entries of the engines that the
-    /// fleet has drained or released since the last call.
+    /// Updates this dispatcher's status report every [`REPORT_INTERVAL_MS`]. Returns the endpoint entries of engines
+    /// that the fleet has drained or released since the last report.
     pub fn tick(&self, now_ms: f64, load: LoadReport) -> Vec<EndpointEntry> {
         if now_ms - self.last_report_ms.get() < REPORT_INTERVAL_MS {
             return Vec::new();
         }
         self.last_report_ms.set(now_ms);
-        let report = self.own_report(now_ms, load);
+        let status = self.member_status(now_ms, load);
         let mut member = self.member.borrow_mut();
-        member.set_status(report);
+        member.set_status(status);
         self.log_leadership(member.role());
-        self.engines.borrow_mut().changes(now_ms, &member)
+        self.engines.borrow_mut().take_changes(now_ms, &member)
     }
 
-    /// Logs that this member became the leader, or ceased to be. `term` is the round of the ballot that it knows of.
+    /// Logs whether this member is the leader, at the first report and at each change. `term` is the round of the
+    /// ballot that this member knows.
     fn log_leadership(&self, role: Option<Role>) {
         let is_leader = matches!(role, Some(Role::Leader(_)));
         if self.was_leader.replace(Some(is_leader)) == Some(is_leader) {
@@ -277,11 +283,11 @@
         tracing::info!(is_leader, term, "leadership changed");
     }
 
-    /// The status that this dispatcher reports. Counts are sent modulo 2^32, and the leader takes differences.
-    fn own_report(&self, now_ms: f64, load: LoadReport) -> MemberStatus {
+    /// Returns this dispatcher's status report. Query counts wrap at 2^32: the leader uses only their differences.
+    fn member_status(&self, now_ms: f64, load: LoadReport) -> MemberStatus {
         let counters = &self.registry.counters;
         let succeeded = counters.completed.get() as u32;
-        let not_succeeded = counters.failed.get() + counters.rejected.get();
+        let unsuccessful = counters.failed.get() + counters.rejected.get();
         let failing_engine = self.failure_threshold.get().and_then(|threshold| {
             let mut outcomes = self.engine_outcomes.borrow_mut();
             outcomes.failing_engine(&threshold, now_ms)
@@ -292,12 +298,12 @@
             utilization: load.descriptors_used,
             threads: load.threads_in_flight,
             succeeded,
-            total: succeeded.wrapping_add(not_succeeded as u32),
+            total: succeeded.wrapping_add(unsuccessful as u32),
             failing_engine,
         }
     }
 
-    /// Appends a line for each counter.
+    /// Appends one line per counter.
     pub fn write_counters(&self, text: &mut String) {
         let member = self.member.borrow();
         let agent = member.agent();
--- a/crates/dispatcher/src/subsystems/fleet/engine_watch.rs
+++ b/crates/dispatcher/src/subsystems/fleet/engine_watch.rs
@@ -1,4 +1,4 @@
-//! The endpoint list in the fleet's form, and the engines on it that the fleet has drained.
+//! Passes the endpoint list to the fleet, and marks the engines that the fleet has drained.
 
 use crate::ids::EngineId;
 use crate::query_registry::EndpointEntry;
@@ -10,17 +10,17 @@
 use tansymux_operator_config::name_hash;
 use tansymux_rollout::FleetNode;
 
-/// Tracks the endpoint list, and which of its engines the fleet has drained.
+/// Copy of the endpoint list, with the engines that the fleet has drained.
 pub struct EngineWatch {
     settings: Rc<Settings>,
     /// The current endpoint list, sorted by engine id.
     endpoints: Vec<EndpointEntry>,
-    /// The engines that were drained at the last call of [`EngineWatch::changes`].
+    /// Ids of the engines that were drained at the last call of [`EngineWatch::take_changes`].
     drained: Vec<u64>,
 }
 
 impl EngineWatch {
-    /// With an empty endpoint list.
+    /// Creates a watch with an empty endpoint list.
     pub fn new(settings: Rc<Settings>) -> Self {
         EngineWatch {
             settings,
@@ -29,8 +29,8 @@
         }
     }
 
-    /// Merges entries of an endpoint list, passes the merged list to the fleet, and marks ready entries that the fleet
-    /// has drained as draining.
+    /// Applies an endpoint list update and passes the whole list to the fleet. Sets the state of ready entries to
+    /// `Draining` if the fleet has drained their engines.
     pub fn merge(&mut self, entries: &mut [EndpointEntry], member: &mut FleetNode) {
         merge_endpoints(
             &mut self.endpoints,
@@ -41,7 +41,7 @@
         let units: Vec<Unit> = self
             .endpoints
             .iter()
-            .map(|endpoint| self.unit(endpoint))
+            .map(|endpoint| self.disruption_unit(endpoint))
             .collect();
         member.set_engines(&units);
         for entry in entries {
@@ -52,8 +52,8 @@
         }
     }
 
-    /// An engine as the disruption budget counts it.
-    fn unit(&self, endpoint: &EndpointEntry) -> Unit {
+    /// Converts an endpoint into a unit of the disruption budget.
+    fn disruption_unit(&self, endpoint: &EndpointEntry) -> Unit {
         Unit {
             id: endpoint.engine_id,
             zone: name_hash(&endpoint.zone),
@@ -63,8 +63,8 @@
         }
     }
 
-    /// Entries of the engines that were drained or released since the last call.
-    pub fn changes(&mut self, now_ms: f64, member: &FleetNode) -> Vec<EndpointEntry> {
+    /// Returns the endpoint entries of engines that the fleet has drained or released since the last call.
+    pub fn take_changes(&mut self, now_ms: f64, member: &FleetNode) -> Vec<EndpointEntry> {
         let mut drained = Vec::new();
         let mut changes = Vec::new();
         for endpoint in &self.endpoints {
@@ -80,7 +80,7 @@
             }
             if was_drained && !is_drained {
                 tracing::info!(engine_id = %EngineId(engine_id), "engine released by the fleet");
-                // A new start time makes all dispatchers warm the engine up by the same rule.
+                // With a new start time, every dispatcher applies the same warm-up rule to the engine.
                 changes.push(EndpointEntry {
                     started_ms: Some(now_ms),
                     ..endpoint.clone()
--- a/crates/dispatcher/src/subsystems/fleet/socket.rs
+++ b/crates/dispatcher/src/subsystems/fleet/socket.rs
@@ -1,4 +1,4 @@
-//! The fleet's socket, and the counts of its datagrams.
+//! The fleet's UDP socket and its datagram counters.
 
 use crate::net::{receive_datagram, send_datagram, uninterrupted};
 use async_io::Async;
@@ -6,10 +6,10 @@
 use std::io;
 use std::net::{SocketAddr, UdpSocket};
 
-/// Longest datagram that is read, in bytes; messages of the fleet are shorter.
+/// Size (bytes) of the receive buffer. All fleet messages are shorter.
 pub(super) const MAX_DATAGRAM_BYTES: usize = 512;
 
-/// The socket for datagrams between members.
+/// UDP socket for datagrams between fleet members, with counters.
 pub(super) struct FleetSocket {
     socket: Async<UdpSocket>,
     sent: Cell<u64>,
@@ -17,7 +17,7 @@
 }
 
 impl FleetSocket {
-    /// With a socket that is bound.
+    /// Wraps a bound socket.
     pub fn new(socket: Async<UdpSocket>) -> Self {
         FleetSocket {
             socket,
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Waits for a datagram: its length and its sender.
+    /// Waits for a datagram, and returns its length and its sender.
     ///
     /// # Errors
     /// The socket failed.
@@ -34,21 +34,22 @@
         receive_datagram(&self.socket, buffer).await
     }
 
-    /// A datagram that has already arrived: its length and its sender.
+    /// Returns the length and the sender of a datagram that is already queued on the socket.
     ///
     /// # Errors
-    /// None has arrived, or the socket failed.
+    /// No datagram is queued, or the socket failed.
     pub fn try_receive(&self, buffer: &mut [u8]) -> io::Result<(usize, SocketAddr)> {
         let socket = self.socket.get_ref();
         uninterrupted(|| socket.recv_from(buffer))
     }
 
-    /// Counts a datagram that was received.
+    /// Increments the count of received datagrams.
     pub fn count_received(&self) {
         self.received.set(self.received.get() + 1);
     }
 
-    /// Sends a datagram. A failure counts as a lost datagram: the protocol repeats the ones that matter.
+    /// Sends a datagram. A send failure is treated as datagram loss: the protocol retransmits the messages that must
+    /// arrive.
     pub fn send(&self, datagram: &[u8], to: SocketAddr) {
         match send_datagram(&self.socket, datagram, to) {
             Ok(_) => self.sent.set(self.sent.get() + 1),
--- a/crates/dispatcher/src/subsystems/mod.rs
+++ b/crates/dispatcher/src/subsystems/mod.rs
@@ -1,26 +1,26 @@
-//! The subsystems: statement classification, service levels, zone routing and the fleet. Each converts events of the
-//! program into the input of its own package, and passes the result to the decisions or to peers. None of them places
-//! or rejects a query.
+//! The subsystems: statement classification, service levels, zone routing and the fleet. Each subsystem converts the
+//! dispatcher's events into the input of its package, and passes the result to the admission controller ([`Control`])
+//! or to peers. No subsystem places or rejects a query.
 //!
 //! # Interface
-//! Every subsystem is off until the operators' file defines it. All have the same methods, except those that have no
-//! meaning for a subsystem:
+//! A subsystem is off until the operators' file defines it. The subsystems share these methods; each omits the methods
+//! that do not apply to it:
 //!
 //! | method | called | returns |
 //! | --- | --- | --- |
-//! | `new(settings, ..)` | once, at the start | the subsystem, off |
-//! | `reconfigure(definition, now_ms, ..)` | at the start, and at SIGHUP with a valid file | |
+//! | `new(settings, ..)` | once, at the start | the subsystem, turned off |
+//! | `reconfigure(definition, now_ms, ..)` | at the start, and at SIGHUP if the file is valid | |
 //! | `on_endpoints(entries, now_ms)` | at each endpoint list update, with the changed entries | |
-//! | `on_attempt_ended(event, now_ms)` | at the end of each attempt | |
-//! | `on_peer_message(message, now_ms)` | at each message of a peer | whether the message is for this subsystem |
-//! | `tick(now_ms, ..)` | in each round; the subsystem keeps its own interval | messages and endpoint changes that are due |
-//! | `write_counters(text)` | for `/_counters` and at the end of the program | its lines; none while off |
-//! | `to_json(now_ms, ..)` | for its HTTP path | its state |
+//! | `on_attempt_ended(event, now_ms)` | when an attempt completes, fails or is cancelled | |
+//! | `on_peer_message(message, now_ms)` | at each peer message | whether the message is for this subsystem |
+//! | `tick(now_ms, ..)` | in each round; acts at a fixed interval | messages and endpoint changes that are due |
+//! | `write_counters(text)` | for `/_counters` and at the program's end | appends its counters; none while off |
+//! | `to_json(now_ms, ..)` | for the subsystem's HTTP path | its state |
 //!
-//! Times are milliseconds on the program's clock. `now_ms` follows the event in the parameters, and is left out where a
-//! subsystem does not need it. [`Subsystems`] holds all four and passes each event on in a fixed order. The program has
-//! one thread: state is in `Cell` and `RefCell`, and no borrow is held during a call to another subsystem. The one
-//! exception is the call from zone routing to the fleet, which never calls back.
+//! Times are in milliseconds on the program's clock. `now_ms` follows the event in the parameters; methods that do not
+//! need the time omit it. [`Subsystems`] holds all four subsystems and passes each event to them in a fixed order. The
+//! program has one thread, so state is in `Cell` and `RefCell`. No borrow is held during a call to another subsystem,
+//! except when zone routing calls the fleet, which never calls back.
 
 mod endpoint_list;
 pub mod fleet;
@@ -43,16 +43,16 @@
 pub struct Subsystems {
     /// Classification of statements and their costs.
     pub statements: Rc<StatementClassifier>,
-    /// Graceful degradation.
+    /// Service levels (graceful degradation).
     pub levels: Rc<ServiceLevels>,
-    /// Health of zones by this dispatcher's evidence, and the routing plan.
+    /// Zone health by this dispatcher's evidence, and the routing plan.
     pub zones: Rc<ZoneRouting>,
-    /// Membership of a fleet, where the operators' file defined one at the start.
+    /// Fleet membership; `None` if the operators' file defined no fleet at the start.
     pub fleet: Option<Rc<FleetService>>,
 }
 
 impl Subsystems {
-    /// Applies a valid operators' file.
+    /// Applies a valid operators' file. The fleet is reconfigured separately.
     pub fn reconfigure(&self, operator: &Operator, now_ms: f64, control: &mut Control) {
         self.statements.reconfigure(operator.statements.as_ref());
         self.levels
@@ -61,7 +61,8 @@
             .reconfigure(operator.halls.as_ref(), now_ms, control);
     }
 
-    /// Passes on entries of an endpoint list. The fleet is first, since it marks the engines that it drained.
+    /// Passes an endpoint list update to the subsystems. The fleet comes first, because it sets entries of
+    /// engines that it has drained to the state `Draining`.
     pub fn on_endpoints(&self, endpoints: &mut [EndpointEntry], now_ms: f64) {
         if let Some(fleet) = &self.fleet {
             fleet.on_endpoints(endpoints);
@@ -70,7 +71,8 @@
         self.zones.on_endpoints(endpoints, now_ms);
     }
 
-    /// Passes on the end of an attempt. `statement`: the classification of the query's statement, if it was classified.
+    /// Passes an ended attempt to the subsystems. `statement`: classification of the query's statement; `None` if it
+    /// was not classified.
     pub fn on_attempt_ended(
         &self,
         event: &AttemptEnded,
@@ -86,19 +88,19 @@
         }
     }
 
-    /// Whether a subsystem handled the message; otherwise it is for the decisions.
+    /// Passes a peer message to the subsystems. Returns false if the message is for the admission controller instead.
     pub fn on_peer_message(&self, message: &PeerMessage, now_ms: f64) -> bool {
         self.levels.on_peer_message(message, now_ms) || self.zones.on_peer_message(message, now_ms)
     }
 
-    /// All counters as text.
+    /// Returns all counters as text.
     pub fn counters(&self, registry: &QueryRegistry) -> String {
         counters(registry, &self.statements, &self.levels, &self.zones)
     }
 }
 
-/// All counters as text: those of the registry, of statements, of levels and of zones. The fleet's are among the
-/// registry's.
+/// Returns all counters as text: those of the registry (with the fleet's), of statements, of service levels and of
+/// zones.
 pub fn counters(
     registry: &QueryRegistry,
     statements: &StatementClassifier,
--- a/crates/dispatcher/src/subsystems/service_levels.rs
+++ b/crates/dispatcher/src/subsystems/service_levels.rs
@@ -1,12 +1,12 @@
-//! Service levels (graceful degradation) in the program: reads the signals by which levels are entered, exchanges levels
-//! with peers, and passes the degradation of the level in force to the decisions. It never rejects a query itself.
+//! Service levels (graceful degradation): reads the signals that trigger levels, exchanges levels with peers, and
+//! passes the degradation of the level in force to the admission controller. This module never rejects a query.
 //!
-//! The state machine is the `tansymux-service-levels` package. Start reading at [`ServiceLevels::tick`].
+//! The `tansymux-service-levels` package has the state machine. Start reading at [`ServiceLevels::tick`].
 //!
 //! | file | concern |
 //! | --- | --- |
-//! | `effects` | the degradation of a level in the decisions' form |
-//! | `resident_memory` | the memory signal |
+//! | `effects` | conversion of a degradation for the admission controller |
+//! | `resident_memory` | memory signal |
 //! | `display` | JSON for `/_levels`, log lines |
 
 mod display;
@@ -25,21 +25,20 @@
 use tansymux_operator_config::schema;
 use tansymux_service_levels::{Config, LevelStateMachine, OutcomeWindows, QueryOutcome, Signal};
 
-/// Milliseconds in a second.
 const MS_PER_S: f64 = 1000.0;
-/// Interval (ms) at which signals are read.
+/// Interval (ms) between readings of the signals.
 const TICK_INTERVAL_MS: f64 = 250.0;
-/// Maximum number of clients that wait for the next change of level. Each holds a connection.
+/// Maximum number of clients that wait for the next change of level. Each occupies a connection.
 pub const MAX_WATCHERS: usize = 8;
 /// Longest time (ms) that a client may wait for the next change of level.
 pub const MAX_WATCH_MS: f64 = 25_000.0;
 
-/// The levels that the operators' file defines.
+/// State of the service levels while the operators' file defines any.
 struct ActiveLevels {
     machine: LevelStateMachine,
     /// The signals that the definition uses.
     signals: Vec<Signal>,
-    /// The signals' readings at the last tick; NaN for an unknown reading.
+    /// Readings of `signals` at the last tick; NaN if unknown.
     readings: Vec<f64>,
     /// Outcomes of queries by resource group.
     windows: OutcomeWindows,
@@ -56,7 +55,7 @@
         }
     }
 
-    /// Replaces the definition, if it differs. The level in force is kept where the new definition has it.
+    /// Replaces the definition if it differs. The level in force stays in force if the new definition has it.
     fn redefine(&mut self, now_ms: f64, definition: Config) {
         if *self.machine.config() == definition {
             return;
@@ -68,7 +67,7 @@
         self.readings = vec![f64::NAN; self.signals.len()];
     }
 
-    /// Pins the level that the operators' file names, or ends the pin where it names none.
+    /// Pins the level that `levels` names, or removes the pin if `levels` names none.
     fn apply_pin(&mut self, now_ms: f64, levels: &schema::Levels) {
         let pin_for_s = levels.pin_for_s();
         let pinned_until_ms = now_ms + pin_for_s * MS_PER_S;
@@ -79,16 +78,16 @@
     }
 }
 
-/// Limits on the program's own resources. The resource signals are fractions of these.
+/// Limits on this process's resources. The resource signals are fractions of these limits.
 #[derive(Debug, Clone, Copy)]
 pub struct ResourceLimits {
-    /// Memory that the program may use, in bytes.
+    /// Memory limit (bytes).
     pub memory_bytes: f64,
-    /// Descriptors that the program may hold.
+    /// Maximum number of open descriptors.
     pub descriptors: f64,
 }
 
-/// The kind of a query's answer.
+/// Kind of a query's answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnswerKind {
     /// A result.
@@ -99,12 +98,12 @@
     Failed,
 }
 
-/// A query was answered.
+/// Event: a query was answered.
 #[derive(Debug, Clone, Copy)]
 pub struct QueryAnswered<'a> {
     /// Name of the query's resource group.
     pub group: &'a str,
-    /// The kind of the answer.
+    /// Kind of the answer.
     pub kind: AnswerKind,
     /// Time (ms) from the query's arrival to the answer.
     pub latency_ms: f64,
@@ -112,7 +111,7 @@
     pub cost_ms: f64,
 }
 
-/// The service levels of this dispatcher.
+/// Service levels of this dispatcher.
 pub struct ServiceLevels {
     active: RefCell<Option<ActiveLevels>>,
     groups: Vec<GroupSettings>,
@@ -124,7 +123,7 @@
 }
 
 impl ServiceLevels {
-    /// Levels are off until [`reconfigure`](Self::reconfigure) defines some.
+    /// Creates the subsystem without levels; [`reconfigure`](Self::reconfigure) defines them.
     pub fn new(settings: &Settings, limits: ResourceLimits) -> Self {
         ServiceLevels {
             active: RefCell::default(),
@@ -136,7 +135,7 @@
         }
     }
 
-    /// Applies `levels` of a valid operators' file. Without levels the decisions return to full service.
+    /// Applies `levels` of a valid operators' file. Without levels, the admission controller returns to full service.
     pub fn reconfigure(&self, levels: Option<&schema::Levels>, now_ms: f64, control: &mut Control) {
         let definition = levels
             .map(tansymux_operator_config::service_level_config)
@@ -163,14 +162,14 @@
         control.set_level_effects(effects);
     }
 
-    /// Index of a resource group, by its name in the operators' file or at a client.
+    /// Returns the index of a resource group by its name, as the operators' file or a client spells it.
     fn group_index(&self, name: &str) -> Option<usize> {
         self.groups
             .iter()
             .position(|group| matches_name(&group.name, name))
     }
 
-    /// Counts an answer for the signals on late and rejected queries.
+    /// Records an answer for the signals of late and of rejected queries.
     pub fn on_query_answered(&self, event: &QueryAnswered, now_ms: f64) {
         let mut active = self.active.borrow_mut();
         let Some(active) = active.as_mut() else {
@@ -182,17 +181,17 @@
         let group = &self.groups[index];
         let late_after_ms =
             group.objective_ms + group.objective_stretch * event.cost_ms / group.threads;
-        let ended = match event.kind {
+        let outcome = match event.kind {
             AnswerKind::Completed if event.latency_ms > late_after_ms => QueryOutcome::Late,
             AnswerKind::Completed => QueryOutcome::InTime,
             AnswerKind::Rejected => QueryOutcome::Rejected,
             AnswerKind::Failed => QueryOutcome::Failed,
         };
-        active.windows.record(index, ended, now_ms);
+        active.windows.record(index, outcome, now_ms);
     }
 
-    /// Reads the signals and evaluates the level, every [`TICK_INTERVAL_MS`]. Returns the message for all peers, if one
-    /// is due. `open_descriptors`: connections of both sides.
+    /// Reads the signals and evaluates the level every [`TICK_INTERVAL_MS`]. Returns the message for all peers, if one
+    /// is due. `open_descriptors`: number of open connections to clients and engines.
     pub fn tick(
         &self,
         now_ms: f64,
@@ -232,14 +231,14 @@
         active.machine.poll_message(now_ms)
     }
 
-    /// Index of the group that a signal reads; none for all groups. A name that the settings do not have gets an index
-    /// beyond all groups, for which the windows have no outcomes.
+    /// Returns the index of the group that a signal reads, or `None` if the signal reads all groups. An unknown name
+    /// gets an index beyond all groups, for which the windows have no outcomes.
     fn signal_group(&self, name: &Option<String>) -> Option<usize> {
         name.as_deref()
             .map(|name| self.group_index(name).unwrap_or(usize::MAX))
     }
 
-    /// Handles a message about levels; false for other messages. While levels are off, the message is ignored.
+    /// Handles a message about service levels, and ignores it while levels are off. Returns false for other messages.
     pub fn on_peer_message(&self, message: &PeerMessage, now_ms: f64) -> bool {
         if message.content.first() != Some(&tansymux_service_levels::codec::MESSAGE_KIND) {
             return false;
@@ -252,7 +251,7 @@
         true
     }
 
-    /// A number that increases with each change of level; 0 while off.
+    /// Returns a number that increases with each change of level; 0 while levels are off.
     pub fn version(&self) -> u64 {
         self.active
             .borrow()
@@ -260,7 +259,7 @@
             .map_or(0, |active| active.machine.version())
     }
 
-    /// The answer of `/_levels`.
+    /// Returns the response body of `/_levels`.
     pub fn to_json(&self, now_ms: f64) -> Value {
         match self.active.borrow().as_ref() {
             Some(active) => display::to_json(&active.machine, now_ms),
@@ -268,7 +267,7 @@
         }
     }
 
-    /// Appends a line for each counter; none while off.
+    /// Appends one line per counter; none while levels are off.
     pub fn write_counters(&self, text: &mut String) {
         let active = self.active.borrow();
         let Some(active) = active.as_ref() else {
--- a/crates/dispatcher/src/subsystems/service_levels/display.rs
+++ b/crates/dispatcher/src/subsystems/service_levels/display.rs
@@ -1,15 +1,15 @@
-//! The JSON of `/_levels`, and the log line of a change of level. The words are those of the operators' pages.
+//! JSON for `/_levels`, and the log line for a change of level. Keys and texts are those of the operators' pages.
 
 use serde_json::{json, Value};
 use tansymux_service_levels::{LevelChange, LevelStateMachine, Reason, TriggerStatus};
 
-/// The answer of `/_levels` while no levels are defined.
+/// Returns the response body of `/_levels` while no levels are defined.
 pub fn disabled() -> Value {
     json!({"level": "full", "depth": 0, "version": 0, "defined": false})
 }
 
-/// The answer of `/_levels`: the level in force and its reason, the triggers that would change it, totals, and the
-/// history, latest first.
+/// Returns the response body of `/_levels`: the level in force and its reason, the triggers that would change it,
+/// totals, and the history from the latest change to the oldest.
 pub fn to_json(machine: &LevelStateMachine, now_ms: f64) -> Value {
     let status = machine.status();
     let history: Vec<Value> = machine
@@ -37,7 +37,7 @@
     })
 }
 
-/// Time (ms) in each level, and the number of changes of each.
+/// Returns the time (ms) at each level, and the number of changes of each level.
 fn totals_json(machine: &LevelStateMachine) -> Vec<Value> {
     let times = machine.time_at_depth_ms();
     let changes = machine.change_counts();
@@ -68,7 +68,7 @@
     items
 }
 
-/// The number, or `null` for NaN and infinity, which JSON does not have.
+/// Returns the number, or `null` for NaN and infinity, which JSON cannot represent.
 fn finite_or_null(value: f64) -> Value {
     if value.is_finite() {
         json!(value)
@@ -94,13 +94,12 @@
     tracing::warn!(from, to, reason, "service level changed");
 }
 
-/// The text of a reason.
 fn reason_text(reason: &Reason) -> String {
     match reason {
         Reason::Signals(readings) => {
             let texts: Vec<String> = readings
                 .iter()
-                .map(|read| format!("{} reads {:.3}", read.signal, read.reading))
+                .map(|item| format!("{} reads {:.3}", item.signal, item.reading))
                 .collect();
             texts.join(", ")
         }
--- a/crates/dispatcher/src/subsystems/service_levels/effects.rs
+++ b/crates/dispatcher/src/subsystems/service_levels/effects.rs
@@ -1,10 +1,11 @@
-//! The degradation of a level in the decisions' form, with resource groups by index in place of their names.
+//! Converts a level's degradation for the admission controller, which identifies resource groups by index, not by name.
 
 use tansymux::settings::{matches_name, GroupSettings};
 use tansymux::LevelEffects;
 use tansymux_service_levels::Degradation;
 
-/// The effects of a degradation on the decisions. `groups`: all resource groups, in the order of their indices.
+/// Returns a degradation's effects on the admission controller. `groups`: all resource groups, in the order of their
+/// indices.
 pub(super) fn level_effects(degradation: &Degradation, groups: &[GroupSettings]) -> LevelEffects {
     LevelEffects {
         concurrency_factor: degradation.concurrency_factor,
@@ -19,18 +20,18 @@
     }
 }
 
-/// Fraction of capacity that the low-lane work of each group gets; empty where no group is limited.
+/// Returns the fraction of capacity that each group's low-lane queries may use; empty if no group is limited.
 fn group_fractions(degradation: &Degradation, groups: &[GroupSettings]) -> Vec<f64> {
     if degradation.classes.is_empty() {
         return Vec::new();
     }
     let mut fractions = Vec::with_capacity(groups.len());
     for group in groups {
-        let named = degradation
+        let class = degradation
             .classes
             .iter()
-            .find(|named| matches_name(&group.name, &named.class));
-        fractions.push(named.map_or(1.0, |named| named.fraction));
+            .find(|class| matches_name(&group.name, &class.class));
+        fractions.push(class.map_or(1.0, |class| class.fraction));
     }
     fractions
 }
--- a/crates/dispatcher/src/subsystems/statement_classifier.rs
+++ b/crates/dispatcher/src/subsystems/statement_classifier.rs
@@ -1,13 +1,14 @@
-//! Classification of statements by their text, where the operators' file enables it: the resource group of a query that
-//! names none, its estimated cost, and whether its text may write although its class is read-only.
+//! Classifies statements by their text, if the operators' file enables it: finds the resource group of a query that
+//! names none, estimates the query's cost, and detects statements that may write although their class is read-only.
 //!
-//! The classifier decides only on the group of a query without one. Other findings are passed to the decisions with the
-//! query. The `tansymux-sql-analysis` package analyzes SQL. Start reading at [`StatementClassifier::classify`].
+//! The classifier only decides the group of a query that names none. Its other results go to the admission controller
+//! with the query. The `tansymux-sql-analysis` package analyzes SQL. Start reading at
+//! [`StatementClassifier::classify`].
 //!
 //! | file | concern |
 //! | --- | --- |
-//! | `definition` | the operators' file as configuration of the analysis |
-//! | `counters` | counts of statements |
+//! | `definition` | conversion of the operators' file into the configuration of the analysis |
+//! | `counters` | statement counters |
 //! | `warm_up` | engines that are warming up |
 
 mod counters;
@@ -31,33 +32,34 @@
 };
 use warm_up::WarmUpTracker;
 
-/// The classification of a query's statement at the query's arrival.
+/// Classification of a statement when its query arrives.
 #[derive(Debug, Clone)]
 pub struct ClassifiedStatement {
-    /// The resource group of the statement's class; none where the query names its group.
+    /// Resource group of the statement's class; `None` if the query names its group.
     pub group: Option<Rc<str>>,
-    /// Estimated cost (ms on one core); 0 where the query names its group, since the client's own estimate is used then.
+    /// Estimated cost (ms on one core); 0 if the query names its group, because the client's estimate is used then.
     pub cost_ms: f64,
-    /// Estimated memory (MB); 0 where the query names its group.
+    /// Estimated memory (MB); 0 if the query names its group.
     pub memory_mb: f64,
-    /// Input of the decisions.
+    /// Input of the admission controller.
     pub traits: StatementTraits,
-    /// Input of the cost model at the end of an attempt.
+    /// Input of the cost model when an attempt ends.
     pub shape: StatementShape,
 }
 
-/// The classifier while the operators' file enables it.
+/// State of the classifier while the operators' file enables it.
 struct ActiveClassifier {
     analyzer: StatementAnalyzer,
-    /// HTTP path of statements without a class.
+    /// HTTP path of queries that name no class.
     path: Option<Rc<str>>,
-    /// Whether the class that a query names is compared with its statement, and enforced.
+    /// Whether the class that a query names is compared with its statement, and whether a mismatch is only logged or
+    /// enforced.
     check: Check,
     /// Resource groups by class, in the order of `Class::ALL`.
     groups: Option<[Rc<str>; 4]>,
 }
 
-/// The classifier of this dispatcher.
+/// Statement classifier of this dispatcher.
 pub struct StatementClassifier {
     active: RefCell<Option<ActiveClassifier>>,
     groups: FxHashMap<String, GroupSettings>,
@@ -67,8 +69,8 @@
 }
 
 impl StatementClassifier {
-    /// Classification is off until [`reconfigure`](Self::reconfigure) defines it. `warm_up_ms`: how long an engine is
-    /// warming up after its start. `hash_key` is secret: a client that knows it could make shapes collide.
+    /// Creates a classifier that is off until [`reconfigure`](Self::reconfigure) enables it. `warm_up_ms`: duration of
+    /// an engine's warm-up after its start. `hash_key` is secret: a client that knows it could make shapes collide.
     pub fn new(settings: &Settings, warm_up_ms: f64, hash_key: [u8; 16]) -> Self {
         let mut groups = FxHashMap::default();
         for group in &settings.groups {
@@ -83,7 +85,8 @@
         }
     }
 
-    /// Applies `statements` of a valid operators' file. Learned costs are kept, unless classification is switched off.
+    /// Applies `statements` of a valid operators' file. Learned costs are kept, unless the file turns classification
+    /// off.
     pub fn reconfigure(&self, definition: Option<&schema::Statements>) {
         let mut active = self.active.borrow_mut();
         let is_enabled = |definition: &&schema::Statements| {
@@ -112,7 +115,7 @@
         });
     }
 
-    /// Names of groups by class, as the settings map holds them.
+    /// Returns the resource groups by class, with their names as the settings map spells them.
     fn groups_by_class(&self, groups: &schema::Groups) -> [Rc<str>; 4] {
         let load = groups.load();
         let unknown = groups.unknown.as_deref().unwrap_or(load);
@@ -120,7 +123,7 @@
         names.map(|name| Rc::from(self.settings_name(name)))
     }
 
-    /// A group's name as the settings map holds it.
+    /// Returns a group's name as the settings map spells it.
     fn settings_name<'a>(&'a self, name: &'a str) -> &'a str {
         self.groups
             .keys()
@@ -128,7 +131,7 @@
             .map_or(name, String::as_str)
     }
 
-    /// Whether this is the HTTP path of queries without a class.
+    /// Whether `path` is the HTTP path of queries that name no class.
     pub fn is_path(&self, path: &str) -> bool {
         let active = self.active.borrow();
         active
@@ -136,7 +139,7 @@
             .is_some_and(|active| active.path.as_deref() == Some(path))
     }
 
-    /// Classifies the statement of a query that names no class; none while that is off.
+    /// Classifies the statement of a query that names no class. Returns `None` while this classification is off.
     pub fn classify(&self, statement: &[u8], now_ms: f64) -> Option<ClassifiedStatement> {
         let mut active = self.active.borrow_mut();
         let active = active.as_mut()?;
@@ -155,12 +158,12 @@
                 confidence: estimate.confidence,
                 may_write: analysis.effect != Effect::ReadOnly,
             },
-            shape: shape_of(&analyzed),
+            shape: statement_shape(&analyzed),
         })
     }
 
-    /// Compares the statement of a query with the class (`group`) that the query names; none while that is off. `id` is
-    /// the query's id, for the log.
+    /// Compares the statement of a query with the class (`group`) that the query names. Returns `None` while this check
+    /// is off. `id` is the query's id, for the log.
     pub fn check(&self, group: &str, id: &str, statement: &[u8]) -> Option<ClassifiedStatement> {
         let mut active = self.active.borrow_mut();
         let active = active
@@ -168,20 +171,20 @@
             .filter(|active| active.check != Check::Off)?;
         let analyzed = active.analyzer.analyze(statement);
         let analysis = &analyzed.analysis;
-        let is_understated = self.is_understated(group, analysis);
-        if is_understated {
-            self.counters.count_understated();
+        let is_unproven_read_only = self.is_unproven_read_only(group, analysis);
+        if is_unproven_read_only {
+            self.counters.count_unproven_read_only();
             tracing::warn!(
                 query = id,
                 class = group,
                 effect = analysis.effect.name(),
-                reason = analysis.reason.as_deref().unwrap_or("its text"),
+                reason = analysis.reason.as_deref().unwrap_or("statement text"),
                 "class promises read-only, statement does not"
             );
         }
         if let Some(groups) = &active.groups {
             if *groups[analysis.class as usize] != *group {
-                self.counters.count_other_class();
+                self.counters.count_class_mismatch();
             }
         }
         Some(ClassifiedStatement {
@@ -190,14 +193,14 @@
             memory_mb: 0.0,
             traits: StatementTraits {
                 confidence: 1.0,
-                may_write: is_understated && active.check == Check::Enforce,
+                may_write: is_unproven_read_only && active.check == Check::Enforce,
             },
-            shape: shape_of(&analyzed),
+            shape: statement_shape(&analyzed),
         })
     }
 
-    /// Whether the group is one of read-only queries, and the statement is not proven read-only.
-    fn is_understated(&self, group: &str, analysis: &Analysis) -> bool {
+    /// Whether the group is read-only and the statement is not proven read-only.
+    fn is_unproven_read_only(&self, group: &str, analysis: &Analysis) -> bool {
         let is_read_only_group = self
             .groups
             .get(group)
@@ -205,17 +208,18 @@
         is_read_only_group && analysis.effect != Effect::ReadOnly
     }
 
-    /// Records the start times of engines: the cost model gives runs on an engine that is warming up less weight.
+    /// Records the start times of engines. The cost model gives less weight to executions on an engine that is warming
+    /// up.
     pub fn on_endpoints(&self, entries: &[EndpointEntry]) {
         self.warm_up.on_endpoints(entries);
     }
 
-    /// Updates the cost model with the end of an attempt of a classified query.
+    /// Updates the cost model with an ended attempt of a classified query.
     pub fn on_attempt_ended(&self, event: &AttemptEnded, attempt: &ClassifiedAttempt, now_ms: f64) {
         let end = match event.outcome {
             Outcome::Completed => ExecutionEnd::Completed,
             Outcome::Timeout => ExecutionEnd::Interrupted,
-            // The query never ran, or its end may be unrelated to its cost.
+            // The query never ran, or ended for a reason that may be unrelated to its cost.
             _ => return,
         };
         let mut active = self.active.borrow_mut();
@@ -238,7 +242,7 @@
             .record_execution(shape.shape_id, shape.class, shape.cost_ms, &execution);
     }
 
-    /// Appends a line for each counter; none while off.
+    /// Appends one line per counter; none while classification is off.
     pub fn write_counters(&self, text: &mut String) {
         if let Some(active) = self.active.borrow().as_ref() {
             self.counters.write(&active.analyzer.counts(), text);
@@ -255,7 +259,7 @@
     }
 }
 
-fn shape_of(analyzed: &AnalyzedStatement) -> StatementShape {
+fn statement_shape(analyzed: &AnalyzedStatement) -> StatementShape {
     StatementShape {
         shape_id: analyzed.shape_id,
         class: analyzed.analysis.class,
--- a/crates/dispatcher/src/subsystems/statement_classifier/counters.rs
+++ b/crates/dispatcher/src/subsystems/statement_classifier/counters.rs
@@ -1,4 +1,4 @@
-//! Counts of statements since the start.
+//! Counters of classified and checked statements.
 
 use std::cell::Cell;
 use std::fmt::Write;
@@ -7,18 +7,18 @@
 /// Counts of statements since the start.
 #[derive(Debug, Default)]
 pub(super) struct StatementCounters {
-    /// Statements of queries that named no class.
+    /// Statements of queries that name no class.
     unclassed: Cell<u64>,
-    /// Of the unclassed statements, those that could not be classified.
+    /// Statements in `unclassed` that could not be classified.
     unknown: Cell<u64>,
     /// Statements of a read-only class that are not proven read-only.
-    pub(super) understated: Cell<u64>,
-    /// Statements whose class differs from the one that the query named.
-    other_class: Cell<u64>,
+    pub(super) unproven_read_only: Cell<u64>,
+    /// Statements whose class differs from the class that their query names.
+    class_mismatches: Cell<u64>,
 }
 
 impl StatementCounters {
-    /// Counts a statement without a class. `is_unknown`: it could not be classified.
+    /// Counts a statement of a query that names no class. `is_unknown`: the statement could not be classified.
     pub fn count_unclassed(&self, is_unknown: bool) {
         increment(&self.unclassed);
         if is_unknown {
@@ -27,22 +27,25 @@
     }
 
     /// Counts a statement of a read-only class that is not proven read-only.
-    pub fn count_understated(&self) {
-        increment(&self.understated);
+    pub fn count_unproven_read_only(&self) {
+        increment(&self.unproven_read_only);
     }
 
-    /// Counts a statement whose class differs from the one that the query named.
-    pub fn count_other_class(&self) {
-        increment(&self.other_class);
+    /// Counts a statement whose class differs from the class that its query names.
+    pub fn count_class_mismatch(&self) {
+        increment(&self.class_mismatches);
     }
 
-    /// Appends a line for each counter, those of the analysis included.
+    /// Appends one line per counter, followed by those of the analysis.
     pub fn write(&self, analysis: &CacheCounts, text: &mut String) {
         for (name, count) in [
             ("statements_bare", self.unclassed.get()),
             ("statements_unknown", self.unknown.get()),
-            ("statements_milder_class_named", self.understated.get()),
-            ("statements_other_class_named", self.other_class.get()),
+            (
+                "statements_milder_class_named",
+                self.unproven_read_only.get(),
+            ),
+            ("statements_other_class_named", self.class_mismatches.get()),
             ("statement_hits", analysis.hits),
             ("statement_misses", analysis.misses),
             ("statement_collisions", analysis.collisions),
--- a/crates/dispatcher/src/subsystems/statement_classifier/definition.rs
+++ b/crates/dispatcher/src/subsystems/statement_classifier/definition.rs
@@ -1,13 +1,12 @@
-//! Conversion of `statements` of the operators' file into the configuration of the analysis.
+//! Converts `statements` of the operators' file into the configuration of the analysis.
 
 use tansymux_operator_config::schema::statements::Dialect as SchemaDialect;
 use tansymux_operator_config::schema::{self, Class as SchemaClass};
 use tansymux_sql_analysis::{BaseCosts, Class, Config, CostModelConfig, Dialect, Rule};
 
-/// Milliseconds in a second.
 const MS_PER_S: f64 = 1000.0;
 
-/// The configuration of the analysis. Keys that the file leaves out have their defaults.
+/// Returns the configuration of the analysis. Keys that the file omits have their defaults.
 pub fn analysis_settings(definition: &schema::Statements) -> Config {
     let mut config = Config::default();
     if !definition.dialect.is_empty() {
@@ -42,7 +41,7 @@
     }
 }
 
-/// The names in lower case, in which function names are compared.
+/// Returns the names in lower case: function names are compared in lower case.
 fn lower_case<C: FromIterator<String>>(names: &[String]) -> C {
     names.iter().map(|name| name.to_ascii_lowercase()).collect()
 }
--- a/crates/dispatcher/src/subsystems/statement_classifier/tests.rs
+++ b/crates/dispatcher/src/subsystems/statement_classifier/tests.rs
@@ -18,16 +18,16 @@
 
 #[test]
 #[expect(clippy::too_many_lines, reason = "one scenario from start to end")]
-fn nothing_is_read_while_off_and_a_new_definition_keeps_what_was_learned() {
+fn classifier_is_off_by_default_and_keeps_learned_costs_when_reconfigured() {
     let settings = settings::parse_pairs(
         "balancers=1 services.count=2 services.0.name=look services.0.effect=read_like services.0.aim-us=1 \
          services.1.name=load services.1.effect=non_idempotent services.1.aim-us=1 family-info.dop=1,4",
     );
     let settings = Settings::read(&settings.unwrap()).unwrap();
-    let classes = StatementClassifier::new(&settings, 0.0, [1; 16]);
+    let classifier = StatementClassifier::new(&settings, 0.0, [1; 16]);
     assert!(
-        classes.classify(b"select 1", 0.0).is_none()
-            && classes.check("look", "1", b"delete from t").is_none()
+        classifier.classify(b"select 1", 0.0).is_none()
+            && classifier.check("look", "1", b"delete from t").is_none()
     );
     let definition = |check: Check| schema::Statements {
         path: Some("/s".into()),
@@ -40,20 +40,20 @@
         }),
         ..Default::default()
     };
-    classes.reconfigure(Some(&definition(Check::Log)));
-    let first = classes
+    classifier.reconfigure(Some(&definition(Check::Log)));
+    let first = classifier
         .classify(b"select a from t where b = 1", 0.0)
         .unwrap();
     assert_eq!(
         (first.group.as_deref(), first.traits.may_write),
         (Some("look"), false)
     );
-    let taken = ClassifiedAttempt {
+    let attempt = ClassifiedAttempt {
         shape: first.shape,
         group: "look".into(),
         waited: false,
     };
-    let ended = AttemptEnded {
+    let event = AttemptEnded {
         query_id: 1,
         attempt: 0,
         engine_id: 1,
@@ -62,42 +62,42 @@
         latency_ms: 7.0,
         used: None,
     };
-    (0..9).for_each(|_| classes.on_attempt_ended(&ended, &taken, 0.0));
-    let unknown = classes.classify(b"call f()", 0.0).unwrap();
+    (0..9).for_each(|_| classifier.on_attempt_ended(&event, &attempt, 0.0));
+    let unknown = classifier.classify(b"call f()", 0.0).unwrap();
     assert_eq!(
         (unknown.group.as_deref(), unknown.traits.may_write),
         (Some("load"), true)
     );
     assert!(
-        !classes
+        !classifier
             .check("look", "1", b"delete from t")
             .unwrap()
             .traits
             .may_write
     );
-    classes.reconfigure(Some(&definition(Check::Enforce)));
+    classifier.reconfigure(Some(&definition(Check::Enforce)));
     assert!(
-        classes
+        classifier
             .check("look", "1", b"delete from t")
             .unwrap()
             .traits
             .may_write
     );
     assert!(
-        !classes
+        !classifier
             .check("load", "1", b"delete from t")
             .unwrap()
             .traits
             .may_write
     );
-    assert_eq!(classes.counters.understated.get(), 2);
-    let again = classes
+    assert_eq!(classifier.counters.unproven_read_only.get(), 2);
+    let repeated = classifier
         .classify(b"select a from t where b = 2", 0.0)
         .unwrap();
     assert!(
-        (again.cost_ms - 7.0).abs() < 0.1 && again.traits.confidence > 0.4,
-        "{again:?}"
+        (repeated.cost_ms - 7.0).abs() < 0.1 && repeated.traits.confidence > 0.4,
+        "{repeated:?}"
     );
-    classes.reconfigure(None);
-    assert!(!classes.is_path("/s"));
+    classifier.reconfigure(None);
+    assert!(!classifier.is_path("/s"));
 }
--- a/crates/dispatcher/src/subsystems/statement_classifier/warm_up.rs
+++ b/crates/dispatcher/src/subsystems/statement_classifier/warm_up.rs
@@ -1,20 +1,20 @@
-//! Start times of engines, to recognize runs on an engine that was warming up.
+//! Start times of engines, by which executions on an engine that is warming up are recognized.
 
 use crate::query_registry::EndpointEntry;
 use rustc_hash::FxHashMap;
 use std::cell::RefCell;
 use tansymux::events::EndpointState;
 
-/// Which engines are warming up.
+/// Tracks the engines that are warming up.
 pub(super) struct WarmUpTracker {
-    /// How long (ms) an engine is warming up after its start.
+    /// Duration (ms) of an engine's warm-up after its start.
     warm_up_ms: f64,
     /// Start times by engine id, where the endpoint list has them.
     engine_starts_ms: RefCell<FxHashMap<u64, f64>>,
 }
 
 impl WarmUpTracker {
-    /// Without engines.
+    /// Creates a tracker without engines.
     pub fn new(warm_up_ms: f64) -> Self {
         WarmUpTracker {
             warm_up_ms,
@@ -22,7 +22,7 @@
         }
     }
 
-    /// Records the start times of entries of an endpoint list, and forgets engines that are gone.
+    /// Records the start times of engines from an endpoint list update, and removes engines that are gone.
     pub fn on_endpoints(&self, entries: &[EndpointEntry]) {
         let mut starts = self.engine_starts_ms.borrow_mut();
         for entry in entries {
--- a/crates/dispatcher/src/subsystems/zone_routing.rs
+++ b/crates/dispatcher/src/subsystems/zone_routing.rs
@@ -1,11 +1,11 @@
-//! Zone routing in the program: collects evidence on the health of zones, exchanges it with peers and the fleet, and
-//! passes the resulting routing plan to the decisions. It places no query.
+//! Zone routing: collects evidence on the health of zones, exchanges it with peers and the fleet, and passes the
+//! resulting routing plan to the admission controller. This module places no query.
 //!
 //! The `tansymux-zone-routing` package evaluates the evidence. Start reading at [`ZoneRouting::tick`].
 //!
 //! | file | concern |
 //! | --- | --- |
-//! | `conversion` | evidence in the fleet's form, the plan in the decisions' form |
+//! | `conversion` | conversion of evidence for the fleet, and of the plan for the admission controller |
 //! | `display` | JSON for `/_halls`, log lines |
 
 mod conversion;
@@ -14,7 +14,7 @@
 use super::endpoint_list::merge_endpoints;
 use super::fleet::FleetService;
 use crate::query_registry::EndpointEntry;
-use conversion::{decisions_plan, fleet_evidence};
+use conversion::{controller_plan, fleet_evidence};
 use serde_json::Value;
 use std::cell::{Cell, RefCell};
 use std::fmt::Write;
@@ -29,38 +29,38 @@
     Engine, Event, Observation, ObservationKind, RoutingPlan, ZoneHealthDetector, ZoneState,
 };
 
-/// Threads that a dispatcher requests of the fleet in addition to those in flight, so that a dispatcher without queries
-/// gets a quota too.
+/// Threads that a dispatcher requests from the fleet in addition to its threads in flight, so that an idle dispatcher
+/// also gets a quota.
 const MIN_DEMAND_THREADS: f64 = 0.1;
-/// Interval (ms) at which evidence is evaluated.
+/// Interval (ms) between evaluations of the evidence.
 const TICK_INTERVAL_MS: f64 = 100.0;
 
-/// The result of a tick of zone routing.
+/// Result of [`ZoneRouting::tick`].
 #[derive(Debug, Default)]
 pub struct ZoneTick {
-    /// Evidence was evaluated in this round, so health checks and spills are due.
+    /// Whether the evidence was evaluated in this round: health checks and spills are due then.
     pub evaluated: bool,
-    /// A message for all peers.
+    /// Message for all peers, if one is due.
     pub peer_message: Option<Vec<u8>>,
 }
 
-/// Zones as this dispatcher sees them.
+/// Zone routing of this dispatcher.
 pub struct ZoneRouting {
     detector: RefCell<Option<ZoneHealthDetector>>,
     local_zone: String,
-    /// Names of the resource groups, by their index.
+    /// Names of the resource groups, by index.
     groups: Vec<String>,
     dispatcher_count: f64,
     settings: Rc<Settings>,
     /// The current endpoint list, sorted by engine id.
     endpoints: RefCell<Vec<Engine>>,
     last_tick_ms: Cell<f64>,
-    /// Changes of a zone's state since the start.
+    /// Number of changes of a zone's state since the start.
     state_changes: Cell<u64>,
 }
 
 impl ZoneRouting {
-    /// Zone routing is off until [`reconfigure`](Self::reconfigure) defines it.
+    /// Creates the subsystem, which is off until [`reconfigure`](Self::reconfigure) defines zone routing.
     pub fn new(settings: &Rc<Settings>) -> Self {
         ZoneRouting {
             detector: RefCell::default(),
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Applies `halls` of a valid operators' file. The state of zones is kept.
+    /// Applies `halls` of a valid operators' file. Zones keep their state.
     pub fn reconfigure(&self, zones: Option<&schema::Halls>, now_ms: f64, control: &mut Control) {
         let definition = zones.map(tansymux_operator_config::zone_routing_config);
         let mut detector = self.detector.borrow_mut();
@@ -96,16 +96,16 @@
                 }
             }
             (None, Some(definition)) => {
-                let mut new = ZoneHealthDetector::new(definition, self.dispatcher_count);
-                new.handle(Event::EnginesListed(&self.endpoints.borrow()), now_ms);
-                *detector = Some(new);
+                let mut new_detector = ZoneHealthDetector::new(definition, self.dispatcher_count);
+                new_detector.handle(Event::EnginesListed(&self.endpoints.borrow()), now_ms);
+                *detector = Some(new_detector);
             }
         }
-        // The next round evaluates the evidence and passes the plan on.
+        // The next round evaluates the evidence without waiting for the interval.
         self.last_tick_ms.set(f64::NEG_INFINITY);
     }
 
-    /// Merges entries of an endpoint list.
+    /// Applies an endpoint list update.
     pub fn on_endpoints(&self, entries: &[EndpointEntry], now_ms: f64) {
         let mut endpoints = self.endpoints.borrow_mut();
         merge_endpoints(
@@ -138,7 +138,7 @@
         let kind = match outcome {
             Outcome::Completed | Outcome::Error | Outcome::Full => ObservationKind::Answered,
             Outcome::NoConnection | Outcome::Reset | Outcome::Timeout => ObservationKind::NoAnswer,
-            // Cancelled by this dispatcher, or never sent: no evidence on the engine.
+            // The dispatcher cancelled the attempt or never sent it, which is no evidence on the engine.
             Outcome::Cancelled | Outcome::NotSent | Outcome::Withdrawn => return,
         };
         self.observe(engine_id, kind, now_ms);
@@ -161,7 +161,7 @@
         self.detector.borrow().is_some()
     }
 
-    /// Evaluates the evidence and passes the resulting plan to the decisions, every [`TICK_INTERVAL_MS`].
+    /// Evaluates the evidence every [`TICK_INTERVAL_MS`], and passes the resulting plan to the admission controller.
     pub fn tick(
         &self,
         now_ms: f64,
@@ -174,23 +174,23 @@
         };
         if now_ms - self.last_tick_ms.get() < TICK_INTERVAL_MS {
             return ZoneTick {
-                // A second round at the same time counts as part of the first.
+                // A second round at the same time counts as a part of the first.
                 evaluated: self.last_tick_ms.get() == now_ms,
                 peer_message: None,
             };
         }
         self.last_tick_ms.set(now_ms);
         detector.evaluate(now_ms);
-        self.report_changes(detector);
+        self.record_changes(detector);
         let mut plan = detector.routing_plan(&self.local_zone, &self.groups);
         if let Some(fleet) = fleet.filter(|fleet| fleet.coordinates_zones()) {
             let demand_threads = control.threads_in_flight() + MIN_DEMAND_THREADS;
             let evidence = fleet_evidence(detector, demand_threads);
             fleet.report_zones(evidence, detector.is_isolated());
-            let max_utilization = detector.config().recovery_ramp.full_threads_per_core;
-            self.apply_fleet_decisions(fleet, max_utilization, &mut plan);
+            let max_threads_per_core = detector.config().recovery_ramp.full_threads_per_core;
+            self.apply_fleet_decisions(fleet, max_threads_per_core, &mut plan);
         }
-        control.set_zone_plan(Some(&decisions_plan(&plan)));
+        control.set_zone_plan(Some(&controller_plan(&plan)));
         ZoneTick {
             evaluated: true,
             peer_message: detector.poll_message(now_ms),
@@ -198,19 +198,19 @@
     }
 
     /// Counts and logs the changes of zones' states since the last tick.
-    fn report_changes(&self, detector: &mut ZoneHealthDetector) {
+    fn record_changes(&self, detector: &mut ZoneHealthDetector) {
         for change in detector.take_changes() {
             self.state_changes.set(self.state_changes.get() + 1);
             display::log_change(&change);
         }
     }
 
-    /// Replaces this dispatcher's own state of a zone by the fleet's decision, for zones that the fleet decided on.
-    /// `max_utilization`: maximum threads for each core of an engine.
+    /// Overrides the state and the threads of the zones that the fleet has decided on. `max_threads_per_core`: threads
+    /// per core of an engine in a zone at full use.
     fn apply_fleet_decisions(
         &self,
         fleet: &FleetService,
-        max_utilization: f64,
+        max_threads_per_core: f64,
         plan: &mut RoutingPlan,
     ) {
         let endpoints = self.endpoints.borrow();
@@ -230,13 +230,13 @@
                     endpoint.engine_id == engine.engine_id && endpoint.zone == zone.name
                 });
                 if let Some(endpoint) = endpoint {
-                    engine.threads = endpoint.cores * max_utilization * fraction;
+                    engine.threads = endpoint.cores * max_threads_per_core * fraction;
                 }
             }
         }
     }
 
-    /// The engine of an unreachable zone whose health check is due, if one is.
+    /// Returns the id of the engine in an unreachable zone whose health check is due, if any.
     pub fn next_health_check(&self, now_ms: f64) -> Option<u64> {
         self.detector
             .borrow_mut()
@@ -244,7 +244,7 @@
             .poll_health_check(now_ms)
     }
 
-    /// Handles a message about zones; false for other messages. While zone routing is off, the message is ignored.
+    /// Handles a message about zones, and ignores it while zone routing is off. Returns false for other messages.
     pub fn on_peer_message(&self, message: &PeerMessage, now_ms: f64) -> bool {
         if message.content.first() != Some(&MESSAGE_KIND) {
             return false;
@@ -259,8 +259,8 @@
         true
     }
 
-    /// Low-lane threads that spilled into each zone of the endpoint list. `spilled_threads` reads a zone's number from
-    /// the decisions.
+    /// Returns the low-lane threads that spilled into each zone of the endpoint list. `spilled_threads` reads a zone's
+    /// number from the admission controller.
     pub fn spills(&self, spilled_threads: impl Fn(&str) -> f64) -> Vec<(String, f64)> {
         let mut spills: Vec<(String, f64)> = Vec::new();
         for engine in &*self.endpoints.borrow() {
@@ -271,7 +271,8 @@
         spills
     }
 
-    /// The answer of `/_halls`. `spilled_threads` returns the last number of low-lane threads spilled into a zone.
+    /// Returns the response body of `/_halls`. `spilled_threads` returns the last number of low-lane threads that
+    /// spilled into a zone.
     pub fn to_json(&self, now_ms: f64, spilled_threads: impl Fn(&str) -> f64) -> Value {
         let detector = self.detector.borrow();
         let Some(detector) = detector.as_ref() else {
@@ -292,7 +293,7 @@
         })
     }
 
-    /// Appends a line for each counter; none while off.
+    /// Appends one line per counter; none while zone routing is off.
     pub fn write_counters(&self, text: &mut String) {
         let detector = self.detector.borrow();
         let Some(detector) = detector.as_ref() else {
--- a/crates/dispatcher/src/subsystems/zone_routing/conversion.rs
+++ b/crates/dispatcher/src/subsystems/zone_routing/conversion.rs
@@ -1,11 +1,11 @@
-//! Conversion between the types of zone routing, of the fleet and of the decisions.
+//! Converts the types of zone routing into those of the fleet and of the admission controller.
 
 use tansymux::zone_plan;
 use tansymux_operator_config::name_hash;
 use tansymux_zone_evacuation::{Evidence, Reachability as FleetReachability};
 use tansymux_zone_routing::{Reachability, RoutingPlan, ZoneHealthDetector};
 
-/// The evidence on each zone in the fleet's form. `demand_threads`: threads that this dispatcher requests.
+/// Returns the evidence on each zone as the fleet's type. `demand_threads`: threads that this dispatcher requests.
 pub(super) fn fleet_evidence(detector: &ZoneHealthDetector, demand_threads: f64) -> Vec<Evidence> {
     let mut evidence = Vec::new();
     for observed in detector.evidence() {
@@ -29,8 +29,8 @@
     }
 }
 
-/// The plan in the decisions' form.
-pub(super) fn decisions_plan(plan: &RoutingPlan) -> zone_plan::ZonePlan {
+/// Returns the plan as the admission controller's type.
+pub(super) fn controller_plan(plan: &RoutingPlan) -> zone_plan::ZonePlan {
     let mut zones = Vec::new();
     for zone in &plan.zones {
         zones.push(zone_plan::ZoneLimits {
--- a/crates/dispatcher/src/subsystems/zone_routing/display.rs
+++ b/crates/dispatcher/src/subsystems/zone_routing/display.rs
@@ -1,29 +1,29 @@
-//! The JSON of `/_halls`, and the log line of a change of a zone's state. The words are those of the operators' pages, and
-//! do not change with the names in the code.
+//! JSON for `/_halls`, and the log line for a change of a zone's state. Keys and texts are those of the operators'
+//! pages; they do not change with the names in the code.
 
 use serde_json::{json, Map, Value};
 use tansymux_zone_routing::{ZoneChange, ZonePlan, ZoneState};
 
-/// The answer of `/_halls` while zone routing is off.
+/// Returns the response body of `/_halls` while zone routing is off.
 pub fn disabled() -> Value {
     json!({"defined": false})
 }
 
-/// The contents of `/_halls`.
+/// Contents of `/_halls`.
 pub struct ZoneReport<'a> {
-    /// The time of the answer (ms).
+    /// Time of the response (ms).
     pub now_ms: f64,
-    /// This dispatcher's own zone.
+    /// Local zone of this dispatcher.
     pub local_zone: &'a str,
-    /// This dispatcher reaches no zone, and concludes that it is cut off itself.
+    /// Whether this dispatcher reaches no zone, and so considers itself cut off.
     pub isolated: bool,
-    /// The result of [`zone_json`] for each zone.
+    /// Result of [`zone_json`] for each zone.
     pub zones: Vec<Value>,
-    /// Changes of zones' states, the latest last.
+    /// Changes of zones' states, oldest first.
     pub history: &'a [ZoneChange],
 }
 
-/// The answer of `/_halls`.
+/// Returns the response body of `/_halls`.
 pub fn to_json(report: &ZoneReport) -> Value {
     let history: Vec<Value> = report.history.iter().rev().map(change_json).collect();
     json!({
@@ -36,7 +36,7 @@
     })
 }
 
-/// One zone of `/_halls`.
+/// Returns the entry of one zone in `/_halls`.
 pub fn zone_json(zone: &ZonePlan, groups: &[String], spilled_threads: f64) -> Value {
     let fraction = match zone.state {
         ZoneState::Recovering(fraction) => json!(fraction),
