--- a/crates/dispatcher/examples/clock_shim.rs
+++ b/crates/dispatcher/examples/clock_shim.rs
@@ -1,18 +1,18 @@
-//! For tests only: a library that is loaded before the C library and takes the place of `clock_gettime`, so that the
-//! program under test runs on clocks of its own, as on a platform that runs processes on virtual time.
+//! A library for tests that replaces the C library's `clock_gettime` by `LD_PRELOAD`, so that the test controls the
+//! clocks of the program under test. It imitates a platform that runs processes on virtual time.
 //!
 //! The file that `TANSYMUX_CLOCK_SHIM` names holds four numbers of 8 bytes, in nanoseconds: the offset of the monotonic
 //! clocks, the offset of the wall clock, and for each of the two the reading at which it is stopped (0: it runs).
-//! The test may change them at any time.
+//! The test may change the numbers at any time.
 
 use std::ffi::{c_char, c_int, c_void, CStr};
 use std::sync::atomic::{AtomicI64, AtomicPtr, Ordering};
 
-/// Bytes of the file: four numbers of 8 bytes.
+/// Size of the file in bytes: four numbers of 8 bytes.
 const FILE_BYTES: usize = 32;
 const NANOS_PER_SECOND: i64 = 1_000_000_000;
 
-/// The file, as it is mapped. Index 0 is the monotonic clocks, 1 the wall clock.
+/// The mapped content of the file. Index 0 is for the monotonic clocks, 1 for the wall clock.
 #[repr(C)]
 pub struct Adjustments {
     offsets: [AtomicI64; 2],
@@ -21,11 +21,12 @@
 
 static ADJUSTMENTS: AtomicPtr<Adjustments> = AtomicPtr::new(std::ptr::null_mut());
 
-/// The file's numbers, mapped at the first call; `None` where there is no such file.
+/// The file's numbers, which the first call maps; `None` if there is no file.
 fn adjustments() -> Option<&'static Adjustments> {
-    let known = ADJUSTMENTS.load(Ordering::Acquire);
-    // SAFETY: what is kept was mapped for good, at this length, and is only read, as atomics.
-    if let Some(adjustments) = unsafe { known.as_ref() } {
+    let cached = ADJUSTMENTS.load(Ordering::Acquire);
+    // SAFETY: a pointer that is not null refers to a mapping of this length, which is never unmapped and only read
+    // through atomics.
+    if let Some(adjustments) = unsafe { cached.as_ref() } {
         return Some(adjustments);
     }
     let mapped = map_file()?;
@@ -35,7 +36,7 @@
 }
 
 fn map_file() -> Option<*mut Adjustments> {
-    // SAFETY: the C library's calls with valid arguments; the mapping is never undone.
+    // SAFETY: calls of the C library with valid arguments; the mapping is never unmapped.
     let mapped = unsafe {
         let path: *mut c_char = libc::getenv(c"TANSYMUX_CLOCK_SHIM".as_ptr());
         if path.is_null() || CStr::from_ptr(path).is_empty() {
@@ -59,18 +60,18 @@
     (mapped != libc::MAP_FAILED).then_some(mapped.cast())
 }
 
-/// Takes the place of the C library's call.
+/// Replaces the C library's function.
 ///
 /// # Safety
-/// As there: `to` is valid for writing, or null.
+/// As for the C library's function, `to` must be valid for writing, or null.
 #[no_mangle]
 pub unsafe extern "C" fn clock_gettime(clock: libc::clockid_t, to: *mut libc::timespec) -> c_int {
-    // SAFETY: passed on as it came.
+    // SAFETY: the caller's arguments are passed on unchanged.
     let result = unsafe { libc::syscall(libc::SYS_clock_gettime, clock, to) } as c_int;
     if result != 0 {
         return result;
     }
-    // SAFETY: the call above has written to it.
+    // SAFETY: the system call has written to `to`, which is null or valid.
     if let (Some(adjustments), Some(reading)) = (adjustments(), unsafe { to.as_mut() }) {
         let is_wall_clock = matches!(clock, libc::CLOCK_REALTIME | libc::CLOCK_REALTIME_COARSE);
         adjust(reading, adjustments, usize::from(is_wall_clock));
@@ -80,13 +81,13 @@
 
 fn adjust(reading: &mut libc::timespec, adjustments: &Adjustments, clock: usize) {
     let stopped_at = adjustments.stopped_at[clock].load(Ordering::Relaxed);
-    let real = if stopped_at > 0 {
+    let actual_ns = if stopped_at > 0 {
         stopped_at
     } else {
         reading.tv_sec * NANOS_PER_SECOND + reading.tv_nsec
     };
     let offset = adjustments.offsets[clock].load(Ordering::Relaxed);
-    let adjusted = (real + offset).max(0);
-    reading.tv_sec = adjusted / NANOS_PER_SECOND;
-    reading.tv_nsec = adjusted % NANOS_PER_SECOND;
+    let adjusted_ns = (actual_ns + offset).max(0);
+    reading.tv_sec = adjusted_ns / NANOS_PER_SECOND;
+    reading.tv_nsec = adjusted_ns % NANOS_PER_SECOND;
 }
--- a/crates/dispatcher/src/cli.rs
+++ b/crates/dispatcher/src/cli.rs
@@ -6,80 +6,80 @@
 
 /// Decides which engine of a pool runs each query, and which queries are rejected at once.
 ///
-/// Exit codes: 0 done, 1 a fault was found or the start failed, 2 the call was wrong.
+/// Exit codes: 0 success, 1 an error was found or the start failed, 2 invalid arguments.
 #[derive(Debug, Parser)]
 #[command(name = "tansymux", version, propagate_version = true)]
 pub struct Cli {
-    /// None: as [`Command::Serve`]
+    /// The subcommand; [`Command::Serve`] if absent
     #[command(subcommand)]
     pub command: Option<Command>,
-    /// Flags of all subcommands
+    /// Flags common to all subcommands
     #[command(flatten)]
     pub common: Common,
 }
 
 // The doc comments of clap's types are the help texts that `tansymux --help` prints.
 
-/// Flags of all subcommands
+/// Flags common to all subcommands
 #[derive(Debug, Args)]
 pub struct Common {
     /// The operators' file, in protobuf text format
     #[arg(long, value_name = "FILE", env = "TANSYMUX_OPERATOR", global = true)]
     pub operator: Option<PathBuf>,
-    /// The least serious level that is logged; overrides the operators' file
+    /// Minimum level of log lines; overrides the operators' file
     #[arg(long, value_name = "LEVEL", global = true)]
     pub log_level: Option<LogLevel>,
-    /// The format of the log; overrides the operators' file
+    /// Format of log lines; overrides the operators' file
     #[arg(long, value_name = "FORMAT", global = true)]
     pub log_format: Option<LogFormat>,
 }
 
-/// The least serious level of lines that are written
+/// Minimum level of log lines
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub enum LogLevel {
-    /// Something failed that should never fail
+    /// Failures that should never happen
     Error,
-    /// Something that an operator may have to act on
+    /// Conditions that an operator may have to act on
     Warn,
-    /// Changes of state: start, reload, shutdown, leadership
+    /// State changes: start, reload, shutdown, leadership
     Info,
     /// Each query
     Debug,
 }
 
-/// How lines of the log are written
+/// Format of log lines
 #[derive(Debug, Clone, Copy, PartialEq, Eq, ValueEnum)]
 pub enum LogFormat {
     /// Message and fields as text
     Text,
-    /// A JSON object a line
+    /// One JSON object per line
     Json,
 }
 
 /// The subcommands
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Takes queries and runs them on engines; the default without a command
+    /// Accepts queries and runs them on engines (the default)
     Serve,
-    /// Reads configurations (JSON) and operators' files (text format) and names every fault in them
+    /// Checks configurations (JSON) and operators' files (protobuf text format) and prints all errors
     Check {
-        /// Files of either form; with one of each, they are also checked against each other
+        /// Files of either format; configurations and operators' files are also checked against each other
         #[arg(required = true)]
         files: Vec<PathBuf>,
     },
-    /// Calls a member of the fleet: restart turns, drains, releases, halt and rollback
+    /// Sends a command to a member of the fleet: restart leases, drains, releases, halt and rollback
     Fleet(Fleet),
-    /// Reads statements and writes a JSON line for each: class, effect, shape, cost and tables
+    /// Reads statements and prints one JSON line for each: class, effect, shape, cost and tables
     Classify(Classify),
 }
 
-/// Exit codes beside the others: 3 halted, 4 timed out or no leader.
+/// Further exit codes: 3 halted, 4 timed out or no leader.
 #[derive(Debug, Args)]
 pub struct Fleet {
-    /// The member to call; if absent, the one of the operators' file
+    /// The member to call; defaults to `fleet.listen` of the operators' file
     #[arg(long, value_name = "ADDRESS", global = true)]
     pub member: Option<SocketAddr>,
-    /// What the member is asked
+    /// The command to send
     #[command(subcommand)]
     pub command: FleetCommand,
 }
@@ -87,17 +87,17 @@
 /// The subcommands of `fleet`
 #[derive(Debug, Subcommand)]
 pub enum FleetCommand {
-    /// Leader, members that are out, halt, progress of a release
+    /// Prints the leader, the numbers of unavailable members and engines, the halt and the progress of a release
     Status,
-    /// Waits until a dispatcher may restart; prints the turn's number and the seconds that it is valid
+    /// Waits for a restart lease; prints its number and the seconds for which it is valid
     Turn {
-        /// The version after the restart; if absent, the one that it has
+        /// The version after the restart; defaults to the dispatcher's current version
         #[arg(long, value_name = "VERSION")]
         to: Option<String>,
-        /// The dispatcher that restarts; if absent, the member that is called
+        /// The dispatcher that restarts; defaults to the member that is called
         #[arg(long, value_name = "NAME")]
         dispatcher: Option<String>,
-        /// Longest wait in seconds
+        /// Maximum wait in seconds
         #[arg(long, value_name = "SECONDS", default_value_t = 600.0)]
         wait_s: f64,
     },
@@ -115,11 +115,11 @@
     Release {
         /// The version to release
         to: String,
-        /// Only members at this version; a rollback returns to it
+        /// Releases only to members at this version; a rollback returns to it
         #[arg(long, value_name = "VERSION")]
         from: Option<String>,
     },
-    /// Halts: no further member or engine goes out
+    /// Halts disruptions: no further member or engine may go out of service
     Halt,
     /// Ends the halt
     Resume,
@@ -130,11 +130,11 @@
         /// The dispatcher's name
         dispatcher: String,
     },
-    /// Evacuates a zone: nothing new goes there from outside it
+    /// Evacuates a zone: other zones send it no new queries
     Leave {
         /// The zone's name
         zone: String,
-        /// Only checks whether the other zones would carry the load
+        /// Only checks whether the other zones could carry the load
         #[arg(long)]
         dry_run: bool,
     },
@@ -143,7 +143,7 @@
         /// The zone's name
         zone: String,
     },
-    /// Zones that are evacuated or returned to: reason, step, quotas granted
+    /// Lists the zones that are evacuated or returned to: reason, step, granted quota
     Zones,
 }
 
@@ -153,9 +153,9 @@
     /// Each entry is a statement, not an object with `id` and `statement`
     #[arg(long)]
     pub plain: bool,
-    /// Entries end with a NUL byte, not with a line end
+    /// Entries end with a NUL byte instead of a newline
     #[arg(long)]
     pub nul: bool,
-    /// File with the statements; standard input if absent
+    /// File with the statements; defaults to standard input
     pub file: Option<PathBuf>,
 }
--- a/crates/dispatcher/src/clock.rs
+++ b/crates/dispatcher/src/clock.rs
@@ -1,21 +1,21 @@
-//! The program's clock, and the wall clock beside it.
+//! The program's clock, and the translation of wall clock times to it.
 //!
-//! All times in the program are those of [`Clock`]: milliseconds that advance with the monotonic clock, unaffected by the
-//! wall clock. A Unix time from outside is translated once, by [`WallClock`].
+//! All times in the program are times of [`Clock`]: milliseconds that advance with the monotonic clock and do not
+//! follow steps of the wall clock. [`WallClock`] translates each Unix time from outside once.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Upper bound of [`Clock::instant`] (s after the start): keeps infinite deadlines within range.
+/// Upper bound (s after the start) of [`Clock::instant`]: keeps infinite deadlines within the range of `Instant`.
 const MAX_INSTANT_S: f64 = 1e9;
-/// Minimum change (ms) of the wall clock against the program's clock that counts as a step; a smaller one is drift.
+/// Minimum change (ms) of the wall clock's offset that counts as a step; a smaller change is drift.
 const MIN_STEP_MS: f64 = 20.0;
-/// Maximum number of steps that are remembered.
+/// Maximum number of recorded offsets; each step adds one.
 const MAX_STEPS: usize = 16;
 /// Maximum time (ms) by which another machine's clock may be ahead of this one's.
 const MAX_AHEAD_MS: f64 = 1000.0;
 
-/// Reads the wall clock once, at its start, and then follows the monotonic clock, so that steps of the wall clock
-/// have no effect. Copies show the same time.
+/// A clock that reads the wall clock once, at its start, and then follows the monotonic clock, so that steps of the
+/// wall clock have no effect. Copies show the same time.
 #[derive(Debug, Clone, Copy)]
 pub struct Clock {
     started: Instant,
@@ -31,7 +31,7 @@
         }
     }
 
-    /// The time now: Unix milliseconds, as long as the wall clock is not stepped.
+    /// The current time (ms): equal to the Unix time until the wall clock is stepped.
     pub fn now(&self) -> f64 {
         self.started_unix_ms + self.started.elapsed().as_secs_f64() * 1000.0
     }
@@ -57,23 +57,23 @@
 }
 
 impl WallClock {
-    /// The wall clock beside `clock`.
+    /// A translator to the times of `clock`.
     pub fn beside(clock: Clock) -> Self {
-        let mut wall = WallClock {
+        let mut wall_clock = WallClock {
             clock,
             offsets: WallOffsets::default(),
         };
-        wall.observe();
-        wall
+        wall_clock.observe();
+        wall_clock
     }
 
-    /// The program's clock (ms).
+    /// The current time (ms) of the program's clock.
     pub fn now_ms(&self) -> f64 {
         self.clock.now()
     }
 
-    /// Checks whether the wall clock was stepped. To be called several times a second: a timestamp taken between a step and
-    /// the next call is translated as if it was taken after the step.
+    /// Checks whether the wall clock was stepped. Must be called several times per second: a timestamp taken between a
+    /// step and the next call is translated as if it was taken after the step.
     pub fn observe(&mut self) {
         let offset_ms = unix_ms() - self.clock.now();
         if let Some(step_ms) = self.offsets.record(offset_ms) {
@@ -81,21 +81,21 @@
         }
     }
 
-    /// Translates the Unix time of a past event to the program's clock; the result is not later than now.
+    /// Translates the Unix time (ms) of a past event to the program's clock; the result is not later than now.
     pub fn translate_past(&mut self, unix_ms: f64) -> f64 {
         self.observe();
         self.offsets.translate_past(unix_ms, self.clock.now())
     }
 }
 
-/// Offsets of the wall clock from the program's clock (ms): one for the time between two steps, the latest last.
+/// Offsets (ms) of the wall clock from the program's clock: one for each period between two steps, the latest last.
 #[derive(Debug, Clone, Default)]
 struct WallOffsets {
     offsets_ms: Vec<f64>,
 }
 
 impl WallOffsets {
-    /// Records the current offset. Returns the size of the step (ms) if the wall clock was stepped.
+    /// Records the current offset. Returns the size (ms) of the step if the wall clock was stepped.
     fn record(&mut self, offset_ms: f64) -> Option<f64> {
         let Some(last_ms) = self.offsets_ms.last_mut() else {
             self.offsets_ms.push(offset_ms);
@@ -115,9 +115,10 @@
 
     /// Translates the Unix time of a past event.
     ///
-    /// It is unknown whether a timestamp was taken before or after a step. Of the possible times, the latest one that is
-    /// not in the future is returned: a start time that is too late is safer than one that is too early. A timestamp that
-    /// is in the future by all offsets is from a clock that was stepped before this program started, and counts as now.
+    /// It is unknown whether a timestamp was taken before or after a step, so each offset gives a possible time. The
+    /// result is the latest possible time that is not in the future: a start time that is too late is safer than a
+    /// start time that is too early. A timestamp that is in the future by all offsets is from a clock that was stepped
+    /// before this program started, and counts as now.
     fn translate_past(&self, unix_ms: f64, now_ms: f64) -> f64 {
         let times = self.offsets_ms.iter().map(|offset_ms| unix_ms - offset_ms);
         let past = times.filter(|at_ms| *at_ms <= now_ms + MAX_AHEAD_MS);
--- a/crates/dispatcher/src/clock/tests.rs
+++ b/crates/dispatcher/src/clock/tests.rs
@@ -2,7 +2,7 @@
 
 const HOUR_MS: f64 = 3_600_000.0;
 
-/// Offsets of a wall clock that showed the program's time, and was then stepped by these.
+/// Offsets of a wall clock that started at the program's time and was then stepped by each of `steps_ms`.
 fn stepped_by(steps_ms: &[f64]) -> WallOffsets {
     let mut offsets = WallOffsets::default();
     let mut offset_ms = 0.0;
@@ -19,7 +19,7 @@
     let now_ms = 50_000_000.0;
     for step_ms in [-HOUR_MS, -40_000.0, 40_000.0, HOUR_MS] {
         let offsets = stepped_by(&[step_ms]);
-        // Stamped by the stepped clock, and by the clock before its step.
+        // A timestamp from after the step, and one from before it.
         assert_eq!(
             offsets.translate_past(now_ms + step_ms - 500.0, now_ms),
             now_ms - 500.0
@@ -35,7 +35,7 @@
 fn a_timestamp_in_the_future_counts_as_now() {
     let offsets = stepped_by(&[]);
     assert_eq!(offsets.translate_past(HOUR_MS + 5.0, 5.0), 5.0);
-    // A little ahead is another machine's clock.
+    // 10 ms ahead is within the limit for another machine's clock.
     assert_eq!(offsets.translate_past(1000.0, 990.0), 990.0);
 }
 
--- a/crates/dispatcher/src/config.rs
+++ b/crates/dispatcher/src/config.rs
@@ -1,14 +1,14 @@
-//! The startup configuration: the JSON file that `RELAY_CONFIG` names, read, checked and given defaults at one place.
+//! The startup configuration: reads and checks the JSON file that `RELAY_CONFIG` names, and fills in defaults.
 //!
-//! Nothing here acts on the configuration. All errors of a file are found and reported together, each with its key and
-//! line ([`ConfigError`]). Start reading at [`parse`].
+//! This module does not apply the configuration. It reports all errors of a file together, each with its key and line
+//! ([`ConfigError`]). Start reading at [`parse`].
 //!
 //! | file | concern |
 //! | --- | --- |
 //! | `keys` | the keys of the file; those below `settings` are in [`tansymux::settings::keys`] |
 //! | `node` | typed reading of JSON values that know their path |
 //! | `flatten`, `groups` | `settings` as a flat map; its resource groups and tenants |
-//! | `limits` | descriptors, memory, and what follows from the settings for both sides |
+//! | `limits` | descriptors, memory, and the limits of the client side and the engine side |
 //! | `endpoints` | the endpoint list at the start, and the addresses of peers |
 //! | `error`, `source_lines` | errors with key and line |
 
@@ -37,14 +37,14 @@
 use std::net::SocketAddr;
 use tansymux::settings::{self, keys as settings_keys, RawSettings, SettingsMap};
 
-/// Environment variable that names the file.
+/// Environment variable with the path of the configuration file.
 const CONFIG_VARIABLE: &str = "RELAY_CONFIG";
-/// Environment variable that replaces the file's `listen`.
+/// Environment variable that overrides the file's `listen`.
 const LISTEN_VARIABLE: &str = "RELAY_LISTEN";
-/// Longest configuration that is read, in bytes. A list of 1,024 engines takes under 1 MB.
+/// Maximum size (bytes) of a configuration file. An endpoint list of 1,024 engines takes under 1 MB.
 pub const MAX_CONFIG_BYTES: u64 = 8 << 20;
 
-/// Keys that describe one start, and are ignored at a reload: the endpoint list and the seed.
+/// Keys that are only used at startup and ignored at a reload: the endpoint list and the seed.
 const STARTUP_ONLY_KEYS: [&str; 2] = [keys::ENDPOINT_LIST, keys::SEED];
 /// Keys that take effect at a reload.
 const RELOADABLE_KEYS: [&str; 1] = [keys::RESOLVER];
@@ -52,35 +52,35 @@
 /// A valid configuration.
 #[derive(Debug)]
 pub struct StartupConfig {
-    /// This dispatcher's name, for the log; may be empty.
+    /// The dispatcher's name in the log; may be empty.
     pub name: String,
-    /// Where clients connect.
+    /// Address that accepts clients' connections.
     pub listen: SocketAddr,
-    /// Seed of all random draws of this start.
+    /// Seed of all random numbers of this run.
     pub seed: u64,
     /// Limits on what the client side accepts.
     pub admission: AdmissionLimits,
     /// Maximum bytes of statements in flight.
     pub max_statement_bytes: usize,
-    /// Descriptors that the program may hold.
+    /// Maximum number of open descriptors.
     pub max_sockets: f64,
-    /// Memory that the program may use.
+    /// Maximum memory of the program.
     pub max_memory_bytes: f64,
-    /// Connections to engines.
+    /// Settings of connections to engines.
     pub connection_settings: ConnectionSettings,
-    /// How long (ms) an engine is warming up after its start; 0 where the settings do not say.
+    /// Time (ms) for which an engine is warming up after its start; 0 by default.
     pub engine_warm_up_ms: f64,
     /// Time (ms) from SIGTERM until every query is answered.
     pub shutdown_grace_ms: f64,
-    /// Addresses for messages between dispatchers; none where dispatchers exchange none.
+    /// Addresses for messages between dispatchers; `None` if dispatchers exchange no messages.
     pub peers: Option<PeerAddresses>,
-    /// The name service; without one the endpoint list never changes.
+    /// Address of the name service. Without a name service the endpoint list never changes.
     pub resolver: Option<SocketAddr>,
     /// The endpoint list at the start.
     pub directory: EndpointDirectory,
-    /// The settings, as the decisions take them.
+    /// The settings as a flat map, the input of the decision logic.
     pub settings: SettingsMap,
-    /// The JSON of the file, with which a reload compares its own.
+    /// The JSON of the file; a reload compares it with the new file's JSON.
     pub source: Value,
 }
 
@@ -101,10 +101,11 @@
     pending
 }
 
-/// Reads the configuration file that the environment names.
+/// Reads the configuration file that `RELAY_CONFIG` names.
 ///
 /// # Errors
-/// The environment names no file, the file cannot be read, or it is invalid: then all errors, with their lines.
+/// `RELAY_CONFIG` is not set, the file cannot be read, or the file is invalid; the last has all errors with their
+/// lines.
 pub fn read() -> Result<StartupConfig, StartupConfigError> {
     let Ok(path) = std::env::var(CONFIG_VARIABLE) else {
         return Err(StartupConfigError::NoFile {
@@ -122,26 +123,28 @@
     })
 }
 
-/// Reads and checks a configuration. `listen`, if given, replaces the file's.
+/// Parses and checks a configuration. `listen`, if given, overrides the file's `listen`.
 ///
 /// # Errors
-/// All errors of the text. Errors of keys have no lines: [`locate`] adds them.
+/// All errors of the text. Errors of keys have no line yet; [`locate`] adds it.
 pub fn parse(text: &str, listen: Option<&str>) -> Result<StartupConfig, Vec<ConfigError>> {
     let source = parse_json(text).map_err(|error| vec![error])?;
     let root = Node::root(&source);
     let mut errors = ErrorCollector::default();
     let settings = read_settings(&root, &mut errors);
     let groups = read_groups(&settings);
-    let listen = errors.keep(read_listen(&root, listen));
-    let seed = errors.keep(read_seed(&root));
+    let listen = errors.ok_or_collect(read_listen(&root, listen));
+    let seed = errors.ok_or_collect(read_seed(&root));
     let limits = ProcessLimits::read(&root, &mut errors);
     let connection_settings = limits::read_engine_settings(&root, limits, &groups, &mut errors);
     let max_deadline_ms = groups::max_deadline_ms(&groups);
     let admission = limits::read_admission(&settings, limits, &groups, max_deadline_ms);
-    let peers = errors.keep(endpoints::read_peers(&root));
-    let resolver = errors.keep(root.child(keys::RESOLVER).optional(Node::address));
-    let directory = errors.keep(endpoints::read_known(&root.child(keys::ENDPOINT_LIST)));
-    let name = errors.keep(read_name(&root));
+    let peers = errors.ok_or_collect(endpoints::read_peers(&root));
+    let resolver = errors.ok_or_collect(root.child(keys::RESOLVER).optional(Node::address));
+    let directory = errors.ok_or_collect(endpoints::read_endpoint_list(
+        &root.child(keys::ENDPOINT_LIST),
+    ));
+    let name = errors.ok_or_collect(read_name(&root));
     let errors = errors.into_errors();
     // A required value is `None` only if its error was collected.
     let (Some(listen), Some(seed), Some(directory), true) =
@@ -168,7 +171,7 @@
     })
 }
 
-/// The text as a JSON object.
+/// Parses a text whose root must be a JSON object.
 fn parse_json(text: &str) -> Result<Value, ConfigError> {
     let value: Value = serde_json::from_str(text).map_err(|error| ConfigError {
         line: Some(error.line()),
@@ -180,10 +183,10 @@
     Ok(value)
 }
 
-/// The settings as a flat map; empty where they are missing.
+/// The settings as a flat map; empty if they are missing.
 fn read_settings(root: &Node, errors: &mut ErrorCollector) -> SettingsMap {
     let mut settings = SettingsMap::new();
-    let Some(object) = errors.keep(root.child(keys::SETTINGS).object()) else {
+    let Some(object) = errors.ok_or_collect(root.child(keys::SETTINGS).object()) else {
         return settings;
     };
     flatten::flatten("", &Value::Object(object.clone()), &mut settings);
@@ -195,7 +198,7 @@
     settings
 }
 
-/// Settings without which the decisions cannot start: the number of dispatchers and of resource groups.
+/// Settings that the decision logic requires: the number of dispatchers and the number of resource groups.
 fn required_settings() -> [String; 2] {
     [
         settings_keys::DISPATCHERS.to_owned(),
@@ -216,13 +219,13 @@
     ConfigError::of_key(format!("{}.{name}", keys::SETTINGS), problem)
 }
 
-/// The dispatcher's name; empty where the file has none.
+/// The dispatcher's name; empty if the file has none.
 fn read_name(root: &Node) -> Result<String, ConfigError> {
     let name = root.child(keys::NAME).optional(Node::text)?;
     Ok(name.unwrap_or("").to_owned())
 }
 
-/// The address for clients. The environment variable overrides the file.
+/// The address for clients. `variable`, the environment variable's value, overrides the file.
 fn read_listen(root: &Node, variable: Option<&str>) -> Result<SocketAddr, ConfigError> {
     let Some(address) = variable else {
         return root.child(keys::LISTEN).address();
@@ -236,7 +239,7 @@
     })
 }
 
-/// The seed, which the file writes in hex.
+/// The seed, a hexadecimal string in the file.
 fn read_seed(root: &Node) -> Result<u64, ConfigError> {
     let seed = root.child(keys::SEED);
     u64::from_str_radix(seed.text()?, 16).map_err(|_| seed.error("a number in hex"))
--- a/crates/dispatcher/src/config/endpoints.rs
+++ b/crates/dispatcher/src/config/endpoints.rs
@@ -12,15 +12,15 @@
 /// Addresses for the messages between dispatchers.
 #[derive(Debug, PartialEq)]
 pub struct PeerAddresses {
-    /// The address on which this dispatcher receives them.
+    /// The address on which this dispatcher receives messages.
     pub listen: SocketAddr,
     /// The address of each other dispatcher.
     pub each: Vec<SocketAddr>,
-    /// An address that reaches all other dispatchers at once.
+    /// Broadcast address of all other dispatchers.
     pub all: Option<SocketAddr>,
 }
 
-/// The addresses of peers; none where the configuration has no `peer_listen`.
+/// The addresses of peers; `None` if the configuration has no `peer_listen`.
 pub(super) fn read_peers(root: &Node) -> Result<Option<PeerAddresses>, ConfigError> {
     root.child(keys::PEER_LISTEN).optional(|node| {
         let listen = node.address()?;
@@ -34,16 +34,16 @@
     })
 }
 
-/// The endpoint list at the start: its first update holds all endpoints, later updates those that changed.
-pub(super) fn read_known(known: &Node) -> Result<EndpointDirectory, ConfigError> {
+/// The endpoint list at the start. Its first update has all endpoints, each later update the changed endpoints.
+pub(super) fn read_endpoint_list(endpoint_list: &Node) -> Result<EndpointDirectory, ConfigError> {
     let mut directory = EndpointDirectory::default();
-    if known.is_missing() {
+    if endpoint_list.is_missing() {
         return Ok(directory);
     }
-    directory.set_serial(known.child(keys::SERIAL).number_or(0.0, 0.0)? as u32);
-    for update in known.child(keys::UPDATES).items()? {
-        let endpoints = update.child(keys::NODES).child(keys::INSTANCES);
-        for instance in endpoints.items()? {
+    directory.set_serial(endpoint_list.child(keys::SERIAL).number_or(0.0, 0.0)? as u32);
+    for update in endpoint_list.child(keys::UPDATES).items()? {
+        let instances = update.child(keys::NODES).child(keys::INSTANCES);
+        for instance in instances.items()? {
             let entry = read_endpoint(&instance, &mut directory)?;
             directory.upsert_endpoint(entry);
         }
@@ -51,7 +51,7 @@
     Ok(directory)
 }
 
-/// One endpoint. Its engine number is taken from `directory`, which assigns one to each new id.
+/// One endpoint. `directory` assigns a number to each new engine id.
 fn read_endpoint(
     instance: &Node,
     directory: &mut EndpointDirectory,
@@ -66,7 +66,7 @@
         zone: optional_text(&instance.child(endpoint::ZONE))?,
         cell: instance.child(endpoint::CELL).number_or(0.0, 0.0)? as u32,
         state,
-        // A start time of 0 means that it is not known.
+        // A start time of 0 means unknown.
         started_ms: Some(started_ms).filter(|ms| *ms > 0.0),
     })
 }
@@ -80,7 +80,7 @@
     }
 }
 
-/// A text; empty where the key is missing.
+/// A string; empty if the key is missing.
 fn optional_text(node: &Node) -> Result<String, ConfigError> {
     let text = node.optional(Node::text)?;
     Ok(text.unwrap_or("").to_owned())
--- a/crates/dispatcher/src/config/error.rs
+++ b/crates/dispatcher/src/config/error.rs
@@ -1,4 +1,4 @@
-//! Errors of a configuration: the key, what was found, what is expected, and the line.
+//! Errors of a configuration: the key, the value found, the expected values, and the line.
 
 use super::source_lines;
 use crate::file::FileError;
@@ -10,13 +10,13 @@
 pub struct ConfigError {
     /// Line in the file, counted from 1. Set for syntax errors; [`locate`] adds it to others.
     pub line: Option<usize>,
-    /// Path of the key, as in `known.cmds.0.nodes`; empty for an error of the entire file.
+    /// Path of the key, as in `known.cmds.0.nodes`; empty for an error of the whole file.
     pub key: String,
-    /// The problem of this key.
+    /// The problem of the key, or of the whole file.
     pub problem: Problem,
 }
 
-/// The problem of one key, or of the file.
+/// The problem of one key, or of the whole file.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum Problem {
     /// The text is not JSON.
@@ -28,7 +28,7 @@
     /// A required key is missing.
     #[error("is missing, expected {expected}")]
     Missing {
-        /// The values that are allowed.
+        /// The allowed values.
         expected: String,
     },
     /// The value is not allowed.
@@ -36,7 +36,7 @@
     Invalid {
         /// The value, as JSON.
         found: String,
-        /// The values that are allowed.
+        /// The allowed values.
         expected: String,
     },
     /// The value of an environment variable that overrides a key is not allowed.
@@ -46,13 +46,13 @@
         variable: &'static str,
         /// The variable's value.
         found: String,
-        /// The values that are allowed.
+        /// The allowed values.
         expected: &'static str,
     },
 }
 
 impl ConfigError {
-    /// An error of the entire file.
+    /// An error of the whole file.
     pub fn of_file(problem: Problem) -> Self {
         ConfigError {
             line: None,
@@ -95,9 +95,9 @@
     }
 }
 
-/// Adds to each error the line of its key, or of the nearest parent key in the file.
+/// Adds to each error the line of its key; if the key is not in the file, the line of its nearest parent key.
 pub fn locate(mut errors: Vec<ConfigError>, text: &str) -> Vec<ConfigError> {
-    let lines = source_lines::find(text);
+    let lines = source_lines::find_key_lines(text);
     for error in &mut errors {
         if error.line.is_some() || error.key.is_empty() {
             continue;
@@ -125,16 +125,16 @@
         /// The variable's name.
         variable: &'static str,
     },
-    /// The file is unreadable.
+    /// The file cannot be read.
     #[error("{variable} {source}")]
     File {
         /// The variable that names the file.
         variable: &'static str,
-        /// The error of reading it.
+        /// The cause.
         source: FileError,
     },
     /// The file is invalid.
-    #[error("{path}: {}", join(errors))]
+    #[error("{path}: {}", joined_texts(errors))]
     Invalid {
         /// The file's path.
         path: String,
@@ -143,7 +143,7 @@
     },
 }
 
-fn join(errors: &[ConfigError]) -> String {
+fn joined_texts(errors: &[ConfigError]) -> String {
     let texts: Vec<String> = errors.iter().map(ConfigError::to_string).collect();
     texts.join("; ")
 }
--- a/crates/dispatcher/src/config/flatten.rs
+++ b/crates/dispatcher/src/config/flatten.rs
@@ -1,10 +1,10 @@
-//! Conversion of the nested `settings` object into the flat map that the decisions read.
+//! Conversion of the nested `settings` object into the flat map that the decision logic reads.
 
 use serde_json::Value;
 use tansymux::settings::{self, SettingsMap};
 
-/// Adds `value` and all values below it to the map: `a.b` for nested objects, `a.0.b` and `a.count` for lists of objects, one
-/// comma-separated value for a list of plain values. `null` adds nothing.
+/// Adds `value` and all values nested in it to the map. A nested object gives keys such as `a.b`, and a list of objects
+/// `a.0.b` and `a.count`. A list of plain values becomes one comma-separated value. `null` adds nothing.
 pub(super) fn flatten(path: &str, value: &Value, map: &mut SettingsMap) {
     match value {
         Value::Object(entries) => {
@@ -29,7 +29,7 @@
     }
 }
 
-/// The text of a value: a string without its quotes, any other value as in JSON.
+/// The text of a value: a string without its quotes, or the JSON of any other value.
 fn plain_text(value: &Value) -> String {
     match value {
         Value::String(text) => text.clone(),
--- a/crates/dispatcher/src/config/groups.rs
+++ b/crates/dispatcher/src/config/groups.rs
@@ -3,22 +3,22 @@
 use tansymux::settings::keys::{self, effect, group, tenant};
 use tansymux::settings::{self, RawSettings, SettingsMap};
 
-/// A resource group with the keys that a configuration has for it. The decisions read the same keys with stricter
-/// checks ([`tansymux::settings::Settings`]); this reader also accepts configurations that they would refuse.
+/// A resource group of a configuration. The decision logic reads the same keys with stricter checks
+/// ([`tansymux::settings::Settings`]); this reader also accepts configurations that those checks reject.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ConfiguredGroup {
-    /// The group's name as the settings map holds it.
+    /// The group's name, in the form of the settings map.
     pub name: Option<String>,
     /// Latency objective (ms) of the group's queries.
     pub latency_objective_ms: Option<f64>,
     /// Time (ms) from a query's arrival to its deadline.
     pub deadline_ms: Option<f64>,
-    /// The effect of the group's queries. [`effect`] has the known values; an unknown value is kept unchanged.
+    /// The effect of the group's queries. [`effect`] lists the known values; an unknown value is kept unchanged.
     pub effect: Option<String>,
 }
 
 impl ConfiguredGroup {
-    /// Whether running one of the group's queries twice does harm.
+    /// Whether the group's queries are non-idempotent: running one twice does harm.
     pub fn is_non_idempotent(&self) -> bool {
         self.effect.as_deref() == Some(effect::NON_IDEMPOTENT)
     }
@@ -31,7 +31,7 @@
     }
 }
 
-/// All resource groups, in the order of the settings. The decisions use the same indices.
+/// All resource groups, in the order of the settings. The decision logic uses the same indices.
 pub fn read_groups(settings: &SettingsMap) -> Vec<ConfiguredGroup> {
     let mut groups = Vec::new();
     for index in 0..list_len(settings, keys::GROUPS) {
@@ -47,7 +47,7 @@
     groups
 }
 
-/// The longest deadline (ms) of all groups, if any has one.
+/// The longest deadline (ms) of all groups; `None` if no group has a deadline.
 pub(super) fn max_deadline_ms(groups: &[ConfiguredGroup]) -> Option<f64> {
     groups
         .iter()
--- a/crates/dispatcher/src/config/limits.rs
+++ b/crates/dispatcher/src/config/limits.rs
@@ -1,5 +1,5 @@
-//! Division of the program's descriptors and memory, and the limits of the client side and the engine side that follow
-//! from the settings.
+//! Division of the program's descriptors and memory, and the limits of the client side and the engine side that are
+//! derived from the settings.
 
 use super::groups::{read_tenant_names, ConfiguredGroup};
 use super::keys;
@@ -8,50 +8,50 @@
 use crate::engine::ConnectionSettings;
 use tansymux::settings::{self, keys as settings_keys, RawSettings, SettingsMap};
 
-/// Fewest descriptors that the program runs with.
+/// Minimum of `limits.sockets`.
 const MIN_SOCKETS: f64 = 64.0;
-/// `limits.sockets` where the configuration does not say: the usual soft limit of a process.
+/// Default of `limits.sockets`: the usual soft limit of a process.
 const DEFAULT_SOCKETS: f64 = 1024.0;
-/// Least memory that the program runs with.
+/// Minimum of `limits.memory_mb`.
 const MIN_MEMORY_MB: f64 = 16.0;
-/// `limits.memory_mb` where the configuration does not say.
+/// Default of `limits.memory_mb`.
 const DEFAULT_MEMORY_MB: f64 = 192.0;
 /// Microseconds in a millisecond.
 const US_PER_MS: f64 = 1e3;
 /// Bytes in a megabyte.
 const BYTES_PER_MB: u32 = 1 << 20;
-/// Connect timeout (ms) where the settings have none; the protocol's example.
+/// Default connect timeout (ms): the protocol's example.
 const DEFAULT_CONNECT_TIMEOUT_MS: f64 = 250.0;
-/// Idle time (ms) after which an engine closes a connection, where the settings have none; the protocol's example.
+/// Default idle time (ms) after which an engine closes a connection: the protocol's example.
 const DEFAULT_IDLE_MS: f64 = 30_000.0;
-/// Attempts in flight on a connection where the settings have no limit; the protocol's example.
+/// Default limit of attempts in flight on a connection: the protocol's example.
 const DEFAULT_STREAMS: f64 = 32.0;
 /// Fraction of the descriptor limit that connections from clients may use. The protocol lets them hold a third.
 const CLIENT_SOCKET_FRACTION: f64 = 0.5;
 /// Fraction of the descriptor limit that connections to engines may use.
 const ENGINE_SOCKET_FRACTION: f64 = 0.35;
-/// Descriptors that neither clients nor engines may use: three standard streams, three pipes for signals, three of the
-/// event loop, the listener, two for the name service (its socket and the next one), those of peers and fleet, a file
-/// during a reload, and a reserve.
+/// Descriptors that neither client nor engine connections may use: three standard streams, three for signal pipes,
+/// three of the event loop, the listener, two name service sockets (the current and the next), the sockets for peers
+/// and fleet, a file during a reload, and a reserve.
 const RESERVED_SOCKETS: f64 = 20.0;
 /// Fraction of the memory limit that statements in flight may use.
 const STATEMENT_MEMORY_FRACTION: f64 = 0.2;
 /// Fraction of the memory limit that bytes read ahead from clients may use.
 const READ_AHEAD_MEMORY_FRACTION: f64 = 0.1;
-/// Multiple of the settings' maximum that a query may name: of the longest deadline, of the work that the largest engine
-/// can do in that time, and of that engine's memory.
+/// Maximum wait, cost and memory of a request, as a multiple of the settings' values: the longest deadline, the work of
+/// the largest engine within that deadline, and the memory of the engine with the most memory.
 const REQUEST_HEADROOM: f64 = 4.0;
-/// Longest wait (ms) that a query may name where the settings have no deadline: one hour.
+/// Maximum wait (ms) in a request if the settings have no deadline: one hour.
 const DEFAULT_MAX_WAIT_MS: f64 = 3_600_000.0;
-/// Largest estimate (ms on one core, or MB) that a query may name where the settings do not say how large engines are.
+/// Maximum estimate (ms on one core, or MB) in a request if the settings do not define the engines' size.
 const DEFAULT_MAX_ESTIMATE: f64 = 1e9;
 
-/// The program's own limits, from `limits`.
+/// Resource limits of the program, from `limits`.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ProcessLimits {
-    /// Descriptors that the program may hold.
+    /// Maximum number of open descriptors.
     pub sockets: f64,
-    /// Memory that the program may use.
+    /// Maximum memory of the program.
     pub memory_bytes: f64,
 }
 
@@ -73,15 +73,15 @@
         (self.memory_bytes * STATEMENT_MEMORY_FRACTION) as usize
     }
 
-    /// Maximum connections of one side, for its fraction of the descriptors.
+    /// Maximum connections of the client side or the engine side, given its fraction of the descriptors.
     fn connections(self, fraction: f64) -> usize {
         let total_fraction = CLIENT_SOCKET_FRACTION + ENGINE_SOCKET_FRACTION;
-        let shared = (self.sockets - RESERVED_SOCKETS).min(self.sockets * total_fraction);
-        (shared * fraction / total_fraction) as usize
+        let available = (self.sockets - RESERVED_SOCKETS).min(self.sockets * total_fraction);
+        (available * fraction / total_fraction) as usize
     }
 }
 
-/// The engine side's settings.
+/// The settings of connections to engines.
 pub(super) fn read_engine_settings(
     root: &Node,
     limits: ProcessLimits,
@@ -116,7 +116,7 @@
     }
 }
 
-/// The client side's limits. `max_deadline_ms`: the longest of all groups, if any has one.
+/// The limits of the client side. `max_deadline_ms` is the longest deadline of all groups, if any group has a deadline.
 pub(super) fn read_admission(
     settings: &SettingsMap,
     limits: ProcessLimits,
@@ -149,7 +149,7 @@
     }
 }
 
-/// The largest number in a list of the settings. Items that are no numbers are skipped.
+/// The largest number in a list of the settings. Items that are not numbers are skipped.
 fn max_of_list(settings: &SettingsMap, path: &str) -> Option<f64> {
     settings
         .list(path)
@@ -158,9 +158,9 @@
         .reduce(f64::max)
 }
 
-/// The maximum of a query's estimate: [`DEFAULT_MAX_ESTIMATE`] where the settings give none above 0.
+/// The estimate if it is above 0, or else [`DEFAULT_MAX_ESTIMATE`].
 fn positive_or_default(estimate: Option<f64>) -> f64 {
     estimate
-        .filter(|max| *max > 0.0)
+        .filter(|estimate| *estimate > 0.0)
         .unwrap_or(DEFAULT_MAX_ESTIMATE)
 }
--- a/crates/dispatcher/src/config/node.rs
+++ b/crates/dispatcher/src/config/node.rs
@@ -1,10 +1,10 @@
-//! Typed reading of JSON values. Each value knows its path of keys, which its errors name.
+//! Typed access to JSON values. Each value has its path of keys, so that errors can name the key.
 
 use super::error::{ConfigError, Problem};
 use serde_json::{Map, Value};
 use std::net::SocketAddr;
 
-/// A value of the configuration with its path, or the path of a missing value.
+/// A value of the configuration and its path. A missing value has a path, too.
 pub struct Node<'a> {
     path: String,
     value: Option<&'a Value>,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// The value at a path of keys with dots between them.
+    /// The value at a path of keys that are separated by dots.
     pub fn descendant(&self, path: &str) -> Node<'a> {
         let mut keys = path.split('.');
         let first = self.child(keys.next().unwrap_or_default());
@@ -45,7 +45,7 @@
         self.value.is_none()
     }
 
-    /// The error for this value: its path, what was found and what is expected.
+    /// The error for this value: its path, the value found and the expected values.
     pub fn error(&self, expected: impl Into<String>) -> ConfigError {
         let expected = expected.into();
         let problem = match self.value {
@@ -127,16 +127,16 @@
     }
 }
 
-/// Collects the errors of keys that are read one after another, so that all are reported at once.
+/// Collects the errors of all keys, so that they are reported together.
 #[derive(Default)]
 pub struct ErrorCollector {
     errors: Vec<ConfigError>,
 }
 
 impl ErrorCollector {
-    /// The value, or `None` after adding its error.
-    pub fn keep<T>(&mut self, read: Result<T, ConfigError>) -> Option<T> {
-        match read {
+    /// The value of a result, or `None` for an error, which is collected.
+    pub fn ok_or_collect<T>(&mut self, result: Result<T, ConfigError>) -> Option<T> {
+        match result {
             Ok(value) => Some(value),
             Err(error) => {
                 self.push(error);
@@ -150,9 +150,11 @@
         self.errors.push(error);
     }
 
-    /// A number of at least `min`, or `default` if the value is missing or invalid; an invalid value adds its error.
+    /// A number of at least `min`, or `default` if the value is missing or invalid; the error of an invalid value is
+    /// collected.
     pub fn number_or(&mut self, node: &Node, default: f64, min: f64) -> f64 {
-        self.keep(node.number_or(default, min)).unwrap_or(default)
+        self.ok_or_collect(node.number_or(default, min))
+            .unwrap_or(default)
     }
 
     /// All errors, in the order in which they were added.
--- a/crates/dispatcher/src/config/source_lines.rs
+++ b/crates/dispatcher/src/config/source_lines.rs
@@ -1,9 +1,9 @@
-//! The line of each key in a JSON text, for error messages. The text has been parsed before, so it is well-formed.
+//! The line of each key in a JSON text, for error messages. The text must be well-formed: its caller has parsed it.
 
 use std::collections::HashMap;
 
-/// The lines (from 1) of all keys by their paths. An item of a list has its index in the path, as in `known.cmds.0`.
-pub fn find(text: &str) -> HashMap<String, usize> {
+/// The lines (from 1) of all keys, by path. The path of a list item has the item's index, as in `known.cmds.0`.
+pub fn find_key_lines(text: &str) -> HashMap<String, usize> {
     let mut scanner = Scanner::new(text);
     while scanner.step() {}
     scanner.lines
@@ -12,8 +12,8 @@
 /// An open object or list.
 struct Container {
     path: String,
-    /// The index of the current item, in a list.
-    item: Option<usize>,
+    /// Index of the current item; `None` for an object.
+    item_index: Option<usize>,
 }
 
 struct Scanner<'a> {
@@ -21,8 +21,8 @@
     bytes: &'a [u8],
     position: usize,
     line: usize,
-    open: Vec<Container>,
-    /// The path of the key or item that is being read.
+    open_containers: Vec<Container>,
+    /// The path of the current key or item.
     path: String,
     lines: HashMap<String, usize>,
 }
@@ -34,13 +34,13 @@
             bytes: text.as_bytes(),
             position: 0,
             line: 1,
-            open: Vec::new(),
+            open_containers: Vec::new(),
             path: String::new(),
             lines: HashMap::new(),
         }
     }
 
-    /// Reads one byte, or one string. False at the end.
+    /// Reads one byte, or one string. Returns false at the end of the text.
     fn step(&mut self) -> bool {
         let Some(&byte) = self.bytes.get(self.position) else {
             return false;
@@ -49,14 +49,14 @@
         match byte {
             b'\n' => self.line += 1,
             b'"' => self.read_string(),
-            b'{' => self.open.push(Container {
+            b'{' => self.open_containers.push(Container {
                 path: self.path.clone(),
-                item: None,
+                item_index: None,
             }),
             b'[' => self.open_list(),
             b'}' | b']' => {
                 self.path = self
-                    .open
+                    .open_containers
                     .pop()
                     .map_or_else(String::new, |container| container.path);
             }
@@ -66,7 +66,7 @@
         true
     }
 
-    /// A string, which is a key if a colon comes after it.
+    /// Reads a string after its opening quote. The string is a key if a colon follows it.
     fn read_string(&mut self) {
         let start = self.position;
         while let Some(&byte) = self.bytes.get(self.position) {
@@ -76,57 +76,57 @@
                 _ => self.position += 1,
             }
         }
-        let word = self.text.get(start..self.position).unwrap_or("");
+        let string = self.text.get(start..self.position).unwrap_or("");
         self.position += 1;
         let rest = self.text.get(self.position..).unwrap_or("").trim_start();
         if !rest.starts_with(':') {
             return;
         }
-        let Some(container) = self.open.last() else {
+        let Some(container) = self.open_containers.last() else {
             return;
         };
-        if container.item.is_none() {
-            self.path = join(&container.path, word);
+        if container.item_index.is_none() {
+            self.path = child_path(&container.path, string);
             self.lines.entry(self.path.clone()).or_insert(self.line);
         }
     }
 
     fn open_list(&mut self) {
-        self.open.push(Container {
+        self.open_containers.push(Container {
             path: self.path.clone(),
-            item: Some(0),
+            item_index: Some(0),
         });
-        self.path = join(&self.path, "0");
-        self.record_item();
+        self.path = child_path(&self.path, "0");
+        self.record_item_line();
     }
 
     fn next_item(&mut self) {
-        let Some(container) = self.open.last_mut() else {
+        let Some(container) = self.open_containers.last_mut() else {
             return;
         };
-        let Some(item) = &mut container.item else {
+        let Some(item_index) = &mut container.item_index else {
             return;
         };
-        *item += 1;
-        self.path = join(&container.path, &item.to_string());
-        self.record_item();
+        *item_index += 1;
+        self.path = child_path(&container.path, &item_index.to_string());
+        self.record_item_line();
     }
 
-    /// An item begins behind the line ends that come before it.
-    fn record_item(&mut self) {
-        let line_ends = self.bytes[self.position..]
+    /// Records the line of a list item, which may begin on a later line than the bracket or comma before it.
+    fn record_item_line(&mut self) {
+        let newlines = self.bytes[self.position..]
             .iter()
             .take_while(|byte| byte.is_ascii_whitespace())
             .filter(|byte| **byte == b'\n')
             .count();
         self.lines
             .entry(self.path.clone())
-            .or_insert(self.line + line_ends);
+            .or_insert(self.line + newlines);
     }
 }
 
 /// The path of a key within the object or list at `parent`.
-fn join(parent: &str, key: &str) -> String {
+fn child_path(parent: &str, key: &str) -> String {
     if parent.is_empty() {
         key.to_owned()
     } else {
--- a/crates/dispatcher/src/config/source_lines/tests.rs
+++ b/crates/dispatcher/src/config/source_lines/tests.rs
@@ -1,6 +1,6 @@
 #[test]
-fn keys_and_items_are_found_by_their_lines() {
-    let lines = super::find(
+fn lines_of_keys_and_list_items_are_found() {
+    let lines = super::find_key_lines(
         "{\"a\":1,\n\"b\":{\"c\\\"\":\"x:{\",\n\"d\":[1,\n{\"e\":[]},\n2]},\n\"f\":null}",
     );
     for (key, line) in [
--- a/crates/dispatcher/src/file.rs
+++ b/crates/dispatcher/src/file.rs
@@ -1,29 +1,29 @@
-//! Reads text files up to a size limit.
+//! Reading of text files up to a size limit.
 
 use std::io;
 
-/// Why a file could not be read.
+/// An error of reading a file.
 #[derive(Debug, thiserror::Error)]
 pub enum FileError {
     /// The file is missing, not readable, or not UTF-8.
     #[error("{path}: {source}")]
     Unreadable {
-        /// The file.
+        /// The file's path.
         path: String,
-        /// The system's error.
+        /// The cause.
         source: io::Error,
     },
     /// The file is longer than the limit.
     #[error("{path} is longer than {max_bytes} bytes")]
     TooLong {
-        /// The file.
+        /// The file's path.
         path: String,
-        /// The limit.
+        /// The limit in bytes.
         max_bytes: u64,
     },
 }
 
-/// The content of a file.
+/// Reads the content of a file.
 ///
 /// # Errors
 /// The file cannot be read as UTF-8, or is longer than `max_bytes`.
--- a/crates/dispatcher/src/fleet_client.rs
+++ b/crates/dispatcher/src/fleet_client.rs
@@ -1,7 +1,7 @@
-//! `tansymux fleet`: sends one command to a member of the fleet, from a shell or a supervisor's script, and prints the
+//! `tansymux fleet`: sends a command from a shell or a supervisor's script to a member of the fleet, and prints the
 //! answer.
 //!
-//! Start reading at [`run`]. [`connection`] has the socket to a member, [`display`] the texts of answers and of the fleet's
+//! Start reading at [`run`]. [`connection`] has the socket to a member, [`display`] formats answers and the fleet's
 //! status.
 
 mod connection;
@@ -25,28 +25,28 @@
 /// Exit code: the answer or the restart lease timed out, or the fleet has no leader.
 const EXIT_TIMED_OUT: u8 = 4;
 
-/// An error before or while a command is sent.
+/// An error of preparing or sending a command.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetClientError {
     /// No operators' file was given, or the file has no `fleet`.
-    #[error("the operators' file defines no fleet: name one that does with --operator FILE")]
+    #[error("the operators' file defines no fleet: --operator FILE must name a file that does")]
     NoFleet,
     /// A required key of `fleet` is missing.
     #[error("fleet: a required key is missing")]
     Incomplete,
-    /// `fleet.listen`, the address of commands without `--member`, is not an address with a port.
+    /// `fleet.listen`, the member's address if `--member` is absent, is not an address with a port.
     #[error("fleet.listen is {value:?}, allowed is an address with a port")]
     InvalidListen {
         /// The value in the file.
         value: String,
     },
     /// `resume` while the fleet is not halted.
-    #[error("nothing is halted")]
+    #[error("the fleet is not halted")]
     NotHalted,
     /// `back` while there is no release.
     #[error("there is no release")]
     NoRelease,
-    /// The socket failed.
+    /// An error of the socket.
     #[error(transparent)]
     Socket(#[from] io::Error),
 }
@@ -54,8 +54,8 @@
 /// Runs one subcommand and prints its result.
 ///
 /// # Errors
-/// The operators' file defines no fleet, there is no halt or release that the command could act on, or the socket failed.
-/// A refusal by the fleet is no error: it is printed, and has its own exit code.
+/// The operators' file defines no valid fleet, the command needs a halt or release and there is none, or the socket
+/// failed. A refusal by the fleet is not an error: it is printed, and the exit code shows it.
 pub fn run(arguments: &Fleet, operator: &Operator) -> Result<ExitCode, FleetClientError> {
     let fleet = operator.fleet.as_ref().ok_or(FleetClientError::NoFleet)?;
     let member = MemberConnection::open(arguments.member, fleet)?;
@@ -90,33 +90,34 @@
     }
 }
 
-/// A random number for a new release or halt; never 0, which means none.
+/// A random number for a new release or halt; never 0, which stands for no release or halt.
 fn random_number() -> u32 {
     rand::rng().random::<u32>() | 1
 }
 
 impl MemberConnection {
-    /// Sends a command whose answer is either success or a refusal, and prints the answer.
+    /// Sends a command that is answered by success or a refusal, and prints the answer.
     fn execute(&self, command: Command) -> Result<ExitCode, FleetClientError> {
         let answer = self.request(command)?;
-        Ok(report(&answer))
+        Ok(print_answer(&answer))
     }
 
-    /// Sends a command that refers to the current halt or release by its number, which `command` takes from the status.
-    fn execute_on_status(
+    /// Requests the status, and sends the command that `command` builds from it: a command on the current halt or
+    /// release needs its number.
+    fn execute_with_status(
         &self,
         command: impl Fn(&Status) -> Result<Command, FleetClientError>,
     ) -> Result<ExitCode, FleetClientError> {
         match self.request(Command::Status)? {
             Answer::Status(status) => self.execute(command(&status)?),
-            answer => Ok(report(&answer)),
+            answer => Ok(print_answer(&answer)),
         }
     }
 
     fn print_status(&self) -> Result<ExitCode, FleetClientError> {
         let answer = self.request(Command::Status)?;
         let Answer::Status(status) = answer else {
-            return Ok(report(&answer));
+            return Ok(print_answer(&answer));
         };
         println!("{}", status_text(&status));
         Ok(ExitCode::SUCCESS)
@@ -125,7 +126,7 @@
     fn print_zones(&self) -> Result<ExitCode, FleetClientError> {
         let answer = self.request(Command::ListZones)?;
         let Answer::Zones(zones) = answer else {
-            return Ok(report(&answer));
+            return Ok(print_answer(&answer));
         };
         let mut count = 0;
         for entry in zones.iter().flatten() {
@@ -152,14 +153,14 @@
     }
 
     fn resume(&self) -> Result<ExitCode, FleetClientError> {
-        self.execute_on_status(|status| {
+        self.execute_with_status(|status| {
             let (_, number) = status.halt.ok_or(FleetClientError::NotHalted)?;
             Ok(Command::Resume { number })
         })
     }
 
     fn roll_back(&self) -> Result<ExitCode, FleetClientError> {
-        self.execute_on_status(|status| {
+        self.execute_with_status(|status| {
             let release = status.release.ok_or(FleetClientError::NoRelease)?;
             Ok(Command::RollBack {
                 number: release.number,
@@ -167,7 +168,7 @@
         })
     }
 
-    /// Waits for a restart lease, and prints its number and the seconds that it is valid.
+    /// Waits for a restart lease, and prints its number and the seconds for which it is valid.
     fn wait_for_lease(
         &self,
         to: Option<&str>,
@@ -206,7 +207,7 @@
 }
 
 /// Prints an answer and returns its exit code.
-fn report(answer: &Answer) -> ExitCode {
+fn print_answer(answer: &Answer) -> ExitCode {
     if matches!(answer, Answer::Done | Answer::Granted { .. }) {
         println!("done");
         return ExitCode::SUCCESS;
--- a/crates/dispatcher/src/fleet_client/connection.rs
+++ b/crates/dispatcher/src/fleet_client/connection.rs
@@ -1,4 +1,4 @@
-//! The socket to one member of the fleet, and the exchange of datagrams with it.
+//! The socket to a member of the fleet, and the exchange of datagrams with that member.
 
 use super::{FleetClientError, MS_PER_S};
 use rand::RngExt;
@@ -9,28 +9,28 @@
 use tansymux_rollout::message::{Answer, Command};
 use tansymux_rollout::{ClientAction, FleetClient, FleetConfig};
 
-/// Longest wait for a datagram. After each wait the client sends the datagrams that are due.
+/// Maximum wait for a datagram. After each wait the client sends the datagrams that are due.
 const RECEIVE_TIMEOUT: Duration = Duration::from_millis(20);
-/// Longest datagram that is read, in bytes; messages of the fleet are shorter.
+/// Size (bytes) of the receive buffer; the fleet's messages are shorter.
 const MAX_DATAGRAM_BYTES: usize = 512;
 
-/// A socket to one member of the fleet, with the fleet's configuration: its keys sign the datagrams.
+/// A socket to a member of the fleet, and the fleet's configuration, whose keys sign the datagrams.
 pub(super) struct MemberConnection {
     socket: UdpSocket,
     member: SocketAddr,
     pub(super) config: FleetConfig,
-    opened: Instant,
+    opened_at: Instant,
 }
 
 impl MemberConnection {
-    /// Opens a socket to `member`, or else to the member that the operators' file configures.
+    /// Opens a socket to `member`, or by default to `fleet.listen` of the operators' file.
     pub fn open(
         member: Option<SocketAddr>,
         fleet: &schema::Fleet,
     ) -> Result<Self, FleetClientError> {
         let config =
             tansymux_operator_config::fleet_config(fleet, 0).ok_or(FleetClientError::Incomplete)?;
-        let member = member.map_or_else(|| own_member(fleet), Ok)?;
+        let member = member.map_or_else(|| configured_member(fleet), Ok)?;
         let local_ip = if member.ip().is_loopback() {
             [127, 0, 0, 1]
         } else {
@@ -42,29 +42,29 @@
             socket,
             member,
             config,
-            opened: Instant::now(),
+            opened_at: Instant::now(),
         })
     }
 
     /// Milliseconds since the socket was opened: the clock of the protocol's client side.
     pub fn now_ms(&self) -> f64 {
-        self.opened.elapsed().as_secs_f64() * MS_PER_S
+        self.opened_at.elapsed().as_secs_f64() * MS_PER_S
     }
 
-    /// Sends a datagram that is due, and passes the next datagram within [`RECEIVE_TIMEOUT`] to `receive`. A refused
-    /// connection counts as a missing answer.
+    /// Sends the datagram that is due, if any, and waits up to [`RECEIVE_TIMEOUT`] for a datagram, which it passes to
+    /// `receive`. A refused connection counts as a missing answer.
     pub fn exchange(
         &self,
         outgoing: Option<ClientAction>,
         mut receive: impl FnMut(&[u8]),
     ) -> io::Result<()> {
         if let Some(ClientAction::Send { datagram }) = outgoing {
-            // A datagram that cannot be sent counts as lost: the client sends it again.
+            // A datagram that cannot be sent counts as lost: the client retransmits it.
             let _ = self.socket.send_to(&datagram, self.member);
         }
         let mut buffer = [0; MAX_DATAGRAM_BYTES];
         match self.socket.recv_from(&mut buffer) {
-            Ok((count, _)) => receive(&buffer[..count]),
+            Ok((length, _)) => receive(&buffer[..length]),
             Err(error) => match error.kind() {
                 io::ErrorKind::WouldBlock
                 | io::ErrorKind::TimedOut
@@ -76,7 +76,7 @@
         Ok(())
     }
 
-    /// Sends a command repeatedly until it is answered or times out.
+    /// Sends a command, retransmits it until a member answers or the command times out, and returns the answer.
     pub fn request(&self, command: Command) -> io::Result<Answer> {
         let keys = self.config.keys.clone();
         let mut client = FleetClient::new(keys, command, self.now_ms(), rand::rng().random());
@@ -90,8 +90,8 @@
     }
 }
 
-/// The address of the member that the operators' file configures.
-fn own_member(fleet: &schema::Fleet) -> Result<SocketAddr, FleetClientError> {
+/// The address in `fleet.listen` of the operators' file.
+fn configured_member(fleet: &schema::Fleet) -> Result<SocketAddr, FleetClientError> {
     let listen = fleet.listen();
     listen.parse().map_err(|_| FleetClientError::InvalidListen {
         value: listen.to_owned(),
--- a/crates/dispatcher/src/fleet_client/display.rs
+++ b/crates/dispatcher/src/fleet_client/display.rs
@@ -1,4 +1,4 @@
-//! The texts of `tansymux fleet`. Scripts read them: what is printed here does not change with the names in the code.
+//! The output texts of `tansymux fleet`. Scripts parse them, so they do not follow renamed types in the code.
 
 use tansymux_coordination::disruption_budget::Scope;
 use tansymux_coordination::{DisruptionReason, ReleaseStage};
@@ -6,7 +6,7 @@
 use tansymux_zone_evacuation::codec::ZoneEntry;
 use tansymux_zone_evacuation::Stage as ZoneStage;
 
-/// One line that says what a member answered.
+/// A member's answer as one line of text.
 pub fn answer_text(answer: &Answer) -> String {
     match answer {
         Answer::NoLeader => "nobody leads: nothing new goes out, what serves goes on".into(),
@@ -49,7 +49,7 @@
     }
 }
 
-/// What `tansymux fleet status` prints.
+/// The output of `tansymux fleet status`.
 pub fn status_text(status: &Status) -> String {
     let mut text = format!(
         "leader {:016x}\nmembers {} out {} lost {}\nengines {} out {}",
@@ -90,7 +90,7 @@
     }
 }
 
-/// A line of `tansymux fleet zones`.
+/// One line of the output of `tansymux fleet zones`.
 pub fn zone_line(entry: &ZoneEntry) -> String {
     let status = &entry.status;
     let stage = if status.stage == ZoneStage::Evacuated {
@@ -104,7 +104,7 @@
     )
 }
 
-/// Why a member or an engine is out.
+/// The text of the reason for which a member or engine is unavailable.
 fn disruption_reason_text(reason: DisruptionReason) -> &'static str {
     match reason {
         DisruptionReason::RestartLease => "Turn",
@@ -115,7 +115,7 @@
     }
 }
 
-/// What a limit of the disruption budget counts over.
+/// The text of the scope of a limit of the disruption budget.
 fn scope_text(scope: Scope) -> &'static str {
     match scope {
         Scope::Fleet => "Fleet",
--- a/crates/dispatcher/src/log.rs
+++ b/crates/dispatcher/src/log.rs
@@ -1,7 +1,8 @@
-//! The log: `tracing` events on standard error, as text or JSON lines, rate limited for each call site.
+//! The log: `tracing` events on standard error, as text or JSON lines, rate limited per call site.
 //!
-//! Level, format and rate may change while the program runs. Lines that the rate limit suppresses are counted; the next
-//! line of the call site is preceded by their number, and [`finish`] reports the remaining numbers at the end.
+//! Level, format and rate may change while the program runs. Lines that the rate limit suppresses are counted. The
+//! count is written before the next line of the call site; [`finish`] writes the remaining counts when the program
+//! ends.
 
 mod line_format;
 mod rate_limit;
@@ -21,13 +22,13 @@
 use tracing_subscriber::layer::{Context, Filter, SubscriberExt};
 use tracing_subscriber::Layer;
 
-/// Index in `LEVELS` of the least serious level that is written.
+/// Index in `LEVELS` of the minimum level.
 static LEVEL: AtomicU8 = AtomicU8::new(2);
 
-/// Levels, the most serious first.
+/// Levels, the most severe first.
 const LEVELS: [Level; 4] = [Level::ERROR, Level::WARN, Level::INFO, Level::DEBUG];
 
-/// The current level.
+/// The current minimum level.
 fn current_level() -> Level {
     LEVELS[usize::from(LEVEL.load(Relaxed))]
 }
@@ -49,7 +50,7 @@
     }
 }
 
-/// Starts the log with its defaults. A second call changes nothing.
+/// Starts the log with its defaults. A second call has no effect.
 pub fn init() {
     let layer = fmt::layer()
         .with_ansi(false)
@@ -60,33 +61,33 @@
     let _ = tracing::subscriber::set_global_default(tracing_subscriber::registry().with(layer));
 }
 
-/// Applies the flags, else the operators' file, else its defaults.
-pub fn configure(common: &Common, definition: Option<&schema::Log>) {
-    let definition = definition.copied().unwrap_or_default();
+/// Applies the flags; for settings without a flag, `config` (`log` of the operators' file) or its defaults.
+pub fn configure(common: &Common, config: Option<&schema::Log>) {
+    let config = config.copied().unwrap_or_default();
     set_json(match common.log_format {
         Some(format) => format == LogFormat::Json,
-        None => definition.format() == schema::log::Format::Json,
+        None => config.format() == schema::log::Format::Json,
     });
-    rate_limit::configure(definition.lines_a_second(), definition.lines_at_once());
-    let level = level_index(common.log_level, &definition);
+    rate_limit::configure(config.lines_a_second(), config.lines_at_once());
+    let level = level_index(common.log_level, &config);
     if LEVEL.swap(level, Relaxed) != level {
         tracing::callsite::rebuild_interest_cache();
     }
 }
 
-/// Index in `LEVELS` of the level that the flag, else the operators' file sets.
-fn level_index(flag: Option<LogLevel>, definition: &schema::Log) -> u8 {
+/// Index in `LEVELS` of the minimum level: that of the flag, or by default that of the operators' file.
+fn level_index(flag: Option<LogLevel>, config: &schema::Log) -> u8 {
     let level = match flag {
         Some(LogLevel::Error) => 0,
         Some(LogLevel::Warn) => 1,
         Some(LogLevel::Info) => 2,
         Some(LogLevel::Debug) => 3,
-        None => definition.level() as u8 - schema::log::Level::Error as u8,
+        None => config.level() as u8 - schema::log::Level::Error as u8,
     };
     level.min(3)
 }
 
-/// Reports the suppressed lines of call sites that wrote no further line. Called at the end of the program.
+/// Writes the count of suppressed lines of each call site that has written no line since. Called when the program ends.
 pub fn finish() {
     for (count, callsite) in rate_limit::take_all_suppressed() {
         let mut line = String::new();
--- a/crates/dispatcher/src/log/line_format.rs
+++ b/crates/dispatcher/src/log/line_format.rs
@@ -1,4 +1,4 @@
-//! The format of lines: text or JSON, and the line that reports suppressed lines.
+//! The format of log lines, text or JSON, and the line with a count of suppressed lines.
 
 use super::rate_limit::take_suppressed;
 use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
@@ -16,7 +16,7 @@
     JSON.store(json, Relaxed);
 }
 
-/// Writes an event in the current format, preceded by the number of suppressed lines of its call site.
+/// Writes an event in the current format, after the count of suppressed lines of its call site.
 pub(super) struct LineFormat {
     text: Format<Compact>,
     json: Format<Json>,
@@ -36,7 +36,7 @@
     }
 }
 
-/// Writes a line with the number of suppressed lines of a call site.
+/// Writes a line with the count of suppressed lines of a call site.
 pub(super) fn write_suppressed(
     writer: &mut Writer<'_>,
     callsite: &Metadata,
@@ -49,14 +49,14 @@
         SystemTime.format_time(writer)?;
         return writeln!(
             writer,
-            "\",\"level\":\"WARN\",\"fields\":{{\"message\":\"lines left out\",\"lines\":{count},\
+            "\",\"level\":\"WARN\",\"fields\":{{\"message\":\"log lines suppressed\",\"lines\":{count},\
              \"place\":\"{file}:{line}\"}}}}"
         );
     }
     SystemTime.format_time(writer)?;
     writeln!(
         writer,
-        "  WARN lines left out lines={count} place={file}:{line}"
+        "  WARN log lines suppressed lines={count} place={file}:{line}"
     )
 }
 
--- a/crates/dispatcher/src/log/rate_limit.rs
+++ b/crates/dispatcher/src/log/rate_limit.rs
@@ -1,5 +1,5 @@
-//! The rate limit of the log: a token bucket for each call site, and the counts of suppressed lines. The first line of each
-//! kind at a call site is always written; the kind is the hash of the fields in [`KIND_FIELDS`].
+//! The rate limit of the log: a token bucket and a count of suppressed lines per call site. The first line of each kind
+//! at a call site is always written; the kind is a hash of the fields in [`KIND_FIELDS`].
 
 use rustc_hash::FxHasher;
 use std::cell::RefCell;
@@ -12,16 +12,16 @@
 use tracing::field::{Field, Visit};
 use tracing::{Event, Metadata};
 
-/// Sustained lines a second of one call site.
+/// Sustained rate (lines per second) of one call site.
 static LINES_PER_SECOND: AtomicU32 = AtomicU32::new(5);
-/// Burst: lines that one call site may write at once.
+/// Burst (lines) of one call site.
 static BURST_LINES: AtomicU32 = AtomicU32::new(20);
-/// Lines suppressed since the start, of all call sites.
+/// Lines of all call sites suppressed since the start.
 static SUPPRESSED: AtomicU64 = AtomicU64::new(0);
 
-/// Fields whose values tell kinds of lines of one call site apart.
+/// Fields whose values determine the kind of a line.
 const KIND_FIELDS: [&str; 4] = ["reason", "cause", "after", "outcome"];
-/// Kinds of one call site that are told apart: a bound on memory. Further kinds are limited like known ones.
+/// Maximum number of kinds recorded per call site: a bound on memory. The first line of any further kind needs a token.
 const MAX_KINDS: usize = 32;
 
 /// The kind of a line: a hash of its fields in [`KIND_FIELDS`].
@@ -58,18 +58,18 @@
 
 /// The token bucket of one call site.
 struct RateLimit {
-    /// Lines that may be written now.
+    /// Lines that the bucket allows now.
     tokens: f64,
     refilled_at: Instant,
     /// Lines suppressed since the call site's last written line.
     suppressed: u64,
     callsite: &'static Metadata<'static>,
-    /// Kinds of lines that were written.
+    /// Kinds of lines that the call site has written, at most [`MAX_KINDS`].
     kinds: Vec<LineKind>,
 }
 
 impl RateLimit {
-    /// Whether this is the first line of its kind. Records the kind.
+    /// Whether this is the first line of its kind, and there is room to record the kind. Records it.
     fn is_first_of(&mut self, kind: LineKind) -> bool {
         let is_first = self.kinds.len() < MAX_KINDS && !self.kinds.contains(&kind);
         if is_first {
@@ -83,8 +83,8 @@
     static RATE_LIMITS: RefCell<HashMap<Identifier, RateLimit>> = RefCell::default();
 }
 
-/// Takes a token of the call site's bucket; false, and counts a suppressed line, if there is none and the line is not the
-/// first of its kind.
+/// Takes a token from the call site's bucket. Returns true if there was a token or the line is the first of its kind;
+/// otherwise counts a suppressed line and returns false.
 pub(super) fn try_acquire(
     callsite: &'static Metadata<'static>,
     kind: LineKind,
@@ -118,7 +118,7 @@
     })
 }
 
-/// The number of lines suppressed since the call site's last written line. Resets it.
+/// Takes the count of lines suppressed since the call site's last written line, and resets it.
 pub(super) fn take_suppressed(callsite: &Metadata) -> u64 {
     RATE_LIMITS.with_borrow_mut(|limits| {
         limits
@@ -127,18 +127,18 @@
     })
 }
 
-/// Lines that the rate limit suppressed since the start, of all call sites.
+/// Lines of all call sites that the rate limit has suppressed since the start.
 pub fn suppressed_lines() -> u64 {
     SUPPRESSED.load(Relaxed)
 }
 
-/// Sets rate and burst of all call sites.
+/// Sets the rate and the burst of all call sites.
 pub(super) fn configure(lines_per_second: u32, burst_lines: u32) {
     LINES_PER_SECOND.store(lines_per_second, Relaxed);
     BURST_LINES.store(burst_lines, Relaxed);
 }
 
-/// The call sites that wrote no line after a suppressed one, each with its number of suppressed lines. Resets the numbers.
+/// Takes the counts of suppressed lines of all call sites that have written no line since, and resets them.
 pub(super) fn take_all_suppressed() -> Vec<(u64, &'static Metadata<'static>)> {
     let mut unreported = Vec::new();
     RATE_LIMITS.with_borrow_mut(|limits| {
--- a/crates/dispatcher/src/log/rate_limit/tests.rs
+++ b/crates/dispatcher/src/log/rate_limit/tests.rs
@@ -5,51 +5,51 @@
 use tracing_subscriber::layer::{Context, SubscriberExt};
 use tracing_subscriber::Layer;
 
-/// Held by each test: the count of suppressed lines is the program's.
-static SUPPRESSED_LINES: Mutex<()> = Mutex::new(());
+/// Held by each test: the count of suppressed lines is global to the process.
+static SUPPRESSED_COUNT_LOCK: Mutex<()> = Mutex::new(());
 
-/// Two callsites of this test.
+/// Two call sites of the calling test.
 fn callsites() -> Vec<&'static Metadata<'static>> {
     thread_local! {
-        static SEEN: RefCell<Vec<&'static Metadata<'static>>> = RefCell::default();
+        static RECORDED: RefCell<Vec<&'static Metadata<'static>>> = RefCell::default();
     }
-    struct Notes;
-    impl<S: Subscriber> Layer<S> for Notes {
+    struct CallsiteRecorder;
+    impl<S: Subscriber> Layer<S> for CallsiteRecorder {
         fn on_event(&self, event: &Event<'_>, _: Context<'_, S>) {
-            SEEN.with_borrow_mut(|seen| seen.push(event.metadata()));
+            RECORDED.with_borrow_mut(|callsites| callsites.push(event.metadata()));
         }
     }
-    let all = tracing_subscriber::registry().with(Notes);
-    tracing::subscriber::with_default(all, || {
-        tracing::info!("one");
-        tracing::info!("other");
+    let subscriber = tracing_subscriber::registry().with(CallsiteRecorder);
+    tracing::subscriber::with_default(subscriber, || {
+        tracing::info!("first");
+        tracing::info!("second");
     });
-    SEEN.take()
+    RECORDED.take()
 }
 
 #[test]
-fn flood_from_one_call_site_is_limited_and_counted_and_hides_no_other() {
-    let _held = SUPPRESSED_LINES.lock();
+fn lines_of_a_flooding_call_site_are_limited_and_counted_without_affecting_other_call_sites() {
+    let _guard = SUPPRESSED_COUNT_LOCK.lock();
     let callsites = callsites();
-    let (one, other, now) = (callsites[0], callsites[1], Instant::now());
+    let (flooding, other, now) = (callsites[0], callsites[1], Instant::now());
     let before = suppressed_lines();
     let written = (0..1000)
-        .filter(|_| try_acquire(one, LineKind::default(), now))
+        .filter(|_| try_acquire(flooding, LineKind::default(), now))
         .count();
     assert_eq!(written, 20);
     assert!(try_acquire(other, LineKind::default(), now));
     assert_eq!(
         (
             suppressed_lines() - before,
-            take_suppressed(one),
-            take_suppressed(one)
+            take_suppressed(flooding),
+            take_suppressed(flooding)
         ),
         (980, 980, 0)
     );
     let later = now + Duration::from_secs(1);
     assert_eq!(
         (0..1000)
-            .filter(|_| try_acquire(one, LineKind::default(), later))
+            .filter(|_| try_acquire(flooding, LineKind::default(), later))
             .count(),
         5
     );
@@ -57,15 +57,15 @@
 }
 
 #[test]
-fn first_line_of_a_kind_is_written_in_a_flood_of_another() {
-    let _held = SUPPRESSED_LINES.lock();
+fn first_line_of_a_kind_is_written_during_a_flood_of_another_kind() {
+    let _guard = SUPPRESSED_COUNT_LOCK.lock();
     let callsite = callsites()[0];
     let now = Instant::now();
     let is_written = |kind| try_acquire(callsite, LineKind(kind), now);
     let written = (0..1000).filter(|_| is_written(1)).count();
     assert_eq!(written, 20);
     assert!(is_written(2) && !is_written(2));
-    // A flood of kinds is limited as well.
+    // A flood of different kinds is limited too.
     let written = (3..1000).filter(|kind| is_written(*kind)).count();
     assert_eq!(written, MAX_KINDS - 2);
 }
--- a/crates/dispatcher/src/net.rs
+++ b/crates/dispatcher/src/net.rs
@@ -1,8 +1,8 @@
-//! Socket I/O that retries after transient errors: interrupted calls are repeated immediately, and calls that lack buffers
-//! after a pause. Every read and write of a connection, a datagram or a pipe passes here.
+//! Socket I/O that retries after transient errors: interrupted calls immediately, and calls that lack buffers after a
+//! pause. All reads and writes of connections, datagrams and pipes use this module.
 //!
-//! The standard library does not repeat an interrupted read or write of a socket, and async-io returns such errors: without
-//! this module they would end the connection.
+//! The standard library does not retry an interrupted read or write of a socket, and async-io returns the error:
+//! without this module it would close the connection.
 
 use async_io::{Async, Timer};
 use futures_lite::{future, AsyncWrite};
@@ -13,11 +13,11 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-/// Maximum number of buffers in one write: below the system's limit, and enough for an answer's pages.
+/// Maximum number of buffers in one write: below the system's limit (IOV_MAX), and enough for an answer's pages.
 pub const MAX_SLICES: usize = 64;
-/// A socket to an engine accepts more bytes while it has fewer than this number unsent (TCP_NOTSENT_LOWAT, tcp(7)).
+/// A socket to an engine accepts more bytes only while fewer than this number are unsent (TCP_NOTSENT_LOWAT, tcp(7)).
 const MAX_UNSENT_BYTES: libc::c_int = 1;
-/// Pause before the retry of a call that lacked a resource of the system.
+/// Pause before the retry of a call that failed for lack of a system resource.
 pub const RESOURCE_RETRY_DELAY: Duration = Duration::from_millis(5);
 
 /// Whether a read or write failed for a transient lack of memory or buffers on this machine (recv(2), send(2)).
@@ -25,8 +25,9 @@
     matches!(error.raw_os_error(), Some(libc::ENOMEM | libc::ENOBUFS))
 }
 
-/// Whether opening, binding or connecting a socket failed for a transient reason on this machine: no descriptor, no memory,
-/// no free port, no route (socket(2), bind(2), connect(2)). Such an error is no evidence about the other end.
+/// Whether opening, binding or connecting a socket failed for a transient reason on this machine: no descriptor, no
+/// memory, no free port, no route (socket(2), bind(2), connect(2)). Such an error is not evidence of a fault at the
+/// other end.
 pub fn is_local_fault(error: &io::Error) -> bool {
     let is_transient = matches!(
         error.raw_os_error(),
@@ -46,7 +47,7 @@
     is_transient || error.kind() == ErrorKind::Interrupted
 }
 
-/// Repeats a call while signals interrupt it.
+/// Retries a call while signals interrupt it.
 ///
 /// # Errors
 /// The errors of the call, except interruptions.
@@ -59,10 +60,11 @@
     }
 }
 
-/// Reads as soon as data is available: `read` returns the number of bytes that it has read, 0 at the end of the stream.
+/// Calls `read` as soon as data is available, and returns its result: for a stream, the number of bytes read, 0 at the
+/// end.
 ///
 /// # Errors
-/// The connection or pipe is broken.
+/// The errors of `read`, except interruptions and lack of buffers.
 pub async fn read_available<S, T>(
     source: &Async<S>,
     mut read: impl FnMut(&S) -> io::Result<T>,
@@ -73,7 +75,7 @@
             .await;
         match result {
             Err(error) if is_lack_of_buffers(&error) => {
-                tracing::debug!(%error, "read failed for now");
+                tracing::debug!(%error, "read failed, retrying");
                 Timer::after(RESOURCE_RETRY_DELAY).await;
             }
             result => return result,
@@ -84,7 +86,7 @@
 /// Receives a datagram.
 ///
 /// # Errors
-/// The socket has an error, for example that an earlier datagram was refused.
+/// The socket has an error; for example, an earlier datagram was refused.
 pub async fn receive_datagram(
     socket: &Async<UdpSocket>,
     buffer: &mut [u8],
@@ -92,10 +94,10 @@
     read_available(socket, |socket| socket.recv_from(buffer)).await
 }
 
-/// Sends a datagram immediately, or not at all.
+/// Sends a datagram immediately; if that is not possible, it is not sent.
 ///
 /// # Errors
-/// The datagram cannot be sent now, or not to this address.
+/// The datagram cannot be sent now, or the address is unreachable.
 pub fn send_datagram(
     socket: &Async<UdpSocket>,
     content: &[u8],
@@ -104,13 +106,13 @@
     uninterrupted(|| socket.get_ref().send_to(content, address))
 }
 
-/// Limits the unsent bytes in the socket's buffer: the socket accepts more only once it has sent what it holds. Requests
-/// that are queued in this program can still be withdrawn, and get their time limits only when they are sent. On a system
-/// without the option, the socket buffers as usual.
+/// Limits the unsent bytes in the socket's buffer: the socket accepts more bytes only after it has sent those in its
+/// buffer. Further requests stay queued in this program, where they can be withdrawn, and get their time limits only
+/// when they are sent. On a system without the option, the socket buffers as usual.
 pub fn limit_unsent_bytes(stream: &TcpStream) {
     let limit: libc::c_int = MAX_UNSENT_BYTES;
     let length = size_of::<libc::c_int>() as libc::socklen_t;
-    // SAFETY: an open socket, and a valid place for the option's value of this length.
+    // SAFETY: the socket is open, and the pointer is valid for reading an option value of this length.
     let result = unsafe {
         libc::setsockopt(
             stream.as_raw_fd(),
@@ -126,27 +128,27 @@
     }
 }
 
-/// Whether the other end has closed or reset a connection whose bytes are not being read. A close is not detected while
-/// bytes sent before it do not fit into the system's receive buffer.
+/// Whether the other end has closed or reset the connection. The check reads no bytes. It does not detect a close while
+/// bytes that were sent before it do not fit into the system's receive buffer.
 pub fn has_hung_up(stream: &TcpStream) -> bool {
-    let mut poll = libc::pollfd {
+    let mut poll_entry = libc::pollfd {
         fd: stream.as_raw_fd(),
         events: libc::POLLRDHUP,
         revents: 0,
     };
-    // SAFETY: one entry, and no wait.
-    let ready = uninterrupted(|| match unsafe { libc::poll(&mut poll, 1, 0) } {
+    // SAFETY: `poll_entry` is one valid entry.
+    let ready = uninterrupted(|| match unsafe { libc::poll(&mut poll_entry, 1, 0) } {
         -1 => Err(io::Error::last_os_error()),
         ready => Ok(ready),
     });
-    let ended = libc::POLLRDHUP | libc::POLLHUP | libc::POLLERR;
-    ready.is_ok_and(|ready| ready > 0) && poll.revents & ended != 0
+    let hang_up_events = libc::POLLRDHUP | libc::POLLHUP | libc::POLLERR;
+    ready.is_ok_and(|ready| ready > 0) && poll_entry.revents & hang_up_events != 0
 }
 
 /// Writes as much of `slices` as the socket accepts, and returns the number of bytes.
 ///
 /// # Errors
-/// The connection cannot be written to; temporarily, if [`is_lack_of_buffers`] is true for the error.
+/// The connection cannot be written to. The error is transient if [`is_lack_of_buffers`] is true for it.
 pub fn poll_gathered(
     stream: &Async<TcpStream>,
     context: &mut Context,
@@ -167,7 +169,7 @@
 pub async fn write_gathered(stream: &Async<TcpStream>, parts: &[&[u8]]) -> io::Result<()> {
     let mut slices: Vec<IoSlice> = parts.iter().map(|part| IoSlice::new(part)).collect();
     let mut unwritten = slices.as_mut_slice();
-    // Drops empty parts at the front: a write of only those would return 0, like the end of the stream.
+    // Drops empty parts at the front: a write of only empty parts would return 0, as at the end of the stream.
     IoSlice::advance_slices(&mut unwritten, 0);
     while !unwritten.is_empty() {
         let batch = &unwritten[..unwritten.len().min(MAX_SLICES)];
@@ -175,7 +177,7 @@
             Ok(0) => return Err(ErrorKind::WriteZero.into()),
             Ok(written) => IoSlice::advance_slices(&mut unwritten, written),
             Err(error) if is_lack_of_buffers(&error) => {
-                tracing::debug!(%error, "write failed for now");
+                tracing::debug!(%error, "write failed, retrying");
                 Timer::after(RESOURCE_RETRY_DELAY).await;
             }
             Err(error) => return Err(error),
--- a/crates/dispatcher/src/peers.rs
+++ b/crates/dispatcher/src/peers.rs
@@ -1,4 +1,4 @@
-//! Datagrams between dispatchers. Delivery is unreliable: a datagram may be late or lost, and is not retransmitted.
+//! Datagrams between dispatchers. Delivery is unreliable: a datagram may be late or lost, and is never retransmitted.
 
 use crate::net::{receive_datagram, send_datagram};
 use crate::query_registry::{Event, QueryRegistry};
@@ -8,23 +8,23 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Maximum size (bytes) of a message, by the protocol.
+/// Maximum size (bytes) of a message: the protocol's limit.
 pub const MAX_MESSAGE_BYTES: usize = 256;
-/// Pause after a receive that failed.
+/// Pause after a failed receive.
 const RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// The socket to the other dispatchers.
 pub struct Peers {
     registry: Rc<QueryRegistry>,
     socket: Async<UdpSocket>,
-    /// Addresses of all dispatchers, this one included, by their numbers.
+    /// Addresses of all dispatchers, including this dispatcher's, by dispatcher number.
     addresses: Vec<SocketAddr>,
-    /// The broadcast address.
+    /// Address that reaches all other dispatchers.
     broadcast: Option<SocketAddr>,
 }
 
 impl Peers {
-    /// Communication with peers over a bound socket.
+    /// Communicates with peers over a bound socket.
     pub fn new(
         registry: Rc<QueryRegistry>,
         socket: Async<UdpSocket>,
@@ -39,8 +39,8 @@
         })
     }
 
-    /// Sends a message to one dispatcher, or to all. The message is dropped if it cannot be sent immediately, is too long or
-    /// is for an unknown dispatcher.
+    /// Sends a message to one dispatcher, or to all if `peer` is `None`. The message is dropped if it cannot be sent
+    /// immediately, is too long, or is addressed to an unknown dispatcher.
     pub fn send(&self, peer: Option<u32>, content: &[u8]) {
         let address = match peer {
             Some(peer) => self.addresses.get(peer as usize).copied(),
@@ -58,9 +58,9 @@
         }
     }
 
-    /// Receives messages until dropped. Messages that are too long or from an unknown sender are ignored.
+    /// Receives messages until the future is dropped. Messages that are too long or from an unknown sender are ignored.
     pub async fn listen(self: Rc<Self>) {
-        // One byte more than the limit, so that longer messages are recognised.
+        // One byte more than the limit, so that longer messages are detected.
         let mut buffer = [0; MAX_MESSAGE_BYTES + 1];
         loop {
             match receive_datagram(&self.socket, &mut buffer).await {
@@ -76,7 +76,7 @@
                     Timer::after(RETRY_DELAY).await;
                 }
             }
-            // Messages are handled in the next round, which a sender without pause must not delay.
+            // Messages are handled in the next round. A peer that sends without pause must not delay it.
             future::yield_now().await;
         }
     }
--- a/crates/dispatcher/src/peers/tests.rs
+++ b/crates/dispatcher/src/peers/tests.rs
@@ -2,16 +2,23 @@
 
 #[test]
 fn only_short_messages_from_known_senders_are_received() {
-    let any = SocketAddr::from(([127, 0, 0, 1], 0));
-    let (friend, stranger) = (UdpSocket::bind(any).unwrap(), UdpSocket::bind(any).unwrap());
+    let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
+    let (known_peer, unknown_sender) = (
+        UdpSocket::bind(any_port).unwrap(),
+        UdpSocket::bind(any_port).unwrap(),
+    );
     let registry = Rc::new(QueryRegistry::default());
-    let each = vec![any, friend.local_addr().unwrap()];
-    let socket = Async::<UdpSocket>::bind(any).unwrap();
-    let peers = Peers::new(registry.clone(), socket, each, None);
-    let at = peers.socket.get_ref().local_addr().unwrap();
-    stranger.send_to(b"x", at).unwrap();
-    friend.send_to(&[7; MAX_MESSAGE_BYTES + 1], at).unwrap();
-    friend.send_to(&[7; MAX_MESSAGE_BYTES], at).unwrap();
+    let addresses = vec![any_port, known_peer.local_addr().unwrap()];
+    let socket = Async::<UdpSocket>::bind(any_port).unwrap();
+    let peers = Peers::new(registry.clone(), socket, addresses, None);
+    let peers_address = peers.socket.get_ref().local_addr().unwrap();
+    unknown_sender.send_to(b"x", peers_address).unwrap();
+    known_peer
+        .send_to(&[7; MAX_MESSAGE_BYTES + 1], peers_address)
+        .unwrap();
+    known_peer
+        .send_to(&[7; MAX_MESSAGE_BYTES], peers_address)
+        .unwrap();
     let received = async {
         registry.notify.notified().await;
     };
