--- a/crates/coordination/src/candidacy.rs
+++ b/crates/coordination/src/candidacy.rs
@@ -1,22 +1,23 @@
-//! The state of a candidate: phase one of Paxos, seen from the proposer.
+//! Candidate state: phase one of Paxos on the proposer's side.
 
 use crate::message::{LeasedRecord, Message};
 use crate::record::{Ballot, Id};
 use crate::record_table::MAX_RECORDS;
 use std::collections::BTreeMap;
 
-/// A candidacy in progress: the ballot that is proposed, and the promises that arrived for it.
+/// A candidacy in progress: its ballot and the promises received for it.
 #[derive(Debug, Clone)]
 pub(crate) struct Candidacy {
     ballot: Ballot,
     nonce: u64,
     promises: BTreeMap<Id, PromiseFragments>,
-    /// When the prepare messages were last sent.
+    /// Time of the last transmission of prepare messages (ms).
     sent_ms: f64,
+    /// Start of the candidacy (ms).
     since_ms: f64,
 }
 
-/// A fragment of a promise: part of the records that a voter accepted.
+/// A fragment of a promise, with part of the records that the voter accepted.
 #[derive(Debug, Clone)]
 pub(crate) struct PromiseFragment {
     pub(crate) index: usize,
@@ -24,7 +25,7 @@
     pub(crate) records: Vec<LeasedRecord>,
 }
 
-/// The fragments of one voter's promise that arrived.
+/// One voter's promise, with the fragments received so far.
 #[derive(Debug, Clone)]
 struct PromiseFragments {
     fragments: Vec<Option<Vec<LeasedRecord>>>,
@@ -51,17 +52,17 @@
         self.ballot
     }
 
-    /// When the candidacy began (ms).
+    /// Start of the candidacy (ms).
     pub(crate) fn since_ms(&self) -> f64 {
         self.since_ms
     }
 
-    /// When the prepare messages were last sent (ms).
+    /// Time of the last transmission of prepare messages (ms).
     pub(crate) fn sent_ms(&self) -> f64 {
         self.sent_ms
     }
 
-    pub(crate) fn record_sent(&mut self, now_ms: f64) {
+    pub(crate) fn set_sent(&mut self, now_ms: f64) {
         self.sent_ms = now_ms;
     }
 
@@ -78,15 +79,16 @@
         self.ballot == ballot && self.nonce == nonce
     }
 
-    /// Whether all fragments of a voter's promise arrived.
+    /// Whether all fragments of a voter's promise have arrived.
     pub(crate) fn has_promise_of(&self, voter: Id) -> bool {
         self.promises
             .get(&voter)
             .is_some_and(PromiseFragments::is_complete)
     }
 
-    /// Records a fragment. It is ignored if its count differs from the voter's first fragment, or exceeds the limit.
-    pub(crate) fn record_fragment(&mut self, voter: Id, fragment: PromiseFragment) {
+    /// Stores a fragment. A fragment is ignored if its index is out of range, or if its count exceeds [`MAX_RECORDS`]
+    /// or differs from the count of the voter's first fragment.
+    pub(crate) fn add_fragment(&mut self, voter: Id, fragment: PromiseFragment) {
         if fragment.index >= fragment.count || fragment.count > MAX_RECORDS {
             return;
         }
@@ -109,7 +111,7 @@
             .count()
     }
 
-    /// The voters whose promise is complete, each with the records that it accepted, in the order of their ids.
+    /// The voters whose promise is complete, in order of id, each with the records that it accepted.
     pub(crate) fn into_promises(self) -> impl Iterator<Item = (Id, Vec<LeasedRecord>)> {
         self.promises
             .into_iter()
--- a/crates/coordination/src/codec.rs
+++ b/crates/coordination/src/codec.rs
@@ -1,4 +1,4 @@
-//! The datagrams of the voters. All numbers are big-endian.
+//! Wire format of the messages between voters. All numbers are big-endian.
 //!
 //! | message | layout (bytes) |
 //! | --- | --- |
@@ -18,14 +18,14 @@
 //! | value: release | 3 (1), stage (1), number (4), to (4), from (4) |
 //! | value: zone | 4 (1), stage (1), step (1), reason (1), zone (4), number (4) |
 //!
-//! Records fill a message to its end. Bytes after a message of fixed length are ignored, as are those after
-//! [`MAX_DATAGRAM_BYTES`].
+//! Records extend to the end of the datagram. The decoder ignores bytes after a message of fixed length, and bytes
+//! beyond [`MAX_DATAGRAM_BYTES`].
 
 use crate::message::{LeasedRecord, Message};
 use crate::record::{Ballot, DisruptionReason, Record, RecordValue, ReleaseStage, Stamp, UnitKind};
 use tansymux_codec::{wire_enum, ByteReader, ByteWriter, DecodeError};
 
-/// Limit on the length of a message (bytes): the most that membership carries in one datagram.
+/// Maximum length of a message (bytes): the largest payload that membership carries in one datagram.
 pub const MAX_DATAGRAM_BYTES: usize = 225;
 /// Length of a ballot (bytes).
 const BALLOT_BYTES: usize = 12;
@@ -37,12 +37,12 @@
 const REMAINING_BYTES: usize = 4;
 /// Length of one record (bytes).
 pub const RECORD_BYTES: usize = 8 + STAMP_BYTES + VALUE_BYTES + REMAINING_BYTES;
-/// Length of the longest head in front of records (bytes): that of a promise.
-const MAX_HEAD_BYTES: usize = 1 + BALLOT_BYTES + 8 + 4;
-/// Number of records that fit in one message.
-pub const MAX_RECORDS_PER_MESSAGE: usize = (MAX_DATAGRAM_BYTES - MAX_HEAD_BYTES) / RECORD_BYTES;
+/// Length of the longest header before records (bytes): the header of a promise.
+const MAX_HEADER_BYTES: usize = 1 + BALLOT_BYTES + 8 + 4;
+/// Maximum number of records in one message.
+pub const MAX_RECORDS_PER_MESSAGE: usize = (MAX_DATAGRAM_BYTES - MAX_HEADER_BYTES) / RECORD_BYTES;
 
-/// Remaining time of a record that does not expire.
+/// Encoded remaining time of a record that does not expire.
 const NO_EXPIRY: u32 = u32::MAX;
 
 wire_enum! {
@@ -89,12 +89,12 @@
     }
 }
 
-/// Encodes a message. Records beyond [`MAX_RECORDS_PER_MESSAGE`] are left out.
+/// Encodes a message. Records beyond [`MAX_RECORDS_PER_MESSAGE`] are omitted.
 pub fn encode(message: &Message) -> Vec<u8> {
     let mut writer = ByteWriter::with_capacity(MAX_DATAGRAM_BYTES);
     match message {
         Message::Prepare { ballot, nonce } => {
-            encode_head(&mut writer, MessageKind::Prepare, *ballot);
+            encode_header(&mut writer, MessageKind::Prepare, *ballot);
             writer.u64(*nonce);
         }
         Message::Promise {
@@ -104,7 +104,7 @@
             fragment_count,
             records,
         } => {
-            encode_head(&mut writer, MessageKind::Promise, *ballot);
+            encode_header(&mut writer, MessageKind::Promise, *ballot);
             writer.u64(*nonce).u16(*fragment).u16(*fragment_count);
             encode_records(&mut writer, records);
         }
@@ -113,7 +113,7 @@
             number,
             records,
         } => {
-            encode_head(&mut writer, MessageKind::Accept, *ballot);
+            encode_header(&mut writer, MessageKind::Accept, *ballot);
             writer.u32(*number);
             encode_records(&mut writer, records);
         }
@@ -122,15 +122,15 @@
             number,
             digest,
         } => {
-            encode_head(&mut writer, MessageKind::Accepted, *ballot);
+            encode_header(&mut writer, MessageKind::Accepted, *ballot);
             writer.u32(*number).u32(*digest);
         }
-        Message::Reject { ballot } => encode_head(&mut writer, MessageKind::Reject, *ballot),
+        Message::Reject { ballot } => encode_header(&mut writer, MessageKind::Reject, *ballot),
     }
     writer.into_bytes()
 }
 
-fn encode_head(writer: &mut ByteWriter, kind: MessageKind, ballot: Ballot) {
+fn encode_header(writer: &mut ByteWriter, kind: MessageKind, ballot: Ballot) {
     writer.u8(kind.code());
     encode_ballot(writer, ballot);
 }
@@ -145,7 +145,7 @@
     }
 }
 
-/// Appends one record: always the same number of bytes.
+/// Appends one record, which takes [`RECORD_BYTES`].
 pub fn encode_record(writer: &mut ByteWriter, leased: &LeasedRecord) {
     let record = &leased.record;
     writer.u64(record.key);
@@ -193,13 +193,13 @@
 /// Decodes a message.
 ///
 /// # Errors
-/// A [`DecodeError`] for malformed bytes, which the receiver drops.
+/// Returns a [`DecodeError`] if the datagram is malformed. The receiver drops such datagrams.
 pub fn decode(datagram: &[u8]) -> Result<Message, DecodeError> {
     let length = datagram.len().min(MAX_DATAGRAM_BYTES);
     let mut reader = ByteReader::new(&datagram[..length]);
     let code = reader.u8()?;
     let ballot = decode_ballot(&mut reader)?;
-    // A datagram that ends within the ballot counts as truncated, whatever its code.
+    // The ballot is read first: a datagram that ends within it is reported as truncated even if its code is unknown.
     let kind = MessageKind::from_code(code).ok_or(DecodeError::UnknownCode {
         field: "message",
         code,
@@ -240,7 +240,7 @@
 /// Decodes records up to the end of the datagram.
 ///
 /// # Errors
-/// A [`DecodeError`] where a record is malformed.
+/// Returns a [`DecodeError`] if a record is malformed.
 pub fn decode_records(reader: &mut ByteReader) -> Result<Vec<LeasedRecord>, DecodeError> {
     let mut records = Vec::new();
     while !reader.is_empty() {
@@ -263,7 +263,7 @@
     })
 }
 
-/// Decodes a value. Struct fields are evaluated in the order in which they are written: that of the wire.
+/// Decodes a value. The struct expressions list their fields in wire order, because Rust evaluates them as written.
 fn decode_value(reader: &mut ByteReader) -> Result<RecordValue, DecodeError> {
     match reader.code("record value", ValueKind::from_code)? {
         ValueKind::Tombstone => Ok(RecordValue::Tombstone),
--- a/crates/coordination/src/disruption_budget.rs
+++ b/crates/coordination/src/disruption_budget.rs
@@ -1,27 +1,28 @@
-//! The disruption budget: whether one more unit may be unavailable.
+//! The disruption budget: decides whether one more unit may become unavailable.
 //!
-//! It limits the unavailable units by count and fraction, in the fleet, a zone and a version. It also requires that the
-//! remaining units can carry the load, and a minimum interval. Members' and operators' requests are decided alike.
+//! It limits the unavailable units of the fleet, of each zone and of each version, by count and by fraction. It also
+//! requires that the remaining units can carry the load, and a minimum interval between disruptions. Requests of
+//! members and of operators follow the same rules.
 
 use crate::record::{DisruptionReason, Id, UnitKind};
 use tansymux_codec::wire_enum;
 
-/// Fraction of a fleet that may be unavailable where nothing is configured.
+/// Default limit on the fraction of a fleet that may be unavailable.
 const DEFAULT_MAX_FRACTION: f64 = 0.1;
-/// Utilization of the remaining capacity that is allowed where nothing is configured.
+/// Default limit on the utilization of the remaining capacity.
 const DEFAULT_MAX_UTILIZATION: f64 = 0.9;
 
-/// A limit on unavailable units: the smaller of a count and a fraction; neither of the two: no limit.
+/// A limit on unavailable units: the smaller of a count and a fraction. If neither is set, there is no limit.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Limit {
     /// Limit on the number of units.
     pub max_count: Option<u32>,
-    /// Limit as a fraction of all known units, rounded down to units and at least one.
+    /// Limit as a fraction of all known units, rounded down to a whole number, at least one.
     pub max_fraction: Option<f64>,
 }
 
 impl Limit {
-    /// The number of `total` units that may be unavailable; `None`: no limit.
+    /// Maximum number of unavailable units among `total`; `None`: no limit.
     pub fn resolve(&self, total: usize) -> Option<usize> {
         let max_count = self.max_count.map(|count| count as usize);
         let by_fraction = self
@@ -45,7 +46,7 @@
     pub version: Limit,
     /// Minimum interval between two disruptions (ms).
     pub min_interval_ms: f64,
-    /// The observed load may be at most this fraction of the remaining capacity.
+    /// Limit on the observed load, as a fraction of the remaining capacity.
     pub max_utilization: f64,
 }
 
@@ -73,18 +74,18 @@
     pub zone: u32,
     /// The unit's version.
     pub version: u32,
-    /// Whether the unit is observed to serve.
+    /// Whether the unit has been observed to serve.
     pub available: bool,
     /// The load that the unit can carry: 1 for a dispatcher, cores for an engine.
     pub capacity: f64,
 }
 
-/// A disruption that was granted or found before.
+/// A disruption on record: granted to a request, or observed.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Disruption {
     /// The unit.
     pub id: Id,
-    /// Why it is unavailable.
+    /// The reason why the unit is unavailable.
     pub reason: DisruptionReason,
     /// Identifies the request that was granted.
     pub grant_id: u64,
@@ -97,9 +98,9 @@
     pub id: Id,
     /// Dispatcher or engine.
     pub kind: UnitKind,
-    /// Why the unit is to be unavailable.
+    /// The reason why the unit is to become unavailable.
     pub reason: DisruptionReason,
-    /// Identifies the request; drawn by the requester. A repeated request has the same one.
+    /// Random identifier drawn by the requester. A repeated request has the same identifier.
     pub grant_id: u64,
 }
 
@@ -118,7 +119,7 @@
 /// The decision on a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Decision {
-    /// The unit may be unavailable.
+    /// The unit may become unavailable.
     Granted,
     /// The same request was granted before.
     AlreadyGranted,
@@ -131,14 +132,14 @@
         /// Units that may be unavailable.
         max_unavailable: usize,
     },
-    /// The last disruption is too recent; retry later.
+    /// The minimum interval since the last disruption has not passed; retry later.
     TooSoon {
         /// Time until a retry may succeed (ms).
         wait_ms: f64,
     },
-    /// The unit is unavailable for another reason.
+    /// Another disruption of the unit is on record.
     AlreadyOut {
-        /// The reason on record.
+        /// The reason of that disruption.
         reason: DisruptionReason,
     },
     /// The remaining units could not carry the load.
@@ -148,12 +149,12 @@
         /// The capacity that would remain.
         remaining: f64,
     },
-    /// No such unit is known.
+    /// The unit is not known.
     UnknownUnit,
 }
 
 wire_enum! {
-    /// Why all disruptions are halted.
+    /// The reason why all disruptions are halted.
     pub enum HaltReason {
         /// An operator's command.
         Operator = 0,
@@ -169,13 +170,13 @@
 }
 
 impl HaltReason {
-    /// The reason with this code on the wire. A code of a later version counts as an operator's halt: it has to be
-    /// resumed by hand as well.
+    /// The reason with this wire code. An unknown code, sent by a later version, is decoded as
+    /// [`HaltReason::Operator`]: an operator has to resume after such a halt too.
     pub fn from_code_lossy(code: u8) -> HaltReason {
         HaltReason::from_code(code).unwrap_or(HaltReason::Operator)
     }
 
-    /// The words that `tansymux fleet` prints; scripts may read them.
+    /// The text that `tansymux fleet` prints. Scripts may parse it.
     pub fn description(self) -> &'static str {
         match self {
             HaltReason::Operator => "by hand",
@@ -187,12 +188,12 @@
     }
 }
 
-/// Number of units in total and unavailable.
+/// Number of unavailable units, and of all units.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct UnitCount {
     /// Units that are unavailable.
     pub unavailable: usize,
-    /// All units.
+    /// All units, available or not.
     pub total: usize,
 }
 
@@ -201,18 +202,22 @@
 pub struct FleetView<'a> {
     /// All known units.
     pub units: &'a [Unit],
-    /// Disruptions that are on record.
+    /// The disruptions on record.
     pub disruptions: &'a [Disruption],
-    /// When the last disruption was granted (ms).
+    /// Time of the last granted disruption (ms).
     pub last_granted_ms: f64,
-    /// The load of all units, in the unit of their capacity.
+    /// The observed load of all units, measured as [`Unit::capacity`] is.
     pub load: f64,
 }
 
 impl FleetView<'_> {
-    /// Whether a unit counts as unavailable: it has a disruption on record, or is not observed to serve.
+    /// Whether a unit counts as unavailable: it has a disruption on record, or has not been observed to serve.
     pub fn is_unavailable(&self, unit: &Unit) -> bool {
-        !unit.available || self.disruptions.iter().any(|out| out.id == unit.id)
+        !unit.available
+            || self
+                .disruptions
+                .iter()
+                .any(|disruption| disruption.id == unit.id)
     }
 
     /// Counts the known units that satisfy a condition.
@@ -228,7 +233,7 @@
         count
     }
 
-    /// Counts all units, including those of which only the disruption is known.
+    /// Counts all units, including units known only from a disruption on record.
     pub fn count_all(&self) -> UnitCount {
         let known = self.count(|_| true);
         let unlisted = self.unlisted_disruptions();
@@ -238,34 +243,38 @@
         }
     }
 
-    /// Number of disruptions whose unit is not among the known ones.
+    /// Number of disruptions on record whose unit is not known.
     fn unlisted_disruptions(&self) -> usize {
         self.disruptions
             .iter()
-            .filter(|out| !self.units.iter().any(|unit| unit.id == out.id))
+            .filter(|disruption| !self.units.iter().any(|unit| unit.id == disruption.id))
             .count()
     }
 
-    /// The capacity of all available units other than `without`.
-    fn remaining_capacity(&self, without: Id) -> f64 {
+    /// Total capacity of the available units except `excluded`.
+    fn remaining_capacity(&self, excluded: Id) -> f64 {
         self.units
             .iter()
-            .filter(|unit| unit.id != without && !self.is_unavailable(unit))
+            .filter(|unit| unit.id != excluded && !self.is_unavailable(unit))
             .map(|unit| unit.capacity)
             .sum()
     }
 }
 
-/// Decides whether one more unit may be unavailable.
+/// Decides whether one more unit may become unavailable.
 pub fn evaluate(
     request: DisruptionRequest,
     budget: &DisruptionBudget,
     view: FleetView,
     now_ms: f64,
 ) -> Decision {
-    if let Some(known) = view.disruptions.iter().find(|out| out.id == request.id) {
-        let is_same = known.grant_id == request.grant_id && known.reason == request.reason;
-        return if is_same {
+    if let Some(known) = view
+        .disruptions
+        .iter()
+        .find(|disruption| disruption.id == request.id)
+    {
+        let is_repeated = known.grant_id == request.grant_id && known.reason == request.reason;
+        return if is_repeated {
             Decision::AlreadyGranted
         } else {
             Decision::AlreadyOut {
@@ -297,7 +306,7 @@
 
 /// The first limit that one more unavailable unit would exceed.
 fn exhausted_limit(unit: &Unit, budget: &DisruptionBudget, view: &FleetView) -> Option<Decision> {
-    // A unit that is unavailable already counts against the budget.
+    // An unavailable unit is already part of the count.
     let additional = usize::from(unit.available);
     let scopes = [
         (Scope::Fleet, budget.fleet, view.count_all()),
--- a/crates/coordination/src/event.rs
+++ b/crates/coordination/src/event.rs
@@ -17,10 +17,10 @@
     },
 }
 
-/// An output of a voter, to be executed by the caller.
+/// An output of a voter, which the caller executes.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Action {
-    /// Send a message. It may be lost.
+    /// Send a message. Delivery is not guaranteed.
     Send {
         /// The receiver.
         to: Id,
@@ -36,7 +36,7 @@
     pub key: u64,
     /// The new value.
     pub value: RecordValue,
-    /// Time until the record expires (ms); `None`: it does not.
+    /// Time until the record expires (ms); `None`: it does not expire.
     pub term_ms: Option<f64>,
 }
 
@@ -50,7 +50,7 @@
         }
     }
 
-    /// The tombstone that ends the record of a key.
+    /// A tombstone, which ends the record of a key.
     pub fn tombstone(key: u64) -> Self {
         Proposal::lasting(key, RecordValue::Tombstone)
     }
@@ -61,18 +61,18 @@
 pub struct ProposalId {
     /// The leader's ballot.
     pub ballot: Ballot,
-    /// Number of the accept request under this ballot.
+    /// Sequence number of the accept request under this ballot.
     pub number: u32,
 }
 
-/// Why proposals were rejected. None of them was written.
+/// The reason why a call's proposals were rejected. None of them was written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum ProposeError {
     /// This voter is not the leader.
-    #[error("this voter does not lead")]
+    #[error("this voter is not the leader")]
     NotLeader,
     /// There were no proposals, or more than fit in one message.
-    #[error("{count} proposals: 1 to {MAX_RECORDS_PER_MESSAGE} are allowed")]
+    #[error("got {count} proposals, expected 1 to {MAX_RECORDS_PER_MESSAGE}")]
     ProposalCount {
         /// Number of proposals.
         count: usize,
@@ -80,7 +80,7 @@
     /// Too many accept requests are in flight.
     #[error("too many accept requests are in flight")]
     TooManyInFlight,
-    /// The table of records has no capacity for the new keys.
-    #[error("the table of records is full")]
+    /// The record table has no capacity for the new keys.
+    #[error("the record table is full")]
     TableFull,
 }
--- a/crates/coordination/src/leadership.rs
+++ b/crates/coordination/src/leadership.rs
@@ -1,4 +1,4 @@
-//! The state of a leader: phase two of Paxos, seen from the proposer.
+//! Leader state: phase two of Paxos on the proposer's side.
 
 use crate::codec::MAX_RECORDS_PER_MESSAGE;
 use crate::message::Message;
@@ -6,14 +6,15 @@
 use crate::record_table::{RecordTable, StoredRecord};
 use std::collections::BTreeMap;
 
-/// Limit on accept requests in flight.
+/// Maximum number of accept requests in flight.
 const MAX_IN_FLIGHT: usize = 64;
 
-/// An accept request that no majority has answered yet.
+/// An accept request that a majority has not accepted yet.
 #[derive(Debug, Clone)]
 struct PendingAccept {
     number: u32,
     records: Vec<StoredRecord>,
+    /// Time of the last transmission (ms).
     sent_ms: f64,
     accepted_by: Vec<Id>,
 }
@@ -32,31 +33,32 @@
     }
 }
 
-/// When an accept request was first sent.
+/// The number of an accept request, and the time of its first transmission (ms).
 #[derive(Debug, Clone, Copy)]
 struct SentAccept {
     number: u32,
     sent_ms: f64,
 }
 
-/// The leader's ballot, its accept requests, and what a majority accepted.
+/// The leader's ballot, its accept requests, and the records that a majority accepted.
 #[derive(Debug, Clone)]
 pub(crate) struct Leadership {
     ballot: Ballot,
     last_number: u32,
     last_stamp: u32,
     pending: Vec<PendingAccept>,
-    /// Accept requests of the last leader lease.
+    /// Accept requests sent within the last leader lease.
     sent: Vec<SentAccept>,
-    /// When the latest request that each voter answered was sent.
+    /// By voter: send time of the latest request that the voter answered (ms).
     contact_ms: BTreeMap<Id, f64>,
-    /// When each lagging voter was last sent the records that it lacks.
+    /// By lagging voter: time of the last repair (ms).
     repaired_ms: BTreeMap<Id, f64>,
     next_heartbeat_ms: f64,
     /// The records that a majority accepted, by key.
     chosen: BTreeMap<u64, StoredRecord>,
-    /// The last accept request with records that the election found.
+    /// Number of the last accept request that carries records active_records by the election.
     last_recovery_number: u32,
+    /// Start of the leadership (ms).
     since_ms: f64,
 }
 
@@ -81,7 +83,7 @@
         self.ballot
     }
 
-    /// When the leadership began (ms).
+    /// Start of the leadership (ms).
     pub(crate) fn since_ms(&self) -> f64 {
         self.since_ms
     }
@@ -96,13 +98,13 @@
         self.chosen.keys().copied()
     }
 
-    /// Stamps all records that are in force with the own ballot, and adds accept requests for them.
+    /// Stamps all records except tombstones under this leader's ballot, and adds accept requests for them.
     pub(crate) fn repropose(&mut self, records: &mut RecordTable, own_id: Id, now_ms: f64) {
-        let mut found: Vec<&mut StoredRecord> = records
+        let mut active_records: Vec<&mut StoredRecord> = records
             .values_mut()
             .filter(|stored| !stored.record.is_tombstone())
             .collect();
-        for chunk in found.chunks_mut(MAX_RECORDS_PER_MESSAGE) {
+        for chunk in active_records.chunks_mut(MAX_RECORDS_PER_MESSAGE) {
             let number = self.next_number(now_ms);
             for stored in chunk.iter_mut() {
                 stored.record.stamp = self.next_stamp();
@@ -113,7 +115,7 @@
         self.last_recovery_number = self.last_number;
     }
 
-    /// Whether a majority accepted all records that the election found.
+    /// Whether a majority accepted all records that the election active_records.
     pub(crate) fn is_recovered(&self) -> bool {
         !self
             .pending
@@ -121,12 +123,12 @@
             .any(|pending| pending.number <= self.last_recovery_number)
     }
 
-    /// Whether another accept request would exceed the limit on those in flight.
+    /// Whether the number of accept requests in flight has reached [`MAX_IN_FLIGHT`].
     pub(crate) fn is_full(&self) -> bool {
         self.pending.len() >= MAX_IN_FLIGHT
     }
 
-    /// Number of other voters that answered a request of the last leader lease.
+    /// Number of other voters that answered a request sent within the last leader lease.
     pub(crate) fn voters_in_contact(&self, now_ms: f64, lease_ms: f64) -> usize {
         self.contact_ms
             .values()
@@ -134,7 +136,7 @@
             .count()
     }
 
-    /// The number of a new accept request that is sent now.
+    /// Allocates the number of an accept request, and stores `now_ms` as its send time.
     pub(crate) fn next_number(&mut self, now_ms: f64) -> u32 {
         self.last_number += 1;
         self.sent.push(SentAccept {
@@ -144,7 +146,7 @@
         self.last_number
     }
 
-    /// The stamp of a new record.
+    /// Allocates the stamp of a new record.
     pub(crate) fn next_stamp(&mut self) -> Stamp {
         self.last_stamp += 1;
         Stamp {
@@ -153,7 +155,7 @@
         }
     }
 
-    /// Adds an accept request that the leader itself has accepted already.
+    /// Adds an accept request, which the leader itself has already accepted.
     pub(crate) fn add_pending(&mut self, number: u32, records: Vec<StoredRecord>, own_id: Id) {
         self.pending.push(PendingAccept {
             number,
@@ -163,13 +165,13 @@
         });
     }
 
-    /// Forgets when accept requests older than the leader lease were sent: an answer to them is no contact.
-    pub(crate) fn forget_old_requests(&mut self, now_ms: f64, lease_ms: f64) {
+    /// Drops the send times of accept requests older than the leader lease: answers to them do not count as contact.
+    pub(crate) fn drop_old_send_times(&mut self, now_ms: f64, lease_ms: f64) {
         self.sent
             .retain(|request| now_ms - request.sent_ms < lease_ms);
     }
 
-    /// The next heartbeat, if it is due: an accept request without records.
+    /// Returns a heartbeat, which is an accept request without records, if one is due.
     pub(crate) fn heartbeat_if_due(&mut self, now_ms: f64, interval_ms: f64) -> Option<Message> {
         if now_ms < self.next_heartbeat_ms {
             return None;
@@ -182,7 +184,7 @@
         })
     }
 
-    /// The accept requests that are new or due again, for each voter that has not accepted them.
+    /// Returns the accept requests due for transmission, with a message for each voter that has not accepted them.
     pub(crate) fn due_accepts(
         &mut self,
         voters: &[Id],
@@ -205,9 +207,9 @@
         messages
     }
 
-    /// Records that a voter accepted a request. An answer to a request that is too old is no contact: the voter may
-    /// have lost its memory since.
-    pub(crate) fn record_accepted(&mut self, from: Id, number: u32) {
+    /// Registers a voter's acceptance of a request. If the request is older than the leader lease, its acceptance does
+    /// not count as contact, because the voter may have lost its memory since.
+    pub(crate) fn add_acceptance(&mut self, from: Id, number: u32) {
         let request = self.sent.iter().find(|request| request.number == number);
         if let Some(request) = request {
             let contact_ms = self.contact_ms.entry(from).or_insert(request.sent_ms);
@@ -220,8 +222,8 @@
         }
     }
 
-    /// The number of an accept request that repairs a lagging voter; `None` while one is in flight or was sent too
-    /// recently.
+    /// Allocates the number of an accept request that repairs a lagging voter. Returns `None` while any accept request
+    /// is pending, or if the last repair of the voter is less than `interval_ms` ago.
     pub(crate) fn begin_repair(&mut self, voter: Id, now_ms: f64, interval_ms: f64) -> Option<u32> {
         let is_due = self
             .repaired_ms
@@ -234,8 +236,8 @@
         Some(self.next_number(now_ms))
     }
 
-    /// Moves the records of requests that a majority accepted to the chosen ones.
-    pub(crate) fn settle_chosen(&mut self, majority: usize) {
+    /// Removes the requests that a majority accepted, and adds their records to the chosen records.
+    pub(crate) fn update_chosen(&mut self, majority: usize) {
         for pending in &self.pending {
             if pending.accepted_by.len() < majority {
                 continue;
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -1,32 +1,34 @@
-//! Quorum records, restart leases and the disruption budget: a fleet agrees which units may be unavailable at a time.
+//! Quorum records, restart leases and the disruption budget, by which a fleet agrees which units may be unavailable.
 //!
-//! # What it owns
+//! # Contents
 //! - [`QuorumNode`]: replication of a small table of records ([`RecordValue`]) among a few voters, and leader election.
-//! - [`disruption_budget`]: whether the limits allow one more restart, drain or ejection.
-//! - [`codec`]: the datagrams that voters exchange.
+//! - [`disruption_budget`]: checks whether the limits allow one more restart, drain or ejection.
+//! - [`codec`]: wire format of the messages that voters exchange.
 //!
-//! It does no I/O and reads no clock: messages and times come in, messages go out. It is never on the path of a query:
-//! without a majority no further unit becomes unavailable, and all others continue to serve.
+//! The crate does no I/O and reads no clock: the caller supplies messages and times, and sends the messages that the
+//! crate returns. No query waits for it: without a majority no further disruption is granted, and units continue
+//! to serve.
 //!
-//! # Sources, and what differs
-//! - L. Lamport, "The Part-Time Parliament" (1998) and "Paxos Made Simple" (2001): ballots, prepare and promise, accept
-//!   and accepted, values chosen by a majority. Each record is a register of its own, which the leader overwrites. There
-//!   is no log, so there is nothing to compact. Promises are stored in memory only: a voter that may have lost them takes
-//!   no part for [`QuorumConfig::quarantine_ms`].
+//! # Sources and differences
+//! - L. Lamport, "The Part-Time Parliament" (1998) and "Paxos Made Simple" (2001): ballots, prepare and promise,
+//!   accept and accepted, values chosen by a majority. Each record is a separate register, which the leader
+//!   overwrites. There is no log and hence no compaction. Promises are stored in memory only: a voter that may have
+//!   lost them is quarantined for [`QuorumConfig::quarantine_ms`].
 //! - M. Burrows, "The Chubby lock service" (2006): leases that expire, and sessions that distinguish two runs of a
-//!   process. Holder and leader allow for clocks whose rates differ by [`QuorumConfig::max_clock_skew`].
-//! - Disruption budgets as in Kubernetes (PodDisruptionBudget), with limits for each zone and version, a minimum interval
-//!   and a check that the remaining capacity carries the load.
+//!   process. Holder and leader allow for clocks whose rates differ by up to [`QuorumConfig::max_clock_skew`].
+//! - Disruption budgets as in Kubernetes (PodDisruptionBudget), with limits for each zone and version, a minimum
+//!   interval and a check that the remaining capacity carries the load.
 //!
-//! docs/design/fleet.md weighs this against a replicated log and lists what the model check found.
+//! docs/design/fleet.md compares this design with a replicated log and lists the findings of the model check.
 //!
 //! # Invariants, checked in `tests/`
-//! - Every later leader knows all records that a majority accepted, in any order of message loss, crashes and stops.
-//! - A lease has ended for its holder before the leader counts it as free.
-//! - A voter that lost its memory takes no part until all that it may have promised has ended.
+//! - Every later leader knows all records that a majority accepted, for any sequence of message losses, crashes and
+//!   process stops.
+//! - A lease ends at its holder before the leader treats it as free.
+//! - A voter that lost its memory does not vote until every promise that it may have given has expired.
 //! - Every message fits [`codec::MAX_DATAGRAM_BYTES`], every table [`MAX_RECORDS`].
 //!
-//! Start reading at [`QuorumNode::handle`] and [`QuorumNode::poll`].
+//! Entry points: [`QuorumNode::handle`] and [`QuorumNode::poll`].
 
 mod candidacy;
 pub mod codec;
--- a/crates/coordination/src/message.rs
+++ b/crates/coordination/src/message.rs
@@ -7,7 +7,7 @@
 pub struct LeasedRecord {
     /// The record.
     pub record: Record,
-    /// Time until the record expires (ms); `None`: it does not.
+    /// Time until the record expires (ms); `None`: it does not expire.
     pub remaining_ms: Option<u32>,
 }
 
@@ -18,27 +18,27 @@
     Prepare {
         /// The candidate's ballot.
         ballot: Ballot,
-        /// Identifies the candidacy; drawn at random.
+        /// Random identifier of the candidacy.
         nonce: u64,
     },
-    /// An acceptor promises a ballot, with the records that it accepted (phase 1b). A promise has one or more fragments.
+    /// An acceptor promises a ballot and reports the records that it accepted (phase 1b), in one or more fragments.
     Promise {
         /// The promised ballot.
         ballot: Ballot,
         /// The candidate's nonce.
         nonce: u64,
-        /// Number of this fragment, from 0.
+        /// Index of this fragment, from 0.
         fragment: u16,
         /// Number of fragments.
         fragment_count: u16,
         /// This fragment's part of the acceptor's records.
         records: Vec<LeasedRecord>,
     },
-    /// The leader requests that records be accepted (phase 2a). Without records it is a heartbeat.
+    /// The leader asks voters to accept records (phase 2a). Without records the message is a heartbeat.
     Accept {
         /// The leader's ballot.
         ballot: Ballot,
-        /// Number of the accept request under this ballot.
+        /// Sequence number of the accept request under this ballot.
         number: u32,
         /// The records.
         records: Vec<LeasedRecord>,
--- a/crates/coordination/src/outbox.rs
+++ b/crates/coordination/src/outbox.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-/// Actions that wait for the caller of a `poll` function.
+/// Actions queued for the caller of a `poll` function.
 ///
 /// A caller polls until it gets `None`. Timers run once at the start of each such series of calls:
 ///
@@ -31,7 +31,7 @@
 #[derive(Debug, Clone)]
 pub struct Outbox<Action> {
     actions: VecDeque<Action>,
-    /// The timers of the present series of polls have run.
+    /// Whether the timers have run in the current series of polls.
     timers_ran: bool,
 }
 
@@ -50,7 +50,7 @@
         self.actions.push_back(action);
     }
 
-    /// Whether a series of polls begins, so that timers have to run first.
+    /// Registers a poll. Returns true if it is the first in a series, so that the caller has to run the timers.
     pub fn begin_poll(&mut self) -> bool {
         !std::mem::replace(&mut self.timers_ran, true)
     }
--- a/crates/coordination/src/quorum_node.rs
+++ b/crates/coordination/src/quorum_node.rs
@@ -1,4 +1,4 @@
-//! One voter: Paxos acceptor, and at times candidate or leader.
+//! A voter: always a Paxos acceptor, and at times a candidate or the leader.
 
 mod election;
 mod replication;
@@ -15,11 +15,11 @@
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 
-/// Width of the range at the upper end of the rounds that an observed round must not be in: a forged one would leave no
-/// round above it.
+/// Number of rounds at the upper end of the range that [`QuorumNode::observe_round`] ignores: a forged round there
+/// would leave no higher round for a candidacy.
 const RESERVED_ROUNDS: u32 = 1_000_000;
 
-/// The state of the present role. Every voter is an acceptor at any time.
+/// State of the current role. A candidate and a leader are also acceptors.
 #[derive(Debug, Clone)]
 enum State {
     Acceptor,
@@ -38,7 +38,7 @@
     promised: Ballot,
     /// The highest round that was observed.
     highest_round: u32,
-    /// When the promised leader or candidate was last in contact.
+    /// Time of the last message from the promised leader or candidate (ms).
     leader_contact_ms: f64,
     quarantined_until_ms: f64,
     records: RecordTable,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// The voter's own number.
+    /// The voter's id.
     pub fn id(&self) -> Id {
         self.id
     }
@@ -90,7 +90,7 @@
         &self.config
     }
 
-    /// The voter's present role.
+    /// The voter's current role.
     pub fn role(&self) -> Role {
         if self.is_quarantined() {
             return Role::Quarantined {
@@ -104,7 +104,7 @@
         }
     }
 
-    /// The leader, if this voter was in contact with it within the leader lease.
+    /// The leader, if it was in contact with this voter within the leader lease.
     pub fn leader(&self) -> Option<Id> {
         if matches!(self.state, State::Leader(_)) {
             return self.is_leader(self.now_ms).then_some(self.id);
@@ -113,8 +113,8 @@
         (is_recent && self.promised.leader != self.id).then_some(self.promised.leader)
     }
 
-    /// Whether the voter leads and may decide: a majority answered within the leader lease, and accepted all records
-    /// that the election found.
+    /// Whether the voter is a leader that may decide: a majority answered within the leader lease, and a majority
+    /// accepted all records found by the election.
     pub fn is_leader(&self, now_ms: f64) -> bool {
         match &self.state {
             State::Leader(leadership) => {
@@ -124,7 +124,7 @@
         }
     }
 
-    /// When the voter became the leader (ms).
+    /// Time at which the voter became the leader (ms); `None` if it is not the leader.
     pub fn leader_since_ms(&self) -> Option<f64> {
         match &self.state {
             State::Leader(leadership) => Some(leadership.since_ms()),
@@ -146,13 +146,13 @@
             .is_some_and(|stored| stored.record.is_tombstone())
     }
 
-    /// Whether the voter has any record of this key, tombstones included.
+    /// Whether the voter has a record with this key, tombstones included.
     pub fn holds(&self, key: u64) -> bool {
         self.records.get(key).is_some()
     }
 
-    /// The record of a key that is or may still be in force: a record that the leader has ended is returned until a
-    /// majority accepted the tombstone.
+    /// The record of a key, if it is or may still be in force. A record that the leader has ended is returned until a
+    /// majority has accepted the tombstone.
     pub fn active(&self, key: u64) -> Option<LeasedRecord> {
         let stored = self.records.get(key);
         let chosen = self.chosen(key);
@@ -163,7 +163,7 @@
             .map(|stored| stored.leased(self.now_ms))
     }
 
-    /// [`QuorumNode::active`] of all keys.
+    /// The records of all keys that are or may still be in force, see [`QuorumNode::active`].
     pub fn all_active(&self) -> impl Iterator<Item = LeasedRecord> + '_ {
         let leadership = match &self.state {
             State::Leader(leadership) => Some(leadership),
@@ -179,12 +179,13 @@
             .filter_map(|key| self.active(key))
     }
 
-    /// When this voter accepted the record of a key (ms).
+    /// Time at which this voter accepted the record of a key (ms).
     pub fn accepted_at_ms(&self, key: u64) -> Option<f64> {
         self.records.get(key).map(|stored| stored.accepted_at_ms)
     }
 
-    /// Whether the leader's record of a key is chosen: a majority accepted it.
+    /// Whether the leader's record of a key is chosen, that is, accepted by a majority. False if this voter is not the
+    /// leader or a majority has not answered within the leader lease.
     pub fn is_chosen(&self, key: u64) -> bool {
         let State::Leader(leadership) = &self.state else {
             return false;
@@ -207,14 +208,14 @@
         self.records.highest_stamp()
     }
 
-    /// Records that a round is in use: the next ballot of this voter has a higher one.
+    /// Notes that a round is in use: the next ballot of this voter has a higher round.
     pub fn observe_round(&mut self, round: u32) {
         if round < u32::MAX - RESERVED_ROUNDS {
             self.highest_round = self.highest_round.max(round);
         }
     }
 
-    /// Handles an event. [`QuorumNode::poll`] returns the actions that follow from it.
+    /// Handles an event. [`QuorumNode::poll`] returns the resulting actions.
     pub fn handle(&mut self, event: Event, now_ms: f64) {
         self.advance_clock(now_ms);
         let Event::Received { from, message } = event;
@@ -230,7 +231,7 @@
                 fragment_count,
                 records,
             } => {
-                if self.is_own_candidacy(ballot, nonce) {
+                if self.answers_own_candidacy(ballot, nonce) {
                     let fragment = PromiseFragment {
                         index: usize::from(fragment),
                         count: usize::from(fragment_count),
@@ -253,8 +254,8 @@
         }
     }
 
-    /// The next action. Call this function until it returns `None`: nothing is due before
-    /// [`QuorumNode::next_poll_ms`] then.
+    /// Returns the next action. Call this function until it returns `None`; the next call is then due at
+    /// [`QuorumNode::next_poll_ms`].
     pub fn poll(&mut self, now_ms: f64) -> Option<Action> {
         if self.outbox.begin_poll() {
             self.run_timers(now_ms);
@@ -262,7 +263,7 @@
         self.outbox.pop()
     }
 
-    /// When to poll again (ms), if no event comes before.
+    /// Time of the next poll (ms), unless an event arrives earlier.
     pub fn next_poll_ms(&self) -> f64 {
         self.now_ms + self.config.retransmit_ms / 2.0
     }
@@ -270,14 +271,14 @@
     fn run_timers(&mut self, now_ms: f64) {
         self.advance_clock(now_ms);
         self.records.drop_old_tombstones(self.now_ms);
-        let is_over = match &self.state {
+        let has_timed_out = match &self.state {
             State::Leader(leadership) => !self.has_majority_contact(leadership, self.now_ms),
             State::Candidate(candidacy) => {
                 self.now_ms - candidacy.since_ms() >= self.config.leader_lease_ms
             }
             State::Acceptor => false,
         };
-        if is_over {
+        if has_timed_out {
             self.step_down();
         }
         match &self.state {
@@ -287,8 +288,8 @@
         }
     }
 
-    /// Advances the clock. A voter whose process was stopped for longer than a leader lease is quarantined, as if it had
-    /// lost its memory: outdated messages that waited in its socket look new to it.
+    /// Advances the clock. A voter whose process was stopped for a leader lease or longer is quarantined as if it had
+    /// lost its memory, because outdated messages in its socket buffer look new to it.
     fn advance_clock(&mut self, now_ms: f64) {
         if now_ms - self.now_ms >= self.config.leader_lease_ms {
             self.step_down();
@@ -298,11 +299,11 @@
         self.now_ms = self.now_ms.max(now_ms);
     }
 
-    /// Ends a candidacy or leadership, and draws the backoff before the next candidacy.
+    /// Ends a candidacy or leadership, and draws a random backoff before the next candidacy.
     fn step_down(&mut self) {
         self.state = State::Acceptor;
-        let spread = 1.0 + self.rng.random::<f64>();
-        self.next_candidacy_ms = self.now_ms + 2.0 * self.config.retransmit_ms * spread;
+        let jitter = 1.0 + self.rng.random::<f64>();
+        self.next_candidacy_ms = self.now_ms + 2.0 * self.config.retransmit_ms * jitter;
     }
 
     fn is_quarantined(&self) -> bool {
@@ -313,13 +314,13 @@
         self.voters.len() / 2 + 1
     }
 
-    /// Whether a majority, the leader among them, answered within the leader lease.
+    /// Whether a majority, including the leader itself, answered a request sent within the leader lease.
     fn has_majority_contact(&self, leadership: &Leadership, now_ms: f64) -> bool {
         let lease_ms = self.config.leader_lease_ms;
         leadership.voters_in_contact(now_ms, lease_ms) + 1 >= self.majority()
     }
 
-    /// The record of a key that a majority accepted; `None` at a voter that does not lead.
+    /// The record of a key that a majority accepted; `None` if this voter is not the leader.
     fn chosen(&self, key: u64) -> Option<&StoredRecord> {
         match &self.state {
             State::Leader(leadership) => leadership.chosen(key),
@@ -328,7 +329,7 @@
     }
 
     /// Merges records of another voter into the table.
-    fn merge_all(&mut self, records: Vec<LeasedRecord>) {
+    fn merge_records(&mut self, records: Vec<LeasedRecord>) {
         for leased in records {
             self.records
                 .merge(leased, self.now_ms, self.config.max_clock_skew);
--- a/crates/coordination/src/quorum_node/election.rs
+++ b/crates/coordination/src/quorum_node/election.rs
@@ -1,5 +1,4 @@
-//! Phase one of Paxos: prepare and promise. All records share the ballot of one leader, so one election covers all of
-//! them.
+//! Phase one of Paxos: prepare and promise. One election covers all records, because they share the leader's ballot.
 
 use super::{QuorumNode, State};
 use crate::candidacy::{Candidacy, PromiseFragment};
@@ -11,7 +10,7 @@
 use std::collections::BTreeMap;
 
 impl QuorumNode {
-    /// Becomes a candidate if no leader is in contact and the backoff after the last candidacy is over.
+    /// Becomes a candidate if no leader is in contact and the backoff after the last candidacy has passed.
     pub(super) fn start_candidacy_if_due(&mut self) {
         let lease_ms = self.config.leader_lease_ms * (1.0 + self.config.max_clock_skew);
         let lease_ended = self.now_ms - self.leader_contact_ms >= lease_ms;
@@ -35,7 +34,7 @@
         }
     }
 
-    /// Sends the prepare message again to the voters whose promise is incomplete.
+    /// Resends the prepare message to the voters whose promise is incomplete, if it is due.
     pub(super) fn resend_prepares_if_due(&mut self) {
         let State::Candidate(candidacy) = &mut self.state else {
             return;
@@ -43,16 +42,16 @@
         if self.now_ms - candidacy.sent_ms() < self.config.retransmit_ms {
             return;
         }
-        candidacy.record_sent(self.now_ms);
+        candidacy.set_sent(self.now_ms);
         let prepare = candidacy.prepare();
         let own_id = self.id;
-        let unanswered: Vec<Id> = self
+        let receivers: Vec<Id> = self
             .voters
             .iter()
             .copied()
             .filter(|voter| *voter != own_id && !candidacy.has_promise_of(*voter))
             .collect();
-        for voter in unanswered {
+        for voter in receivers {
             self.send(voter, prepare.clone());
         }
     }
@@ -63,9 +62,11 @@
             return;
         }
         // While the leader that this voter follows is in contact, no other candidate gets a promise.
-        let follows_other = self.now_ms - self.leader_contact_ms < self.config.leader_lease_ms
+        let follows_other_leader = self.now_ms - self.leader_contact_ms
+            < self.config.leader_lease_ms
             && self.promised.leader != from;
-        let must_reject = ballot < self.promised || (follows_other && ballot != self.promised);
+        let must_reject =
+            ballot < self.promised || (follows_other_leader && ballot != self.promised);
         if self.is_quarantined() || must_reject {
             let promised = self.promised;
             self.send(from, Message::Reject { ballot: promised });
@@ -75,7 +76,7 @@
         self.send_promise(from, ballot, nonce);
     }
 
-    /// Promises a ballot that is not lower than the one promised before.
+    /// Promises a ballot, which must not be lower than the previously promised ballot.
     pub(super) fn follow(&mut self, ballot: Ballot) {
         if ballot != self.promised {
             self.step_down();
@@ -84,7 +85,7 @@
         self.leader_contact_ms = self.now_ms;
     }
 
-    /// Sends all accepted records, in as many fragments as they need.
+    /// Sends a promise with all accepted records, in as many fragments as needed.
     fn send_promise(&mut self, to: Id, ballot: Ballot, nonce: u64) {
         let records: Vec<LeasedRecord> = self.records().collect();
         let fragment_count = records.len().div_ceil(MAX_RECORDS_PER_MESSAGE).max(1) as u16;
@@ -106,28 +107,28 @@
         }
     }
 
-    /// Whether a promise answers the present candidacy.
-    pub(super) fn is_own_candidacy(&self, ballot: Ballot, nonce: u64) -> bool {
+    /// Whether a promise answers the current candidacy.
+    pub(super) fn answers_own_candidacy(&self, ballot: Ballot, nonce: u64) -> bool {
         match &self.state {
             State::Candidate(candidacy) => candidacy.is_answered_by(ballot, nonce),
             State::Acceptor | State::Leader(_) => false,
         }
     }
 
-    /// Handles a fragment of a promise for the present candidacy.
+    /// Handles a fragment of a promise for the current candidacy.
     pub(super) fn on_promise(&mut self, from: Id, fragment: PromiseFragment) {
         let majority = self.majority();
         let State::Candidate(candidacy) = &mut self.state else {
             return;
         };
-        candidacy.record_fragment(from, fragment);
+        candidacy.add_fragment(from, fragment);
         if candidacy.promise_count() + 1 >= majority {
             self.become_leader();
         }
     }
 
-    /// Becomes the leader: a majority promised. Every record that one of them accepted is proposed again under the own
-    /// ballot.
+    /// Becomes the leader after promises of a majority. Every record that one of these voters accepted is proposed
+    /// again under this voter's ballot.
     fn become_leader(&mut self) {
         let State::Candidate(candidacy) = std::mem::replace(&mut self.state, State::Acceptor)
         else {
@@ -138,16 +139,16 @@
         let mut contact_ms = BTreeMap::new();
         for (voter, records) in candidacy.into_promises() {
             contact_ms.insert(voter, sent_ms);
-            self.merge_all(records);
+            self.merge_records(records);
         }
         let mut leadership = Leadership::new(ballot, contact_ms, self.now_ms);
         leadership.repropose(&mut self.records, self.id, self.now_ms);
         self.state = State::Leader(Box::new(leadership));
         self.send_pending_accepts();
-        self.settle_chosen();
+        self.update_chosen();
     }
 
-    /// Handles a rejection: the sender promised this ballot.
+    /// Handles a rejection by a voter that promised the ballot `promised`.
     pub(super) fn on_reject(&mut self, promised: Ballot) {
         self.observe_round(promised.round);
         let own_ballot = match &self.state {
--- a/crates/coordination/src/quorum_node/replication.rs
+++ b/crates/coordination/src/quorum_node/replication.rs
@@ -1,4 +1,5 @@
-//! Phase two of Paxos: the leader proposes records, voters accept them, and what a majority accepted is chosen.
+//! Phase two of Paxos: the leader proposes records, voters accept them, and records that a majority accepted are
+//! chosen.
 
 use super::{QuorumNode, State};
 use crate::codec::MAX_RECORDS_PER_MESSAGE;
@@ -8,15 +9,15 @@
 use crate::record_table::StoredRecord;
 use rand::RngExt;
 
-/// Limit on the messages that repair one lagging voter at a time.
+/// Maximum number of messages in one repair of a lagging voter.
 const MAX_REPAIR_MESSAGES: usize = 8;
 
 impl QuorumNode {
-    /// Writes records as the leader, and sends accept requests for them. [`QuorumNode::is_chosen`] is true once a
-    /// majority accepted.
+    /// Writes records as the leader, and sends accept requests for them. [`QuorumNode::is_chosen`] returns true once a
+    /// majority has accepted them.
     ///
     /// # Errors
-    /// A [`ProposeError`]; nothing is written then.
+    /// Returns a [`ProposeError`] if the proposals were rejected. None of them was written.
     pub fn propose(
         &mut self,
         proposals: &[Proposal],
@@ -41,11 +42,11 @@
             leadership.add_pending(number, written, own_id);
         }
         self.send_pending_accepts();
-        self.settle_chosen();
+        self.update_chosen();
         Ok(ProposalId { ballot, number })
     }
 
-    /// Whether this voter may write these proposals now.
+    /// Checks whether this voter may write these proposals now.
     fn check_proposals(&self, proposals: &[Proposal]) -> Result<(), ProposeError> {
         let State::Leader(leadership) = &self.state else {
             return Err(ProposeError::NotLeader);
@@ -58,7 +59,7 @@
             return Err(ProposeError::TooManyInFlight);
         }
         let keys = proposals.iter().map(|proposal| proposal.key);
-        if !self.records.has_room_for(keys) {
+        if !self.records.has_capacity_for(keys) {
             return Err(ProposeError::TableFull);
         }
         Ok(())
@@ -76,8 +77,8 @@
         }
     }
 
-    /// When a proposal expires (ms). A tombstone counts for as long as the record that it ends may count at any voter;
-    /// a tombstone that is written again keeps the expiry of the first.
+    /// Expiry time of a proposal (ms). A tombstone expires no earlier than the record that it ends expires at any
+    /// voter. A tombstone that is written again keeps its first expiry time.
     fn expiry_ms(&self, proposal: &Proposal) -> f64 {
         let skew_factor = 1.0 + self.config.max_clock_skew;
         if proposal.value == RecordValue::Tombstone {
@@ -101,7 +102,7 @@
         let State::Leader(leadership) = &mut self.state else {
             return;
         };
-        leadership.forget_old_requests(self.now_ms, self.config.leader_lease_ms);
+        leadership.drop_old_send_times(self.now_ms, self.config.leader_lease_ms);
         let heartbeat = leadership.heartbeat_if_due(self.now_ms, self.config.retransmit_ms);
         if let Some(heartbeat) = heartbeat {
             self.send_to_others(&heartbeat);
@@ -109,7 +110,7 @@
         self.send_pending_accepts();
     }
 
-    /// Sends the accept requests that are new or due again to all voters that have not accepted them.
+    /// Sends the accept requests that are due, to all voters that have not accepted them.
     pub(super) fn send_pending_accepts(&mut self) {
         let State::Leader(leadership) = &mut self.state else {
             return;
@@ -120,11 +121,11 @@
         }
     }
 
-    /// Updates which records a majority has accepted.
-    pub(super) fn settle_chosen(&mut self) {
+    /// Updates the set of records that a majority has accepted.
+    pub(super) fn update_chosen(&mut self) {
         let majority = self.majority();
         if let State::Leader(leadership) = &mut self.state {
-            leadership.settle_chosen(majority);
+            leadership.update_chosen(majority);
         }
     }
 
@@ -145,9 +146,9 @@
             return;
         }
         self.follow(ballot);
-        self.merge_all(records);
-        // A quarantined voter learns the records, but is not counted towards a majority.
-        let answer = if self.is_quarantined() {
+        self.merge_records(records);
+        // A quarantined voter stores the records, but does not count towards a majority.
+        let reply = if self.is_quarantined() {
             Message::Reject {
                 ballot: self.promised,
             }
@@ -158,30 +159,30 @@
                 digest: self.digest(),
             }
         };
-        self.send(from, answer);
+        self.send(from, reply);
     }
 
     /// Handles a voter's acceptance, as the leader.
     pub(super) fn on_accepted(&mut self, from: Id, ballot: Ballot, number: u32, digest: u32) {
-        let lags = digest != self.digest();
+        let is_lagging = digest != self.digest();
         let State::Leader(leadership) = &mut self.state else {
             return;
         };
         if leadership.ballot() != ballot {
             return;
         }
-        leadership.record_accepted(from, number);
-        if lags {
+        leadership.add_acceptance(from, number);
+        if is_lagging {
             let retransmit_ms = self.config.retransmit_ms;
             if let Some(number) = leadership.begin_repair(from, self.now_ms, retransmit_ms) {
                 self.send_repairs(from, ballot, number);
             }
         }
-        self.settle_chosen();
+        self.update_chosen();
     }
 
-    /// Sends records to a lagging voter. The first one is drawn at random, so that a voter that lacks more than fit in
-    /// these messages receives all of them after several repairs.
+    /// Sends records to a lagging voter, starting at a random record. A voter that lacks more records than one repair
+    /// can carry thus receives all of them over several repairs.
     fn send_repairs(&mut self, voter: Id, ballot: Ballot, number: u32) {
         let mut records: Vec<LeasedRecord> = self.records().collect();
         if !records.is_empty() {
--- a/crates/coordination/src/record.rs
+++ b/crates/coordination/src/record.rs
@@ -1,4 +1,4 @@
-//! The replicated records. Of two records with one key, the one with the higher stamp is the later one.
+//! The replicated records. Of two records with the same key, the record with the higher stamp is newer.
 
 use tansymux_codec::wire_enum;
 
@@ -7,18 +7,18 @@
 
 /// Key of the record that halts all disruptions.
 pub const HALT_KEY: u64 = 1;
-/// Key of the record of the release.
+/// Key of the release record.
 pub const RELEASE_KEY: u64 = 2;
 
-/// XORed onto a dispatcher's id for the key of its record, so that it does not collide with an engine's.
+/// XORed with a dispatcher's id to form the key of its record, so that it does not collide with an engine's key.
 const DISPATCHER_KEY_SALT: u64 = 0x5851_F42D_4C95_7F2D;
-/// XORed onto an engine's id for the key of its record.
+/// XORed with an engine's id to form the key of its record.
 const ENGINE_KEY_SALT: u64 = 0x1405_7B7E_F767_814F;
-/// Upper half of a zone's key; the lower half is the zone.
+/// Upper half of a zone's key ("ZONE" in ASCII); the lower half is the zone's id.
 const ZONE_KEY_PREFIX: u64 = 0x5A4F_4E45 << 32;
 
-/// A Paxos ballot number: the round, then the proposer's id. Of two proposers in one round, the one with the higher id
-/// wins.
+/// A Paxos ballot number: the round, then the proposer's id. Of two proposers in the same round, the
+/// proposer with the higher id wins.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Ballot {
     /// The round: higher for each candidacy.
@@ -27,12 +27,12 @@
     pub leader: Id,
 }
 
-/// When a record was written: the leader's ballot, and the record's number under it.
+/// Version of a record: the leader's ballot, and the record's sequence number under this ballot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct Stamp {
-    /// The ballot of the leader that wrote it.
+    /// The ballot of the leader that wrote the record.
     pub ballot: Ballot,
-    /// Counts the records of this leader, from 1.
+    /// Sequence number of the record under this ballot, from 1.
     pub number: u32,
 }
 
@@ -47,17 +47,17 @@
 }
 
 wire_enum! {
-    /// Why a unit is unavailable.
+    /// The reason why a unit is unavailable.
     pub enum DisruptionReason {
         /// A dispatcher holds a restart lease.
         RestartLease = 0,
         /// The operators drain the unit.
         Drain = 1,
-        /// Enough dispatchers found the engine failing.
+        /// Enough dispatchers reported the engine as failing.
         Ejected = 2,
-        /// The unit disappeared without a lease, or did not come back from one.
+        /// The unit disappeared without a lease, or did not return before its lease ended.
         Lost = 3,
-        /// The name service lists the unit as unavailable, which cannot be rejected.
+        /// The name service lists the unit as unavailable. Such a disruption cannot be rejected.
         Announced = 4,
     }
 }
@@ -67,7 +67,7 @@
     pub enum ReleaseStage {
         /// Only the canaries restart.
         Canaries = 0,
-        /// All other dispatchers restart, in one wave for each zone.
+        /// All other dispatchers restart, in one wave per zone.
         Waves = 1,
         /// Released dispatchers return to the previous version.
         RollingBack = 2,
@@ -94,25 +94,25 @@
     Disruption {
         /// Dispatcher or engine.
         kind: UnitKind,
-        /// Why it is unavailable.
+        /// The reason why the unit is unavailable.
         reason: DisruptionReason,
         /// The unit's zone.
         zone: u32,
-        /// The session of the dispatcher that the disruption ends; 0 for engines.
+        /// The dispatcher's session that the disruption ends; 0 for engines.
         session: u32,
-        /// Identifies the request; drawn by the requester. A repeated request has the same one.
+        /// Random identifier drawn by the requester. A repeated request has the same identifier.
         grant_id: u64,
     },
-    /// No new disruption is granted.
+    /// A halt: no new disruption is granted.
     Halt {
-        /// Identifies this halt: resuming has to name it.
+        /// Identifies this halt. A request to resume has to name it.
         number: u32,
         /// The leader that wrote the record.
         by: Id,
         /// Code of a [`crate::disruption_budget::HaltReason`].
         reason: u8,
     },
-    /// State of a zone, in the codes of crates/zone-evacuation.
+    /// State of a zone. crates/zone-evacuation defines the codes.
     Zone {
         /// The zone.
         zone: u32,
@@ -122,7 +122,7 @@
         step: u8,
         /// Code of the reason.
         reason: u8,
-        /// Number of the decision: higher for each change of the zone.
+        /// Number of the decision, which increases with each change of the zone.
         number: u32,
     },
     /// A release.
@@ -131,19 +131,19 @@
         number: u32,
         /// The new version.
         to: u32,
-        /// Only dispatchers with this version take part; 0: all that do not have `to`.
+        /// Only dispatchers with this version take part; 0: all dispatchers whose version is not `to`.
         from: u32,
         /// The stage of the release.
         stage: ReleaseStage,
     },
 }
 
-/// A replicated register.
+/// A version of a replicated register.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Record {
     /// Identifies the register: see [`Record::unit_key`], [`Record::zone_key`], [`HALT_KEY`] and [`RELEASE_KEY`].
     pub key: u64,
-    /// Orders the record among others with its key.
+    /// Orders the versions of the register.
     pub stamp: Stamp,
     /// The content.
     pub value: RecordValue,
--- a/crates/coordination/src/record_table.rs
+++ b/crates/coordination/src/record_table.rs
@@ -1,19 +1,19 @@
-//! The records of one voter, and the rule that decides between two records with one key.
+//! The records of one voter, and the rule for merging two records with the same key.
 
 use crate::message::LeasedRecord;
 use crate::record::{Record, Stamp};
 use std::collections::BTreeMap;
 
-/// Limit on the number of records, tombstones included.
+/// Maximum number of records, tombstones included.
 pub const MAX_RECORDS: usize = 512;
-/// Retention of a tombstone (ms), so that an older record with its key does not come back.
+/// Retention time of a tombstone (ms), which keeps an older record with the same key from reappearing.
 const TOMBSTONE_RETENTION_MS: f64 = 600_000.0;
 
 /// A record in the table of a voter.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct StoredRecord {
     pub(crate) record: Record,
-    /// When the record expires; infinite: never.
+    /// Expiry time (ms); infinite if the record does not expire.
     pub(crate) expires_at_ms: f64,
     pub(crate) accepted_at_ms: f64,
 }
@@ -31,7 +31,7 @@
     }
 }
 
-/// At most [`MAX_RECORDS`] records by their key.
+/// The records by key, at most [`MAX_RECORDS`].
 #[derive(Debug, Clone, Default)]
 pub(crate) struct RecordTable {
     records: BTreeMap<u64, StoredRecord>,
@@ -55,20 +55,21 @@
     }
 
     /// Whether the table has capacity for records with these keys.
-    pub(crate) fn has_room_for(&self, keys: impl Iterator<Item = u64>) -> bool {
+    pub(crate) fn has_capacity_for(&self, keys: impl Iterator<Item = u64>) -> bool {
         let new_keys = keys.filter(|key| !self.records.contains_key(key)).count();
         self.records.len() + new_keys <= MAX_RECORDS
     }
 
-    /// Stores a record that this voter wrote itself, in place of any other with its key.
+    /// Stores a record that this voter wrote itself, and replaces any record with the same key.
     pub(crate) fn insert(&mut self, stored: StoredRecord) {
         self.records.insert(stored.record.key, stored);
     }
 
-    /// Stores a record of another voter if it is the later one.
+    /// Stores a record of another voter if it is newer.
     ///
-    /// Rounds may begin again from a low number after a majority lost its memory. An expired record is therefore replaced
-    /// by an unexpired one with any stamp. If both are unexpired and neither is a tombstone, the later expiry applies.
+    /// Rounds may restart at a low number after a majority lost its memory. An unexpired record therefore replaces an
+    /// expired record, whatever their stamps. If both are unexpired and neither is a tombstone, the later expiry
+    /// applies.
     pub(crate) fn merge(&mut self, leased: LeasedRecord, now_ms: f64, max_clock_skew: f64) {
         let record = leased.record;
         let incoming = StoredRecord {
@@ -78,19 +79,19 @@
             }),
             accepted_at_ms: now_ms,
         };
-        let has_room = self.records.len() < MAX_RECORDS;
+        let has_capacity = self.records.len() < MAX_RECORDS;
         let Some(known) = self.records.get_mut(&record.key) else {
-            if has_room {
+            if has_capacity {
                 self.records.insert(record.key, incoming);
             }
             return;
         };
-        let known_counts = now_ms < known.expires_at_ms;
-        let incoming_counts = now_ms < incoming.expires_at_ms;
-        if known_counts && !incoming_counts {
+        let known_is_unexpired = now_ms < known.expires_at_ms;
+        let incoming_is_unexpired = now_ms < incoming.expires_at_ms;
+        if known_is_unexpired && !incoming_is_unexpired {
             return;
         }
-        if incoming_counts && !known_counts {
+        if incoming_is_unexpired && !known_is_unexpired {
             *known = incoming;
             return;
         }
@@ -123,7 +124,8 @@
     }
 }
 
-/// Digest of a set of records without its tombstones, independent of their order. Equal digests mean equal records.
+/// Digest of a set of records, independent of their order. Tombstones are left out. Equal digests are taken to mean
+/// equal records.
 pub fn digest<'a>(records: impl Iterator<Item = &'a Record>) -> u32 {
     records
         .filter(|record| !record.is_tombstone())
@@ -131,7 +133,7 @@
         .fold(0, u32::wrapping_add)
 }
 
-/// Hash of a record's key and stamp. Two records with one stamp have one value, so the value is left out.
+/// Hash of a record's key and stamp. Records with the same stamp have the same value, so the value is left out.
 fn record_hash(record: &Record) -> u32 {
     /// 2^64 divided by the golden ratio, as in Fibonacci hashing.
     const MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
--- a/crates/coordination/tests/datagram_fixtures.rs
+++ b/crates/coordination/tests/datagram_fixtures.rs
@@ -1,4 +1,4 @@
-//! Datagrams of the previous version: each is decoded, and the same values are encoded to the same bytes.
+//! Datagrams of the previous version decode to the expected values, and the same values encode to the same bytes.
 
 use tansymux_codec::test_support::{fixture_lines, from_hex, to_hex};
 use tansymux_codec::DecodeError;
@@ -8,7 +8,7 @@
     UnitKind,
 };
 
-/// One `name hex` a line, as encoded by commit 0fd3fce.
+/// One `name hex` pair per line, as encoded by commit 0fd3fce.
 const FIXTURES: &str = include_str!("fixtures/datagrams.hex");
 
 const BALLOT: Ballot = Ballot {
@@ -54,7 +54,10 @@
     }
 }
 
-#[expect(clippy::too_many_lines, reason = "one scenario from start to end")]
+#[expect(
+    clippy::too_many_lines,
+    reason = "one list with a sample of each message"
+)]
 fn samples() -> Vec<(&'static str, Message)> {
     let halt = RecordValue::Halt {
         number: 0x6162_6364,
--- a/crates/coordination/tests/model_check.rs
+++ b/crates/coordination/tests/model_check.rs
@@ -1,6 +1,6 @@
-//! Model check: two dispatchers request restart leases of three voters, which may grant one at a time. In each time step
-//! some links are down, and a voter may be stopped, resumed, or lose its memory. Time steps are coarse; the model uses
-//! [`QuorumNode`] itself.
+//! Model check: two dispatchers request restart leases from three voters, which may grant only one lease at a time. In
+//! each time step some links are down. Between steps a voter may be stopped, be resumed or lose its memory. Time steps
+//! are coarse. The model runs [`QuorumNode`] itself.
 
 use stateright::{Checker, Model, Property};
 use std::hash::{Hash, Hasher};
@@ -18,34 +18,38 @@
     retransmit_ms: 250.0,
     max_datagram_delay_ms: 0.0,
 };
-/// Length of a time step (ms), in which voters are polled twice.
+/// Length of a time step (ms). Each step has two halves, with the same links.
 const STEP_MS: f64 = 500.0;
 const MAX_MEMORY_LOSSES: u8 = 2;
 const MAX_STOPS: u8 = 2;
 
-/// A dispatcher: when it began to request a lease (ms), and when its lease ends by its own clock (ms).
+/// A dispatcher that requests leases.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct Dispatcher {
+    /// Time of its last request (ms).
     requested_ms: f64,
-    until_ms: f64,
+    /// End of its lease by its own clock (ms).
+    lease_end_ms: f64,
 }
 
 #[derive(Debug, Clone)]
 struct State {
     nodes: Vec<QuorumNode>,
     stopped: [bool; 3],
-    /// Queued datagrams for each voter, with their sender.
+    /// Datagrams queued for each voter, each with its sender.
     queued: [Vec<(Id, Vec<u8>)>; 3],
     dispatchers: [Dispatcher; 2],
     now_ms: f64,
     memory_losses: u8,
     stops: u8,
+    /// Maximum number of leases held at the same time.
     max_holders: usize,
     grants: u8,
 }
 
 impl State {
-    fn key(&self) -> String {
+    /// All fields as text, by which states are compared and hashed.
+    fn as_text(&self) -> String {
         format!(
             "{:?}{:?}{:?}{:?}{}{}{}{}{}",
             self.nodes,
@@ -63,14 +67,14 @@
     fn current_holders(&self) -> usize {
         self.dispatchers
             .iter()
-            .filter(|dispatcher| self.now_ms < dispatcher.until_ms)
+            .filter(|dispatcher| self.now_ms < dispatcher.lease_end_ms)
             .count()
     }
 }
 
 impl PartialEq for State {
     fn eq(&self, other: &Self) -> bool {
-        self.key() == other.key()
+        self.as_text() == other.as_text()
     }
 }
 
@@ -78,7 +82,7 @@
 
 impl Hash for State {
     fn hash<H: Hasher>(&self, state: &mut H) {
-        self.key().hash(state);
+        self.as_text().hash(state);
     }
 }
 
@@ -89,15 +93,15 @@
     /// Datagrams to and from this voter are lost.
     Without(usize),
     /// Datagrams from this voter are lost; those to it arrive.
-    SendsLost(usize),
+    WithoutSendsOf(usize),
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum Action {
     Step(Links),
-    LosesMemory(usize),
-    Stops(usize),
-    Resumes(usize),
+    LoseMemory(usize),
+    Stop(usize),
+    Resume(usize),
 }
 
 struct QuorumModel;
@@ -107,12 +111,12 @@
         Links::All => true,
         Links::None => false,
         Links::Without(n) => from != n && to != n,
-        Links::SendsLost(n) => from != n,
+        Links::WithoutSendsOf(n) => from != n,
     }
 }
 
 fn node(n: usize, now_ms: f64, memory: VoterMemory) -> QuorumNode {
-    // The rounds of a voter that lost its memory begin at 0 again: leases must not depend on them.
+    // The rounds of a voter that lost its memory restart at 0, because leases must not depend on rounds.
     let start = VoterStart {
         memory,
         round: 0,
@@ -121,55 +125,56 @@
     QuorumNode::new(VOTERS[n], &VOTERS, CONFIG, start, now_ms)
 }
 
-fn key(dispatcher: usize) -> u64 {
-    Record::unit_key(UnitKind::Dispatcher, 10 + dispatcher as u64)
+fn lease_key(dispatcher_index: usize) -> u64 {
+    Record::unit_key(UnitKind::Dispatcher, 10 + dispatcher_index as u64)
 }
 
-/// The leader grants a lease if no other one is active, and sends it to the dispatcher once it is chosen.
+/// If voter `n` is the leader, it grants a lease unless one is active, and reports the lease to the dispatcher once it
+/// is chosen.
 fn grant_leases(state: &mut State, n: usize, links: Links) {
     let now_ms = state.now_ms;
     if state.stopped[n] || !state.nodes[n].is_leader(now_ms) {
         return;
     }
-    // The dispatchers share the links of the first voter: if it cannot reach the leader, they cannot either.
+    // The dispatchers share the links of the first voter: they reach the leader only if that voter does.
     if n != 0 && !(link_is_up(links, n, 0) && link_is_up(links, 0, n)) {
         return;
     }
-    for dispatcher in 0..2 {
+    for index in 0..2 {
         let node = &mut state.nodes[n];
-        let active: Vec<u64> = (0..2)
-            .map(key)
+        let active_keys: Vec<u64> = (0..2)
+            .map(lease_key)
             .filter(|key| node.active(*key).is_some())
             .collect();
-        // Expired leases end first.
-        let expired = |key: &&u64| {
+        // The leader ends expired leases first.
+        let is_expired = |key: &&u64| {
             node.active(**key)
                 .is_some_and(|leased| leased.remaining_ms == Some(0))
         };
-        let ended: Vec<u64> = active.iter().filter(expired).copied().collect();
-        for key in ended {
+        let expired_keys: Vec<u64> = active_keys.iter().filter(is_expired).copied().collect();
+        for key in expired_keys {
             let _ = node.propose(&[Proposal::tombstone(key)], now_ms);
         }
-        if !active.is_empty() && !active.contains(&key(dispatcher)) {
+        if !active_keys.is_empty() && !active_keys.contains(&lease_key(index)) {
             continue;
         }
-        // A dispatcher whose lease has not ended by its own clock requests none.
-        if active.is_empty() && now_ms >= state.dispatchers[dispatcher].until_ms {
+        // A dispatcher does not request a lease before its last lease has ended by its own clock.
+        if active_keys.is_empty() && now_ms >= state.dispatchers[index].lease_end_ms {
             let value = RecordValue::Disruption {
                 kind: UnitKind::Dispatcher,
                 reason: DisruptionReason::RestartLease,
                 zone: 0,
                 session: 0,
-                grant_id: state.dispatchers[dispatcher].requested_ms as u64,
+                grant_id: state.dispatchers[index].requested_ms as u64,
             };
             let proposal = Proposal {
-                key: key(dispatcher),
+                key: lease_key(index),
                 value,
                 term_ms: Some(CONFIG.max_grant_ms),
             };
             let _ = node.propose(&[proposal], now_ms);
         }
-        let Some(leased) = node.active(key(dispatcher)) else {
+        let Some(leased) = node.active(lease_key(index)) else {
             continue;
         };
         let (RecordValue::Disruption { grant_id, .. }, Some(remaining_ms)) =
@@ -177,14 +182,14 @@
         else {
             continue;
         };
-        let requested_ms = state.dispatchers[dispatcher].requested_ms;
-        if node.is_chosen(key(dispatcher)) && grant_id == requested_ms as u64 && remaining_ms > 0 {
+        let requested_ms = state.dispatchers[index].requested_ms;
+        if node.is_chosen(lease_key(index)) && grant_id == requested_ms as u64 && remaining_ms > 0 {
             let term_ms = f64::from(remaining_ms) / (1.0 + CONFIG.max_clock_skew);
-            let until_ms = requested_ms
+            let lease_end_ms = requested_ms
                 + CONFIG.max_grant_ms.min(now_ms - requested_ms + term_ms)
                     * (1.0 - CONFIG.max_clock_skew);
-            if until_ms > now_ms && state.dispatchers[dispatcher].until_ms < until_ms {
-                state.dispatchers[dispatcher].until_ms = until_ms;
+            if lease_end_ms > now_ms && state.dispatchers[index].lease_end_ms < lease_end_ms {
+                state.dispatchers[index].lease_end_ms = lease_end_ms;
                 state.grants = state.grants.saturating_add(1);
             }
         }
@@ -219,7 +224,7 @@
     fn init_states(&self) -> Vec<State> {
         let dispatcher = Dispatcher {
             requested_ms: 0.0,
-            until_ms: 0.0,
+            lease_end_ms: 0.0,
         };
         let mut state = State {
             nodes: (0..3)
@@ -234,7 +239,7 @@
             max_holders: 0,
             grants: 0,
         };
-        // The model starts with a leader and without leases.
+        // In the initial state a leader is elected and no lease is active.
         deliver_messages(&mut state, Links::All);
         vec![state]
     }
@@ -246,13 +251,13 @@
         actions.extend([Links::All, Links::None].map(Action::Step));
         for n in 0..3 {
             actions.push(Action::Step(Links::Without(n)));
-            actions.push(Action::Step(Links::SendsLost(n)));
+            actions.push(Action::Step(Links::WithoutSendsOf(n)));
             if state.memory_losses < MAX_MEMORY_LOSSES {
-                actions.push(Action::LosesMemory(n));
+                actions.push(Action::LoseMemory(n));
             }
             match state.stopped[n] {
-                true => actions.push(Action::Resumes(n)),
-                false if state.stops < MAX_STOPS => actions.push(Action::Stops(n)),
+                true => actions.push(Action::Resume(n)),
+                false if state.stops < MAX_STOPS => actions.push(Action::Stop(n)),
                 false => {}
             }
         }
@@ -265,9 +270,9 @@
                 for _ in 0..2 {
                     state.now_ms += STEP_MS / 2.0;
                     let now_ms = state.now_ms;
-                    // A dispatcher whose lease has ended requests a new one.
+                    // A dispatcher whose lease has ended requests a new lease.
                     for dispatcher in state.dispatchers.iter_mut().filter(|dispatcher| {
-                        now_ms >= dispatcher.until_ms
+                        now_ms >= dispatcher.lease_end_ms
                             && now_ms - dispatcher.requested_ms > CONFIG.max_grant_ms
                     }) {
                         dispatcher.requested_ms = now_ms;
@@ -279,16 +284,16 @@
                     state.max_holders = state.max_holders.max(state.current_holders());
                 }
             }
-            Action::LosesMemory(n) => {
+            Action::LoseMemory(n) => {
                 state.nodes[n] = node(n, state.now_ms, VoterMemory::MayBeLost);
                 (state.stopped[n], state.queued[n]) = (false, Vec::new());
                 state.memory_losses += 1;
             }
-            Action::Stops(n) => {
+            Action::Stop(n) => {
                 state.stopped[n] = true;
                 state.stops += 1;
             }
-            Action::Resumes(n) => state.stopped[n] = false,
+            Action::Resume(n) => state.stopped[n] = false,
         }
         Some(state)
     }
@@ -298,9 +303,9 @@
             Property::always("at most one lease is held", |_, state: &State| {
                 state.max_holders <= 1
             }),
-            // Without these the first property would be vacuous.
-            Property::sometimes("a lease is held", |_, state: &State| state.grants > 0),
-            Property::sometimes("a second lease follows", |_, state: &State| {
+            // If no lease could ever be held, the first property would hold trivially.
+            Property::sometimes("a lease is granted", |_, state: &State| state.grants > 0),
+            Property::sometimes("at least three leases are granted", |_, state: &State| {
                 state.grants > 2
             }),
         ]
@@ -314,7 +319,8 @@
         .ok()
         .and_then(|count| count.parse().ok())
         .unwrap_or(600_000);
-    // Breadth first from the start, then deep random runs: 12 s contain several elections and a complete quarantine.
+    // A breadth-first search from the initial state, then deep random runs. The 12 s of a run include several elections
+    // and a complete quarantine.
     QuorumModel
         .checker()
         .target_state_count(200_000)
@@ -331,12 +337,12 @@
         .assert_properties();
 }
 
-trait BreadthFirst {
+trait SafetyCheck {
     fn assert_always_properties(&self);
 }
 
-impl<C: Checker<QuorumModel>> BreadthFirst for C {
-    /// Checks only the property that must always hold: states in which the others hold may lie deeper.
+impl<C: Checker<QuorumModel>> SafetyCheck for C {
+    /// Checks only the safety property. States that satisfy the other properties may lie deeper than this search.
     fn assert_always_properties(&self) {
         assert!(
             self.discovery("at most one lease is held").is_none(),
@@ -348,22 +354,22 @@
 }
 
 #[test]
-fn without_quarantine_a_voter_that_lost_its_memory_lets_two_leases_be_held() {
-    // The first two voters accept a lease; the second loses its memory and promises a ballot to the third. This shows that
-    // the check above can fail, and the purpose of the quarantine.
+fn without_quarantine_memory_loss_of_a_voter_allows_two_leases_at_a_time() {
+    // The first two voters accept a lease. Then the second voter loses its memory and promises a ballot to the third
+    // voter. The run shows that the model check can fail, and that the quarantine is necessary.
     let run = |memory: VoterMemory| {
         let mut state = QuorumModel.init_states().remove(0);
         let mut next = |action: Action| {
             state = QuorumModel
                 .next_state(&state, action)
-                .expect("every action leads somewhere");
-            if let Action::LosesMemory(n) = action {
+                .expect("every action has a next state");
+            if let Action::LoseMemory(n) = action {
                 state.nodes[n] = node(n, state.now_ms, memory);
             }
             state.max_holders
         };
         next(Action::Step(Links::Without(2)));
-        next(Action::LosesMemory(1));
+        next(Action::LoseMemory(1));
         next(Action::Step(Links::Without(0)));
         next(Action::Step(Links::All));
         next(Action::Step(Links::All))
