--- a/crates/zone-evacuation/src/codec.rs
+++ b/crates/zone-evacuation/src/codec.rs
@@ -1,4 +1,5 @@
-//! Layout of a member's report and of the leader's reply. Integers are big-endian, `f32` by its bits.
+//! Wire format of a member's report and of the leader's reply. Integers are big-endian. An `f32` is written as the
+//! integer of its IEEE 754 bits.
 //!
 //! A report ([`MemberReport`]):
 //!
@@ -6,18 +7,18 @@
 //! | --- | --- |
 //! | 4 | session |
 //! | 4 | sequence number |
-//! | 1 | 1: the member is isolated |
-//! | 13 each | evidence: zone (4), reachability (1), threads (4, `f32`), successes (2), failures (2) |
+//! | 1 | 1 if the member is isolated, else 0 |
+//! | 13 per entry | evidence: zone (4), reachability (1), threads (4, `f32`), successes (2), failures (2) |
 //!
 //! A reply ([`LeaderReply`]):
 //!
 //! | bytes | field |
 //! | --- | --- |
 //! | 4 | sequence number of the report |
-//! | 15 each | zone (4), stage (1), step (1), decision number (4), reason (1), quota (4, `f32`) |
+//! | 15 per entry | zone (4), stage (1), step (1), decision number (4), reason (1), quota (4, `f32`) |
 //!
-//! Up to [`MAX_ZONES`] entries are written and read. An incomplete entry at the end, or one with an unknown number or
-//! a float that is not finite, is skipped.
+//! At most [`MAX_ZONES`] entries are encoded and decoded. The decoder skips an incomplete entry at the end, and entries
+//! with an unknown code or a float that is not finite.
 
 use crate::{Evidence, MemberReport, Reachability, Reason, Stage, ZoneId, ZoneStatus, MAX_ZONES};
 use tansymux_codec::{ByteReader, ByteWriter};
@@ -31,14 +32,14 @@
 /// Length of one entry of a reply (bytes).
 const REPLY_ENTRY_LEN: usize = 4 + 1 + 1 + 4 + 1 + 4;
 
-/// A zone that is not in full use, and the quota of the member that reported.
+/// A zone that is not in full use, with the quota of the reporting member.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ZoneEntry {
     /// The zone.
     pub zone: ZoneId,
     /// The agreed status of the zone.
     pub status: ZoneStatus,
-    /// Fraction of the zone's full use that the member may take.
+    /// The member's quota, as a fraction of the zone's full use.
     pub quota: f32,
 }
 
@@ -51,15 +52,15 @@
     pub zones: Vec<ZoneEntry>,
 }
 
-/// Why bytes could not be decoded as a report or reply.
+/// The reason why bytes could not be decoded as a report or reply.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// The bytes end inside the fields before the entries.
-    #[error("{len} bytes: expected {min_len} or more")]
+    /// The bytes end within the fields before the entries.
+    #[error("message truncated: got {len} bytes, expected at least {min_len}")]
     Truncated {
         /// Number of bytes.
         len: usize,
-        /// Number of bytes of the fields before the entries.
+        /// Length of the fields before the entries (bytes).
         min_len: usize,
     },
 }
@@ -85,7 +86,7 @@
 /// Decodes a report.
 ///
 /// # Errors
-/// Where the bytes end inside the fields before the entries.
+/// Returns [`DecodeError::Truncated`] if the bytes end within the fields before the entries.
 pub fn decode_report(bytes: &[u8]) -> Result<MemberReport, DecodeError> {
     let truncated = |_| truncated(bytes, REPORT_HEADER_LEN);
     let mut reader = ByteReader::new(bytes);
@@ -133,7 +134,7 @@
 /// Decodes a reply.
 ///
 /// # Errors
-/// Where the bytes end inside the sequence number.
+/// Returns [`DecodeError::Truncated`] if the bytes end within the sequence number.
 pub fn decode_reply(bytes: &[u8]) -> Result<LeaderReply, DecodeError> {
     let truncated = |_| truncated(bytes, REPLY_HEADER_LEN);
     let mut reader = ByteReader::new(bytes);
--- a/crates/zone-evacuation/src/config.rs
+++ b/crates/zone-evacuation/src/config.rs
@@ -1,16 +1,17 @@
 //! Settings of evacuations and recoveries.
 
-/// Settings of evacuations and recoveries; times in milliseconds. Ranges are checked where the operators' file is read.
+/// Settings of evacuations and recoveries. Times are in milliseconds. Ranges are validated when the operators' file
+/// is read.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Config {
-    /// Minimum fraction of the witnesses outside a zone that do not reach it, for the zone to count as lost.
+    /// Minimum fraction of the witnesses outside a zone that do not reach it before the zone counts as lost.
     pub lost_fraction: f64,
     /// Time for which the evidence must be unchanged before a decision.
     pub confirm_ms: f64,
-    /// Minimum fraction of the members outside a zone that have evidence about it.
+    /// Minimum fraction of the members outside a zone that must have evidence for an assessment of the zone.
     pub min_witness_fraction: f64,
-    /// Limit on the fraction of all cores that the controller evacuates automatically. Beyond it, and for a second zone,
-    /// an operator has to decide.
+    /// Limit on the fraction of all cores that the controller evacuates. Beyond it, and for a second zone, an operator
+    /// has to decide.
     pub max_evacuated_fraction: f64,
     /// Limit on the utilization of the remaining zones, as a fraction of their full use.
     pub spill_capacity_fraction: f64,
@@ -20,20 +21,20 @@
     pub full_threads_per_core: f64,
     /// Number of steps of the recovery ramp.
     pub ramp_steps: u8,
-    /// Length of a ramp step.
+    /// Duration of a ramp step.
     pub ramp_step_ms: f64,
-    /// Minimum time for which a zone is evacuated; doubled for each evacuation within `flap_window_ms` of the last one.
+    /// Minimum duration of an evacuation, doubled for each evacuation within `flap_window_ms` of the previous one.
     pub min_evacuation_ms: f64,
-    /// Upper limit of the doubled `min_evacuation_ms`.
+    /// Limit on `min_evacuation_ms` after doubling.
     pub max_evacuation_ms: f64,
-    /// Time after an evacuation within which another one counts as flapping.
+    /// Time after the start of an evacuation within which the next evacuation counts as flapping.
     pub flap_window_ms: f64,
     /// Term of a quota.
     pub quota_term_ms: f64,
-    /// Time without a message of the leader after which a member decides locally; until then the leader's last decisions
-    /// apply.
+    /// Time without a message from the leader after which a member decides locally. Until then the leader's last
+    /// decisions apply.
     pub autonomy_after_ms: f64,
-    /// Limit on the relative difference between the rates of two clocks.
+    /// Maximum relative difference between the rates of two clocks.
     pub clock_skew: f64,
 }
 
@@ -60,7 +61,7 @@
 }
 
 impl Config {
-    /// The fraction of full use at a step of the recovery ramp, from step 0.
+    /// The fraction of full use at a step of the recovery ramp. Steps are counted from 0.
     pub fn ramp_fraction(&self, step: u8) -> f64 {
         let progress = f64::from(step.min(self.ramp_steps)) / f64::from(self.ramp_steps.max(1));
         self.initial_ramp_fraction + (1.0 - self.initial_ramp_fraction) * progress
--- a/crates/zone-evacuation/src/controller.rs
+++ b/crates/zone-evacuation/src/controller.rs
@@ -1,7 +1,7 @@
-//! The leader's decisions: which zones are evacuated and how they recover, by the reports of all members.
+//! The leader's decisions on the evacuation and recovery of zones, based on the reports of all members.
 //!
-//! The submodule `witnesses` stores and assesses members' reports, `zone_watch` owns the state of each zone and decides on
-//! its recovery, and `limits` decides whether a zone may be evacuated.
+//! The submodule `witnesses` stores and assesses members' reports, `zone_watch` holds the state of each zone and
+//! decides on its recovery, and `limits` decides whether a zone may be evacuated.
 
 mod limits;
 mod witnesses;
@@ -15,9 +15,10 @@
 use std::collections::BTreeMap;
 pub use witnesses::MemberPresence;
 use witnesses::Witnesses;
-use zone_watch::{Transition, ZoneWatch};
+use zone_watch::{Transition, ZoneState};
 
-/// Unit of time of decision numbers (ms): they follow the clock, so that a new leader's are above its predecessor's.
+/// Time per decision number (ms). Decision numbers follow the clock, so that a new leader's numbers exceed those of
+/// its predecessor.
 const DECISION_NUMBER_MS: f64 = 100.0;
 
 fn is_evacuated(status: Option<ZoneStatus>) -> bool {
@@ -29,12 +30,12 @@
 pub struct EvacuationController {
     config: Config,
     witnesses: Witnesses,
-    zones: BTreeMap<ZoneId, ZoneWatch>,
+    zones: BTreeMap<ZoneId, ZoneState>,
     last_decision_number: u32,
 }
 
 impl EvacuationController {
-    /// A controller without members and zones.
+    /// Creates a controller without members and zones.
     pub fn new(config: Config) -> Self {
         EvacuationController {
             config,
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Replaces the settings; members, reports and quotas stay.
+    /// Replaces the settings, and keeps members, reports and quotas.
     pub fn set_config(&mut self, config: Config) {
         self.config = config;
     }
@@ -54,19 +55,19 @@
         &self.config
     }
 
-    /// Drops reports and quotas at the start of a leadership: the quotas of the previous leader have expired when the new
-    /// one decides. The cores of the zones stay, since they come from the endpoint list.
+    /// Drops members, reports and quotas at the start of a leadership. The previous leader's quotas have expired when
+    /// the new leader decides. The cores of the zones are kept, because they come from the endpoint list.
     pub fn clear(&mut self) {
         self.witnesses.clear();
-        for watch in self.zones.values_mut() {
-            *watch = ZoneWatch::with_cores(watch.cores());
+        for state in self.zones.values_mut() {
+            *state = ZoneState::with_cores(state.cores());
         }
     }
 
-    /// Replaces the cores of all zones, by the endpoint list.
+    /// Replaces the number of cores of all zones, as given by the endpoint list.
     pub fn set_capacity(&mut self, cores_by_zone: &[(ZoneId, f64)]) {
-        for watch in self.zones.values_mut() {
-            watch.set_cores(0.0);
+        for state in self.zones.values_mut() {
+            state.set_cores(0.0);
         }
         for (zone, cores) in cores_by_zone.iter().take(MAX_ZONES) {
             self.zones.entry(*zone).or_default().set_cores(*cores);
@@ -78,12 +79,12 @@
         self.witnesses.set_members(members);
     }
 
-    /// Handles a member's report. A report of an unknown member is ignored.
+    /// Handles a member's report. Reports of unknown members are ignored.
     pub fn handle_report(&mut self, from: MemberId, report: &MemberReport, now_ms: f64) {
         let Some(previous) = self.witnesses.replace_report(from, report, now_ms) else {
             return;
         };
-        // The counts of a member that restarted begin at zero: its first report adds nothing.
+        // A restarted member counts from zero: its first report is only the base for the next report.
         if previous.session != report.session {
             return;
         }
@@ -92,21 +93,22 @@
                 .zones
                 .iter()
                 .find(|earlier| earlier.zone == evidence.zone);
-            let (Some(earlier), Some(watch)) = (earlier, self.zones.get_mut(&evidence.zone)) else {
+            let (Some(earlier), Some(state)) = (earlier, self.zones.get_mut(&evidence.zone)) else {
                 continue;
             };
             let successes = evidence.successes.wrapping_sub(earlier.successes);
             let failures = evidence.failures.wrapping_sub(earlier.failures);
-            watch.record_attempts(successes, failures);
+            state.record_attempts(successes, failures);
         }
     }
 
-    /// The health of a zone by the members' reports.
+    /// The health of a zone according to the members' reports.
     pub fn assess(&self, zone: ZoneId, now_ms: f64) -> ZoneHealth {
         self.witnesses.assess(zone, &self.config, now_ms)
     }
 
-    /// Evaluates all zones, given the statuses that a majority `agreed` on; returns decisions for a majority to agree on.
+    /// Evaluates all zones, given the statuses that a majority has `agreed` on. Returns new decisions, on which a
+    /// majority has to agree.
     pub fn evaluate(
         &mut self,
         agreed: &BTreeMap<ZoneId, ZoneStatus>,
@@ -129,12 +131,12 @@
     ) -> Option<Decision> {
         let health = self.assess(zone, now_ms);
         let status = agreed.get(&zone).copied();
-        let watch = self.zones.entry(zone).or_default();
-        watch.record_health(health, now_ms);
-        watch.record_status(status, self.config.flap_window_ms, now_ms);
+        let state = self.zones.entry(zone).or_default();
+        state.record_health(health, now_ms);
+        state.record_status(status, self.config.flap_window_ms, now_ms);
         let transition = match status {
             None => self.begin_evacuation(zone, health, agreed, now_ms),
-            Some(status) => watch.continue_evacuation(status, &self.config, now_ms),
+            Some(status) => state.continue_evacuation(status, &self.config, now_ms),
         }?;
         let decision_number = self.next_decision_number(now_ms);
         let status = transition.target.map(|(stage, step)| ZoneStatus {
@@ -176,8 +178,8 @@
         self.last_decision_number
     }
 
-    /// Grants a member its quota of a recovering zone, as a fraction of full use: see [`crate::RampQuotas::request`]. The quota
-    /// of a zone that is not recovering is 0.
+    /// Grants a member its quota of a recovering zone, as a fraction of full use: see [`crate::RampQuotas::request`].
+    /// The quota of a zone that is not recovering is 0.
     pub fn request_quota(
         &mut self,
         member: MemberId,
@@ -196,14 +198,14 @@
             term_ms: self.config.quota_term_ms,
             clock_skew: self.config.clock_skew,
         };
-        let watch = self.zones.entry(zone).or_default();
-        watch.request_quota(&request, now_ms)
+        let state = self.zones.entry(zone).or_default();
+        state.request_quota(&request, now_ms)
     }
 
     /// The sum of the unexpired quotas of a zone.
     pub fn granted_total(&self, zone: ZoneId) -> f64 {
         match self.zones.get(&zone) {
-            Some(watch) => watch.granted_total(),
+            Some(state) => state.granted_total(),
             None => 0.0,
         }
     }
--- a/crates/zone-evacuation/src/controller/limits.rs
+++ b/crates/zone-evacuation/src/controller/limits.rs
@@ -1,24 +1,24 @@
-//! Whether a zone may be evacuated: limits on the evacuated cores and on the load of the remaining zones.
+//! Checks before an evacuation: limits on the evacuated cores and on the load of the remaining zones.
 
-use super::{is_evacuated, EvacuationController, ZoneWatch};
+use super::{is_evacuated, EvacuationController, ZoneState};
 use crate::{ZoneId, ZoneStatus};
 use std::collections::BTreeMap;
 
 /// The initiator of an evacuation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Initiator {
-    /// The controller, by the members' reports.
+    /// The controller, based on the members' reports.
     Controller,
     /// An operator's command.
     Operator,
 }
 
-/// Why a zone is not evacuated.
+/// The reason why a zone may not be evacuated.
 #[derive(Debug, Clone, Copy, PartialEq, thiserror::Error)]
 pub enum EvacuationRefused {
     /// The remaining zones could not carry the load.
     #[error(
-        "{load_threads} threads of work, and {capacity_threads} that the remaining zones can carry"
+        "the load is {load_threads} threads, the remaining zones can carry {capacity_threads}"
     )]
     InsufficientCapacity {
         /// Load of all zones (threads).
@@ -27,7 +27,7 @@
         capacity_threads: f64,
     },
     /// The evacuated fraction of all cores would exceed its limit, or a second zone would be evacuated.
-    #[error("{fraction} of all cores would be evacuated")]
+    #[error("the evacuated fraction of all cores would be {fraction}")]
     TooManyCores {
         /// Fraction of all cores that would be evacuated.
         fraction: f64,
@@ -35,11 +35,11 @@
 }
 
 impl EvacuationController {
-    /// Whether a zone may be evacuated in addition to those that are. The controller is bound by the fraction of cores,
-    /// an operator by the capacity of the remaining zones.
+    /// Checks whether a zone may be evacuated in addition to the zones already evacuated. The controller is limited by
+    /// the fraction of evacuated cores, an operator by the capacity of the remaining zones.
     ///
     /// # Errors
-    /// The limit that the evacuation would exceed, with the figures.
+    /// Returns the limit that the evacuation would exceed, with the figures.
     pub fn check_evacuation(
         &self,
         zone: ZoneId,
@@ -49,7 +49,7 @@
     ) -> Result<(), EvacuationRefused> {
         match initiator {
             Initiator::Controller => self.check_evacuated_cores(zone, agreed),
-            // The controller does not check the capacity: the load is shed with or without the evacuation.
+            // The controller does not check the capacity: excess load is shed with or without the evacuation.
             Initiator::Operator => self.check_remaining_capacity(zone, agreed, now_ms),
         }
     }
@@ -61,20 +61,20 @@
     ) -> Result<(), EvacuationRefused> {
         let is_other_evacuated =
             |other: ZoneId| other != zone && is_evacuated(agreed.get(&other).copied());
-        let all_cores: f64 = self.zones.values().map(ZoneWatch::cores).sum();
+        let all_cores: f64 = self.zones.values().map(ZoneState::cores).sum();
         let evacuated_cores: f64 = self
             .zones
             .iter()
             .filter(|(id, _)| **id == zone || is_other_evacuated(**id))
-            .map(|(_, watch)| watch.cores())
+            .map(|(_, state)| state.cores())
             .sum();
         let fraction = if all_cores > 0.0 {
             evacuated_cores / all_cores
         } else {
             1.0
         };
-        let is_second = agreed.keys().any(|other| is_other_evacuated(*other));
-        if fraction > self.config.max_evacuated_fraction || is_second {
+        let is_second_zone = agreed.keys().any(|other| is_other_evacuated(*other));
+        if fraction > self.config.max_evacuated_fraction || is_second_zone {
             return Err(EvacuationRefused::TooManyCores { fraction });
         }
         Ok(())
@@ -86,13 +86,14 @@
         agreed: &BTreeMap<ZoneId, ZoneStatus>,
         now_ms: f64,
     ) -> Result<(), EvacuationRefused> {
-        let remains = |other: ZoneId| other != zone && !is_evacuated(agreed.get(&other).copied());
+        let is_remaining =
+            |other: ZoneId| other != zone && !is_evacuated(agreed.get(&other).copied());
         let capacity_threads: f64 = self
             .zones
             .iter()
-            .filter(|(id, _)| remains(**id))
-            .map(|(_, watch)| {
-                watch.cores()
+            .filter(|(id, _)| is_remaining(**id))
+            .map(|(_, state)| {
+                state.cores()
                     * self.config.full_threads_per_core
                     * self.config.spill_capacity_fraction
             })
--- a/crates/zone-evacuation/src/controller/witnesses.rs
+++ b/crates/zone-evacuation/src/controller/witnesses.rs
@@ -1,27 +1,27 @@
-//! Members' reports at the leader, and which of them count as evidence.
+//! Members' reports at the leader, and the rules by which a report counts as evidence.
 
 use crate::{Config, Evidence, MemberId, MemberReport, Reachability, ZoneHealth, ZoneId};
 use std::collections::BTreeMap;
 
 /// Lifetime of a report as evidence (ms): several report intervals.
 const REPORT_LIFETIME_MS: f64 = 4000.0;
-/// Limit on the number of members, the same as in crates/membership.
+/// Maximum number of members, the same as in crates/membership.
 const MAX_MEMBERS: usize = 1024;
 
-/// A member of the fleet: its state by membership, and the zone that it reported.
+/// A member of the fleet: its state according to membership, and the zone that it reported.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct MemberPresence {
     /// The member.
     pub id: MemberId,
-    /// The zone that it runs in.
+    /// The zone in which the member runs.
     pub zone: ZoneId,
-    /// Whether membership counts it as running.
+    /// Whether the member is running according to membership.
     pub is_present: bool,
 }
 
 #[derive(Debug, Clone)]
 struct ReceivedReport {
-    at_ms: f64,
+    received_ms: f64,
     report: MemberReport,
 }
 
@@ -29,10 +29,10 @@
 struct Witness {
     zone: ZoneId,
     is_present: bool,
-    last: Option<ReceivedReport>,
+    last_report: Option<ReceivedReport>,
 }
 
-/// All members and their last reports.
+/// All members and their latest reports.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Witnesses {
     members: BTreeMap<MemberId, Witness>,
@@ -51,16 +51,16 @@
             let witness = self.members.entry(member.id).or_insert(Witness {
                 zone: member.zone,
                 is_present: member.is_present,
-                last: None,
+                last_report: None,
             });
             witness.zone = member.zone;
             witness.is_present = member.is_present;
         }
         self.members
-            .retain(|_, witness| witness.is_present || witness.last.is_some());
+            .retain(|_, witness| witness.is_present || witness.last_report.is_some());
     }
 
-    /// Replaces a member's report; returns the previous one.
+    /// Replaces a member's report. Returns the previous report.
     pub(super) fn replace_report(
         &mut self,
         from: MemberId,
@@ -69,33 +69,33 @@
     ) -> Option<MemberReport> {
         let witness = self.members.get_mut(&from)?;
         let received = ReceivedReport {
-            at_ms: now_ms,
+            received_ms: now_ms,
             report: report.clone(),
         };
-        let previous = witness.last.replace(received);
+        let previous = witness.last_report.replace(received);
         previous.map(|previous| previous.report)
     }
 
-    /// Recent evidence about a zone, with the zone of the member that reported it. An isolated member is no witness.
+    /// Recent evidence about a zone, with the zone of the reporting member. Isolated members do not count as witnesses.
     fn evidence(
         &self,
         zone: ZoneId,
         now_ms: f64,
     ) -> impl Iterator<Item = (ZoneId, &Evidence)> + '_ {
         self.members.values().filter_map(move |witness| {
-            let last = witness.last.as_ref()?;
-            let evidence = last
+            let last_report = witness.last_report.as_ref()?;
+            let evidence = last_report
                 .report
                 .zones
                 .iter()
                 .find(|evidence| evidence.zone == zone)?;
-            let is_recent = now_ms - last.at_ms < REPORT_LIFETIME_MS;
-            let counts = is_recent && witness.is_present && !last.report.is_isolated;
-            counts.then_some((witness.zone, evidence))
+            let is_recent = now_ms - last_report.received_ms < REPORT_LIFETIME_MS;
+            let is_valid = is_recent && witness.is_present && !last_report.report.is_isolated;
+            is_valid.then_some((witness.zone, evidence))
         })
     }
 
-    /// The health of a zone by the evidence.
+    /// The health of a zone according to the evidence.
     pub(super) fn assess(&self, zone: ZoneId, config: &Config, now_ms: f64) -> ZoneHealth {
         let mut unreached = 0;
         let mut reached = 0;
@@ -110,16 +110,18 @@
                 unreached += 1;
             }
         }
-        let outside = self
+        let outside_members = self
             .members
             .values()
             .filter(|witness| witness.is_present && witness.zone != zone)
             .count();
-        let known = unreached + reached;
-        if known == 0 || f64::from(known) < config.min_witness_fraction * outside as f64 {
+        let witness_count = unreached + reached;
+        if witness_count == 0
+            || f64::from(witness_count) < config.min_witness_fraction * outside_members as f64
+        {
             return ZoneHealth::Unknown;
         }
-        if f64::from(unreached) >= config.lost_fraction * f64::from(known) {
+        if f64::from(unreached) >= config.lost_fraction * f64::from(witness_count) {
             return if reached_from_inside {
                 ZoneHealth::CutOff
             } else {
@@ -133,7 +135,7 @@
         }
     }
 
-    /// The load of all members in a zone (threads).
+    /// The load of all members on a zone (threads).
     pub(super) fn load_threads(&self, zone: ZoneId, now_ms: f64) -> f64 {
         self.evidence(zone, now_ms)
             .map(|(_, evidence)| f64::from(evidence.threads).max(0.0))
--- a/crates/zone-evacuation/src/controller/zone_watch.rs
+++ b/crates/zone-evacuation/src/controller/zone_watch.rs
@@ -3,18 +3,18 @@
 use super::is_evacuated;
 use crate::{Config, QuotaRequest, RampQuotas, Reason, Stage, ZoneHealth, ZoneStatus};
 
-/// Limit on the fraction of a ramp step's attempts that fail, for the next step.
+/// Maximum fraction of failed attempts in a ramp step for the recovery to advance to the next step.
 const MAX_FAILURES_TO_ADVANCE: f64 = 0.1;
-/// Limit on the fraction of a ramp step's attempts that fail; beyond it the recovery is set back.
+/// Maximum fraction of failed attempts in a ramp step. Above it the recovery returns to an earlier step.
 const MAX_FAILURES_TO_STAY: f64 = 0.3;
-/// Minimum number of attempts in a ramp step for its failures to count.
+/// Minimum number of attempts in a ramp step before its failures count.
 const MIN_ATTEMPTS: u32 = 3;
-/// Minimum fraction of a ramp step's length before it is set back.
+/// Minimum time in a ramp step before the recovery returns to an earlier step, as a fraction of the step's duration.
 const MIN_STEP_FRACTION: f64 = 0.25;
-/// Limit on the number of times that the minimum evacuation time is doubled.
+/// Maximum number of doublings of the minimum evacuation time.
 const MAX_FLAP_DOUBLINGS: u32 = 20;
 
-/// A change of status that is due.
+/// A due change of a zone's status.
 pub(super) struct Transition {
     /// Stage and step; `None`: the zone returns to full use.
     pub(super) target: Option<(Stage, u8)>,
@@ -39,33 +39,33 @@
 
 /// The controller's state of one zone.
 #[derive(Debug, Clone, Default)]
-pub(super) struct ZoneWatch {
+pub(super) struct ZoneState {
     cores: f64,
-    /// Since when all assessments found the zone lost or cut off.
+    /// Time since which every assessment has found the zone lost or cut off (ms).
     lost_since_ms: Option<f64>,
-    /// Since when all assessments found the zone reachable.
+    /// Time since which every assessment has found the zone reachable (ms).
     reached_since_ms: Option<f64>,
     /// The agreed status at the last evaluation.
     status: Option<ZoneStatus>,
-    /// When the agreed status last changed.
+    /// Time of the last change of the agreed status (ms).
     status_since_ms: f64,
     /// Successful attempts of all members under this status.
     successes: u32,
     /// Failed attempts of all members under this status.
     failures: u32,
     quotas: RampQuotas,
-    /// When the zone was last evacuated.
+    /// Start of the last evacuation (ms).
     evacuated_ms: f64,
-    /// Number of evacuations in a row, each within the flap window of the one before.
-    evacuations: u32,
+    /// Number of consecutive evacuations, each within the flap window of the previous one.
+    consecutive_evacuations: u32,
 }
 
-impl ZoneWatch {
-    /// The state of a zone of which only the cores are known.
+impl ZoneState {
+    /// Creates the state of a zone of which only the number of cores is known.
     pub(super) fn with_cores(cores: f64) -> Self {
-        ZoneWatch {
+        ZoneState {
             cores,
-            ..ZoneWatch::default()
+            ..ZoneState::default()
         }
     }
 
@@ -103,7 +103,11 @@
         }
         if is_evacuated(status) && !is_evacuated(self.status) {
             let is_flapping = now_ms - self.evacuated_ms < flap_window_ms;
-            self.evacuations = if is_flapping { self.evacuations + 1 } else { 1 };
+            self.consecutive_evacuations = if is_flapping {
+                self.consecutive_evacuations + 1
+            } else {
+                1
+            };
             self.evacuated_ms = now_ms;
         }
         self.status = status;
@@ -112,18 +116,18 @@
         self.failures = 0;
     }
 
-    /// Counts attempts of a member under the present status.
+    /// Adds a member's attempts to the counts under the current status.
     pub(super) fn record_attempts(&mut self, successes: u16, failures: u16) {
         self.successes = self.successes.saturating_add(u32::from(successes));
         self.failures = self.failures.saturating_add(u32::from(failures));
     }
 
-    /// Whether all assessments of the confirmation time found the zone lost or cut off.
+    /// Whether every assessment within the confirmation time found the zone lost or cut off.
     pub(super) fn is_confirmed_lost(&self, config: &Config, now_ms: f64) -> bool {
         is_confirmed(self.lost_since_ms, config, now_ms)
     }
 
-    /// The change of an evacuated or recovering zone that is due.
+    /// The due transition of an evacuated or recovering zone, if any.
     pub(super) fn continue_evacuation(
         &self,
         status: ZoneStatus,
@@ -132,7 +136,7 @@
     ) -> Option<Transition> {
         let status_age_ms = now_ms - self.status_since_ms;
         match status.stage {
-            // An operator's evacuation ends by an operator's command.
+            // An evacuation by an operator lasts until an operator ends it.
             Stage::Evacuated if status.reason == Reason::Operator => None,
             Stage::Evacuated => {
                 let may_recover = status_age_ms >= self.min_evacuation_ms(config)
@@ -146,14 +150,18 @@
         }
     }
 
-    /// Minimum time of this evacuation (ms): doubled for each previous one in a row.
+    /// Minimum duration of the current evacuation (ms), doubled for each previous consecutive evacuation.
     fn min_evacuation_ms(&self, config: &Config) -> f64 {
-        let doublings = self.evacuations.saturating_sub(1).min(MAX_FLAP_DOUBLINGS);
+        let doublings = self
+            .consecutive_evacuations
+            .saturating_sub(1)
+            .min(MAX_FLAP_DOUBLINGS);
         let doubled_ms = config.min_evacuation_ms * f64::from(1_u32 << doublings);
         doubled_ms.min(config.max_evacuation_ms)
     }
 
-    /// The next step of a recovery, a step back, or its end.
+    /// The due transition of a recovery, if any: to the next step, to an earlier step, to full use, or back to
+    /// evacuated.
     fn next_ramp_step(&self, step: u8, config: &Config, status_age_ms: f64) -> Option<Transition> {
         let attempts = self.successes + self.failures;
         let failed_fraction = f64::from(self.failures) / f64::from(attempts.max(1));
@@ -162,7 +170,7 @@
             && failed_fraction > MAX_FAILURES_TO_STAY
             && status_age_ms >= config.ramp_step_ms * MIN_STEP_FRACTION
         {
-            // The step is halved; from the first step the zone is evacuated again.
+            // The step number is halved. At step 0 the zone is evacuated again.
             return Some(match step {
                 0 => Transition::evacuate(Reason::FailuresIncreased),
                 step => Transition::to_step(step / 2, Reason::FailuresIncreased),
--- a/crates/zone-evacuation/src/follower.rs
+++ b/crates/zone-evacuation/src/follower.rs
@@ -1,20 +1,20 @@
-//! The member's side: how a zone may be used, by the leader's decisions and quotas or without them.
+//! The member's side: the use of zones by the leader's decisions and quotas, or by local decisions.
 
 use crate::{Stage, ZoneId, ZoneStatus, MAX_ZONES};
 use std::collections::BTreeMap;
 
-/// Time after the start for which other zones are closed while no message of the leader has arrived (ms): the member does
-/// not know yet which zones to avoid.
+/// Time after the start for which other zones are closed if no message from the leader has arrived (ms). In this time
+/// the member does not know which zones to avoid.
 const STARTUP_CLOSED_MS: f64 = 2500.0;
 
-/// The use of a zone that a member is allowed.
+/// The permitted use of a zone by a member.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum ZoneUse {
-    /// The dispatcher decides locally.
+    /// The member decides locally.
     LocalDecision,
-    /// Nothing new is sent there.
+    /// The member starts no new attempts in the zone.
     Closed,
-    /// The member may take this fraction of the zone's full use.
+    /// The member may use up to this fraction of the zone's full use.
     Fraction(f64),
 }
 
@@ -27,20 +27,20 @@
     pub decision_number: u32,
     /// Fraction of the zone's full use.
     pub quota: f64,
-    /// When this member requested the quota (ms), which is the beginning of the term.
+    /// Time of this member's request (ms), at which the term starts.
     pub requested_ms: f64,
     /// Term of the quota (ms).
     pub term_ms: f64,
-    /// Limit on the relative difference between the rates of two clocks.
+    /// Maximum relative difference between the rates of two clocks.
     pub clock_skew: f64,
 }
 
 /// An input of a follower.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum FollowerEvent<'a> {
-    /// The status of all zones that are not in full use, as the leader knows them.
+    /// The statuses that the leader has for all zones that are not in full use.
     DecisionsReceived(&'a [(ZoneId, ZoneStatus)]),
-    /// A quota of a recovering zone. It is ignored unless it belongs to the zone's current decision.
+    /// A quota of a recovering zone. It is ignored if it does not belong to the zone's current decision.
     QuotaReceived(QuotaGrant),
 }
 
@@ -63,14 +63,14 @@
 pub struct EvacuationFollower {
     own_zone: ZoneId,
     started_ms: f64,
-    /// When the leader's last message arrived.
+    /// Time of the leader's last message (ms).
     leader_contact_ms: f64,
     autonomy_after_ms: f64,
     zones: BTreeMap<ZoneId, KnownZone>,
 }
 
 impl EvacuationFollower {
-    /// A member of `own_zone` that just started; for `autonomy_after_ms` see [`crate::Config`].
+    /// Creates the view of a member of `own_zone` that has just started. For `autonomy_after_ms` see [`crate::Config`].
     pub fn new(own_zone: ZoneId, autonomy_after_ms: f64, now_ms: f64) -> Self {
         EvacuationFollower {
             own_zone,
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Handles a message of the leader.
+    /// Handles a message from the leader.
     pub fn handle(&mut self, event: FollowerEvent<'_>, now_ms: f64) {
         match event {
             FollowerEvent::DecisionsReceived(statuses) => self.on_decisions(statuses, now_ms),
@@ -99,7 +99,7 @@
                 quota: 0.0,
                 quota_expires_ms: f64::NEG_INFINITY,
             });
-            // A decision that arrives out of order has a lower number.
+            // A lower number shows that the decision arrived out of order.
             if is_older(status.decision_number, known.status.decision_number) {
                 continue;
             }
@@ -118,14 +118,15 @@
             return;
         }
         let expires_ms = grant.requested_ms + grant.term_ms * (1.0 - grant.clock_skew);
-        // The last requested quota applies, even if it is smaller: the leader frees the difference after the term.
+        // The most recently requested quota applies, even if it is smaller. The leader counts the larger quota until
+        // its term ends.
         if expires_ms >= known.quota_expires_ms {
             known.quota = grant.quota.clamp(0.0, 1.0);
             known.quota_expires_ms = expires_ms;
         }
     }
 
-    /// The use of a zone that is allowed now.
+    /// The permitted use of a zone at `now_ms`.
     pub fn zone_use(&self, zone: ZoneId, now_ms: f64) -> ZoneUse {
         // Members inside a zone continue to use it.
         if zone == self.own_zone {
@@ -164,7 +165,7 @@
     }
 }
 
-/// Whether a decision's number comes before another one's; they wrap around.
-fn is_older(number: u32, than: u32) -> bool {
-    number.wrapping_sub(than) > u32::MAX / 2
+/// Whether the decision number `number` precedes `other`. Decision numbers wrap around.
+fn is_older(number: u32, other: u32) -> bool {
+    number.wrapping_sub(other) > u32::MAX / 2
 }
--- a/crates/zone-evacuation/src/model.rs
+++ b/crates/zone-evacuation/src/model.rs
@@ -8,29 +8,29 @@
 /// A member's identifier.
 pub type MemberId = u64;
 
-/// Limit on the number of zones.
+/// Maximum number of zones.
 pub const MAX_ZONES: usize = 12;
 
 wire_enum! {
-    /// Stage of an evacuation. Its code is part of the fleet's records and messages.
+    /// Stage of an evacuation. Records and messages of the fleet contain its code.
     pub enum Stage {
-        /// Members outside the zone send nothing new there.
+        /// Members outside the zone start no new attempts in it.
         Evacuated = 0,
-        /// Members outside the zone send what their quota of the ramp step allows.
+        /// Members outside the zone use it within their quotas of the ramp step.
         Recovering = 1,
     }
 }
 
 wire_enum! {
-    /// Why a zone's status changed. Its code is part of the fleet's records and messages.
+    /// The reason why a zone's status changed. Records and messages of the fleet contain its code.
     pub enum Reason {
-        /// No member outside reaches the zone, and none inside reports that it does.
+        /// The witnesses outside do not reach the zone, and no member inside reports that it reaches the zone.
         Lost = 0,
-        /// No member outside reaches the zone; members inside continue to use it.
+        /// The witnesses outside do not reach the zone. Members inside reach it and continue to use it.
         CutOff = 1,
         /// An operator's command.
         Operator = 2,
-        /// The zone is reached again.
+        /// The zone is reachable again, and its recovery starts or advances.
         Reached = 3,
         /// Failures increased during the recovery, or the zone was lost again.
         FailuresIncreased = 4,
@@ -40,7 +40,7 @@
 }
 
 impl fmt::Display for Reason {
-    /// The word that `tansymux fleet zones` prints.
+    /// Writes the word that `tansymux fleet zones` prints.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
             Reason::Lost => "Lost",
@@ -53,14 +53,14 @@
     }
 }
 
-/// The status of a zone that the fleet agreed on; a zone without one is in full use.
+/// The status of a zone that the fleet agreed on. A zone without a status is in full use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ZoneStatus {
     /// Evacuated or recovering.
     pub stage: Stage,
     /// Step of the recovery ramp, from 0; 0 while evacuated.
     pub step: u8,
-    /// Number of the decision: a later one is higher, wrapping around.
+    /// Number of the decision. Numbers increase and wrap around.
     pub decision_number: u32,
     /// The reason of the decision.
     pub reason: Reason,
@@ -77,31 +77,32 @@
     pub reason: Reason,
 }
 
-/// The health of a zone by the reports of all members.
+/// The health of a zone according to the reports of all members.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ZoneHealth {
-    /// Too few members have evidence.
+    /// Too few members have evidence about the zone.
     Unknown,
-    /// All witnesses reach it.
+    /// All witnesses reach the zone.
     Reachable,
-    /// Some witnesses do not reach it: their path is cut, and each of them avoids the zone by a local decision.
+    /// Some witnesses do not reach the zone: only their paths are cut. Each of them avoids the zone by a local
+    /// decision.
     PartlyUnreachable,
-    /// The witnesses do not reach it, and nobody inside reports that it does.
+    /// The witnesses do not reach the zone, and no member inside reports that it reaches the zone.
     Lost,
-    /// The witnesses do not reach it, but members inside do.
+    /// The witnesses do not reach the zone, but members inside do.
     CutOff,
 }
 
 wire_enum! {
-    /// Whether a member reaches a zone. Its code is part of the messages.
+    /// Whether a member reaches a zone. Messages contain its code.
     pub enum Reachability {
         /// The member has no recent evidence.
         Unknown = 0,
-        /// Engines answer.
+        /// Engines of the zone answer.
         Reachable = 1,
-        /// Engines answer again, and the member increases its load step by step.
+        /// Engines of the zone answer again, and the member increases its load step by step.
         Recovering = 2,
-        /// Engines do not answer.
+        /// Engines of the zone do not answer.
         Unreachable = 3,
     }
 }
@@ -118,9 +119,9 @@
 pub struct Evidence {
     /// The zone.
     pub zone: ZoneId,
-    /// Whether the member reaches it.
+    /// Whether the member reaches the zone.
     pub reachability: Reachability,
-    /// Threads that the member uses there, or would use.
+    /// Threads that the member uses in the zone, or would use.
     pub threads: f32,
     /// Attempts that succeeded since the member started, wrapping around.
     pub successes: u16,
@@ -131,12 +132,12 @@
 /// A member's report to the leader.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct MemberReport {
-    /// The member's session, drawn at each start: its counts begin at zero in each session.
+    /// The member's session, drawn at each start. Attempt counts restart at zero in each session.
     pub session: u32,
-    /// Pairs the reply with this report.
+    /// Number of this report, which the reply repeats.
     pub sequence_number: u32,
-    /// Whether the member reaches no zone: it is probably cut off itself.
+    /// Whether the member reaches no zone, and hence is probably cut off itself.
     pub is_isolated: bool,
-    /// The member's evidence, about up to [`MAX_ZONES`] zones.
+    /// The member's evidence for at most [`MAX_ZONES`] zones.
     pub zones: Vec<Evidence>,
 }
--- a/crates/zone-evacuation/tests/codec.rs
+++ b/crates/zone-evacuation/tests/codec.rs
@@ -1,4 +1,5 @@
-//! Messages of the previous version (commit 7790f50): each is decoded, and the same values are encoded to the same bytes.
+//! Messages of the previous version (commit 7790f50) decode to the expected values, and the same values encode to the
+//! same bytes.
 
 use tansymux_codec::test_support::from_hex;
 use tansymux_zone_evacuation::codec::{self, DecodeError, LeaderReply, ZoneEntry};
@@ -85,13 +86,13 @@
 }
 
 #[test]
-fn printed_reasons_keep_their_words() {
-    let words: Vec<String> = (0..6)
+fn printed_texts_of_reasons_are_unchanged() {
+    let printed: Vec<String> = (0..6)
         .filter_map(Reason::from_code)
         .map(|reason| reason.to_string())
         .collect();
     assert_eq!(
-        words,
+        printed,
         ["Lost", "CutOff", "ByHand", "Reached", "Worsened", "Whole"]
     );
 }
--- a/crates/zone-evacuation/tests/evacuation/follower.rs
+++ b/crates/zone-evacuation/tests/evacuation/follower.rs
@@ -1,4 +1,4 @@
-//! How a member uses zones with the leader's decisions, and without contact to the leader.
+//! A member's use of zones with the leader's decisions, and without contact to the leader.
 
 use crate::leader::{EAST, WEST};
 use crate::recovering;
@@ -7,7 +7,7 @@
 };
 
 /// A quota under decision 7, with a term of 3 s and no clock skew.
-fn quota_of_east(quota: f64, requested_ms: f64) -> FollowerEvent<'static> {
+fn east_quota(quota: f64, requested_ms: f64) -> FollowerEvent<'static> {
     FollowerEvent::QuotaReceived(QuotaGrant {
         zone: EAST,
         decision_number: 7,
@@ -21,7 +21,7 @@
 #[test]
 fn follower_uses_its_last_decisions_then_closes_then_decides_locally() {
     let mut follower = EvacuationFollower::new(WEST, 30_000.0, 0.0);
-    // Just started: other zones are closed, and the own zone is a local decision.
+    // Just after the start, other zones are closed and the member decides locally on its own zone.
     assert_eq!(
         (
             follower.zone_use(EAST, 100.0),
@@ -43,15 +43,15 @@
         ),
         (ZoneUse::Closed, ZoneUse::LocalDecision)
     );
-    follower.handle(quota_of_east(0.2, 3900.0), 4000.0);
+    follower.handle(east_quota(0.2, 3900.0), 4000.0);
     assert_eq!(follower.zone_use(EAST, 4000.0), ZoneUse::Fraction(0.2));
-    // A delayed answer to an earlier request changes nothing.
-    follower.handle(quota_of_east(0.9, 3000.0), 4000.0);
+    // A delayed reply to an earlier request changes nothing.
+    follower.handle(east_quota(0.9, 3000.0), 4000.0);
     assert_eq!(follower.zone_use(EAST, 4000.0), ZoneUse::Fraction(0.2));
     // After a pause of the process the quota has expired.
     assert_eq!(follower.zone_use(EAST, 24_000.0), ZoneUse::Closed);
     assert_eq!(follower.zone_use(EAST, 34_100.0), ZoneUse::LocalDecision);
-    // A decision that arrives out of order does not apply again.
+    // A decision that arrives out of order is ignored.
     let evacuated = ZoneStatus {
         stage: Stage::Evacuated,
         step: 0,
--- a/crates/zone-evacuation/tests/evacuation/leader.rs
+++ b/crates/zone-evacuation/tests/evacuation/leader.rs
@@ -1,4 +1,4 @@
-//! A leader's controller, and members' reports to it.
+//! Test leader: a controller, and members that report to it.
 
 use std::collections::BTreeMap;
 use tansymux_zone_evacuation::{
@@ -10,12 +10,12 @@
 pub const WEST: u32 = 2;
 pub const NORTH: u32 = 3;
 
-/// A leader's controller, the statuses that the fleet agreed on, and a clock.
+/// A leader's controller, the statuses that the fleet agreed on, and a clock. The fleet agrees on every decision.
 pub struct Leader {
     pub controller: EvacuationController,
     pub agreed: BTreeMap<u32, ZoneStatus>,
-    pub now: f64,
-    pub changes: Vec<Decision>,
+    pub now_ms: f64,
+    pub decisions: Vec<Decision>,
     pub successes: u16,
     pub failures: u16,
 }
@@ -27,44 +27,50 @@
         Leader {
             controller,
             agreed: BTreeMap::new(),
-            now: 1e6,
-            changes: Vec::new(),
+            now_ms: 1e6,
+            decisions: Vec::new(),
             successes: 0,
             failures: 0,
         }
     }
 
-    /// Nine members, three in each zone, report one zone for `ms`: its reachability, and whether they are isolated.
+    /// For `duration_ms`, nine members, three in each zone, send reports. `observe` returns what a member with this
+    /// id and zone reports: its reachability of `zone`, and whether it is isolated. `None`: the member sends no
+    /// report. Members report all other zones as reachable.
     pub fn receive_reports(
         &mut self,
-        ms: f64,
+        duration_ms: f64,
         zone: u32,
-        reach: impl Fn(u64, u32) -> Option<(Reachability, bool)>,
+        observe: impl Fn(u64, u32) -> Option<(Reachability, bool)>,
     ) {
-        let end = self.now + ms;
-        while self.now < end {
-            self.now += 250.0;
+        let end_ms = self.now_ms + duration_ms;
+        while self.now_ms < end_ms {
+            self.now_ms += 250.0;
             self.successes = self.successes.wrapping_add(1);
-            let home = |id: u64| [EAST, WEST, NORTH][(id % 3) as usize];
+            let zone_of = |id: u64| [EAST, WEST, NORTH][(id % 3) as usize];
             self.controller.set_members((0..9).map(|id| MemberPresence {
                 id,
-                zone: home(id),
+                zone: zone_of(id),
                 is_present: true,
             }));
             for id in 0..9 {
-                let Some((reachability, is_isolated)) = reach(id, home(id)) else {
+                let Some((reachability, is_isolated)) = observe(id, zone_of(id)) else {
                     continue;
                 };
-                let evidence = |of| Evidence {
-                    zone: of,
-                    reachability: if of == zone {
+                let evidence = |reported_zone| Evidence {
+                    zone: reported_zone,
+                    reachability: if reported_zone == zone {
                         reachability
                     } else {
                         Reachability::Reachable
                     },
                     threads: 2.0,
                     successes: self.successes,
-                    failures: if of == zone { self.failures } else { 0 },
+                    failures: if reported_zone == zone {
+                        self.failures
+                    } else {
+                        0
+                    },
                 };
                 let zones = [EAST, WEST, NORTH].map(evidence).to_vec();
                 let report = MemberReport {
@@ -73,24 +79,24 @@
                     is_isolated,
                     zones,
                 };
-                self.controller.handle_report(id, &report, self.now);
+                self.controller.handle_report(id, &report, self.now_ms);
             }
-            for decision in self.controller.evaluate(&self.agreed, self.now) {
+            for decision in self.controller.evaluate(&self.agreed, self.now_ms) {
                 match decision.status {
                     Some(status) => drop(self.agreed.insert(decision.zone, status)),
                     None => drop(self.agreed.remove(&decision.zone)),
                 }
-                self.changes.push(decision);
+                self.decisions.push(decision);
             }
         }
     }
 
     pub fn stage(&self, zone: u32) -> Option<Stage> {
-        self.agreed.get(&zone).map(|known| known.stage)
+        self.agreed.get(&zone).map(|status| status.stage)
     }
 }
 
-pub fn with_short_steps() -> Config {
+pub fn short_step_config() -> Config {
     Config {
         ramp_step_ms: 1000.0,
         ..Config::default()
--- a/crates/zone-evacuation/tests/evacuation/main.rs
+++ b/crates/zone-evacuation/tests/evacuation/main.rs
@@ -1,11 +1,12 @@
-//! The controller's assessments and decisions, members' quotas, and members without contact to the leader.
+//! Tests of the controller's assessments and decisions, of members' quotas, and of members without contact to the
+//! leader.
 
 mod follower;
 mod leader;
 mod quota_simulation;
 mod quotas;
 
-use leader::{with_short_steps, Leader, EAST, WEST};
+use leader::{short_step_config, Leader, EAST, WEST};
 use tansymux_zone_evacuation::{
     Config, EvacuationRefused, Initiator, Reachability, Reason, Stage, ZoneHealth, ZoneStatus,
 };
@@ -21,34 +22,37 @@
 }
 
 #[test]
-fn zone_without_witnesses_inside_or_outside_is_lost_and_evacuated_once() {
-    let mut leader = Leader::new(with_short_steps());
-    leader.receive_reports(5000.0, EAST, |_, home| {
-        (home != EAST).then_some((Reachability::Unreachable, false))
+fn zone_that_no_member_reaches_is_lost_and_evacuated_once() {
+    let mut leader = Leader::new(short_step_config());
+    leader.receive_reports(5000.0, EAST, |_, home_zone| {
+        (home_zone != EAST).then_some((Reachability::Unreachable, false))
     });
-    assert_eq!(leader.controller.assess(EAST, leader.now), ZoneHealth::Lost);
     assert_eq!(
-        (leader.changes.len(), leader.stage(EAST)),
+        leader.controller.assess(EAST, leader.now_ms),
+        ZoneHealth::Lost
+    );
+    assert_eq!(
+        (leader.decisions.len(), leader.stage(EAST)),
         (1, Some(Stage::Evacuated))
     );
 }
 
 #[test]
 fn new_leader_keeps_the_capacity_of_the_endpoint_list() {
-    let mut leader = Leader::new(with_short_steps());
+    let mut leader = Leader::new(short_step_config());
     leader.controller.clear();
-    leader.receive_reports(5000.0, EAST, |_, home| {
-        (home != EAST).then_some((Reachability::Unreachable, false))
+    leader.receive_reports(5000.0, EAST, |_, home_zone| {
+        (home_zone != EAST).then_some((Reachability::Unreachable, false))
     });
     assert_eq!(leader.stage(EAST), Some(Stage::Evacuated));
 }
 
 #[test]
-fn members_inside_an_unreached_zone_show_that_it_is_cut_off() {
-    let mut leader = Leader::new(with_short_steps());
-    leader.receive_reports(5000.0, EAST, |_, home| {
+fn zone_reached_only_by_members_inside_is_cut_off() {
+    let mut leader = Leader::new(short_step_config());
+    leader.receive_reports(5000.0, EAST, |_, home_zone| {
         Some((
-            if home == EAST {
+            if home_zone == EAST {
                 Reachability::Reachable
             } else {
                 Reachability::Unreachable
@@ -57,7 +61,7 @@
         ))
     });
     assert_eq!(
-        leader.controller.assess(EAST, leader.now),
+        leader.controller.assess(EAST, leader.now_ms),
         ZoneHealth::CutOff
     );
     assert_eq!(leader.agreed[&EAST].reason, Reason::CutOff);
@@ -65,10 +69,10 @@
 
 #[test]
 fn zone_unreached_by_a_few_members_is_not_evacuated() {
-    let mut leader = Leader::new(with_short_steps());
-    leader.receive_reports(8000.0, EAST, |id, home| {
+    let mut leader = Leader::new(short_step_config());
+    leader.receive_reports(8000.0, EAST, |id, home_zone| {
         Some((
-            if home != EAST && id < 4 {
+            if home_zone != EAST && id < 4 {
                 Reachability::Unreachable
             } else {
                 Reachability::Reachable
@@ -77,95 +81,97 @@
         ))
     });
     assert_eq!(
-        leader.controller.assess(EAST, leader.now),
+        leader.controller.assess(EAST, leader.now_ms),
         ZoneHealth::PartlyUnreachable
     );
-    assert!(leader.changes.is_empty());
+    assert!(leader.decisions.is_empty());
 }
 
 #[test]
 fn isolated_members_and_members_without_evidence_do_not_count_as_witnesses() {
-    let mut leader = Leader::new(with_short_steps());
-    // Outside, one member reaches the zone, four are isolated, and one has no evidence.
-    leader.receive_reports(6000.0, EAST, |id, home| match (home, id) {
+    let mut leader = Leader::new(short_step_config());
+    // Outside the zone, one member reaches it, four are isolated, and one has no evidence.
+    leader.receive_reports(6000.0, EAST, |id, home_zone| match (home_zone, id) {
         (EAST, _) => Some((Reachability::Reachable, false)),
         (_, 1) => Some((Reachability::Unknown, false)),
         (_, 2) => Some((Reachability::Reachable, false)),
         _ => Some((Reachability::Unreachable, true)),
     });
-    assert!(leader.changes.is_empty(), "{:?}", leader.changes);
-    // One of six members has evidence: too few for an assessment.
-    let mut leader = Leader::new(with_short_steps());
+    assert!(leader.decisions.is_empty(), "{:?}", leader.decisions);
+    // Only one of the six members outside the zone has evidence, which is too little for an assessment.
+    let mut leader = Leader::new(short_step_config());
     leader.receive_reports(6000.0, EAST, |id, _| {
         (id == 1).then_some((Reachability::Unreachable, false))
     });
     assert_eq!(
-        leader.controller.assess(EAST, leader.now),
+        leader.controller.assess(EAST, leader.now_ms),
         ZoneHealth::Unknown
     );
-    assert!(leader.changes.is_empty());
+    assert!(leader.decisions.is_empty());
 }
 
 #[test]
 fn slow_zone_that_answers_is_not_evacuated() {
-    let mut leader = Leader::new(with_short_steps());
+    let mut leader = Leader::new(short_step_config());
     leader.receive_reports(10_000.0, EAST, |_, _| {
         Some((Reachability::Reachable, false))
     });
-    assert!(leader.changes.is_empty());
+    assert!(leader.decisions.is_empty());
 }
 
 #[test]
-fn second_zone_and_too_many_cores_need_an_operator_and_enough_capacity() {
-    let mut leader = Leader::new(with_short_steps());
-    leader.receive_reports(4000.0, EAST, |_, home| {
-        (home != EAST).then_some((Reachability::Unreachable, false))
+fn evacuation_of_a_second_zone_needs_an_operator_and_enough_capacity() {
+    let mut leader = Leader::new(short_step_config());
+    leader.receive_reports(4000.0, EAST, |_, home_zone| {
+        (home_zone != EAST).then_some((Reachability::Unreachable, false))
     });
-    let mut second = leader.agreed.clone();
-    assert_eq!(second.len(), 1);
-    let answer =
+    let mut agreed = leader.agreed.clone();
+    assert_eq!(agreed.len(), 1);
+    let result =
         leader
             .controller
-            .check_evacuation(WEST, &second, Initiator::Controller, leader.now);
+            .check_evacuation(WEST, &agreed, Initiator::Controller, leader.now_ms);
     assert!(
-        matches!(answer, Err(EvacuationRefused::TooManyCores { fraction }) if fraction > 0.6),
-        "{answer:?}"
+        matches!(result, Err(EvacuationRefused::TooManyCores { fraction }) if fraction > 0.6),
+        "{result:?}"
     );
-    // For an operator only the capacity of the remaining zones counts; a refusal has the figures.
-    let answer = leader
-        .controller
-        .check_evacuation(WEST, &second, Initiator::Operator, leader.now);
-    assert_eq!(answer, Ok(()));
-    second.clear();
-    let heavy = Config {
+    // For an operator only the capacity of the remaining zones counts. A refusal contains the figures.
+    let result =
+        leader
+            .controller
+            .check_evacuation(WEST, &agreed, Initiator::Operator, leader.now_ms);
+    assert_eq!(result, Ok(()));
+    agreed.clear();
+    let low_capacity = Config {
         spill_capacity_fraction: 0.1,
         full_threads_per_core: 1.0,
-        ..with_short_steps()
+        ..short_step_config()
     };
-    leader.controller.set_config(heavy);
-    let answer = leader
-        .controller
-        .check_evacuation(WEST, &second, Initiator::Operator, leader.now);
+    leader.controller.set_config(low_capacity);
+    let result =
+        leader
+            .controller
+            .check_evacuation(WEST, &agreed, Initiator::Operator, leader.now_ms);
     assert!(
-        matches!(answer, Err(EvacuationRefused::InsufficientCapacity { load_threads, capacity_threads }) if load_threads > capacity_threads),
-        "{answer:?}"
+        matches!(result, Err(EvacuationRefused::InsufficientCapacity { load_threads, capacity_threads }) if load_threads > capacity_threads),
+        "{result:?}"
     );
 }
 
 #[test]
-fn recovery_advances_step_by_step_to_full_use_within_its_time() {
-    let mut leader = Leader::new(with_short_steps());
-    leader.receive_reports(5000.0, EAST, |_, home| {
-        (home != EAST).then_some((Reachability::Unreachable, false))
+fn recovery_advances_step_by_step_to_full_use_within_30_s() {
+    let mut leader = Leader::new(short_step_config());
+    leader.receive_reports(5000.0, EAST, |_, home_zone| {
+        (home_zone != EAST).then_some((Reachability::Unreachable, false))
     });
     leader.receive_reports(30_000.0, EAST, |_, _| {
         Some((Reachability::Reachable, false))
     });
-    assert_eq!(leader.stage(EAST), None, "{:?}", leader.changes);
-    // Evacuated, first step, eight further steps, full use.
-    assert_eq!(leader.changes.len(), 1 + 1 + 8 + 1);
+    assert_eq!(leader.stage(EAST), None, "{:?}", leader.decisions);
+    // The decisions: evacuated, first ramp step, eight further steps, full use.
+    assert_eq!(leader.decisions.len(), 1 + 1 + 8 + 1);
     let numbers: Vec<u32> = leader
-        .changes
+        .decisions
         .iter()
         .filter_map(|decision| decision.status)
         .map(|status| status.decision_number)
@@ -175,9 +181,9 @@
 
 #[test]
 fn failures_set_a_recovery_back_and_losing_the_zone_ends_it() {
-    let mut leader = Leader::new(with_short_steps());
-    leader.receive_reports(5000.0, EAST, |_, home| {
-        (home != EAST).then_some((Reachability::Unreachable, false))
+    let mut leader = Leader::new(short_step_config());
+    leader.receive_reports(5000.0, EAST, |_, home_zone| {
+        (home_zone != EAST).then_some((Reachability::Unreachable, false))
     });
     leader.receive_reports(7000.0, EAST, |_, _| Some((Reachability::Reachable, false)));
     let step = leader.agreed[&EAST].step;
@@ -190,36 +196,36 @@
         leader
             .agreed
             .get(&EAST)
-            .is_none_or(|known| known.step < step),
+            .is_none_or(|status| status.step < step),
         "{:?}",
-        leader.changes
+        leader.decisions
     );
-    leader.receive_reports(3000.0, EAST, |_, home| {
-        (home != EAST).then_some((Reachability::Unreachable, false))
+    leader.receive_reports(3000.0, EAST, |_, home_zone| {
+        (home_zone != EAST).then_some((Reachability::Unreachable, false))
     });
     assert_eq!(leader.stage(EAST), Some(Stage::Evacuated));
 }
 
 #[test]
 fn flapping_zone_stays_evacuated_longer_each_time_up_to_a_limit() {
-    for period in [3000.0, 10_000.0, 60_000.0] {
+    for period_ms in [3000.0, 10_000.0, 60_000.0] {
         let config = Config {
             min_evacuation_ms: 2000.0,
             max_evacuation_ms: 60_000.0,
             flap_window_ms: 600_000.0,
-            ..with_short_steps()
+            ..short_step_config()
         };
         let mut leader = Leader::new(config);
-        for _ in 0..(400_000.0 / period) as usize {
-            leader.receive_reports(period / 2.0, EAST, |_, home| {
-                (home != EAST).then_some((Reachability::Unreachable, false))
+        for _ in 0..(400_000.0 / period_ms) as usize {
+            leader.receive_reports(period_ms / 2.0, EAST, |_, home_zone| {
+                (home_zone != EAST).then_some((Reachability::Unreachable, false))
             });
-            leader.receive_reports(period / 2.0, EAST, |_, _| {
+            leader.receive_reports(period_ms / 2.0, EAST, |_, _| {
                 Some((Reachability::Reachable, false))
             });
         }
-        let left = leader
-            .changes
+        let evacuations = leader
+            .decisions
             .iter()
             .filter(|decision| {
                 decision
@@ -228,8 +234,8 @@
             })
             .count();
         assert!(
-            (1..=14).contains(&left),
-            "left {left} times at a period of {period}"
+            (1..=14).contains(&evacuations),
+            "evacuated {evacuations} times at a period of {period_ms} ms"
         );
         // The zone returns to full use once it stays reachable.
         leader.receive_reports(60_000.0 + 30_000.0, EAST, |_, _| {
--- a/crates/zone-evacuation/tests/evacuation/quota_simulation.rs
+++ b/crates/zone-evacuation/tests/evacuation/quota_simulation.rs
@@ -16,23 +16,23 @@
 /// Interval of a member's requests (ms).
 const REQUEST_MS: f64 = 1000.0;
 
-/// The beginning of the term of a quota at a member.
+/// The event at which the term of a quota starts at a member.
 #[derive(Clone, Copy, PartialEq)]
 pub enum TermStart {
     /// The request, as specified.
     Request,
-    /// The answer: the member uses the quota for too long.
-    Answer,
+    /// The arrival of the reply. The member then uses the quota for too long.
+    Reply,
 }
 
-/// A quota in transit to a member; times by the member's clock.
-struct Answer {
+/// The leader's reply, with a quota. Times are by the member's clock.
+struct Reply {
     decision_number: u32,
     quota: f64,
     requested_ms: f64,
 }
 
-/// A message, by its true time of arrival.
+/// A message in flight. Its arrival time is by the simulation's clock.
 struct InFlight {
     arrival_ms: f64,
     member: usize,
@@ -40,10 +40,10 @@
 }
 
 enum Content {
-    /// To the leader; the time is by the member's clock.
+    /// A request to the leader. The time is by the member's clock.
     Request { requested_ms: f64 },
-    /// To the member.
-    Answer(Answer),
+    /// A reply to the member.
+    Reply(Reply),
 }
 
 struct Member {
@@ -53,14 +53,15 @@
     demand: f64,
     paused_until_ms: f64,
     next_request_ms: f64,
-    /// Answers to handle, those from a pause included.
-    received: Vec<Answer>,
+    /// Replies that have arrived but are not handled yet, including those that arrived during a pause.
+    received: Vec<Reply>,
 }
 
 /// The result of a run.
 #[derive(Clone, Copy)]
 pub struct QuotaUse {
-    /// Maximum by which the sum of all quotas, each by its member's clock, exceeded the largest ramp step of the last term.
+    /// Maximum excess of the sum of all quotas, each by its member's clock, over the largest ramp step of the last
+    /// term.
     pub overrun: f64,
     /// Maximum fraction of a ramp step that was in use.
     pub used_fraction: f64,
@@ -77,7 +78,7 @@
     in_flight: Vec<InFlight>,
     step: u8,
     decision_number: u32,
-    /// Ramp fractions of the last term, with their times.
+    /// Times (ms) and ramp fractions within the last term.
     recent_fractions: Vec<(f64, f64)>,
     now_ms: f64,
 }
@@ -110,25 +111,25 @@
         let mut used_fraction = 0.0_f64;
         while self.now_ms < DURATION_MS {
             self.now_ms += STEP_MS;
-            self.change_step();
+            self.maybe_change_step();
             let fraction = self.config.ramp_fraction(self.step);
             self.recent_fractions.push((self.now_ms, fraction));
-            let oldest_ms = self.config.quota_term_ms * 1.06 + STEP_MS;
+            let window_ms = self.config.quota_term_ms * 1.06 + STEP_MS;
             let now_ms = self.now_ms;
             self.recent_fractions
-                .retain(|(at_ms, _)| now_ms - at_ms <= oldest_ms);
+                .retain(|(at_ms, _)| now_ms - at_ms <= window_ms);
             for member in 0..self.members.len() {
                 self.run_member(member);
             }
             self.deliver();
-            let held = self.held_total();
+            let held_sum = self.held_total();
             let limit = self
                 .recent_fractions
                 .iter()
                 .map(|(_, fraction)| *fraction)
                 .fold(0.0, f64::max);
-            overrun = overrun.max(held - limit);
-            used_fraction = used_fraction.max(held / fraction);
+            overrun = overrun.max(held_sum - limit);
+            used_fraction = used_fraction.max(held_sum / fraction);
         }
         QuotaUse {
             overrun,
@@ -136,7 +137,7 @@
         }
     }
 
-    fn change_step(&mut self) {
+    fn maybe_change_step(&mut self) {
         if !self.rng.random_bool(0.004) {
             return;
         }
@@ -155,16 +156,22 @@
             member.paused_until_ms = now_ms + self.rng.random_range(500.0..20_000.0);
         }
         if self.rng.random_bool(0.0003) {
-            // The member is killed and restarted without its state; its clock continues.
+            // The member is killed and restarts without its state. Its clock continues.
             member.follower = EvacuationFollower::new(WEST, 1e9, now_ms * member.clock_rate);
             member.received.clear();
         }
         if now_ms < member.paused_until_ms {
             return;
         }
-        let own_ms = now_ms * member.clock_rate;
-        for answer in std::mem::take(&mut member.received) {
-            member.take_answer(&answer, self.step, self.term_start, &self.config, own_ms);
+        let member_now_ms = now_ms * member.clock_rate;
+        for reply in std::mem::take(&mut member.received) {
+            member.handle_reply(
+                &reply,
+                self.step,
+                self.term_start,
+                &self.config,
+                member_now_ms,
+            );
         }
         if now_ms >= member.next_request_ms {
             member.next_request_ms = now_ms + REQUEST_MS;
@@ -174,7 +181,7 @@
                     arrival_ms: now_ms + delay_ms,
                     member: index,
                     content: Content::Request {
-                        requested_ms: own_ms,
+                        requested_ms: member_now_ms,
                     },
                 });
             }
@@ -198,13 +205,13 @@
         self.in_flight = rest;
         for message in due {
             match message.content {
-                Content::Request { requested_ms } => self.answer(message.member, requested_ms),
-                Content::Answer(answer) => self.members[message.member].received.push(answer),
+                Content::Request { requested_ms } => self.send_reply(message.member, requested_ms),
+                Content::Reply(reply) => self.members[message.member].received.push(reply),
             }
         }
     }
 
-    fn answer(&mut self, member: usize, requested_ms: f64) {
+    fn send_reply(&mut self, member: usize, requested_ms: f64) {
         let request = QuotaRequest {
             member: member as u64,
             demand: self.members[member].demand,
@@ -217,7 +224,7 @@
         self.in_flight.push(InFlight {
             arrival_ms: self.now_ms + delay_ms,
             member,
-            content: Content::Answer(Answer {
+            content: Content::Reply(Reply {
                 decision_number: self.decision_number,
                 quota,
                 requested_ms,
@@ -230,8 +237,8 @@
         self.members
             .iter()
             .map(|member| {
-                let own_ms = self.now_ms * member.clock_rate;
-                match member.follower.zone_use(EAST, own_ms) {
+                let member_now_ms = self.now_ms * member.clock_rate;
+                match member.follower.zone_use(EAST, member_now_ms) {
                     ZoneUse::Fraction(fraction) => fraction,
                     ZoneUse::LocalDecision | ZoneUse::Closed => 0.0,
                 }
@@ -257,29 +264,29 @@
         }
     }
 
-    fn take_answer(
+    fn handle_reply(
         &mut self,
-        answer: &Answer,
+        reply: &Reply,
         step: u8,
         term_start: TermStart,
         config: &Config,
-        own_ms: f64,
+        member_now_ms: f64,
     ) {
-        let statuses = [(EAST, recovering(step, answer.decision_number))];
+        let statuses = [(EAST, recovering(step, reply.decision_number))];
         let decisions = FollowerEvent::DecisionsReceived(&statuses);
-        self.follower.handle(decisions, own_ms);
+        self.follower.handle(decisions, member_now_ms);
         let grant = QuotaGrant {
             zone: EAST,
-            decision_number: answer.decision_number,
-            quota: answer.quota,
+            decision_number: reply.decision_number,
+            quota: reply.quota,
             requested_ms: match term_start {
-                TermStart::Request => answer.requested_ms,
-                TermStart::Answer => own_ms,
+                TermStart::Request => reply.requested_ms,
+                TermStart::Reply => member_now_ms,
             },
             term_ms: config.quota_term_ms,
             clock_skew: config.clock_skew,
         };
         self.follower
-            .handle(FollowerEvent::QuotaReceived(grant), own_ms);
+            .handle(FollowerEvent::QuotaReceived(grant), member_now_ms);
     }
 }
