--- a/crates/adapter/src/decode.rs
+++ b/crates/adapter/src/decode.rs
@@ -43,7 +43,7 @@
         EventKind::Vanished => {
             let query_id = fields.number(field::QUERY_ID)?;
             fields.finish()?;
-            control.on_client_gone(query_id, out);
+            control.on_client_disconnected(query_id, out);
             Ok(())
         }
         EventKind::Peer => deliver_peer_message(fields, control),
--- a/crates/dispatcher/src/attempt_end.rs
+++ b/crates/dispatcher/src/attempt_end.rs
@@ -41,10 +41,10 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EndProof {
     /// Immediately: the engine has ended the attempt, or never received its whole request.
-    AtOnce,
+    Immediate,
     /// When the settling delay of the engine side's reports has passed since the last command about the attempt was
     /// written.
-    AfterCommand,
+    AfterLastCommand,
     /// When the settling delay of the engine side's reports has passed since this dispatcher closed the connection,
     /// which aborts all attempts on it.
     AfterClose,
@@ -58,8 +58,8 @@
             | EndCause::NotBegun
             | EndCause::HalfWritten
             | EndCause::NotConnected
-            | EndCause::Reset => EndProof::AtOnce,
-            EndCause::ResultLost | EndCause::Aborted => EndProof::AfterCommand,
+            | EndCause::Reset => EndProof::Immediate,
+            EndCause::ResultLost | EndCause::Aborted => EndProof::AfterLastCommand,
             EndCause::EndOfStream | EndCause::ConnectionFailed | EndCause::ClosedHere => {
                 EndProof::AfterClose
             }
--- a/crates/dispatcher/src/check.rs
+++ b/crates/dispatcher/src/check.rs
@@ -1,6 +1,6 @@
 //! `tansymux check`: reports all errors in configurations and operators' files.
 
-use crate::config::{self, locate, ConfigError, StartupConfig};
+use crate::config::{self, with_line_numbers, ConfigError, StartupConfig};
 use crate::file::read_text;
 use crate::operator_config::{self, check_against_settings};
 use std::path::{Path, PathBuf};
@@ -60,7 +60,7 @@
         match config::parse(&text, None) {
             Ok(config) => valid.configs.push(config),
             Err(errors) => {
-                for error in locate(errors, &text) {
+                for error in with_line_numbers(errors, &text) {
                     lines.push(error_line(&name, error));
                 }
             }
--- a/crates/dispatcher/src/cli.rs
+++ b/crates/dispatcher/src/cli.rs
@@ -15,14 +15,14 @@
     pub command: Option<Command>,
     /// Flags common to all subcommands
     #[command(flatten)]
-    pub common: Common,
+    pub common: GlobalArgs,
 }
 
 // The doc comments of clap's types are the help texts that `tansymux --help` prints.
 
 /// Flags common to all subcommands
 #[derive(Debug, Args)]
-pub struct Common {
+pub struct GlobalArgs {
     /// The operators' file, in protobuf text format
     #[arg(long, value_name = "FILE", env = "TANSYMUX_OPERATOR", global = true)]
     pub operator: Option<PathBuf>,
--- a/crates/dispatcher/src/client/answer_writer.rs
+++ b/crates/dispatcher/src/client/answer_writer.rs
@@ -5,7 +5,7 @@
 use super::request_error::RequestError;
 use crate::counters::Counters;
 use crate::guard::AnswerPermit;
-use crate::net::write_gathered;
+use crate::net::write_all_vectored;
 use crate::query_registry::{Answer, Pages};
 use async_io::{Async, Timer};
 use futures_lite::future;
@@ -134,7 +134,7 @@
             Timer::after(WRITE_TIMEOUT).await;
             Err(io::ErrorKind::TimedOut.into())
         };
-        let written = future::or(write_gathered(self.stream, parts), timeout).await;
+        let written = future::or(write_all_vectored(self.stream, parts), timeout).await;
         if written.is_err() {
             self.counters.answer_write_failures.increment();
         }
--- a/crates/dispatcher/src/client/inbound.rs
+++ b/crates/dispatcher/src/client/inbound.rs
@@ -5,9 +5,9 @@
 use super::reader::ReadBuffer;
 use super::request_error::RequestError;
 use super::ClientFrontend;
-use crate::close_reason::ClientClose;
+use crate::close_reason::ClientCloseReason;
 use crate::guard::ClosePermit;
-use crate::net::has_hung_up;
+use crate::net::is_closed_by_peer;
 use async_io::{Async, Timer};
 use futures_lite::future;
 use std::io;
@@ -49,7 +49,7 @@
     /// The client closed or reset its side.
     Disconnected,
     /// No byte of a request has arrived, and the connection should close.
-    Close(ClientClose),
+    Close(ClientCloseReason),
     /// The request that is being received is refused.
     Refuse(RequestError),
 }
@@ -132,12 +132,14 @@
                 self.on_received(is_idle);
                 ReadOutcome::Continue
             }
-            WaitOutcome::TimedOut if is_empty => ReadOutcome::Close(ClientClose::Idle),
+            WaitOutcome::TimedOut if is_empty => ReadOutcome::Close(ClientCloseReason::Idle),
             WaitOutcome::TimedOut => ReadOutcome::Refuse(RequestError::Incomplete),
             WaitOutcome::Disconnected => ReadOutcome::Disconnected,
             // During shutdown, a partly received request may continue, and a new connection may send its first request.
             WaitOutcome::CloseRequested if !self.entry.is_evicted() => ReadOutcome::Continue,
-            WaitOutcome::CloseRequested if is_empty => ReadOutcome::Close(ClientClose::Evicted),
+            WaitOutcome::CloseRequested if is_empty => {
+                ReadOutcome::Close(ClientCloseReason::Evicted)
+            }
             WaitOutcome::CloseRequested => ReadOutcome::Refuse(RequestError::Overloaded),
         };
         Ok(outcome)
@@ -199,7 +201,7 @@
     pub async fn wait_for_disconnect(&mut self) {
         loop {
             if self.buffer.len() >= MAX_READ_AHEAD_BYTES || self.buffer.is_over_quota() {
-                if has_hung_up(self.stream.get_ref()) {
+                if is_closed_by_peer(self.stream.get_ref()) {
                     return;
                 }
                 Timer::after(HANGUP_POLL_INTERVAL).await;
--- a/crates/dispatcher/src/client/listener.rs
+++ b/crates/dispatcher/src/client/listener.rs
@@ -17,8 +17,8 @@
 type Accepted = io::Result<(Async<TcpStream>, SocketAddr)>;
 
 impl ClientFrontend {
-    /// Accepts connections until [`ClientFrontend::last_call`], and then those that are left in the backlog. While the
-    /// table is full, connections are evicted to make room.
+    /// Accepts connections until [`ClientFrontend::start_closing`], and then those that are left in the backlog. While
+    /// the table is full, connections are evicted to make room.
     pub async fn accept(
         self: Rc<Self>,
         listener: Async<TcpListener>,
--- a/crates/dispatcher/src/client/mod.rs
+++ b/crates/dispatcher/src/client/mod.rs
@@ -89,7 +89,7 @@
     }
 
     /// Stops accepting connections after those in the backlog, and half-closes idle connections.
-    pub fn last_call(&self) {
+    pub fn start_closing(&self) {
         self.phase.set(FrontendPhase::Closing);
         self.closing_started.notify();
         self.table.close_idle();
--- a/crates/dispatcher/src/client/session.rs
+++ b/crates/dispatcher/src/client/session.rs
@@ -14,7 +14,7 @@
 use super::request_error::RequestError;
 use super::route::Route;
 use super::ClientFrontend;
-use crate::close_reason::ClientClose;
+use crate::close_reason::ClientCloseReason;
 use crate::guard::{AnswerPermit, ConnectionLedger, Violation};
 use crate::query_registry::{AdmittedQuery, Answer};
 use async_io::Async;
@@ -29,7 +29,7 @@
     /// The client has disconnected: no answer is owed.
     Disconnected,
     /// This side half-closes the connection, and discards the bytes that the client still sends.
-    HalfClose(ClientClose),
+    HalfClose(ClientCloseReason),
 }
 
 /// The result of handling a complete request.
@@ -79,10 +79,10 @@
                 }
                 reason
             }
-            Ok(ConnectionEnd::Disconnected) => ClientClose::ByClient,
+            Ok(ConnectionEnd::Disconnected) => ClientCloseReason::ByClient,
             Err(error) => {
                 tracing::info!(connection = number, %error, "client connection failed");
-                ClientClose::Failed
+                ClientCloseReason::Failed
             }
         };
         let counters = &self.frontend.registry.counters;
@@ -142,7 +142,7 @@
         let retry_after_ms = self.frontend.limits.retry_after_ms;
         let permit = self.ledger.borrow_mut().may_refuse();
         self.writer().error(permit, error, retry_after_ms).await?;
-        let end = ConnectionEnd::HalfClose(ClientClose::Refused);
+        let end = ConnectionEnd::HalfClose(ClientCloseReason::Refused);
         Ok(ControlFlow::Break(end))
     }
 
@@ -210,7 +210,7 @@
             Handled::Query(query) => {
                 self.inbound.consume(request_len);
                 let Some(answer) = self.wait_for_answer(&query).await else {
-                    self.ledger.borrow_mut().on_client_left();
+                    self.ledger.borrow_mut().on_client_disconnected();
                     return Ok(ControlFlow::Break(ConnectionEnd::Disconnected));
                 };
                 let is_closing = self.frontend.phase.get().is_closing();
@@ -224,7 +224,7 @@
         }
         if !keep_alive {
             return Ok(ControlFlow::Break(ConnectionEnd::HalfClose(
-                ClientClose::AfterAnswer,
+                ClientCloseReason::AfterAnswer,
             )));
         }
         // Keeps a client that sends many requests at once from starving others.
@@ -237,13 +237,13 @@
     /// Waits for the answer of a query. Returns `None` if the client disconnects first.
     async fn wait_for_answer(&mut self, query: &AdmittedQuery) -> Option<Answer> {
         let answered = async { Some(query.slot.answered().await) };
-        let client_left = async {
+        let client_disconnected = async {
             self.inbound.wait_for_disconnect().await;
             None
         };
-        let answer = future::or(answered, client_left).await;
+        let answer = future::or(answered, client_disconnected).await;
         if answer.is_none() {
-            self.frontend.registry.client_left(query.query_id);
+            self.frontend.registry.client_disconnected(query.query_id);
         }
         answer
     }
--- a/crates/dispatcher/src/clock.rs
+++ b/crates/dispatcher/src/clock.rs
@@ -58,7 +58,7 @@
 
 impl WallClock {
     /// A translator to the times of `clock`.
-    pub fn beside(clock: Clock) -> Self {
+    pub fn new(clock: Clock) -> Self {
         let mut wall_clock = WallClock {
             clock,
             offsets: WallOffsets::default(),
--- a/crates/dispatcher/src/close_reason.rs
+++ b/crates/dispatcher/src/close_reason.rs
@@ -4,7 +4,7 @@
 
 /// Reason for which a client's connection ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-pub enum ClientClose {
+pub enum ClientCloseReason {
     /// The client closed or reset the connection.
     #[error("by_client")]
     ByClient,
@@ -25,21 +25,21 @@
     Failed,
 }
 
-impl ClientClose {
+impl ClientCloseReason {
     /// All reasons, in the order of their counters.
-    pub const ALL: [ClientClose; 6] = [
-        ClientClose::ByClient,
-        ClientClose::Idle,
-        ClientClose::Evicted,
-        ClientClose::Refused,
-        ClientClose::AfterAnswer,
-        ClientClose::Failed,
+    pub const ALL: [ClientCloseReason; 6] = [
+        ClientCloseReason::ByClient,
+        ClientCloseReason::Idle,
+        ClientCloseReason::Evicted,
+        ClientCloseReason::Refused,
+        ClientCloseReason::AfterAnswer,
+        ClientCloseReason::Failed,
     ];
 }
 
 /// Reason for which a connection to an engine ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-pub enum EngineClose {
+pub enum EngineCloseReason {
     /// The engine closed the connection.
     #[error("by_engine")]
     ByEngine,
@@ -75,19 +75,19 @@
     Failed,
 }
 
-impl EngineClose {
+impl EngineCloseReason {
     /// All reasons, in the order of their counters.
-    pub const ALL: [EngineClose; 11] = [
-        EngineClose::ByEngine,
-        EngineClose::Retired,
-        EngineClose::Protocol,
-        EngineClose::HalfWritten,
-        EngineClose::Flood,
-        EngineClose::EndNotRead,
-        EngineClose::Unreachable,
-        EngineClose::Forgotten,
-        EngineClose::ConnectTimeout,
-        EngineClose::LocalFault,
-        EngineClose::Failed,
+    pub const ALL: [EngineCloseReason; 11] = [
+        EngineCloseReason::ByEngine,
+        EngineCloseReason::Retired,
+        EngineCloseReason::Protocol,
+        EngineCloseReason::HalfWritten,
+        EngineCloseReason::Flood,
+        EngineCloseReason::EndNotRead,
+        EngineCloseReason::Unreachable,
+        EngineCloseReason::Forgotten,
+        EngineCloseReason::ConnectTimeout,
+        EngineCloseReason::LocalFault,
+        EngineCloseReason::Failed,
     ];
 }
--- a/crates/dispatcher/src/config.rs
+++ b/crates/dispatcher/src/config.rs
@@ -22,7 +22,7 @@
 mod source_lines;
 
 pub use endpoints::PeerAddresses;
-pub use error::{locate, ConfigError, StartupConfigError};
+pub use error::{with_line_numbers, ConfigError, StartupConfigError};
 pub use groups::{read_groups, ConfiguredGroup};
 
 use crate::client::AdmissionLimits;
@@ -63,7 +63,7 @@
     /// Maximum bytes of statements in flight.
     pub max_statement_bytes: usize,
     /// Maximum number of open descriptors.
-    pub max_sockets: f64,
+    pub max_descriptors: f64,
     /// Maximum memory of the program.
     pub max_memory_bytes: f64,
     /// Settings of connections to engines.
@@ -78,7 +78,7 @@
     pub resolver: Option<SocketAddr>,
     /// The endpoint list at the start.
     pub directory: EndpointDirectory,
-    /// The settings as a flat map, the input of the decision logic.
+    /// The settings as a flat map, the input of the admission controller.
     pub settings: SettingsMap,
     /// The JSON of the file; a reload compares it with the new file's JSON.
     pub source: Value,
@@ -119,14 +119,14 @@
     let listen = std::env::var(LISTEN_VARIABLE).ok();
     parse(&text, listen.as_deref()).map_err(|errors| StartupConfigError::Invalid {
         path,
-        errors: locate(errors, &text),
+        errors: with_line_numbers(errors, &text),
     })
 }
 
 /// Parses and checks a configuration. `listen`, if given, overrides the file's `listen`.
 ///
 /// # Errors
-/// All errors of the text. Errors of keys have no line yet; [`locate`] adds it.
+/// All errors of the text. Errors of keys have no line yet; [`with_line_numbers`] adds it.
 pub fn parse(text: &str, listen: Option<&str>) -> Result<StartupConfig, Vec<ConfigError>> {
     let source = parse_json(text).map_err(|error| vec![error])?;
     let root = Node::root(&source);
@@ -158,7 +158,7 @@
         seed,
         admission,
         max_statement_bytes: limits.max_statement_bytes(),
-        max_sockets: limits.sockets,
+        max_descriptors: limits.sockets,
         max_memory_bytes: limits.memory_bytes,
         connection_settings,
         engine_warm_up_ms: settings.millis(settings_keys::WARM_AFTER_US).unwrap_or(0.0),
@@ -198,7 +198,7 @@
     settings
 }
 
-/// Settings that the decision logic requires: the number of dispatchers and the number of resource groups.
+/// Settings that the admission controller requires: the number of dispatchers and the number of resource groups.
 fn required_settings() -> [String; 2] {
     [
         settings_keys::DISPATCHERS.to_owned(),
--- a/crates/dispatcher/src/config/endpoints.rs
+++ b/crates/dispatcher/src/config/endpoints.rs
@@ -15,22 +15,26 @@
     /// The address on which this dispatcher receives messages.
     pub listen: SocketAddr,
     /// The address of each other dispatcher.
-    pub each: Vec<SocketAddr>,
+    pub peers: Vec<SocketAddr>,
     /// Broadcast address of all other dispatchers.
-    pub all: Option<SocketAddr>,
+    pub broadcast: Option<SocketAddr>,
 }
 
 /// The addresses of peers; `None` if the configuration has no `peer_listen`.
 pub(super) fn read_peers(root: &Node) -> Result<Option<PeerAddresses>, ConfigError> {
     root.child(keys::PEER_LISTEN).optional(|node| {
         let listen = node.address()?;
-        let peers = root.child(keys::PEERS).optional(Node::items)?;
-        let mut each = Vec::new();
-        for peer in peers.unwrap_or_default() {
-            each.push(peer.address()?);
+        let items = root.child(keys::PEERS).optional(Node::items)?;
+        let mut peers = Vec::new();
+        for item in items.unwrap_or_default() {
+            peers.push(item.address()?);
         }
-        let all = root.child(keys::ALL_PEERS).optional(Node::address)?;
-        Ok(PeerAddresses { listen, each, all })
+        let broadcast = root.child(keys::ALL_PEERS).optional(Node::address)?;
+        Ok(PeerAddresses {
+            listen,
+            peers,
+            broadcast,
+        })
     })
 }
 
--- a/crates/dispatcher/src/config/error.rs
+++ b/crates/dispatcher/src/config/error.rs
@@ -8,7 +8,7 @@
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 #[error("{}{}{problem}", LinePrefix(*line), KeyPrefix(key))]
 pub struct ConfigError {
-    /// Line in the file, counted from 1. Set for syntax errors; [`locate`] adds it to others.
+    /// Line in the file, counted from 1. Set for syntax errors; [`with_line_numbers`] adds it to others.
     pub line: Option<usize>,
     /// Path of the key, as in `known.cmds.0.nodes`; empty for an error of the whole file.
     pub key: String,
@@ -96,7 +96,7 @@
 }
 
 /// Adds to each error the line of its key; if the key is not in the file, the line of its nearest parent key.
-pub fn locate(mut errors: Vec<ConfigError>, text: &str) -> Vec<ConfigError> {
+pub fn with_line_numbers(mut errors: Vec<ConfigError>, text: &str) -> Vec<ConfigError> {
     let lines = source_lines::find_key_lines(text);
     for error in &mut errors {
         if error.line.is_some() || error.key.is_empty() {
--- a/crates/dispatcher/src/config/flatten.rs
+++ b/crates/dispatcher/src/config/flatten.rs
@@ -1,4 +1,4 @@
-//! Conversion of the nested `settings` object into the flat map that the decision logic reads.
+//! Conversion of the nested `settings` object into the flat map that the admission controller reads.
 
 use serde_json::Value;
 use tansymux::settings::{self, SettingsMap};
--- a/crates/dispatcher/src/config/groups.rs
+++ b/crates/dispatcher/src/config/groups.rs
@@ -3,7 +3,7 @@
 use tansymux::settings::keys::{self, effect, group, tenant};
 use tansymux::settings::{self, RawSettings, SettingsMap};
 
-/// A resource group of a configuration. The decision logic reads the same keys with stricter checks
+/// A resource group of a configuration. The admission controller reads the same keys with stricter checks
 /// ([`tansymux::settings::Settings`]); this reader also accepts configurations that those checks reject.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ConfiguredGroup {
@@ -31,7 +31,7 @@
     }
 }
 
-/// All resource groups, in the order of the settings. The decision logic uses the same indices.
+/// All resource groups, in the order of the settings. The admission controller uses the same indices.
 pub fn read_groups(settings: &SettingsMap) -> Vec<ConfiguredGroup> {
     let mut groups = Vec::new();
     for index in 0..list_len(settings, keys::GROUPS) {
@@ -40,7 +40,7 @@
         groups.push(ConfiguredGroup {
             name: settings.get(&key(group::NAME)).cloned(),
             latency_objective_ms: settings.millis(&key(group::OBJECTIVE_US)),
-            deadline_ms: settings.millis(&key(group::DEADLINE_US)),
+            deadline_ms: settings.millis(&key(group::USUAL_TIMEOUT_US)),
             effect: settings.get(&key(group::EFFECT)).cloned(),
         });
     }
--- a/crates/dispatcher/src/config/keys.rs
+++ b/crates/dispatcher/src/config/keys.rs
@@ -8,7 +8,7 @@
 pub const LISTEN: &str = "listen";
 /// Seed of all random numbers, in hex.
 pub const SEED: &str = "seed";
-/// The settings of the decision logic.
+/// The settings of the admission controller.
 pub const SETTINGS: &str = "settings";
 /// Address of the name service.
 pub const RESOLVER: &str = "resolver";
--- a/crates/dispatcher/src/config/tests.rs
+++ b/crates/dispatcher/src/config/tests.rs
@@ -130,7 +130,7 @@
         .replace("\"sockets\":1024", "\"sockets\":2")
         .replace("\"Terminating\"", "7")
         .replace("\"seed\"", "\"sed\"");
-    let errors: Vec<String> = locate(parse(&text, None).unwrap_err(), &text)
+    let errors: Vec<String> = with_line_numbers(parse(&text, None).unwrap_err(), &text)
         .iter()
         .map(ConfigError::to_string)
         .collect();
--- a/crates/dispatcher/src/counters.rs
+++ b/crates/dispatcher/src/counters.rs
@@ -2,7 +2,7 @@
 //! names, which therefore stay as they are, and differ from the names of the fields in places.
 
 use crate::attempt_end::EndCause;
-use crate::close_reason::{ClientClose, EngineClose};
+use crate::close_reason::{ClientCloseReason, EngineCloseReason};
 use crate::guard::{BeginRefusal, Rule, RULES};
 use crate::ignored_reply::IgnoredReply;
 use std::cell::{Cell, RefCell};
@@ -62,10 +62,10 @@
             begin_refusals: [Counter; BeginRefusal::ALL.len()],
             /// Queries that ended without a result by reason, in the order of `EndReason::ALL`.
             end_reasons: [Counter; EndReason::ALL.len()],
-            /// Closed connections of clients by reason, in the order of `ClientClose::ALL`.
-            client_closes: [Counter; ClientClose::ALL.len()],
-            /// Closed connections to engines by reason, in the order of `EngineClose::ALL`.
-            engine_closes: [Counter; EngineClose::ALL.len()],
+            /// Closed connections of clients by reason, in the order of `ClientCloseReason::ALL`.
+            client_closes: [Counter; ClientCloseReason::ALL.len()],
+            /// Closed connections to engines by reason, in the order of `EngineCloseReason::ALL`.
+            engine_closes: [Counter; EngineCloseReason::ALL.len()],
             /// Violations by rule, in the order of `RULES`.
             violations: [Counter; RULES.len()],
         }
@@ -117,7 +117,7 @@
     attempts: "submissions",
     /// Reports that an attempt ended that was not in flight. The engine side should never send one.
     ends_ignored: "ends_ignored",
-    /// Health checks that the decisions requested.
+    /// Health checks that the admission controller requested.
     health_checks: "probes",
     /// Endpoint lists applied.
     endpoint_updates: "lists",
@@ -133,7 +133,7 @@
     peer_messages_sent: "messages_sent",
     /// Messages received from other dispatchers.
     peer_messages_received: "messages_heard",
-    /// Rounds of the decisions.
+    /// Rounds of the admission controller.
     rounds: "rounds",
 }
 
@@ -173,13 +173,13 @@
     }
 
     /// Counts a closed connection of a client.
-    pub fn count_client_close(&self, close: ClientClose) {
-        count_in(&ClientClose::ALL, &self.client_closes, close);
+    pub fn count_client_close(&self, close: ClientCloseReason) {
+        count_in(&ClientCloseReason::ALL, &self.client_closes, close);
     }
 
     /// Counts a closed connection to an engine.
-    pub fn count_engine_close(&self, close: EngineClose) {
-        count_in(&EngineClose::ALL, &self.engine_closes, close);
+    pub fn count_engine_close(&self, close: EngineCloseReason) {
+        count_in(&EngineCloseReason::ALL, &self.engine_closes, close);
     }
 
     /// Counts a violation.
@@ -213,10 +213,10 @@
         write_group(out, &EndReason::ALL, &self.end_reasons, |reason| {
             format!("ended_{}", reason.name())
         });
-        write_group(out, &ClientClose::ALL, &self.client_closes, |close| {
+        write_group(out, &ClientCloseReason::ALL, &self.client_closes, |close| {
             format!("client_closed_{close}")
         });
-        write_group(out, &EngineClose::ALL, &self.engine_closes, |close| {
+        write_group(out, &EngineCloseReason::ALL, &self.engine_closes, |close| {
             format!("engine_closed_{close}")
         });
         write_group(out, &RULES, &self.violations, |rule| {
--- a/crates/dispatcher/src/dispatcher.rs
+++ b/crates/dispatcher/src/dispatcher.rs
@@ -1,14 +1,14 @@
-//! The driver: one task that passes events to the decision logic, has its commands executed, and moves the program
-//! through its phases.
+//! The driver: one task that passes events to the admission controller, has its commands executed, and moves the
+//! program through its phases.
 //!
-//! The driver owns the decision logic ([`Control`], called "the decisions" below) and the phase. It never waits for a
-//! socket: clients, engines, discovery, peers and the fleet are separate tasks on the same thread, which queue their
-//! events in the query registry. Start reading at [`Dispatcher::run`] and `run_round`.
+//! The driver owns the admission controller ([`Control`]) and the phase. It never waits for a socket: clients, engines,
+//! discovery, peers and the fleet are separate tasks on the same thread, which queue their events in the query
+//! registry. Start reading at [`Dispatcher::run`] and `run_round`.
 //!
 //! | file | concern |
 //! | --- | --- |
 //! | `startup` | startup from a valid configuration to bound sockets |
-//! | `event_feed` | delivery of the registry's events to the decisions and the subsystems |
+//! | `event_feed` | delivery of the registry's events to the admission controller and the subsystems |
 //! | `decision_sink` | conversion of decisions into commands in the registry and messages to peers |
 //! | `reload` | reload of the configuration and the operators' file at SIGHUP |
 //! | `start_retry` | retry with backoff of startup steps that fail transiently |
@@ -22,7 +22,7 @@
 pub use start_retry::StartRetry;
 pub use startup::StartError;
 
-use crate::cli::Common;
+use crate::cli::GlobalArgs;
 use crate::client::ClientFrontend;
 use crate::clock::Clock;
 use crate::engine::EnginePool;
@@ -75,8 +75,8 @@
     /// Address of the name service, shared with discovery and changed by a reload.
     resolver: Rc<Cell<Option<SocketAddr>>>,
     /// Flags, which override the operators' file.
-    common: Common,
-    /// Time (ms) at which the decisions requested their next round; infinite if they requested none.
+    common: GlobalArgs,
+    /// Time (ms) at which the admission controller requested its next round; infinite if it requested none.
     timer_ms: f64,
 }
 
@@ -131,7 +131,7 @@
         engines_due_ms.min(self.timer_ms).min(now_ms + MAX_SLEEP_MS)
     }
 
-    /// Delivers the queued events to the decisions, and queues the resulting commands.
+    /// Delivers the queued events to the admission controller, and queues the resulting commands.
     fn run_decisions(&mut self, now_ms: f64) {
         if now_ms >= self.timer_ms {
             self.timer_ms = f64::INFINITY;
@@ -169,7 +169,7 @@
         if let Some(message) = tick.peer_message {
             self.send_to_all_peers(&message);
         }
-        if !tick.evaluated {
+        if !tick.is_evaluated {
             return;
         }
         if let Some(engine_id) = zones.next_health_check(now_ms) {
@@ -187,7 +187,7 @@
             return;
         };
         let load = LoadReport {
-            descriptors_used: open_descriptors as f64 / self.max_descriptors.max(1.0),
+            descriptors_used_fraction: open_descriptors as f64 / self.max_descriptors.max(1.0),
             threads_in_flight: self.control.threads_in_flight(),
         };
         let changes = fleet.tick(now_ms, load);
@@ -218,7 +218,7 @@
         });
         match (self.phase, next) {
             (Phase::Starting, Phase::Serving) => self.clients.start_serving(),
-            (Phase::Draining { .. }, Phase::Closing { .. }) => self.clients.last_call(),
+            (Phase::Draining { .. }, Phase::Closing { .. }) => self.clients.start_closing(),
             _ => {}
         }
         self.phase = next;
--- a/crates/dispatcher/src/dispatcher/decision_sink.rs
+++ b/crates/dispatcher/src/dispatcher/decision_sink.rs
@@ -13,7 +13,7 @@
     pub levels: &'a ServiceLevels,
     /// Time of the round (ms).
     pub now_ms: f64,
-    /// Time (ms) of the next round that the decisions request: the earliest of their timers.
+    /// Time (ms) of the next round that the admission controller requests: the earliest of its timers.
     pub timer_ms: &'a mut f64,
 }
 
@@ -35,7 +35,7 @@
         self.registry.answer(query_id, Answer::Failed);
     }
 
-    fn note_end_reason(&mut self, query_id: u64, reason: EndReason) {
+    fn report_end_reason(&mut self, query_id: u64, reason: EndReason) {
         self.registry.on_end_reason(query_id, reason);
     }
 
--- a/crates/dispatcher/src/dispatcher/event_feed.rs
+++ b/crates/dispatcher/src/dispatcher/event_feed.rs
@@ -1,5 +1,5 @@
 //! The event source of a round: takes the events from the registry, and passes them to the subsystems and the
-//! decisions.
+//! admission controller.
 
 use super::decision_sink::record_answer;
 use crate::attempt_end::EndCause;
@@ -39,7 +39,9 @@
     fn deliver_event(&self, event: Event, control: &mut Control, out: &mut dyn DecisionSink) {
         match event {
             Event::QueryArrived(arrived) => self.on_query_arrived(&arrived, control, out),
-            Event::ClientLeft { query_id } => self.on_client_left(query_id, control, out),
+            Event::ClientDisconnected { query_id } => {
+                self.on_client_disconnected(query_id, control, out)
+            }
             Event::AttemptEnded {
                 query_id,
                 attempt,
@@ -84,7 +86,7 @@
         }
     }
 
-    /// Passes a query to the decisions, unless its client left before this round.
+    /// Passes a query to the admission controller, unless its client disconnected before this round.
     fn on_query_arrived(
         &self,
         arrived: &ArrivedQuery,
@@ -105,26 +107,31 @@
             query_id,
             group: &group,
             tenant: &arrived.tenant,
-            key: arrived.key,
+            key: arrived.ordering_key,
             deadline_ms,
             estimated_cost_ms: arrived.estimated_cost_ms,
             memory_mb: arrived.memory_mb,
             tables: arrived.tables,
-            statement: arrived.statement,
+            statement: arrived.traits,
         };
         if let Err(error) = control.on_query_arrived(&arrived, out) {
-            tracing::error!(query_id, %error, "query failed: not accepted by the decisions");
+            tracing::error!(query_id, %error, "query failed: not accepted by the admission controller");
             self.registry.answer(query_id, Answer::Failed);
         }
     }
 
-    fn on_client_left(&self, query_id: u64, control: &mut Control, out: &mut dyn DecisionSink) {
-        control.on_client_gone(query_id, out);
-        self.registry.forget_if_over(query_id);
+    fn on_client_disconnected(
+        &self,
+        query_id: u64,
+        control: &mut Control,
+        out: &mut dyn DecisionSink,
+    ) {
+        control.on_client_disconnected(query_id, out);
+        self.registry.remove_if_over(query_id);
     }
 
     /// Handles an attempt that completed, failed or was cancelled: informs the subsystems, answers the query if the
-    /// attempt completed, and then informs the decisions, including whether the query is answered.
+    /// attempt completed, and then informs the admission controller, including whether the query is answered.
     fn on_attempt_ended(
         &self,
         mut ended: AttemptEnded,
@@ -190,7 +197,7 @@
         control.on_health_check_ended(ended);
     }
 
-    /// Passes a peer's message to the subsystem that handles it, or else to the decisions.
+    /// Passes a peer's message to the subsystem that handles it, or else to the admission controller.
     fn on_peer_message(&self, peer: u32, content: &[u8], control: &mut Control) {
         let message = PeerMessage { peer, content };
         if !self.subsystems.on_peer_message(&message, self.now_ms) {
@@ -199,7 +206,7 @@
     }
 
     /// Passes an endpoint list to the subsystems, which may change its entries, and then to the engine side and the
-    /// decisions.
+    /// admission controller.
     fn on_endpoint_list(
         &self,
         kind: EndpointListKind,
--- a/crates/dispatcher/src/dispatcher/startup.rs
+++ b/crates/dispatcher/src/dispatcher/startup.rs
@@ -2,7 +2,7 @@
 //! first round.
 
 use super::{Dispatcher, StartRetry};
-use crate::cli::Common;
+use crate::cli::GlobalArgs;
 use crate::client::{AdmissionLimits, ClientFrontend};
 use crate::clock::{Clock, WallClock};
 use crate::config::{PeerAddresses, StartupConfig};
@@ -41,7 +41,7 @@
     /// The operators' file contradicts the settings.
     #[error("the operators' file: {0}")]
     OperatorConfig(OperatorConfigErrors),
-    /// The decisions reject the settings.
+    /// The admission controller rejects the settings.
     #[error("settings: {0}")]
     Settings(#[from] SettingsError),
     /// The address for messages of other dispatchers cannot be bound.
@@ -73,7 +73,7 @@
     pub fn start(
         config: StartupConfig,
         operator: &Operator,
-        common: Common,
+        common: GlobalArgs,
         executor: Rc<LocalExecutor<'static>>,
         retry: StartRetry,
     ) -> Result<Self, StartError> {
@@ -99,7 +99,7 @@
             engines,
             peers,
             subsystems,
-            max_descriptors: config.max_sockets,
+            max_descriptors: config.max_descriptors,
             tasks: launcher.tasks,
             shutdown_grace_ms: config.shutdown_grace_ms,
             startup_source: config.source,
@@ -185,7 +185,7 @@
             .retry
             .run("peer_listen", || Async::<UdpSocket>::bind(address))
             .map_err(|source| StartError::Peers { address, source })?;
-        let peers = Peers::new(registry, socket, addresses.each, addresses.all);
+        let peers = Peers::new(registry, socket, addresses.peers, addresses.broadcast);
         self.spawn(peers.clone().listen());
         Ok(Some(peers))
     }
@@ -217,7 +217,7 @@
         resolver: Rc<Cell<Option<SocketAddr>>>,
         seed: u64,
     ) {
-        directory.set_wall_clock(WallClock::beside(self.clock));
+        directory.set_wall_clock(WallClock::new(self.clock));
         self.registry.push_event(Event::EndpointList {
             kind: EndpointListKind::Cached,
             endpoints: directory.endpoints(),
@@ -247,7 +247,7 @@
 fn new_subsystems(config: &StartupConfig, settings: &Rc<Settings>) -> Subsystems {
     let limits = ResourceLimits {
         memory_bytes: config.max_memory_bytes,
-        descriptors: config.max_sockets,
+        descriptors: config.max_descriptors,
     };
     let hash_key = shape_hash_key(config.seed);
     Subsystems {
--- a/crates/dispatcher/src/engine/abandon.rs
+++ b/crates/dispatcher/src/engine/abandon.rs
@@ -25,23 +25,23 @@
     /// Silence (ms) after which a connection with an attempt in flight may be lost.
     max_silence_ms: f64,
     reporter: Rc<Reporter>,
-    silence: Rc<SilenceDetector>,
+    silence_detector: Rc<SilenceDetector>,
 }
 
 impl Abandoner {
     /// Creates an abandoner. It reports the ends of attempts to `reporter`, and connections that may be lost to
-    /// `silence`.
+    /// `silence_detector`.
     pub fn new(
         clock: Clock,
         max_silence_ms: f64,
         reporter: Rc<Reporter>,
-        silence: Rc<SilenceDetector>,
+        silence_detector: Rc<SilenceDetector>,
     ) -> Self {
         Abandoner {
             clock,
             max_silence_ms,
             reporter,
-            silence,
+            silence_detector,
         }
     }
 
@@ -68,10 +68,11 @@
         drop(connection);
         channel.notify.notify();
         if let Some(reuse) = silent_reuse {
-            self.silence.on_silent_reuse(channel.engine_id, reuse);
+            self.silence_detector
+                .on_silent_reuse(channel.engine_id, reuse);
         }
         if may_be_lost {
-            self.silence
+            self.silence_detector
                 .retire_idle(channel.engine_id, SilenceScope::Engine);
         }
         let outcome = if was_sent {
--- a/crates/dispatcher/src/engine/allocation.rs
+++ b/crates/dispatcher/src/engine/allocation.rs
@@ -49,7 +49,7 @@
     executor: Rc<LocalExecutor<'static>>,
     settings: ConnectionSettings,
     engines: Rc<EngineTable>,
-    reuses: Rc<ReuseTracker>,
+    reuse_tracker: Rc<ReuseTracker>,
     descriptors: DescriptorLimit,
 }
 
@@ -61,7 +61,7 @@
         executor: Rc<LocalExecutor<'static>>,
         settings: ConnectionSettings,
         engines: Rc<EngineTable>,
-        reuses: Rc<ReuseTracker>,
+        reuse_tracker: Rc<ReuseTracker>,
     ) -> Self {
         ChannelAllocator {
             registry,
@@ -69,7 +69,7 @@
             executor,
             settings,
             engines,
-            reuses,
+            reuse_tracker,
             descriptors: DescriptorLimit::new(settings.max_connections),
         }
     }
@@ -110,9 +110,9 @@
     ) -> Option<Rc<Channel>> {
         let address = engine.address()?;
         let now_ms = self.clock.now();
-        let max_idle_ms = self.reuses.max_idle_ms(now_ms);
+        let max_idle_ms = self.reuse_tracker.max_idle_ms(now_ms);
         let trusted_idle_ms = if request.side_effect_free {
-            self.reuses.trusted_idle_ms(now_ms)
+            self.reuse_tracker.trusted_idle_ms(now_ms)
         } else {
             MIN_TRUSTED_IDLE_MS
         };
@@ -122,7 +122,7 @@
         let may_open = is_below_engine_limit && headroom.allows_new_connection();
         // Attempts share a connection only at a connection limit: the loss of a connection loses every attempt on it.
         let channel = match best {
-            Some(best) if best.suitability <= Suitability::Fresh || !may_open => best.channel,
+            Some(best) if best.suitability <= Suitability::Unused || !may_open => best.channel,
             _ if may_open => {
                 headroom.evictable.iter().for_each(|idle| idle.retire());
                 self.open(handler, engine, address, DescriptorGrant::Immediate)
--- a/crates/dispatcher/src/engine/channel/error.rs
+++ b/crates/dispatcher/src/engine/channel/error.rs
@@ -1,7 +1,7 @@
 //! Errors that end a connection to an engine.
 
 use super::LocalFault;
-use crate::close_reason::EngineClose;
+use crate::close_reason::EngineCloseReason;
 use crate::engine::connection::CloseReason;
 use crate::engine::protocol_error::ProtocolError;
 use std::io;
@@ -56,17 +56,19 @@
     }
 
     /// The close reason for logs and counters.
-    pub fn close_reason(&self) -> EngineClose {
+    pub fn close_reason(&self) -> EngineCloseReason {
         match self {
-            ChannelError::Closed(CloseReason::Protocol(_)) => EngineClose::Protocol,
-            ChannelError::Closed(CloseReason::RequestPartlyWritten) => EngineClose::HalfWritten,
-            ChannelError::Closed(CloseReason::Flood) => EngineClose::Flood,
-            ChannelError::Closed(CloseReason::EndNotRead) => EngineClose::EndNotRead,
-            ChannelError::Closed(CloseReason::EngineUnreachable) => EngineClose::Unreachable,
-            ChannelError::Closed(CloseReason::ForgottenByEngine) => EngineClose::Forgotten,
-            ChannelError::ConnectTimeout => EngineClose::ConnectTimeout,
-            ChannelError::Local(_) => EngineClose::LocalFault,
-            ChannelError::Io(_) => EngineClose::Failed,
+            ChannelError::Closed(CloseReason::Protocol(_)) => EngineCloseReason::Protocol,
+            ChannelError::Closed(CloseReason::RequestPartlyWritten) => {
+                EngineCloseReason::HalfWritten
+            }
+            ChannelError::Closed(CloseReason::Flood) => EngineCloseReason::Flood,
+            ChannelError::Closed(CloseReason::LastCommandNotRead) => EngineCloseReason::EndNotRead,
+            ChannelError::Closed(CloseReason::EngineUnreachable) => EngineCloseReason::Unreachable,
+            ChannelError::Closed(CloseReason::SilentAfterReuse) => EngineCloseReason::Forgotten,
+            ChannelError::ConnectTimeout => EngineCloseReason::ConnectTimeout,
+            ChannelError::Local(_) => EngineCloseReason::LocalFault,
+            ChannelError::Io(_) => EngineCloseReason::Failed,
         }
     }
 }
--- a/crates/dispatcher/src/engine/channel/task.rs
+++ b/crates/dispatcher/src/engine/channel/task.rs
@@ -10,7 +10,7 @@
 use crate::engine::protocol_error::ProtocolError;
 use crate::engine::resp;
 use crate::net::{
-    is_lack_of_buffers, limit_unsent_bytes, poll_gathered, read_available, MAX_SLICES,
+    is_lack_of_buffers, limit_unsent_bytes, poll_write_vectored, read_available, MAX_SLICES,
     RESOURCE_RETRY_DELAY,
 };
 use async_io::{Async, Timer};
@@ -101,7 +101,7 @@
         }
         let mut slices: Vec<IoSlice> = Vec::with_capacity(MAX_SLICES);
         connection.slices(&mut slices, MAX_SLICES);
-        let written = poll_gathered(self.stream, context, &slices);
+        let written = poll_write_vectored(self.stream, context, &slices);
         if let (Poll::Ready(Ok(count)), Some(begun_attempt)) = (&written, begun_attempt) {
             if connection.reaches_next_request(*count) {
                 self.handler.on_attempt_begun(self.channel, &begun_attempt);
--- a/crates/dispatcher/src/engine/close.rs
+++ b/crates/dispatcher/src/engine/close.rs
@@ -7,7 +7,7 @@
 use super::reports::Reporter;
 use crate::attempt_end::EndCause;
 use crate::clock::Clock;
-use crate::close_reason::EngineClose;
+use crate::close_reason::EngineCloseReason;
 use crate::ids::EngineId;
 use crate::query_registry::QueryRegistry;
 use std::rc::Rc;
@@ -81,27 +81,27 @@
 }
 
 /// Handles closed connections.
-pub(super) struct Closer {
+pub(super) struct CloseHandler {
     registry: Rc<QueryRegistry>,
     clock: Clock,
     reporter: Rc<Reporter>,
-    reuses: Rc<ReuseTracker>,
+    reuse_tracker: Rc<ReuseTracker>,
 }
 
-impl Closer {
-    /// Creates a closer. It reports lost attempts and health checks to `reporter`, and connections lost on their reuse
-    /// after idling to `reuses`.
+impl CloseHandler {
+    /// Creates a handler. It reports lost attempts and health checks to `reporter`, and connections lost on their reuse
+    /// after idling to `reuse_tracker`.
     pub fn new(
         registry: Rc<QueryRegistry>,
         clock: Clock,
         reporter: Rc<Reporter>,
-        reuses: Rc<ReuseTracker>,
+        reuse_tracker: Rc<ReuseTracker>,
     ) -> Self {
-        Closer {
+        CloseHandler {
             registry,
             clock,
             reporter,
-            reuses,
+            reuse_tracker,
         }
     }
 
@@ -143,7 +143,7 @@
     /// Returns whether the connection was lost on its reuse after idling, and records this loss.
     fn is_lost_reuse(&self, connection: &Connection, now_ms: f64) -> bool {
         let reuse = connection.idle_reuse();
-        reuse.is_some_and(|reuse| self.reuses.record_if_lost(now_ms, reuse))
+        reuse.is_some_and(|reuse| self.reuse_tracker.record_if_lost(now_ms, reuse))
     }
 
     /// Counts and logs the close of a connection.
@@ -156,8 +156,8 @@
     ) {
         let reason = match error {
             Some(error) => error.close_reason(),
-            None if connection.is_retired() => EngineClose::Retired,
-            None => EngineClose::ByEngine,
+            None if connection.is_retired() => EngineCloseReason::Retired,
+            None => EngineCloseReason::ByEngine,
         };
         let engine_id = EngineId(channel.engine_id);
         let connection = channel.id;
--- a/crates/dispatcher/src/engine/connection.rs
+++ b/crates/dispatcher/src/engine/connection.rs
@@ -65,7 +65,7 @@
     outbox: Outbox,
     /// Last commands in the outbox, in the order of writing.
     unwritten_last_commands: VecDeque<UnwrittenLastCommand>,
-    /// Attempts whose last commands were written since the last call of [`Connection::take_ended`].
+    /// Attempts whose last commands were written since the last call of [`Connection::take_written_last_commands`].
     written_last_commands: Vec<AttemptId>,
 }
 
@@ -155,7 +155,7 @@
         if self.in_flight() > 0 {
             Suitability::Shared
         } else if self.unused {
-            Suitability::Fresh
+            Suitability::Unused
         } else if now_ms - self.last_used_ms < trusted_idle_ms {
             Suitability::RecentlyUsed
         } else {
@@ -296,7 +296,7 @@
     }
 
     /// Takes the attempts whose last commands were written since the previous call.
-    pub fn take_ended(&mut self) -> Vec<AttemptId> {
+    pub fn take_written_last_commands(&mut self) -> Vec<AttemptId> {
         std::mem::take(&mut self.written_last_commands)
     }
 
--- a/crates/dispatcher/src/engine/connection/deadlines.rs
+++ b/crates/dispatcher/src/engine/connection/deadlines.rs
@@ -71,20 +71,20 @@
     }
 
     /// Returns whether an incomplete frame has timed out; true once per frame.
-    pub fn take_stalled_frame(&mut self, now_ms: f64) -> bool {
+    pub fn take_frame_timeout(&mut self, now_ms: f64) -> bool {
         let timed_out = |since_ms: &mut f64| now_ms - *since_ms >= PARTIAL_FRAME_TIMEOUT_MS;
         self.partial_frame_since_ms.take_if(timed_out).is_some()
     }
 
     /// Handles an engine that has not read the last command about an attempt in time: retires the connection,
     /// and closes it once nothing is in flight.
-    pub fn expire_last_command(&mut self, now_ms: f64) {
+    pub fn enforce_last_command_timeout(&mut self, now_ms: f64) {
         if self.last_command_due_ms() > now_ms {
             return;
         }
         self.retired = true;
         if self.in_flight() == 0 {
-            self.close_reason = Some(CloseReason::EndNotRead);
+            self.close_reason = Some(CloseReason::LastCommandNotRead);
         }
     }
 
@@ -106,7 +106,7 @@
             return false;
         }
         self.reachability_check_at_ms = f64::INFINITY;
-        self.is_reused_in_silence()
+        self.is_silent_since_reuse()
     }
 
     /// Retires the connection if it has idled for longer than `max_idle_ms`. Returns whether it is retired, by
--- a/crates/dispatcher/src/engine/connection/receive.rs
+++ b/crates/dispatcher/src/engine/connection/receive.rs
@@ -41,7 +41,7 @@
         note: ProgressNote,
     },
     /// A health check was answered.
-    HealthChecked(Outcome),
+    HealthCheckAnswered(Outcome),
     /// A page arrived, and the result is still incomplete.
     PageArrived,
     /// The frame has no effect.
@@ -105,7 +105,7 @@
         if let Some(index) = health_checks.position(|check| &*check.tag == id) {
             self.health_checks.swap_remove(index);
             let outcome = health_check_outcome(HealthReply::parse(frame));
-            return Ok(FrameEvent::HealthChecked(outcome));
+            return Ok(FrameEvent::HealthCheckAnswered(outcome));
         }
         match self.apply_reply(id, frame)? {
             ReplyEffect::Final(end) => Ok(self.complete(id, end, now_ms)),
--- a/crates/dispatcher/src/engine/connection/state.rs
+++ b/crates/dispatcher/src/engine/connection/state.rs
@@ -13,7 +13,7 @@
     /// Connecting, within the connect timeout.
     Connecting,
     /// The connect timeout has passed, and the connect continues. The connection accepts no attempts.
-    Late,
+    ConnectTimedOut,
     /// Connected.
     Up,
     /// Closed.
@@ -26,7 +26,7 @@
     /// Idle for less than the trusted time.
     RecentlyUsed,
     /// Has not carried any attempt or health check.
-    Fresh,
+    Unused,
     /// Other attempts are in flight on it.
     Shared,
     /// Idle for at least the trusted time: the engine may have closed or forgotten it.
@@ -46,13 +46,13 @@
     /// The connection has been silent since its reuse after idling, while the engine accepts other connections.
     /// Earlier connections that were reused after idling were lost in the same way.
     #[error("connection silent since its reuse after idling, like earlier connections")]
-    ForgottenByEngine,
+    SilentAfterReuse,
     /// The engine sent too many replies without effect.
     #[error("too many replies for nothing in flight")]
     Flood,
     /// The engine did not read the last command about an attempt in time.
     #[error("engine did not read the last command about an attempt in time")]
-    EndNotRead,
+    LastCommandNotRead,
     /// The connection has been silent, and no other connection to the engine came up.
     #[error("connection silent and no other connection to the engine came up")]
     EngineUnreachable,
--- a/crates/dispatcher/src/engine/connection/tests.rs
+++ b/crates/dispatcher/src/engine/connection/tests.rs
@@ -286,7 +286,7 @@
     );
     assert_eq!(
         receive(&mut connection, &[b"t1", b"UNFIT", b"-", b""]),
-        Ok(FrameEvent::HealthChecked(Outcome::Error))
+        Ok(FrameEvent::HealthCheckAnswered(Outcome::Error))
     );
     assert_eq!(
         receive(&mut connection, &[b"t1", b"FIT", b"-", b""]),
@@ -308,14 +308,14 @@
     let mut connection = connection_with_abort();
     let abort_len = unwritten(&connection).len();
     connection.advance(abort_len - 1);
-    assert!(connection.take_ended().is_empty());
+    assert!(connection.take_written_last_commands().is_empty());
     connection.advance(1);
     let attempt = AttemptId {
         query_id: 4,
         number: 0,
     };
-    assert_eq!(connection.take_ended(), [attempt]);
-    assert!(connection.take_ended().is_empty());
+    assert_eq!(connection.take_written_last_commands(), [attempt]);
+    assert!(connection.take_written_last_commands().is_empty());
     // If the connection closes before that, the attempt ends with the close.
     assert_eq!(
         connection_with_abort().on_closed().unwritten_last_commands,
@@ -327,13 +327,16 @@
 fn connection_whose_engine_does_not_read_an_abort_closes_once_nothing_is_in_flight() {
     let mut connection = connection_with_abort();
     submit(&mut connection, "i2", 5);
-    connection.expire_last_command(255.0);
+    connection.enforce_last_command_timeout(255.0);
     assert!(!connection.is_retired() && connection.next_deadline_ms(255.0) == 90.0);
-    connection.expire_last_command(256.0);
+    connection.enforce_last_command_timeout(256.0);
     assert!(connection.is_retired() && connection.close_reason().is_none());
     connection.abandon("i2", 257.0);
-    connection.expire_last_command(257.0);
-    assert_eq!(connection.close_reason(), Some(CloseReason::EndNotRead));
+    connection.enforce_last_command_timeout(257.0);
+    assert_eq!(
+        connection.close_reason(),
+        Some(CloseReason::LastCommandNotRead)
+    );
 }
 
 #[test]
@@ -366,7 +369,7 @@
             "{text}"
         );
         connection.advance(text.len());
-        assert_eq!(connection.take_ended().len(), 1);
+        assert_eq!(connection.take_written_last_commands().len(), 1);
         assert_eq!(connection.outbox.bytes(), 0);
     }
 }
--- a/crates/dispatcher/src/engine/connection/transitions.rs
+++ b/crates/dispatcher/src/engine/connection/transitions.rs
@@ -19,7 +19,7 @@
 impl Connection {
     /// Records that the connect timed out. Drops the queued health checks and returns their number.
     pub fn on_connect_timeout(&mut self) -> usize {
-        self.state = ConnectionState::Late;
+        self.state = ConnectionState::ConnectTimedOut;
         let dropped = std::mem::take(&mut self.health_checks).len();
         self.outbox.discard_commands();
         dropped
@@ -87,13 +87,13 @@
 
     /// Schedules a reachability check of the engine over another connection. The check is skipped if this
     /// connection is no longer silent at `at_ms`.
-    pub fn check_engine_at(&mut self, at_ms: f64) {
+    pub fn schedule_reachability_check(&mut self, at_ms: f64) {
         self.reachability_check_at_ms = at_ms;
     }
 
     /// Whether the connection has been silent since its reuse after idling and has an attempt or health check
     /// in flight.
-    pub fn is_reused_in_silence(&self) -> bool {
+    pub fn is_silent_since_reuse(&self) -> bool {
         self.idle_reuse.is_some() && self.in_flight() > 0
     }
 
--- a/crates/dispatcher/src/engine/engine_entry.rs
+++ b/crates/dispatcher/src/engine/engine_entry.rs
@@ -152,7 +152,7 @@
     /// Whether any connection was reused after idling and has received no frame since.
     pub fn has_silent_reuse(&self) -> bool {
         let mut channels = self.channels.iter();
-        channels.any(|channel| channel.connection.borrow().is_reused_in_silence())
+        channels.any(|channel| channel.connection.borrow().is_silent_since_reuse())
     }
 
     /// The most suitable connection that accepts the request and has carried no earlier attempt of its query; `None` if
@@ -188,7 +188,7 @@
             let connection = other.connection.borrow();
             !Rc::ptr_eq(other, channel)
                 && connection.is_unused()
-                && connection.state() != ConnectionState::Late
+                && connection.state() != ConnectionState::ConnectTimedOut
         })
     }
 
--- a/crates/dispatcher/src/engine/mod.rs
+++ b/crates/dispatcher/src/engine/mod.rs
@@ -1,9 +1,9 @@
 //! Engine side: runs attempts, cancellations and health checks on connections to the engines, and reports their
 //! outcomes.
 //!
-//! This module owns the connections. The decision logic ([`Control`](tansymux::control::Control)) chooses the engine of
-//! each attempt and sends an [`EngineCommand`](crate::query_registry::EngineCommand). Results return to it as an
-//! [`Event`](crate::query_registry::Event). The engine side never retries and never chooses another engine.
+//! This module owns the connections. The admission controller ([`Control`](tansymux::control::Control)) chooses the
+//! engine of each attempt and sends an [`EngineCommand`](crate::query_registry::EngineCommand). Results return to it as
+//! an [`Event`](crate::query_registry::Event). The engine side never retries and never chooses another engine.
 //!
 //! Start reading at [`pool`], which combines the components below:
 //!
--- a/crates/dispatcher/src/engine/pool.rs
+++ b/crates/dispatcher/src/engine/pool.rs
@@ -5,7 +5,7 @@
 //! - [`ChannelAllocator`] opens connections and allocates them to attempts.
 //! - [`ReuseTracker`] estimates how long a connection may idle and still be reused.
 //! - [`SilenceDetector`] detects connections that are lost without a reset.
-//! - [`RequestGate`] begins attempts; [`Abandoner`], [`Timeouts`] and [`Closer`] end them.
+//! - [`RequestGate`] begins attempts; [`Abandoner`], [`Timeouts`] and [`CloseHandler`] end them.
 //! - [`Reporter`] reports the outcomes.
 
 mod channel_events;
@@ -15,7 +15,7 @@
 use super::abandon::Abandoner;
 use super::allocation::ChannelAllocator;
 use super::begin::RequestGate;
-use super::close::Closer;
+use super::close::CloseHandler;
 use super::engine_entry::ProcessChange;
 use super::engine_table::EngineTable;
 use super::idle_reuse::ReuseTracker;
@@ -39,13 +39,13 @@
     pub(super) clock: Clock,
     settings: ConnectionSettings,
     engines: Rc<EngineTable>,
-    reuses: Rc<ReuseTracker>,
-    silence: Rc<SilenceDetector>,
+    reuse_tracker: Rc<ReuseTracker>,
+    silence_detector: Rc<SilenceDetector>,
     reporter: Rc<Reporter>,
     abandoner: Rc<Abandoner>,
     gate: RequestGate,
     timeouts: Timeouts,
-    closer: Closer,
+    close_handler: CloseHandler,
     allocator: ChannelAllocator,
     /// Number of health checks sent so far. Each check's tag contains its number.
     health_checks_sent: Cell<u64>,
@@ -59,8 +59,8 @@
     clock: Clock,
     settings: ConnectionSettings,
     engines: Rc<EngineTable>,
-    reuses: Rc<ReuseTracker>,
-    silence: Rc<SilenceDetector>,
+    reuse_tracker: Rc<ReuseTracker>,
+    silence_detector: Rc<SilenceDetector>,
     reporter: Rc<Reporter>,
     abandoner: Rc<Abandoner>,
 }
@@ -68,23 +68,23 @@
 impl SharedComponents {
     fn new(registry: Rc<QueryRegistry>, clock: Clock, settings: ConnectionSettings) -> Self {
         let engines = Rc::new(EngineTable::default());
-        let reuses = Rc::new(ReuseTracker::new(registry.clone(), clock));
-        let silence = SilenceDetector::new(engines.clone(), reuses.clone(), clock);
-        let silence = Rc::new(silence);
+        let reuse_tracker = Rc::new(ReuseTracker::new(registry.clone(), clock));
+        let silence_detector = SilenceDetector::new(engines.clone(), reuse_tracker.clone(), clock);
+        let silence_detector = Rc::new(silence_detector);
         let reporter = Rc::new(Reporter::new(registry.clone(), clock, engines.clone()));
         let abandoner = Abandoner::new(
             clock,
             settings.max_silence_ms(),
             reporter.clone(),
-            silence.clone(),
+            silence_detector.clone(),
         );
         SharedComponents {
             registry,
             clock,
             settings,
             engines,
-            reuses,
-            silence,
+            reuse_tracker,
+            silence_detector,
             reporter,
             abandoner: Rc::new(abandoner),
         }
@@ -106,16 +106,16 @@
             self.engines.clone(),
             self.abandoner.clone(),
             self.reporter.clone(),
-            self.reuses.clone(),
+            self.reuse_tracker.clone(),
         )
     }
 
-    fn closer(&self) -> Closer {
-        Closer::new(
+    fn close_handler(&self) -> CloseHandler {
+        CloseHandler::new(
             self.registry.clone(),
             self.clock,
             self.reporter.clone(),
-            self.reuses.clone(),
+            self.reuse_tracker.clone(),
         )
     }
 
@@ -126,7 +126,7 @@
             executor,
             self.settings,
             self.engines.clone(),
-            self.reuses.clone(),
+            self.reuse_tracker.clone(),
         )
     }
 }
@@ -143,7 +143,7 @@
         Rc::new(EnginePool {
             gate: components.gate(),
             timeouts: components.timeouts(),
-            closer: components.closer(),
+            close_handler: components.close_handler(),
             allocator: components.allocator(executor),
             health_checks_sent: Cell::default(),
             read_buffer: RefCell::new(vec![0; READ_BUFFER_BYTES]),
@@ -151,8 +151,8 @@
             clock: components.clock,
             settings: components.settings,
             engines: components.engines,
-            reuses: components.reuses,
-            silence: components.silence,
+            reuse_tracker: components.reuse_tracker,
+            silence_detector: components.silence_detector,
             reporter: components.reporter,
             abandoner: components.abandoner,
         })
--- a/crates/dispatcher/src/engine/pool/channel_events.rs
+++ b/crates/dispatcher/src/engine/pool/channel_events.rs
@@ -46,7 +46,7 @@
 
     fn on_connected(&self, channel: &Channel) {
         let mut connection = channel.connection.borrow_mut();
-        if connection.state() == ConnectionState::Late {
+        if connection.state() == ConnectionState::ConnectTimedOut {
             self.registry.counters.connects_after_timeout.increment();
         }
         let engine_id = EngineId(channel.engine_id);
@@ -55,7 +55,7 @@
         drop(connection);
         self.engines
             .with_mut(channel.engine_id, |engine| engine.on_connected());
-        self.silence.on_reachable(channel.engine_id);
+        self.silence_detector.on_reachable(channel.engine_id);
     }
 
     fn on_writable(&self, channel: &Channel) -> Option<AttemptKey> {
@@ -70,7 +70,7 @@
     }
 
     fn on_written(&self, channel: &Channel) {
-        let ended_attempts = channel.connection.borrow_mut().take_ended();
+        let ended_attempts = channel.connection.borrow_mut().take_written_last_commands();
         for attempt in ended_attempts {
             self.reporter.on_last_command(attempt);
         }
@@ -80,23 +80,23 @@
         let now_ms = self.clock.now();
         let mut connection = channel.connection.borrow_mut();
         if let Some(reuse) = connection.take_idle_reuse() {
-            self.reuses.record_answered(now_ms, reuse);
+            self.reuse_tracker.record_answered(now_ms, reuse);
         }
         let event = connection.receive(frame, now_ms)?;
         drop(connection);
-        self.silence.on_frame(channel.engine_id, now_ms);
+        self.silence_detector.on_frame(channel.engine_id, now_ms);
         self.report_frame(channel, frame, event, now_ms);
         Ok(())
     }
 
     fn on_closed(&self, channel: &Rc<Channel>, error: Option<&ChannelError>) {
         self.allocator.release(channel);
-        self.closer.close(channel, error);
+        self.close_handler.close(channel, error);
     }
 }
 
 impl EnginePool {
-    /// Reports the event of a frame to the decision logic.
+    /// Reports the event of a frame to the admission controller.
     fn report_frame(&self, channel: &Channel, frame: &Frame, event: FrameEvent, now_ms: f64) {
         let engine_id = channel.engine_id;
         match event {
@@ -129,7 +129,7 @@
                 kind: note.kind,
                 amount: note.amount,
             }),
-            FrameEvent::HealthChecked(outcome) => {
+            FrameEvent::HealthCheckAnswered(outcome) => {
                 self.reporter.report_health(engine_id, outcome, 1);
             }
             FrameEvent::PageArrived => {}
--- a/crates/dispatcher/src/engine/pool/commands.rs
+++ b/crates/dispatcher/src/engine/pool/commands.rs
@@ -1,4 +1,4 @@
-//! Executes the commands of the decision logic: submit, withdraw, cancel, set priority, check health.
+//! Executes the commands of the admission controller: submit, withdraw, cancel, set priority, check health.
 
 use super::EnginePool;
 use crate::attempt_end::EndCause;
@@ -102,8 +102,10 @@
         connection.submit(&request.id, request.fields, request.statement, attempt);
         let is_reused_by_this = |reuse: &IdleReuse| reuse.sent_ms == now_ms;
         if let Some(reuse) = connection.idle_reuse().filter(is_reused_by_this) {
-            self.reuses.begin(now_ms, reuse);
-            connection.check_engine_at(now_ms + self.reachability_check_delay_ms(request.cost_ms));
+            self.reuse_tracker.begin(now_ms, reuse);
+            connection.schedule_reachability_check(
+                now_ms + self.reachability_check_delay_ms(request.cost_ms),
+            );
         }
         drop(connection);
         channel.notify.notify();
--- a/crates/dispatcher/src/engine/pool/reachability.rs
+++ b/crates/dispatcher/src/engine/pool/reachability.rs
@@ -85,7 +85,7 @@
             return;
         };
         if consecutive_connect_timeouts >= UNREACHABLE_AFTER_CONNECT_TIMEOUTS {
-            self.silence.on_unreachable(engine_id);
+            self.silence_detector.on_unreachable(engine_id);
         } else if self.has_silent_reuse(engine_id) {
             self.check_reachability(engine_id);
         }
--- a/crates/dispatcher/src/engine/reports.rs
+++ b/crates/dispatcher/src/engine/reports.rs
@@ -1,5 +1,5 @@
-//! Reports the ends of attempts and health checks to the dispatcher's decision logic. [`Reporter::report`]
-//! alone decides when the end of an attempt is reported.
+//! Reports the ends of attempts and health checks to the dispatcher's admission controller. [`Reporter::report`] alone
+//! decides when the end of an attempt is reported.
 
 use super::channel::Channel;
 use super::connection::Attempt;
@@ -108,7 +108,7 @@
     }
 }
 
-/// Reports to the dispatcher's decision logic through the registry.
+/// Reports to the dispatcher's admission controller through the registry.
 pub(super) struct Reporter {
     registry: Rc<QueryRegistry>,
     clock: Clock,
@@ -151,8 +151,8 @@
     pub fn report(&self, report: AttemptReport) {
         self.record_end(&report);
         let publish_time = match report.cause.proof() {
-            EndProof::AtOnce => return self.registry.push_event(report.into()),
-            EndProof::AfterCommand => PublishTime::AfterLastCommand,
+            EndProof::Immediate => return self.registry.push_event(report.into()),
+            EndProof::AfterLastCommand => PublishTime::AfterLastCommand,
             EndProof::AfterClose => PublishTime::At(self.clock.now() + END_REPORT_DELAY_MS),
         };
         let report = DelayedReport {
@@ -189,7 +189,7 @@
     }
 
     /// Publishes the delayed reports that are due. Returns the time of the next one (ms); infinity if there is none.
-    pub fn publish_settled(&self, now_ms: f64) -> f64 {
+    pub fn publish_delayed(&self, now_ms: f64) -> f64 {
         let mut delayed = self.delayed.borrow_mut();
         let due = delayed.extract_if(.., |report| report.publish_ms() <= now_ms);
         for report in due {
--- a/crates/dispatcher/src/engine/reports/tests.rs
+++ b/crates/dispatcher/src/engine/reports/tests.rs
@@ -41,9 +41,9 @@
     reporter.report(report(Outcome::Completed, EndCause::FinalReply));
     assert_eq!(next_outcome(&registry), Some(Outcome::Completed));
     reporter.report(report(Outcome::Cancelled, EndCause::ClosedHere));
-    let due_ms = reporter.publish_settled(0.0);
+    let due_ms = reporter.publish_delayed(0.0);
     assert!(due_ms.is_finite() && registry.next_event().is_none());
-    assert_eq!(reporter.publish_settled(due_ms), f64::INFINITY);
+    assert_eq!(reporter.publish_delayed(due_ms), f64::INFINITY);
     assert_eq!(next_outcome(&registry), Some(Outcome::Cancelled));
 }
 
@@ -67,16 +67,16 @@
     let (registry, reporter) = reporter();
     reporter.report(report(Outcome::Cancelled, EndCause::Aborted));
     let much_later_ms = 1e9;
-    assert_eq!(reporter.publish_settled(much_later_ms), 1e15);
+    assert_eq!(reporter.publish_delayed(much_later_ms), 1e15);
     assert_eq!(next_outcome(&registry), None);
     let written_ms = reporter.clock.now();
     reporter.on_last_command(ATTEMPT);
-    let due_ms = reporter.publish_settled(0.0);
+    let due_ms = reporter.publish_delayed(0.0);
     assert!(due_ms >= written_ms + END_REPORT_DELAY_MS && next_outcome(&registry).is_none());
     // A later close of the connection does not change the time of the report.
     reporter.on_last_command(ATTEMPT);
-    assert_eq!(reporter.publish_settled(0.0), due_ms);
-    reporter.publish_settled(due_ms);
+    assert_eq!(reporter.publish_delayed(0.0), due_ms);
+    reporter.publish_delayed(due_ms);
     assert_eq!(next_outcome(&registry), Some(Outcome::Cancelled));
 }
 
@@ -86,9 +86,9 @@
     reporter.report(report(Outcome::Cancelled, EndCause::Aborted));
     let deadline_ms = reporter.clock.now() + 1000.0;
     reporter.limit_deadlines(deadline_ms);
-    assert_eq!(reporter.publish_settled(deadline_ms - 1.0), deadline_ms);
+    assert_eq!(reporter.publish_delayed(deadline_ms - 1.0), deadline_ms);
     assert_eq!(next_outcome(&registry), None);
-    reporter.publish_settled(deadline_ms);
+    reporter.publish_delayed(deadline_ms);
     assert_eq!(next_outcome(&registry), Some(Outcome::Cancelled));
     // The end of an attempt that is aborted after its deadline is reported immediately.
     reporter.report(AttemptReport {
--- a/crates/dispatcher/src/engine/silence.rs
+++ b/crates/dispatcher/src/engine/silence.rs
@@ -25,16 +25,16 @@
 /// Detects connections that are lost without a reset.
 pub(super) struct SilenceDetector {
     engines: Rc<EngineTable>,
-    reuses: Rc<ReuseTracker>,
+    reuse_tracker: Rc<ReuseTracker>,
     clock: Clock,
 }
 
 impl SilenceDetector {
-    /// A detector for the connections in `engines` that reports losses to `reuses`.
-    pub fn new(engines: Rc<EngineTable>, reuses: Rc<ReuseTracker>, clock: Clock) -> Self {
+    /// A detector for the connections in `engines` that reports losses to `reuse_tracker`.
+    pub fn new(engines: Rc<EngineTable>, reuse_tracker: Rc<ReuseTracker>, clock: Clock) -> Self {
         SilenceDetector {
             engines,
-            reuses,
+            reuse_tracker,
             clock,
         }
     }
@@ -55,7 +55,7 @@
             is_lost
         });
         if is_lost == Some(true) {
-            self.reuses.record_silent_loss(engine_id, reuse);
+            self.reuse_tracker.record_silent_loss(engine_id, reuse);
         }
     }
 
@@ -69,7 +69,8 @@
             return;
         };
         if now_ms - suspected.abandoned_ms < SUSPICION_WINDOW_MS {
-            self.reuses.record_silent_loss(engine_id, suspected.reuse);
+            self.reuse_tracker
+                .record_silent_loss(engine_id, suspected.reuse);
         }
     }
 
@@ -77,7 +78,7 @@
     /// silently before, other connections to the engine that have been silent since their reuse after idling, for
     /// longer than [`MIN_SILENCE_MS`], count as lost and are closed.
     pub fn on_reachable(&self, engine_id: u64) {
-        if !self.reuses.has_silent_losses() {
+        if !self.reuse_tracker.has_silent_losses() {
             return;
         }
         let now_ms = self.clock.now();
@@ -87,9 +88,9 @@
         for channel in channels.iter().flatten() {
             let mut connection = channel.connection.borrow_mut();
             if let Some(reuse) = connection.take_silent_reuse(now_ms, MIN_SILENCE_MS) {
-                connection.close(CloseReason::ForgottenByEngine);
+                connection.close(CloseReason::SilentAfterReuse);
                 channel.notify.notify();
-                self.reuses.record_silent_loss(engine_id, reuse);
+                self.reuse_tracker.record_silent_loss(engine_id, reuse);
             }
         }
     }
@@ -101,7 +102,7 @@
         self.engines.with(engine_id, |engine| {
             for channel in engine.channels() {
                 let mut connection = channel.connection.borrow_mut();
-                if connection.is_reused_in_silence() {
+                if connection.is_silent_since_reuse() {
                     connection.close(CloseReason::EngineUnreachable);
                     channel.notify.notify();
                 }
--- a/crates/dispatcher/src/engine/silence/tests.rs
+++ b/crates/dispatcher/src/engine/silence/tests.rs
@@ -26,10 +26,10 @@
         for (engine_id, zone) in [(1, "east"), (2, "east"), (3, "west")] {
             add_engine(&engines, engine_id, zone);
         }
-        let reuses = Rc::new(ReuseTracker::new(registry.clone(), clock));
+        let reuse_tracker = Rc::new(ReuseTracker::new(registry.clone(), clock));
         Fixture {
             registry,
-            detector: SilenceDetector::new(engines.clone(), reuses, clock),
+            detector: SilenceDetector::new(engines.clone(), reuse_tracker, clock),
             engines,
             clock,
         }
--- a/crates/dispatcher/src/engine/tests.rs
+++ b/crates/dispatcher/src/engine/tests.rs
@@ -103,7 +103,7 @@
 #[test]
 fn queued_attempt_is_withdrawn_when_its_client_leaves_or_its_query_completes() {
     let (registry, pool, query, _slot) = queued_attempt(NO_TIME_LIMITS);
-    registry.client_left(query);
+    registry.client_disconnected(query);
     pool.execute_commands();
     assert!(was_withdrawn(&registry));
     let (registry, pool, query, _slot) = queued_attempt(NO_TIME_LIMITS);
--- a/crates/dispatcher/src/engine/timeouts.rs
+++ b/crates/dispatcher/src/engine/timeouts.rs
@@ -59,7 +59,7 @@
     engines: Rc<EngineTable>,
     abandoner: Rc<Abandoner>,
     reporter: Rc<Reporter>,
-    reuses: Rc<ReuseTracker>,
+    reuse_tracker: Rc<ReuseTracker>,
 }
 
 impl Timeouts {
@@ -70,7 +70,7 @@
         engines: Rc<EngineTable>,
         abandoner: Rc<Abandoner>,
         reporter: Rc<Reporter>,
-        reuses: Rc<ReuseTracker>,
+        reuse_tracker: Rc<ReuseTracker>,
     ) -> Self {
         Timeouts {
             clock,
@@ -78,7 +78,7 @@
             engines,
             abandoner,
             reporter,
-            reuses,
+            reuse_tracker,
         }
     }
 
@@ -87,11 +87,11 @@
     pub fn expire(&self) -> Expired {
         let now_ms = self.clock.now();
         let mut expired = Expired {
-            next_ms: self.reporter.publish_settled(now_ms),
+            next_ms: self.reporter.publish_delayed(now_ms),
             engines_to_check: Vec::new(),
         };
         let idle_limits = IdleLimits {
-            trusted_ms: self.reuses.max_idle_ms(now_ms),
+            trusted_ms: self.reuse_tracker.max_idle_ms(now_ms),
             allowed_ms: self.max_idle_ms,
         };
         for entry in self.channel_entries() {
@@ -131,11 +131,11 @@
         self.abandoner.abandon_expired(channel, now_ms);
         self.expire_health_checks(channel, now_ms);
         let mut connection = channel.connection.borrow_mut();
-        if connection.take_stalled_frame(now_ms) {
+        if connection.take_frame_timeout(now_ms) {
             connection.close(CloseReason::Protocol(ProtocolError::StalledFrame));
             channel.notify.notify();
         }
-        connection.expire_last_command(now_ms);
+        connection.enforce_last_command_timeout(now_ms);
         if connection.close_reason().is_some() {
             channel.notify.notify();
         }
--- a/crates/dispatcher/src/guard/ledger.rs
+++ b/crates/dispatcher/src/guard/ledger.rs
@@ -38,8 +38,8 @@
         Ok(())
     }
 
-    /// Records that the client has left: no answer is owed any more.
-    pub fn on_client_left(&mut self) {
+    /// Records that the client has disconnected: no answer is owed any more.
+    pub fn on_client_disconnected(&mut self) {
         self.is_owed = false;
     }
 
--- a/crates/dispatcher/src/guard/mod.rs
+++ b/crates/dispatcher/src/guard/mod.rs
@@ -1,9 +1,9 @@
 //! The guard: decides whether an attempt's first byte may be written, whether an answer may be written, whether a
 //! client's connection may close, and whether the process may end. No I/O, no clock.
 //!
-//! The decision logic ([`tansymux::control`]) follows the rules when it places a query. The guard checks them again
-//! when the bytes are written, against the state at that time. Each of the first three steps consumes a permit, which
-//! only the guard can create: code without a permit does not compile. The end of the process is only checked, not
+//! The admission controller ([`tansymux::control`]) follows the rules when it places a query. The guard checks them
+//! again when the bytes are written, against the state at that time. Each of the first three steps consumes a permit,
+//! which only the guard can create: code without a permit does not compile. The end of the process is only checked, not
 //! prevented, because the platform ends the process anyway. A step that the rest of the program should never request
 //! is a [`Violation`]: it is refused, counted by rule, logged with the ids, and panics in debug builds.
 //! docs/design/invariants.md maps each rule to the code that enforces it.
--- a/crates/dispatcher/src/guard/tests.rs
+++ b/crates/dispatcher/src/guard/tests.rs
@@ -132,7 +132,7 @@
     assert!(ledger.may_answer().is_ok() && ledger.may_answer().is_err());
     assert!(ledger.may_close().is_ok());
     assert!(ledger.on_request().is_ok());
-    ledger.on_client_left();
+    ledger.on_client_disconnected();
     assert!(ledger.may_close().is_ok());
 }
 
--- a/crates/dispatcher/src/log.rs
+++ b/crates/dispatcher/src/log.rs
@@ -9,7 +9,7 @@
 
 pub use rate_limit::suppressed_lines;
 
-use crate::cli::{Common, LogFormat, LogLevel};
+use crate::cli::{GlobalArgs, LogFormat, LogLevel};
 use line_format::{set_json, write_suppressed, LineFormat};
 use rate_limit::LineKind;
 use std::sync::atomic::{AtomicU8, Ordering::Relaxed};
@@ -62,7 +62,7 @@
 }
 
 /// Applies the flags; for settings without a flag, `config` (`log` of the operators' file) or its defaults.
-pub fn configure(common: &Common, config: Option<&schema::Log>) {
+pub fn configure(common: &GlobalArgs, config: Option<&schema::Log>) {
     let config = config.copied().unwrap_or_default();
     set_json(match common.log_format {
         Some(format) => format == LogFormat::Json,
--- a/crates/dispatcher/src/main.rs
+++ b/crates/dispatcher/src/main.rs
@@ -1,5 +1,5 @@
-//! The tansymux program: receives queries from clients over HTTP, places them by the decisions of the `tansymux`
-//! package, and runs them on engines.
+//! The tansymux program: receives queries from clients over HTTP, places them by the decisions of the admission
+//! controller (package `tansymux`), and runs them on engines.
 //!
 //! It owns sockets, files, the clock and the queries in flight, and makes no decisions about queries itself. Start
 //! reading at [`dispatcher`], the driver. [`lifecycle`] has the phases from start to end, [`config`] the startup
@@ -39,7 +39,7 @@
 
 use async_executor::LocalExecutor;
 use clap::Parser;
-use cli::{Cli, Command, Common};
+use cli::{Cli, Command, GlobalArgs};
 use config::StartupConfigError;
 use dispatcher::{Dispatcher, StartError, StartRetry};
 use operator_config::OperatorConfigErrors;
@@ -96,7 +96,7 @@
     }
 }
 
-fn serve(common: Common) -> Result<ExitCode, CommandError> {
+fn serve(common: GlobalArgs) -> Result<ExitCode, CommandError> {
     log::init();
     // Subscribes first: without a handler, SIGHUP or SIGTERM during startup ends the process immediately.
     let retry = StartRetry::begin();
--- a/crates/dispatcher/src/net.rs
+++ b/crates/dispatcher/src/net.rs
@@ -51,7 +51,7 @@
 ///
 /// # Errors
 /// The errors of the call, except interruptions.
-pub fn uninterrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
+pub fn retry_interrupted<T>(mut call: impl FnMut() -> io::Result<T>) -> io::Result<T> {
     loop {
         match call() {
             Err(error) if error.kind() == ErrorKind::Interrupted => {}
@@ -71,7 +71,7 @@
 ) -> io::Result<T> {
     loop {
         let result = source
-            .read_with(|source| uninterrupted(|| read(source)))
+            .read_with(|source| retry_interrupted(|| read(source)))
             .await;
         match result {
             Err(error) if is_lack_of_buffers(&error) => {
@@ -103,7 +103,7 @@
     content: &[u8],
     address: SocketAddr,
 ) -> io::Result<usize> {
-    uninterrupted(|| socket.get_ref().send_to(content, address))
+    retry_interrupted(|| socket.get_ref().send_to(content, address))
 }
 
 /// Limits the unsent bytes in the socket's buffer: the socket accepts more bytes only after it has sent those in its
@@ -130,14 +130,14 @@
 
 /// Whether the other end has closed or reset the connection. The check reads no bytes. It does not detect a close while
 /// bytes that were sent before it do not fit into the system's receive buffer.
-pub fn has_hung_up(stream: &TcpStream) -> bool {
+pub fn is_closed_by_peer(stream: &TcpStream) -> bool {
     let mut poll_entry = libc::pollfd {
         fd: stream.as_raw_fd(),
         events: libc::POLLRDHUP,
         revents: 0,
     };
     // SAFETY: `poll_entry` is one valid entry.
-    let ready = uninterrupted(|| match unsafe { libc::poll(&mut poll_entry, 1, 0) } {
+    let ready = retry_interrupted(|| match unsafe { libc::poll(&mut poll_entry, 1, 0) } {
         -1 => Err(io::Error::last_os_error()),
         ready => Ok(ready),
     });
@@ -149,7 +149,7 @@
 ///
 /// # Errors
 /// The connection cannot be written to. The error is transient if [`is_lack_of_buffers`] is true for it.
-pub fn poll_gathered(
+pub fn poll_write_vectored(
     stream: &Async<TcpStream>,
     context: &mut Context,
     slices: &[IoSlice],
@@ -166,14 +166,14 @@
 ///
 /// # Errors
 /// The connection cannot be written to.
-pub async fn write_gathered(stream: &Async<TcpStream>, parts: &[&[u8]]) -> io::Result<()> {
+pub async fn write_all_vectored(stream: &Async<TcpStream>, parts: &[&[u8]]) -> io::Result<()> {
     let mut slices: Vec<IoSlice> = parts.iter().map(|part| IoSlice::new(part)).collect();
     let mut unwritten = slices.as_mut_slice();
     // Drops empty parts at the front: a write of only empty parts would return 0, as at the end of the stream.
     IoSlice::advance_slices(&mut unwritten, 0);
     while !unwritten.is_empty() {
         let batch = &unwritten[..unwritten.len().min(MAX_SLICES)];
-        match future::poll_fn(|context| poll_gathered(stream, context, batch)).await {
+        match future::poll_fn(|context| poll_write_vectored(stream, context, batch)).await {
             Ok(0) => return Err(ErrorKind::WriteZero.into()),
             Ok(written) => IoSlice::advance_slices(&mut unwritten, written),
             Err(error) if is_lack_of_buffers(&error) => {
--- a/crates/dispatcher/src/query_registry/messages.rs
+++ b/crates/dispatcher/src/query_registry/messages.rs
@@ -35,7 +35,7 @@
     /// The tenant's name as in the settings; empty if the settings name no tenants.
     pub tenant: Rc<str>,
     /// The ordering key, if the client sent one.
-    pub key: Option<u64>,
+    pub ordering_key: Option<u64>,
     /// Estimated thread time (ms); 0 without an estimate.
     pub estimated_cost_ms: f64,
     /// Estimated memory (MB); 0 without an estimate.
@@ -43,7 +43,7 @@
     /// A number that identifies the set of tables that the query uses.
     pub tables: u32,
     /// Traits of the statement, from its analysis.
-    pub statement: StatementTraits,
+    pub traits: StatementTraits,
 }
 
 /// An event for the next round of the admission controller.
@@ -51,8 +51,8 @@
 pub enum Event {
     /// A query was admitted.
     QueryArrived(ArrivedQuery),
-    /// The client left before its answer.
-    ClientLeft {
+    /// The client disconnected before its answer.
+    ClientDisconnected {
         /// The query.
         query_id: u64,
     },
--- a/crates/dispatcher/src/query_registry/mod.rs
+++ b/crates/dispatcher/src/query_registry/mod.rs
@@ -74,22 +74,22 @@
         self.push_event(Event::QueryArrived(ArrivedQuery {
             query_id,
             tenant: request.tenant.into(),
-            key: request.keys.ordering_number(),
+            ordering_key: request.keys.ordering_number(),
             estimated_cost_ms: request.estimated_cost_ms,
             memory_mb: request.memory_mb,
             tables: request.tables,
-            statement: request.traits,
+            traits: request.traits,
         }));
         Ok(admitted)
     }
 
     /// Records that the client has disconnected: no answer is owed any more, and none is written.
-    pub fn client_left(&self, query_id: u64) {
+    pub fn client_disconnected(&self, query_id: u64) {
         if self.end_query(query_id).is_some() {
             self.counters.client_disconnects.increment();
             self.trace.record(query_id, TraceEvent::ClientLeft);
             tracing::debug!(query_id, "client left");
-            self.push_event(Event::ClientLeft { query_id });
+            self.push_event(Event::ClientDisconnected { query_id });
         }
     }
 
@@ -147,7 +147,7 @@
         self.trace.record(query_id, TraceEvent::Answered(status));
         tracing::debug!(query_id, outcome, "query answered");
         slot.fill(answer);
-        self.forget_if_over(query_id);
+        self.remove_if_over(query_id);
         true
     }
 
@@ -272,11 +272,11 @@
             query.attempt_in_flight = false;
             query.last_end = Some(cause);
         });
-        self.forget_if_over(query_id);
+        self.remove_if_over(query_id);
     }
 
     /// Removes a query that is over and has no attempt in flight. If it ever had an attempt, its id is remembered.
-    pub fn forget_if_over(&self, query_id: u64) {
+    pub fn remove_if_over(&self, query_id: u64) {
         self.queries.remove_if_over(query_id);
     }
 }
--- a/crates/dispatcher/src/query_registry/tests.rs
+++ b/crates/dispatcher/src/query_registry/tests.rs
@@ -103,15 +103,15 @@
 fn query_of_a_disconnected_client_gets_no_answer() {
     let registry = QueryRegistry::default();
     let AdmittedQuery { query_id, slot } = registry.admit(&REQUEST).unwrap();
-    registry.client_left(query_id);
-    registry.client_left(query_id);
+    registry.client_disconnected(query_id);
+    registry.client_disconnected(query_id);
     assert!(!registry.answer(query_id, Answer::Failed) && slot.take().is_none());
     let events: Vec<Event> = std::iter::from_fn(|| registry.next_event()).collect();
     assert!(matches!(
         events[..],
-        [Event::QueryArrived { .. }, Event::ClientLeft { .. }]
+        [Event::QueryArrived { .. }, Event::ClientDisconnected { .. }]
     ));
-    registry.forget_if_over(query_id);
+    registry.remove_if_over(query_id);
     assert_eq!(registry.in_flight(), 0);
 }
 
--- a/crates/dispatcher/src/subsystems/fleet.rs
+++ b/crates/dispatcher/src/subsystems/fleet.rs
@@ -70,7 +70,7 @@
 #[derive(Debug, Clone, Copy)]
 pub struct LoadReport {
     /// Fraction of the descriptor limit that is in use.
-    pub descriptors_used: f64,
+    pub descriptors_used_fraction: f64,
     /// Engine threads used by this dispatcher's queries in flight.
     pub threads_in_flight: f64,
 }
@@ -295,7 +295,7 @@
         MemberStatus {
             zone: self.zone_hash,
             version: self.version_hash.get(),
-            utilization: load.descriptors_used,
+            utilization: load.descriptors_used_fraction,
             threads: load.threads_in_flight,
             succeeded,
             total: succeeded.wrapping_add(unsuccessful as u32),
--- a/crates/dispatcher/src/subsystems/fleet/socket.rs
+++ b/crates/dispatcher/src/subsystems/fleet/socket.rs
@@ -1,6 +1,6 @@
 //! The fleet's UDP socket and its datagram counters.
 
-use crate::net::{receive_datagram, send_datagram, uninterrupted};
+use crate::net::{receive_datagram, retry_interrupted, send_datagram};
 use async_io::Async;
 use std::cell::Cell;
 use std::io;
@@ -40,7 +40,7 @@
     /// No datagram is queued, or the socket failed.
     pub fn try_receive(&self, buffer: &mut [u8]) -> io::Result<(usize, SocketAddr)> {
         let socket = self.socket.get_ref();
-        uninterrupted(|| socket.recv_from(buffer))
+        retry_interrupted(|| socket.recv_from(buffer))
     }
 
     /// Increments the count of received datagrams.
--- a/crates/dispatcher/src/subsystems/zone_routing.rs
+++ b/crates/dispatcher/src/subsystems/zone_routing.rs
@@ -39,7 +39,7 @@
 #[derive(Debug, Default)]
 pub struct ZoneTick {
     /// Whether the evidence was evaluated in this round: health checks and spills are due then.
-    pub evaluated: bool,
+    pub is_evaluated: bool,
     /// Message for all peers, if one is due.
     pub peer_message: Option<Vec<u8>>,
 }
@@ -175,7 +175,7 @@
         if now_ms - self.last_tick_ms.get() < TICK_INTERVAL_MS {
             return ZoneTick {
                 // A second round at the same time counts as a part of the first.
-                evaluated: self.last_tick_ms.get() == now_ms,
+                is_evaluated: self.last_tick_ms.get() == now_ms,
                 peer_message: None,
             };
         }
@@ -192,7 +192,7 @@
         }
         control.set_zone_plan(Some(&controller_plan(&plan)));
         ZoneTick {
-            evaluated: true,
+            is_evaluated: true,
             peer_message: detector.poll_message(now_ms),
         }
     }
@@ -287,7 +287,7 @@
         display::to_json(&display::ZoneReport {
             now_ms,
             local_zone: &self.local_zone,
-            isolated: plan.is_isolated,
+            is_isolated: plan.is_isolated,
             zones,
             history: detector.history(),
         })
--- a/crates/dispatcher/src/subsystems/zone_routing/display.rs
+++ b/crates/dispatcher/src/subsystems/zone_routing/display.rs
@@ -16,7 +16,7 @@
     /// Local zone of this dispatcher.
     pub local_zone: &'a str,
     /// Whether this dispatcher reaches no zone, and so considers itself cut off.
-    pub isolated: bool,
+    pub is_isolated: bool,
     /// Result of [`zone_json`] for each zone.
     pub zones: Vec<Value>,
     /// Changes of zones' states, oldest first.
@@ -29,7 +29,7 @@
     json!({
         "defined": true,
         "own": report.local_zone,
-        "alone": report.isolated,
+        "alone": report.is_isolated,
         "now": report.now_ms,
         "halls": report.zones,
         "history": history,
--- a/crates/dispatcher/src/trace.rs
+++ b/crates/dispatcher/src/trace.rs
@@ -31,11 +31,11 @@
         /// The cause of the outcome.
         cause: EndCause,
     },
-    /// The decisions ended the query without a result.
+    /// The admission controller ended the query without a result.
     Ends(EndReason),
     /// The query was answered with this HTTP status.
     Answered(u16),
-    /// The client left before the answer.
+    /// The client disconnected before the answer.
     ClientLeft,
 }
 
--- a/crates/dispatcher/tests/sockets/queries.rs
+++ b/crates/dispatcher/tests/sockets/queries.rs
@@ -209,11 +209,11 @@
         let load = json!({
             keys::group::NAME: "load",
             keys::group::OBJECTIVE_US: 300_000,
-            keys::group::DEADLINE_US: 9_000_000,
+            keys::group::USUAL_TIMEOUT_US: 9_000_000,
             keys::group::EFFECT: keys::effect::IDEMPOTENCY_KEY,
             keys::group::DEDUP_SCOPE: keys::dedup_scope::ALL,
             keys::group::DEDUP_WINDOW_US: 5_000_000,
-            keys::group::IN_KEY_ORDER: true,
+            keys::group::ORDERED_BY_KEY: true,
         });
         config.with_setting(&format!("{}.1", keys::GROUPS), load)
     });
--- a/crates/testbed/src/program/config.rs
+++ b/crates/testbed/src/program/config.rs
@@ -10,7 +10,7 @@
     json!({
         keys::group::NAME: name,
         keys::group::OBJECTIVE_US: objective_ms * 1e3,
-        keys::group::DEADLINE_US: max_wait_ms * 1e3,
+        keys::group::USUAL_TIMEOUT_US: max_wait_ms * 1e3,
         keys::group::EFFECT: effect,
     })
 }
@@ -45,7 +45,7 @@
         .with_setting(keys::CORES_BY_KIND, json!([8]))
         .with_setting(keys::MEMORY_MB_BY_KIND, json!([4096]))
         .with_setting(keys::THREADS_BY_GROUP, threads)
-        .with_setting(keys::PRIORITY_COUNT, true)
+        .with_setting(keys::SUPPORTS_PRIORITIES, true)
         .with_setting(keys::CANCELLATION, true)
         .with_setting(keys::MAX_ATTEMPTS, 3)
         .with_setting(keys::MAX_RETRY_AFTER_US, 500_000)
--- a/src/control/admission.rs
+++ b/src/control/admission.rs
@@ -49,7 +49,7 @@
         query.is_over_quota = self.tenant_quotas.record_query(tenant, self.now_ms);
         let index = self.queries.insert(query);
         if self.groups[group].settings.is_ordered_by_key {
-            let enqueue = |key| self.key_queues.join(key, index, self.now_ms);
+            let enqueue = |key| self.key_queues.push(key, index, self.now_ms);
             self.queries[index].key = event.key.map(enqueue);
         }
         index
--- a/src/control/completion.rs
+++ b/src/control/completion.rs
@@ -38,9 +38,9 @@
         };
         // Rule 5: the ordering key cools down after an attempt that may still be running or may have completed.
         if let Some(key) = closed.key.filter(|_| event.outcome.is_unknown()) {
-            self.key_queues.cool_down(key, self.now_ms);
+            self.key_queues.start_cooldown(key, self.now_ms);
         }
-        let objective_ms = self.groups[closed.group].objective_of(closed.cost);
+        let objective_ms = self.groups[closed.group].latency_objective_ms(closed.cost);
         if event.outcome == Outcome::Completed {
             self.learn_from_answer(&closed, event);
         }
@@ -110,7 +110,7 @@
             return;
         };
         let engine = &mut self.engines[closed.engine];
-        if latency_ms > group.objective_of(closed.cost) {
+        if latency_ms > group.latency_objective_ms(closed.cost) {
             return self
                 .slowdowns
                 .record_slow_answer(engine, closed.lane, self.now_ms);
@@ -212,7 +212,7 @@
     }
 
     /// Handles a client that disconnected: cancels its query's attempt and sends no answer.
-    pub fn on_client_gone(&mut self, query_id: u64, out: &mut dyn DecisionSink) {
+    pub fn on_client_disconnected(&mut self, query_id: u64, out: &mut dyn DecisionSink) {
         if let Some(query) = self.queries.find(query_id) {
             self.end_query(query, out);
         }
@@ -229,7 +229,7 @@
         if query.is_over {
             return;
         }
-        out.note_end_reason(query.id, reason);
+        out.report_end_reason(query.id, reason);
         let has_no_effect_in_flight = query.is_read_only() || query.in_flight().is_none();
         if has_no_effect_in_flight && self.may_repeat(index, None) {
             let max_ms = self.settings.max_retry_after_ms;
@@ -269,7 +269,7 @@
         let Some(key) = query.key else {
             return;
         };
-        self.key_queues.leave(key, index);
+        self.key_queues.remove(key, index);
         let Some(next) = self.key_queues.first(key) else {
             return;
         };
--- a/src/control/dispatch.rs
+++ b/src/control/dispatch.rs
@@ -40,7 +40,7 @@
     fn start_by_ms(&self, query: QueryIndex) -> f64 {
         let query = &self.queries[query];
         let window_ms = self.group_of(query).settings.dedup_window_ms;
-        match query.first_that_ran() {
+        match query.first_attempt_that_may_have_run() {
             Some(first) if query.effect == Effect::IdempotencyKey => {
                 query.deadline_ms.min(first.sent_ms + window_ms)
             }
@@ -53,7 +53,7 @@
     pub(super) fn may_repeat(&self, query: QueryIndex, engine: Option<EngineIndex>) -> bool {
         let query = &self.queries[query];
         let group = self.group_of(query);
-        let Some(first) = query.first_that_ran() else {
+        let Some(first) = query.first_attempt_that_may_have_run() else {
             return true;
         };
         let first_engine = &self.engines[first.engine];
@@ -80,8 +80,8 @@
         let Some(key) = query.key else {
             return true;
         };
-        let is_cool = self.key_queues.is_cool(key, self.now_ms);
-        self.key_queues.first(key) == Some(index) && (is_cool || query.attempts.count() > 0)
+        let has_cooled_down = self.key_queues.has_cooled_down(key, self.now_ms);
+        self.key_queues.first(key) == Some(index) && (has_cooled_down || query.attempts.count() > 0)
     }
 
     /// Rule 7: returns whether a retry of a query may be sent to an engine.
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -1,4 +1,5 @@
-//! All decisions: which engine runs a query, and which queries are rejected, migrated, cancelled or failed.
+//! The admission controller. It makes all decisions: which engine runs a query, and which queries are rejected,
+//! migrated, cancelled or failed.
 //!
 //! A program calls [`Control::run_round`] once per round. Its [`EventSource`] calls the handlers with the events that
 //! arrived, and the [`DecisionSink`] receives each decision as it is made. Times are milliseconds; "rule N" is the
@@ -38,7 +39,8 @@
     fn deliver(&mut self, control: &mut Control, out: &mut dyn DecisionSink);
 }
 
-/// Decision logic of one dispatcher and its state: settings, queries in flight, engines and learned statistics.
+/// The admission controller of one dispatcher and its state: settings, queries in flight, engines and learned
+/// statistics.
 ///
 /// Memory grows with the queries in flight, the engines listed and the distinct keys, tenants and zones.
 pub struct Control {
@@ -68,7 +70,7 @@
 }
 
 impl Control {
-    /// Creates the decision logic from settings. `seed` determines all random draws.
+    /// Creates the admission controller from settings. `seed` determines all random draws.
     ///
     /// # Errors
     /// Returns the errors of [`Settings::read`].
--- a/src/control/periodic.rs
+++ b/src/control/periodic.rs
@@ -159,6 +159,6 @@
         let age_ms = self.now_ms - attempt.sent_ms;
         let max_age_ms = OVERDUE_RUN_TIME_FACTOR * new_run_ms + OVERDUE_GRACE_MS;
         interval_ms > 0.0 && silent_ms > OVERDUE_NOTE_INTERVALS * interval_ms
-            || attempt.progress.has_not_begun() && age_ms > max_age_ms
+            || attempt.progress.has_no_progress() && age_ms > max_age_ms
     }
 }
--- a/src/control/placement.rs
+++ b/src/control/placement.rs
@@ -160,7 +160,7 @@
         }
         let pool = self.pool();
         let is_below_pressure = !pool.is_under_pressure(engine);
-        if self.engines[engine].load.has_no_low() && (is_below_pressure || pool_has_room) {
+        if self.engines[engine].load.has_no_low_attempts() && (is_below_pressure || pool_has_room) {
             return true;
         }
         let query = &self.queries[query];
--- a/src/control/tests/admission.rs
+++ b/src/control/tests/admission.rs
@@ -18,7 +18,7 @@
         let mut control = dispatcher(overrides, TWO_ENGINES);
         control.groups[GroupIndex(0)]
             .slowdown_mut()
-            .set_usual(slowdown);
+            .set_median(slowdown);
         let decisions = run_round(&mut control, 1.0, |control, out| {
             control
                 .on_query_arrived(
--- a/src/control/tests/completion.rs
+++ b/src/control/tests/completion.rs
@@ -12,7 +12,7 @@
     );
     assert!(end_attempt(&mut control, 20_002.0, 1, 0, Outcome::Completed, 1).is_empty());
     assert!(run_round(&mut control, 20_003.0, |control, out| control
-        .on_client_gone(1, out))
+        .on_client_disconnected(1, out))
     .is_empty());
 }
 
@@ -22,7 +22,7 @@
     send_query(&mut control, 1.0, 1, "look", 100.0);
     assert_eq!(
         run_round(&mut control, 2.0, |control, out| control
-            .on_client_gone(1, out)),
+            .on_client_disconnected(1, out)),
         ["cancel 1 0"]
     );
     assert!(end_attempt(&mut control, 3.0, 1, 0, Outcome::Cancelled, 1).is_empty());
--- a/src/control/tests/dispatch.rs
+++ b/src/control/tests/dispatch.rs
@@ -16,7 +16,7 @@
     ));
     let engine_id = engine_of(&control, 1, 0);
     run_round(&mut control, 4.0, |control, out| {
-        control.on_client_gone(1, out)
+        control.on_client_disconnected(1, out)
     });
     assert!(
         run_round(&mut control, 50.0, |_, _| ()).is_empty(),
@@ -47,7 +47,7 @@
             Outcome::Completed
         };
         run_round(&mut control, at_ms + 1.0, |control, out| {
-            control.on_client_gone(id, out)
+            control.on_client_disconnected(id, out)
         });
         end_attempt(&mut control, at_ms + 2.0, id, 0, outcome, engine_id);
     }
@@ -60,7 +60,7 @@
     send_query_with_key(&mut control, 20_000.0, 2000, "tok", 100.0, Some(7), 0);
     let engine_id = engine_of(&control, 2000, 0);
     run_round(&mut control, 20_001.0, |control, out| {
-        control.on_client_gone(2000, out)
+        control.on_client_disconnected(2000, out)
     });
     end_attempt(
         &mut control,
--- a/src/control/tests/mod.rs
+++ b/src/control/tests/mod.rs
@@ -1,5 +1,5 @@
-//! Tests of the decisions: each rule, each mechanism and each known failure, with one file per concern. This file has
-//! the shared helpers: settings, a dispatcher with engines, and a sink that records the decisions.
+//! Tests of the admission controller: each rule, each mechanism and each known failure, with one file per concern. This
+//! file has the shared helpers: settings, a dispatcher with engines, and a sink that records the decisions.
 
 mod admission;
 mod completion;
@@ -21,7 +21,7 @@
     AttemptEnded, AttemptLimits, DecisionSink, EndpointListKind, EndpointState, EndpointUpdate,
     HealthCheckEnded, NoteKind, Outcome, PeerMessage, ProgressNote, QueryArrived, StatementTraits,
 };
-use crate::model::{EngineIndex, FadingMedian, GroupIndex, Lane, LaneSlowdowns, LevelEffects};
+use crate::model::{DecayingMedian, EngineIndex, GroupIndex, Lane, LaneSlowdowns, LevelEffects};
 use crate::peer_codec;
 use crate::settings::SettingsMap;
 use crate::zone_plan::{ZoneLimits, ZonePlan};
@@ -249,7 +249,7 @@
 
 pub(crate) const ONE_ENGINE: &[(&str, &str)] = &[("small", "h1")];
 
-pub(crate) const HIGH_SLOWDOWN: FadingMedian = FadingMedian::new(2.0, START_MS);
+pub(crate) const HIGH_SLOWDOWN: DecayingMedian = DecayingMedian::new(2.0, START_MS);
 
 pub(crate) const TWO_ENGINES: &[(&str, &str)] = &[("small", "h1"), ("small", "h1")];
 
--- a/src/control/tests/placement.rs
+++ b/src/control/tests/placement.rs
@@ -149,7 +149,7 @@
         (0..2).for_each(|slot| {
             control.engines[EngineIndex(slot)].slowdown.set(
                 Lane::Fast,
-                FadingMedian::new(2.0, START_MS + id as f64 * 100.0),
+                DecayingMedian::new(2.0, START_MS + id as f64 * 100.0),
             )
         });
         submitted += usize::from(has_decision(
--- a/src/control/tests/pressure.rs
+++ b/src/control/tests/pressure.rs
@@ -38,7 +38,7 @@
     let mut control = dispatcher("", TWO_ENGINES);
     control.engines[EngineIndex(0)]
         .slowdown
-        .set(Lane::Fast, FadingMedian::new(0.8, START_MS));
+        .set(Lane::Fast, DecayingMedian::new(0.8, START_MS));
     assert!(
         control.pool().is_under_pressure(EngineIndex(0))
             && !control.pool().is_under_pressure(EngineIndex(1))
@@ -50,7 +50,7 @@
     );
     control
         .slowdowns
-        .set_zone(0, Lane::Fast, FadingMedian::new(0.8, START_MS + 10_000.0));
+        .set_zone(0, Lane::Fast, DecayingMedian::new(0.8, START_MS + 10_000.0));
     assert!(
         control.pool().is_under_pressure(EngineIndex(0))
             && control.pool().is_under_pressure(EngineIndex(1)),
--- a/src/events.rs
+++ b/src/events.rs
@@ -13,7 +13,7 @@
     /// Ends a query with a final error.
     fn fail(&mut self, query_id: u64);
     /// Reports, for logs and metrics, the reason for which a query is about to be rejected or failed.
-    fn note_end_reason(&mut self, _query_id: u64, _reason: EndReason) {}
+    fn report_end_reason(&mut self, _query_id: u64, _reason: EndReason) {}
     /// Cancels one attempt of a query.
     fn cancel(&mut self, query_id: u64, attempt: usize);
     /// Sets the priority weight and the memory grant (MB) of the query's next attempts. With a grant of 0 the engine
--- a/src/model/attempt.rs
+++ b/src/model/attempt.rs
@@ -81,7 +81,7 @@
     }
 
     /// Whether no work is done yet, as last reported.
-    pub(crate) fn has_not_begun(&self) -> bool {
+    pub(crate) fn has_no_progress(&self) -> bool {
         self.fraction_done <= 0.0
     }
 
--- a/src/model/fading_median.rs
+++ b/src/model/decaying_median.rs
@@ -11,14 +11,14 @@
 
 /// A running median that decays exponentially towards a fallback while no samples arrive.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct FadingMedian {
+pub(crate) struct DecayingMedian {
     /// The median when it was last updated.
     level: f64,
     /// When the median was last updated (ms).
     updated_ms: f64,
 }
 
-/// A sample for a [`FadingMedian`], with the bounds of its effect on the median.
+/// A sample for a [`DecayingMedian`], with the bounds of its effect on the median.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct MedianUpdate {
     pub(crate) sample: f64,
@@ -32,20 +32,20 @@
     pub(crate) gap_step: f64,
 }
 
-impl Default for FadingMedian {
+impl Default for DecayingMedian {
     fn default() -> Self {
-        FadingMedian {
+        DecayingMedian {
             level: 0.0,
             updated_ms: LONG_AGO,
         }
     }
 }
 
-impl FadingMedian {
+impl DecayingMedian {
     /// A median that was at `level` when it was last updated.
     #[cfg(test)]
     pub(crate) const fn new(level: f64, updated_ms: f64) -> Self {
-        FadingMedian { level, updated_ms }
+        DecayingMedian { level, updated_ms }
     }
 
     /// The median when it was last updated.
--- a/src/model/engine_load.rs
+++ b/src/model/engine_load.rs
@@ -162,7 +162,7 @@
     }
 
     /// Whether neither this dispatcher nor, as last reported, any other has low-lane attempts on the engine.
-    pub(crate) fn has_no_low(&self) -> bool {
+    pub(crate) fn has_no_low_attempts(&self) -> bool {
         self.low_attempts == 0 && self.peer_threads <= 0.0
     }
 
--- a/src/model/group_slowdown.rs
+++ b/src/model/group_slowdown.rs
@@ -1,6 +1,6 @@
 //! The ratio of a resource group's run times to its estimates, and the step sizes of all learned values.
 
-use crate::model::fading_median::step_towards;
+use crate::model::decaying_median::step_towards;
 
 /// Fraction of the lowest scatter by which a ratio may exceed the best without showing a slowdown.
 const TOLERATED_SCATTER_FRACTION: f64 = 0.5;
@@ -97,7 +97,7 @@
 
     /// Sets the median.
     #[cfg(test)]
-    pub(crate) fn set_usual(&mut self, median: f64) {
+    pub(crate) fn set_median(&mut self, median: f64) {
         self.median = median;
     }
 
--- a/src/model/key_queues.rs
+++ b/src/model/key_queues.rs
@@ -39,7 +39,7 @@
     }
 
     /// Adds a query to the back of its key's queue, and returns the queue's slot.
-    pub(crate) fn join(&mut self, key: u64, query: QueryIndex, now_ms: f64) -> u32 {
+    pub(crate) fn push(&mut self, key: u64, query: QueryIndex, now_ms: f64) -> u32 {
         self.remove_unused(now_ms);
         let slot = match self.slots.get(&key) {
             Some(&slot) => slot,
@@ -87,13 +87,13 @@
     }
 
     /// Whether a key is not in its cooldown.
-    pub(crate) fn is_cool(&self, slot: u32, now_ms: f64) -> bool {
+    pub(crate) fn has_cooled_down(&self, slot: u32, now_ms: f64) -> bool {
         let queue = self.queues.get(slot as usize);
         now_ms >= queue.map_or(LONG_AGO, |queue| queue.cooldown_until_ms)
     }
 
     /// Starts the cooldown of a key.
-    pub(crate) fn cool_down(&mut self, slot: u32, now_ms: f64) {
+    pub(crate) fn start_cooldown(&mut self, slot: u32, now_ms: f64) {
         let until_ms = now_ms + self.cooldown_ms;
         if let Some(queue) = self.queues.get_mut(slot as usize) {
             queue.cooldown_until_ms = queue.cooldown_until_ms.max(until_ms);
@@ -101,7 +101,7 @@
     }
 
     /// Removes a query from its queue.
-    pub(crate) fn leave(&mut self, slot: u32, query: QueryIndex) {
+    pub(crate) fn remove(&mut self, slot: u32, query: QueryIndex) {
         let Some(queue) = self.queues.get_mut(slot as usize) else {
             return;
         };
--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -6,12 +6,12 @@
 
 mod attempt;
 mod concurrency_limit;
+mod decaying_median;
 mod endpoint_list;
 mod engine;
 mod engine_health;
 mod engine_load;
 mod engine_table;
-mod fading_median;
 mod group_slowdown;
 mod index;
 mod key_queues;
@@ -32,11 +32,11 @@
 
 pub(crate) use attempt::Attempt;
 pub(crate) use concurrency_limit::AttemptResult;
+pub(crate) use decaying_median::{DecayingMedian, MedianUpdate};
 pub(crate) use endpoint_list::EndpointListRequest;
 pub(crate) use engine::Engine;
 pub(crate) use engine_load::TableLock;
 pub(crate) use engine_table::EngineTable;
-pub(crate) use fading_median::{FadingMedian, MedianUpdate};
 pub(crate) use group_slowdown::{GroupSlowdown, LEARNING};
 pub(crate) use index::{EngineIndex, GroupIndex, QueryIndex};
 pub(crate) use key_queues::KeyQueues;
--- a/src/model/query.rs
+++ b/src/model/query.rs
@@ -43,7 +43,7 @@
     /// The estimate (thread time, ms), or the group's usual cost if the query has no estimate.
     pub(crate) estimate_ms: f64,
     /// The query arrived without an estimate.
-    pub(crate) is_guess: bool,
+    pub(crate) has_no_estimate: bool,
     /// Work that placement assumes (ms): the estimate corrected by reported usage; without an estimate, a nominal 1 ms
     /// for each thread.
     pub(crate) work_ms: f64,
@@ -58,7 +58,7 @@
     pub(crate) fn estimated(estimate_ms: f64, work_ms: f64, event: &QueryArrived) -> Self {
         QueryCost {
             estimate_ms,
-            is_guess: false,
+            has_no_estimate: false,
             work_ms,
             memory_mb: event.memory_mb,
             confidence: event.statement.confidence,
@@ -68,7 +68,7 @@
     /// The cost of a query without an estimate.
     pub(crate) fn guessed(usual_cost_ms: f64, threads: f64, event: &QueryArrived) -> Self {
         QueryCost {
-            is_guess: true,
+            has_no_estimate: true,
             ..QueryCost::estimated(usual_cost_ms, threads, event)
         }
     }
@@ -131,7 +131,7 @@
     }
 
     /// The first attempt that may have run.
-    pub(crate) fn first_that_ran(&self) -> Option<&Attempt> {
+    pub(crate) fn first_attempt_that_may_have_run(&self) -> Option<&Attempt> {
         self.attempts
             .all()
             .iter()
--- a/src/model/resource_group.rs
+++ b/src/model/resource_group.rs
@@ -149,7 +149,7 @@
     /// there is no mean yet.
     pub(crate) fn learn_run_time(&mut self, cost: QueryCost, latency_ms: f64) -> Option<f64> {
         let mut cost_ms = cost.estimate_ms;
-        if cost.is_guess {
+        if cost.has_no_estimate {
             let is_first = self.cost.samples == 0;
             cost_ms = self.cost.mean_ms;
             self.cost.learn_cost(latency_ms * self.threads());
@@ -209,7 +209,7 @@
     }
 
     /// Latency objective of a query (ms), from its estimate and the usage that engines reported.
-    pub(crate) fn objective_of(&self, cost: QueryCost) -> f64 {
+    pub(crate) fn latency_objective_ms(&self, cost: QueryCost) -> f64 {
         self.objective_ms(cost.estimate_ms * self.cost.work_factor)
     }
 
--- a/src/model/slowdown.rs
+++ b/src/model/slowdown.rs
@@ -1,6 +1,6 @@
 //! Slowdowns: the amount by which the run times of an engine, a zone and the pool exceed their groups' best.
 
-use crate::model::{Engine, FadingMedian, Lane, MedianUpdate, LEARNING};
+use crate::model::{DecayingMedian, Engine, Lane, MedianUpdate, LEARNING};
 
 /// Ratio of run time to the group's best above which a slowdown shows pressure.
 const PRESSURE_RATIO: f64 = 1.5;
@@ -110,7 +110,7 @@
 
     /// Sets a zone's slowdown.
     #[cfg(test)]
-    pub(crate) fn set_zone(&mut self, zone: usize, lane: Lane, slowdown: FadingMedian) {
+    pub(crate) fn set_zone(&mut self, zone: usize, lane: Lane, slowdown: DecayingMedian) {
         self.zones[zone].set(lane, slowdown);
     }
 }
@@ -118,19 +118,19 @@
 /// The slowdowns of both lanes (log ratios).
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct LaneSlowdowns {
-    fast: FadingMedian,
-    low: FadingMedian,
+    fast: DecayingMedian,
+    low: DecayingMedian,
 }
 
 impl LaneSlowdowns {
-    fn lane(&self, lane: Lane) -> &FadingMedian {
+    fn lane(&self, lane: Lane) -> &DecayingMedian {
         match lane {
             Lane::Fast => &self.fast,
             Lane::Low => &self.low,
         }
     }
 
-    fn lane_mut(&mut self, lane: Lane) -> &mut FadingMedian {
+    fn lane_mut(&mut self, lane: Lane) -> &mut DecayingMedian {
         match lane {
             Lane::Fast => &mut self.fast,
             Lane::Low => &mut self.low,
@@ -139,7 +139,7 @@
 
     /// Sets the slowdown of a lane.
     #[cfg(test)]
-    pub(crate) fn set(&mut self, lane: Lane, slowdown: FadingMedian) {
+    pub(crate) fn set(&mut self, lane: Lane, slowdown: DecayingMedian) {
         *self.lane_mut(lane) = slowdown;
     }
 }
--- a/src/model/stalls.rs
+++ b/src/model/stalls.rs
@@ -3,7 +3,7 @@
 
 use crate::model::engine_health::{EJECTION_ERROR_RATE, ERROR_RATE_STEP};
 use crate::model::slowdown::SLOWDOWN_PARAMS;
-use crate::model::{FadingMedian, GroupIndex, MedianUpdate};
+use crate::model::{DecayingMedian, GroupIndex, MedianUpdate};
 
 /// Maximum change of a stall level by one attempt.
 const STALL_STEP: f64 = ERROR_RATE_STEP;
@@ -12,7 +12,7 @@
 
 /// The stall level of each resource group on one engine, from 0 (no attempts stall) to 1 (all attempts stall).
 #[derive(Debug, Clone, Default)]
-pub(crate) struct StallLevels(Vec<FadingMedian>);
+pub(crate) struct StallLevels(Vec<DecayingMedian>);
 
 impl StallLevels {
     /// Whether attempts of a group stall on the engine.
@@ -47,7 +47,7 @@
             gap_step: 0.0,
         };
         let len = self.0.len().max(group.0 + 1);
-        self.0.resize(len, FadingMedian::default());
+        self.0.resize(len, DecayingMedian::default());
         self.0[group.0].update(now_ms, update);
     }
 }
--- a/src/model/tests/attempt.rs
+++ b/src/model/tests/attempt.rs
@@ -7,7 +7,7 @@
 fn notes_predict_the_run_time() {
     let mut progress = Attempt::new(EngineIndex(0), START_MS, 1.0, 1.0).progress;
     assert_eq!(progress.run_time_ms(), None);
-    assert!(progress.has_not_begun());
+    assert!(progress.has_no_progress());
     progress.record(START_MS + 100.0, 0.25);
     assert_eq!(progress.run_time_ms(), Some(400.0));
     assert_eq!(progress.remaining_ms(START_MS + 150.0), Some(250.0));
--- a/src/model/tests/resource_group.rs
+++ b/src/model/tests/resource_group.rs
@@ -38,7 +38,7 @@
 fn first_query_without_an_estimate_has_the_cost_that_its_objective_allows() {
     let mut group = group(1000.0);
     let (_, cost) = group.classify(&arrival(0.0, 1.0), 1.0);
-    assert!(cost.is_guess);
+    assert!(cost.has_no_estimate);
     assert_eq!(group.expected_run_time_ms(cost), 1000.0);
 }
 
--- a/src/settings/keys.rs
+++ b/src/settings/keys.rs
@@ -28,7 +28,7 @@
 /// Whether the queries of a resource group wait for tables that a load query locks, a list in the order of [`GROUPS`].
 pub const WAITS_FOR_LOADS_BY_GROUP: &str = "family-info.class-waits";
 /// Whether engines support priorities: `true` or `1`.
-pub const PRIORITY_COUNT: &str = "family-info.lanes-count";
+pub const SUPPORTS_PRIORITIES: &str = "family-info.lanes-count";
 /// How engines react to a shortage of memory.
 pub const MEMORY_SHORTAGE: &str = "family-info.memory-short";
 /// Value of [`MEMORY_SHORTAGE`]: engines page memory to disk.
@@ -55,8 +55,8 @@
 /// Maximum number of attempts in flight per connection.
 pub const STREAMS_PER_CONNECTION: &str = "limits.streams-per-conn";
 
-/// Rule 3: how long a dispatcher may still send to an engine after the notification of a drain (us). The decisions do
-/// not use this key, because they stop sending at once.
+/// Rule 3: how long a dispatcher may still send to an engine after the notification of a drain (us). The
+/// admission controller does not use this key, because it stops sending at once.
 pub const DRAIN_GRACE_US: &str = "rules.drain-grace-us";
 /// Rule 4: work that all dispatchers together may send to a warming engine within the span, as a multiple of the
 /// engine's current capacity.
@@ -92,7 +92,7 @@
     /// How long engines recognize an idempotency key (us).
     pub const DEDUP_WINDOW_US: &str = "repeat-window-us";
     /// Whether queries with the same ordering key run in order.
-    pub const IN_KEY_ORDER: &str = "in-order";
+    pub const ORDERED_BY_KEY: &str = "in-order";
     /// Zones that the group is confined to, a list.
     pub const ZONES: &str = "confined-to";
     /// Engine kinds that the group is confined to, a list.
@@ -102,7 +102,7 @@
     /// Increase of the latency objective per unit of work per thread.
     pub const OBJECTIVE_STRETCH: &str = "aim-stretch";
     /// The client's usual timeout (us).
-    pub const DEADLINE_US: &str = "hard-limit-us";
+    pub const USUAL_TIMEOUT_US: &str = "hard-limit-us";
 }
 
 /// Keys of one tenant, relative to its item in [`TENANTS`].
--- a/src/settings/read.rs
+++ b/src/settings/read.rs
@@ -30,7 +30,7 @@
                 peer_messages: raw.is_on(keys::PEER_MESSAGES),
             },
             engine_features: EngineFeatures {
-                priorities: raw.is_on(keys::PRIORITY_COUNT),
+                priorities: raw.is_on(keys::SUPPORTS_PRIORITIES),
                 pages_memory: has_value(raw, keys::MEMORY_SHORTAGE, keys::MEMORY_SHORTAGE_PAGES),
                 note_interval_ms: raw.millis(keys::PROGRESS_INTERVAL_US).unwrap_or(0.0),
             },
@@ -72,14 +72,14 @@
         effect,
         dedup_scope: read_dedup_scope(raw, &key(keys::group::DEDUP_SCOPE)),
         dedup_window_ms: millis(keys::group::DEDUP_WINDOW_US),
-        is_ordered_by_key: raw.is_on(&key(keys::group::IN_KEY_ORDER)),
+        is_ordered_by_key: raw.is_on(&key(keys::group::ORDERED_BY_KEY)),
         zones: read_names(raw, &key(keys::group::ZONES)),
         kinds: read_names(raw, &key(keys::group::ENGINE_KINDS)),
         objective_ms,
         objective_stretch: raw
             .number(&key(keys::group::OBJECTIVE_STRETCH))
             .unwrap_or(0.0),
-        usual_timeout_ms: millis(keys::group::DEADLINE_US),
+        usual_timeout_ms: millis(keys::group::USUAL_TIMEOUT_US),
         threads: read_threads(raw, index),
         is_load: is_on_for_group(raw, keys::IS_LOAD_BY_GROUP, index),
         waits_for_loads: is_on_for_group(raw, keys::WAITS_FOR_LOADS_BY_GROUP, index),
--- a/src/settings/types.rs
+++ b/src/settings/types.rs
@@ -3,7 +3,7 @@
 /// Maximum attempts of a query, whatever the settings allow. Each query reserves a slot for each of them.
 pub const MAX_ATTEMPTS: usize = 8;
 
-/// All settings of the decisions.
+/// All settings of the admission controller.
 #[derive(Debug, Default)]
 pub struct Settings {
     /// Number of dispatchers that share the pool, including this one; at least 1.
