--- a/crates/rollout/src/canary_analysis.rs
+++ b/crates/rollout/src/canary_analysis.rs
@@ -1,31 +1,31 @@
-//! Canary analysis: whether released dispatchers perform worse than the others. It compares success rates in pairs of the
-//! same time window and zone, by a one-sided t test.
+//! Canary analysis: tests whether released dispatchers perform worse than the others. It pairs the success rates of
+//! both groups by time window and zone, and applies a one-sided paired t test.
 
 use statrs::distribution::{ContinuousCDF, StudentsT};
 use std::collections::BTreeMap;
 
-/// Limit on the pairs of one release.
+/// Maximum number of pairs that are kept for one release; older pairs are dropped.
 const MAX_PAIRS: usize = 240;
-/// Limit on the open windows, over all zones.
+/// Maximum number of open windows, summed over all zones.
 const MAX_OPEN_WINDOWS: usize = 256;
-/// Minimum number of pairs for a t test, whatever is configured.
+/// Minimum number of pairs for a t test, regardless of the configuration.
 const MIN_TEST_PAIRS: usize = 3;
-/// Minimum standard error: windows without any failure on both sides have no variance, and a success rate has no finer
-/// resolution than this.
+/// Minimum standard error. Pairs without any failure have zero variance, and success rates have no finer resolution
+/// than this.
 const MIN_STANDARD_ERROR: f64 = 1e-3;
 
-/// Settings of the comparison.
+/// Configuration of the canary analysis.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AnalysisConfig {
-    /// Length of a window (ms): reports of one window are compared with each other.
+    /// Length of a window (ms). Success rates are compared within one window only.
     pub window_ms: f64,
     /// Significance level: probability of a false alarm over all evaluations of a release.
     pub significance: f64,
-    /// Minimum difference of the success rate that counts.
+    /// Minimum drop of the success rate that counts as worse.
     pub min_difference: f64,
     /// Minimum number of pairs; with fewer the analysis is inconclusive.
     pub min_pairs: usize,
-    /// Minimum number of requests on each side of a pair.
+    /// Minimum number of requests of each group in a pair.
     pub min_requests: u32,
 }
 
@@ -41,17 +41,17 @@
     }
 }
 
-/// Requests of one side in a window.
+/// Number of requests of one dispatcher or group.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct RequestCount {
-    /// Requests that succeeded.
+    /// Number of requests that succeeded.
     pub succeeded: u32,
-    /// All requests.
+    /// Number of all requests.
     pub total: u32,
 }
 
 impl RequestCount {
-    /// Adds the requests of one dispatcher. A malformed report, with more successes than requests, is left out.
+    /// Adds the requests of one dispatcher. A malformed count, with more successes than requests, is ignored.
     pub fn add(&mut self, other: RequestCount) {
         if other.succeeded <= other.total {
             self.succeeded = self.succeeded.saturating_add(other.succeeded);
@@ -64,7 +64,7 @@
     }
 }
 
-/// A side of the comparison.
+/// A group of dispatchers that is compared with the other group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Group {
     /// Dispatchers that have not been released.
@@ -76,23 +76,23 @@
 /// Result of an evaluation.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum AnalysisResult {
-    /// There are too few pairs.
+    /// There are too few pairs for a test.
     Inconclusive {
         /// Number of pairs.
         pairs: usize,
     },
-    /// Not significantly worse.
+    /// The released dispatchers are not significantly worse.
     NotWorse {
         /// Number of pairs.
         pairs: usize,
-        /// Mean difference of the success rate, below 0 where the released dispatchers perform worse.
+        /// Mean difference of the success rate, negative if the released dispatchers perform worse.
         mean_difference: f64,
     },
-    /// Significantly worse.
+    /// The released dispatchers are significantly worse.
     Worse {
         /// Number of pairs.
         pairs: usize,
-        /// Mean difference of the success rate, below 0.
+        /// Mean difference of the success rate, negative.
         mean_difference: f64,
     },
 }
@@ -103,33 +103,34 @@
     released: RequestCount,
 }
 
-/// The comparison of one release.
+/// The canary analysis of one release.
 #[derive(Debug, Clone, Default)]
 pub struct CanaryAnalysis {
-    /// Windows that are not closed, by their number and zone.
-    open: BTreeMap<(u64, u32), Window>,
+    /// Open windows, by window number and zone.
+    open_windows: BTreeMap<(u64, u32), Window>,
+    /// Difference of the success rate in each pair, the oldest first.
     differences: Vec<f64>,
-    /// Number of evaluations that had enough pairs, and new ones among them.
+    /// Number of evaluations that had enough pairs, at least one of them new.
     evaluations: u32,
     /// Number of pairs at the last of these evaluations.
     evaluated_pairs: usize,
 }
 
 impl CanaryAnalysis {
-    /// Adds the requests of a dispatcher in a window.
+    /// Adds a dispatcher's requests to a window. Requests of a new window are ignored while too many windows are open.
     pub fn report(&mut self, window: u64, zone: u32, group: Group, requests: RequestCount) {
         let key = (window, zone);
-        if self.open.len() >= MAX_OPEN_WINDOWS && !self.open.contains_key(&key) {
+        if self.open_windows.len() >= MAX_OPEN_WINDOWS && !self.open_windows.contains_key(&key) {
             return;
         }
-        let counts = self.open.entry(key).or_default();
+        let counts = self.open_windows.entry(key).or_default();
         match group {
             Group::Baseline => counts.baseline.add(requests),
             Group::Released => counts.released.add(requests),
         }
     }
 
-    /// Closes the windows before this one, and evaluates the pairs.
+    /// Closes the windows before `window` and evaluates all pairs.
     ///
     /// The n-th evaluation with new pairs spends 1/(n(n+1)) of the significance. These fractions add up to one, so that
     /// frequent evaluation does not raise the probability of a false alarm.
@@ -161,8 +162,8 @@
     }
 
     fn close_windows_before(&mut self, window: u64, min_requests: u32) {
-        let still_open = self.open.split_off(&(window, 0));
-        let closed = std::mem::replace(&mut self.open, still_open);
+        let still_open = self.open_windows.split_off(&(window, 0));
+        let closed = std::mem::replace(&mut self.open_windows, still_open);
         for counts in closed.values() {
             if counts.baseline.total >= min_requests && counts.released.total >= min_requests {
                 let difference = counts.released.success_rate() - counts.baseline.success_rate();
@@ -174,14 +175,14 @@
     }
 }
 
-struct TestResult {
+struct TTestResult {
     mean: f64,
     p_value: f64,
 }
 
-/// One-sided paired t test (Student, "The probable error of a mean", 1908): the mean of the differences, and the
-/// probability of a mean as low if the true difference is zero.
-fn paired_t_test(differences: &[f64]) -> TestResult {
+/// One-sided paired t test (Student, "The probable error of a mean", 1908): returns the mean of the
+/// differences, and the probability of a mean at least as low if the true difference is zero.
+fn paired_t_test(differences: &[f64]) -> TTestResult {
     let count = differences.len() as f64;
     let mean = differences.iter().sum::<f64>() / count;
     let squares = differences
@@ -191,7 +192,7 @@
     let standard_error = (variance / count).sqrt().max(MIN_STANDARD_ERROR);
     let p_value = StudentsT::new(0.0, 1.0, count - 1.0)
         .map_or(1.0, |distribution| distribution.cdf(mean / standard_error));
-    TestResult { mean, p_value }
+    TTestResult { mean, p_value }
 }
 
 #[cfg(test)]
--- a/crates/rollout/src/canary_analysis/tests.rs
+++ b/crates/rollout/src/canary_analysis/tests.rs
@@ -6,8 +6,9 @@
     RequestCount { succeeded, total }
 }
 
-/// The window in which a release is found to be worse. `success_rates`: of the baseline and the released dispatchers;
-/// `variation`: the highest failure rate that both share in a window.
+/// Returns the first window in which the release is found to be worse. `success_rates`: those of the baseline and of
+/// the released dispatchers; `variation`: upper bound of the additional failure rate that both groups share in a
+/// window.
 fn window_found_worse(
     seed: u64,
     windows: u64,
@@ -37,27 +38,27 @@
 }
 
 #[test]
-fn worse_release_is_found_and_equal_one_seldom_called_worse_even_when_failures_vary_over_time() {
+fn worse_release_is_detected_and_equal_release_is_rarely_called_worse_while_failure_rates_vary() {
     for variation in [0.0, 0.5] {
-        let found = (0..200)
+        let detected = (0..200)
             .filter(|seed| window_found_worse(*seed, 60, [0.97, 0.85], variation).is_some())
             .count();
         let false_positives = (0..200)
             .filter(|seed| window_found_worse(*seed, 60, [0.97, 0.97], variation).is_some())
             .count();
         assert!(
-            found >= 190,
-            "{found} of 200 found at a variation of {variation}"
+            detected >= 190,
+            "{detected} of 200 worse releases detected at a variation of {variation}"
         );
         assert!(
             false_positives <= 8,
-            "{false_positives} of 200 false at a variation of {variation}"
+            "{false_positives} of 200 equal releases called worse at a variation of {variation}"
         );
     }
 }
 
 #[test]
-fn too_few_requests_are_inconclusive_and_malformed_reports_are_left_out() {
+fn too_few_requests_are_inconclusive_and_malformed_reports_are_ignored() {
     let mut analysis = CanaryAnalysis::default();
     for window in 0..50 {
         analysis.report(window, 1, Group::Baseline, requests(4, 4));
@@ -74,7 +75,7 @@
 fn zone_that_fails_as_a_whole_does_not_count_against_the_release() {
     let mut analysis = CanaryAnalysis::default();
     for window in 0..50 {
-        // All dispatchers of zone 1 fail, and only in that zone some are released.
+        // In zone 1 half of the requests fail in both groups, and only zone 1 has released dispatchers.
         analysis.report(window, 1, Group::Baseline, requests(20, 40));
         analysis.report(window, 1, Group::Released, requests(20, 40));
         analysis.report(window, 2, Group::Baseline, requests(40, 40));
--- a/crates/rollout/src/codec.rs
+++ b/crates/rollout/src/codec.rs
@@ -1,4 +1,4 @@
-//! The datagrams of [`crate::message`]. All numbers are big-endian; records are those of
+//! Encoding of the messages of [`crate::message`] as datagrams. All numbers are big-endian; records are encoded by
 //! [`tansymux_coordination::codec`].
 //!
 //! | message | layout (bytes) |
@@ -17,7 +17,7 @@
 //!
 //! The layouts of commands and answers are in `codec/command.rs` and `codec/answer.rs`.
 //!
-//! Bytes after a message of fixed length are ignored, as are those after
+//! Bytes after a message of fixed length are ignored, and so are bytes beyond
 //! [`tansymux_coordination::codec::MAX_DATAGRAM_BYTES`].
 
 mod answer;
@@ -34,13 +34,13 @@
 use tansymux_zone_evacuation::codec as zone_codec;
 use tansymux_zone_evacuation::codec::LeaderReply;
 
-/// Length of the longest head in front of records (bytes): that of gossip.
-const MAX_HEAD_BYTES: usize = 1 + 8 + 4;
-/// Number of records that fit in any of these messages.
-pub const MAX_RECORDS_PER_MESSAGE: usize = (MAX_DATAGRAM_BYTES - MAX_HEAD_BYTES) / RECORD_BYTES;
+/// Length of the longest header before records (bytes): the header of a gossip message.
+const MAX_HEADER_BYTES: usize = 1 + 8 + 4;
+/// Maximum number of records in one message.
+pub const MAX_RECORDS_PER_MESSAGE: usize = (MAX_DATAGRAM_BYTES - MAX_HEADER_BYTES) / RECORD_BYTES;
 
 wire_enum! {
-    /// The first byte of a message. Lower codes are those of the voters.
+    /// The first byte of a message. Lower codes belong to the voters' messages.
     enum MessageKind {
         /// [`Message::Report`].
         Report = 16,
@@ -88,7 +88,7 @@
 /// The lowest code of [`MessageKind`].
 const FIRST_CODE: u8 = MessageKind::Report.code();
 
-/// Whether a datagram has one of these messages, not a voter's.
+/// Whether a datagram contains one of these messages, as opposed to a voter's.
 pub fn is_rollout_message(datagram: &[u8]) -> bool {
     datagram.first().is_some_and(|code| *code >= FIRST_CODE)
 }
--- a/crates/rollout/src/codec/answer.rs
+++ b/crates/rollout/src/codec/answer.rs
@@ -24,7 +24,7 @@
 use tansymux_zone_evacuation::codec as zone_codec;
 use tansymux_zone_evacuation::codec::LeaderReply;
 
-/// The code of an optional value that is absent.
+/// Code of an absent optional value.
 const NO_CODE: u8 = u8::MAX;
 
 wire_enum! {
@@ -223,8 +223,8 @@
 fn decode_zone_list(reader: &mut ByteReader) -> Result<ZoneList, DecodeError> {
     let plan = decode_zone_plan(reader)?;
     let mut list = ZoneList::default();
-    for (entry, zone) in list.iter_mut().zip(plan.zones) {
-        *entry = Some(zone);
+    for (slot, entry) in list.iter_mut().zip(plan.zones) {
+        *slot = Some(entry);
     }
     Ok(list)
 }
--- a/crates/rollout/src/engine_outcomes.rs
+++ b/crates/rollout/src/engine_outcomes.rs
@@ -1,15 +1,15 @@
-//! Whether an engine fails, as one dispatcher observes it. The dispatcher reports the engine; the leader ejects it when
-//! enough dispatchers agree and the disruption budget allows it.
+//! Detection of a failing engine by the outcomes of one dispatcher's attempts. The dispatcher reports the engine; the
+//! leader ejects it when enough dispatchers agree and the disruption budget allows it.
 
 use std::collections::BTreeMap;
 use tansymux_coordination::Id;
 
-/// Length of a counting interval (ms). The present and the previous interval count.
+/// Length of a counting interval (ms). Attempts of the current and the previous interval count.
 const INTERVAL_MS: f64 = 5000.0;
-/// Limit on the engines whose outcomes are counted.
+/// Maximum number of engines whose outcomes are counted.
 const MAX_ENGINES: usize = 1024;
 
-/// When an engine counts as failing.
+/// Threshold from which an engine counts as failing.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct FailureThreshold {
     /// Minimum number of attempts.
@@ -52,7 +52,7 @@
     previous: AttemptCount,
 }
 
-/// Outcomes of recent attempts, by engine.
+/// Counts of recent attempts and failures, by engine.
 #[derive(Debug, Clone, Default)]
 pub struct EngineOutcomes {
     engines: BTreeMap<Id, EngineCounts>,
@@ -60,7 +60,8 @@
 }
 
 impl EngineOutcomes {
-    /// Counts an attempt that ended, if its outcome is evidence for or against the engine.
+    /// Counts an attempt whose outcome is evidence for or against the engine. Attempts on a new engine are ignored
+    /// while the table is full.
     pub fn record(&mut self, engine: Id, failed: bool, now_ms: f64) {
         self.rotate_intervals(now_ms);
         if self.engines.len() >= MAX_ENGINES && !self.engines.contains_key(&engine) {
@@ -92,8 +93,9 @@
             .retain(|_, counts| counts.current.total > 0 || counts.previous.total > 0);
     }
 
-    /// The engine with the highest failure fraction, if that reaches the threshold and the fraction of all other engines
-    /// together is below half of it. If all engines fail, the cause is elsewhere.
+    /// Returns the engine with the highest failure fraction, if it reaches the threshold. All other engines together
+    /// must have enough attempts and a failure fraction below half of the threshold: if all engines fail, the cause is
+    /// elsewhere.
     pub fn failing_engine(&mut self, threshold: &FailureThreshold, now_ms: f64) -> Option<Id> {
         self.rotate_intervals(now_ms);
         let totals = self
@@ -112,9 +114,9 @@
         let others = totals
             .filter(|(id, _)| *id != worst)
             .fold(AttemptCount::default(), |sum, (_, count)| sum.plus(count));
-        let others_are_sound = others.total >= threshold.min_attempts
+        let others_are_healthy = others.total >= threshold.min_attempts
             && others.failure_fraction() < threshold.failure_fraction / 2.0;
-        others_are_sound.then_some(worst)
+        others_are_healthy.then_some(worst)
     }
 }
 
--- a/crates/rollout/src/engine_outcomes/tests.rs
+++ b/crates/rollout/src/engine_outcomes/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn one_failing_engine_among_sound_ones_is_reported_until_its_failures_are_old() {
+fn failing_engine_among_healthy_engines_is_reported_until_its_failures_expire() {
     let mut outcomes = EngineOutcomes::default();
     for n in 0..40 {
         outcomes.record(1 + n % 4, n % 4 == 2, 100.0);
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn no_engine_is_reported_where_all_fail_or_too_few_attempts_ended() {
+fn no_engine_is_reported_if_all_engines_fail_or_too_few_attempts_are_counted() {
     let threshold = FailureThreshold::default();
     let mut all_fail = EngineOutcomes::default();
     (0..40).for_each(|n| all_fail.record(n % 4, true, 0.0));
--- a/crates/rollout/src/fleet_client.rs
+++ b/crates/rollout/src/fleet_client.rs
@@ -1,4 +1,4 @@
-//! A client of the fleet: sends one command to one member. It does no I/O.
+//! Client that sends one command to one member of the fleet. It does no I/O.
 
 use crate::codec;
 use crate::message::{Answer, Command, Message};
@@ -10,13 +10,13 @@
 
 /// Retransmission interval of an unanswered message (ms).
 const RETRY_INTERVAL_MS: f64 = 200.0;
-/// Time after which a call without an answer has timed out (ms).
+/// Time after which an unanswered call times out (ms).
 const CALL_TIMEOUT_MS: f64 = 6000.0;
 
-/// An output of a client, to be executed by the caller.
+/// An action of a client, to be executed by the caller.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ClientAction {
-    /// Send a datagram to the member that is called. It may be lost.
+    /// Send a datagram to the called member. It may be lost.
     Send {
         /// The bytes.
         datagram: Vec<u8>,
@@ -31,13 +31,13 @@
     call: u64,
     nonce: Option<u64>,
     command: Command,
-    since_ms: f64,
+    started_ms: f64,
     next_poll_ms: f64,
     answer: Option<Answer>,
 }
 
 impl FleetClient {
-    /// A call that begins now. `seed` has to be drawn for each call.
+    /// Creates a call that starts at `now_ms`. `seed` must be drawn at random for each call.
     pub fn new(keys: Keys, command: Command, now_ms: f64, seed: u64) -> Self {
         let mut rng = Pcg32::seed_from_u64(seed);
         let id = rng.random();
@@ -48,13 +48,13 @@
             call,
             nonce: None,
             command,
-            since_ms: now_ms,
+            started_ms: now_ms,
             next_poll_ms: now_ms,
             answer: None,
         }
     }
 
-    /// The answer; [`Answer::NoLeader`] once the call timed out.
+    /// The answer; [`Answer::NoLeader`] if the call timed out, `None` while it is in progress.
     pub fn answer(&self) -> Option<Answer> {
         self.answer
     }
@@ -80,9 +80,9 @@
         }
     }
 
-    /// The next action; `None`: nothing is due before [`FleetClient::next_poll_ms`], or the call is over.
+    /// Returns the next action; `None`: nothing is due before [`FleetClient::next_poll_ms`], or the call is over.
     pub fn poll(&mut self, now_ms: f64) -> Option<ClientAction> {
-        if now_ms - self.since_ms >= CALL_TIMEOUT_MS {
+        if now_ms - self.started_ms >= CALL_TIMEOUT_MS {
             self.answer.get_or_insert(Answer::NoLeader);
         }
         if self.answer.is_some() || now_ms < self.next_poll_ms {
@@ -103,7 +103,7 @@
         Some(ClientAction::Send { datagram })
     }
 
-    /// When to poll again (ms).
+    /// When to poll next (ms).
     pub fn next_poll_ms(&self) -> f64 {
         self.next_poll_ms
     }
--- a/crates/rollout/src/fleet_node.rs
+++ b/crates/rollout/src/fleet_node.rs
@@ -1,4 +1,4 @@
-//! A member of a fleet: connects membership, the voter, the rollout controller, the agent and the zone coordinator.
+//! A member of a fleet: combines membership, the voter, the rollout controller, the agent and the zone coordinator.
 
 mod interface;
 mod messages;
@@ -21,7 +21,8 @@
     member_id_of, Event as MembershipEvent, Keys, MemberState, SwimDetector,
 };
 
-/// Limit on the rounds in one poll in which a member handles messages to itself; each round may send more of them.
+/// Maximum number of rounds in one poll that handle the member's messages to itself. Messages sent in a round are
+/// handled in the next round.
 const MAX_LOCAL_ROUNDS: usize = 4;
 
 /// A member. Drive it with [`FleetNode::handle`] and [`FleetNode::poll`].
@@ -33,7 +34,7 @@
     controller: RolloutController,
     agent: MemberAgent,
     zones: Option<ZoneCoordinator>,
-    /// Messages of the member to itself.
+    /// Messages from the member to itself that have not been handled yet.
     local_messages: Vec<Message>,
     now_ms: f64,
     outbox: Outbox<FleetAction>,
@@ -41,7 +42,7 @@
 }
 
 impl FleetNode {
-    /// A member at its start. `seed` has to be drawn at each start.
+    /// Creates a member at its start. `seed` must be drawn at random at each start.
     pub fn new(config: &FleetConfig, now_ms: f64, seed: u64) -> Self {
         let mut rng = Pcg32::seed_from_u64(seed);
         let id = member_id_of(&config.name);
@@ -85,12 +86,12 @@
         self.detector.id()
     }
 
-    /// The member's session: drawn at each start.
+    /// The member's session, drawn at random at each start.
     pub fn session(&self) -> u32 {
         self.agent.session()
     }
 
-    /// Membership as this member knows it.
+    /// The failure detector with this member's view of the membership.
     pub fn detector(&self) -> &SwimDetector {
         &self.detector
     }
@@ -100,17 +101,17 @@
         self.quorum.as_ref()
     }
 
-    /// The copies of the quorum records, and the reports.
+    /// The agent, with the member's copies of the quorum records.
     pub fn agent(&self) -> &MemberAgent {
         &self.agent
     }
 
-    /// The present role of the voter, if the member is one.
+    /// The current role of the voter, if the member is one.
     pub fn role(&self) -> Option<Role> {
         self.quorum.as_ref().map(QuorumNode::role)
     }
 
-    /// Replaces the part of the configuration that may change at run time.
+    /// Replaces the part of the configuration that can change at run time.
     pub fn set_config(
         &mut self,
         rollout: RolloutConfig,
@@ -124,12 +125,12 @@
         self.detector.set_keys(keys);
     }
 
-    /// Replaces the status of this dispatcher, for the next reports.
+    /// Replaces the dispatcher status that the next reports contain.
     pub fn set_status(&mut self, status: MemberStatus) {
         self.agent.set_status(status);
     }
 
-    /// Replaces the engines by those of this dispatcher's endpoint list.
+    /// Replaces the known engines by those of this dispatcher's endpoint list.
     pub fn set_engines(&mut self, engines: &[Unit]) {
         self.controller.set_engines(engines);
         if let Some(zones) = &mut self.zones {
@@ -137,7 +138,7 @@
         }
     }
 
-    /// Replaces this dispatcher's observations of zones. `is_isolated`: the dispatcher reaches no zone.
+    /// Replaces this dispatcher's observations of zones. `is_isolated`: whether the dispatcher reaches no zone.
     pub fn observe_zones(
         &mut self,
         evidence: Vec<tansymux_zone_evacuation::Evidence>,
@@ -148,7 +149,8 @@
         }
     }
 
-    /// The use of a zone that this member is allowed; the local decision applies where the fleet has agreed on none.
+    /// Returns how this member may use a zone by the fleet's decision. If the fleet has not decided on the zone, the
+    /// local decision applies.
     pub fn zone_use(&self, zone: u32) -> tansymux_zone_evacuation::ZoneUse {
         match &self.zones {
             Some(zones) => zones.follower.zone_use(zone, self.now_ms),
@@ -156,12 +158,12 @@
         }
     }
 
-    /// The zone coordinator, where zones are configured.
+    /// The zone coordinator; `None` if zone evacuation is not configured.
     pub fn zones(&self) -> Option<&ZoneCoordinator> {
         self.zones.as_ref()
     }
 
-    /// Why an engine is unavailable by a quorum record, if it is.
+    /// The reason of an engine's disruption record; `None` if there is no such record in force.
     pub fn engine_disruption(&self, engine: Id) -> Option<DisruptionReason> {
         let engine_key = Record::unit_key(UnitKind::Engine, engine);
         self.agent
@@ -170,12 +172,12 @@
             .map(|(_, reason)| reason)
     }
 
-    /// Number of engines that are unavailable by a quorum record.
+    /// Number of engines with a disruption record in force.
     pub fn unavailable_engine_count(&self) -> usize {
         self.agent.unavailable_engines(self.now_ms).count()
     }
 
-    /// Handles an event. [`FleetNode::poll`] returns the actions that follow from it.
+    /// Handles an event. [`FleetNode::poll`] returns the resulting actions.
     pub fn handle(&mut self, event: FleetEvent, now_ms: f64) {
         match event {
             FleetEvent::DatagramReceived { from, datagram } => {
@@ -211,8 +213,8 @@
         }
     }
 
-    /// The next action. Call this function until it returns `None`: nothing is due before [`FleetNode::next_poll_ms`]
-    /// then.
+    /// Returns the next action. Call this function until it returns `None`, which means that nothing more is due before
+    /// [`FleetNode::next_poll_ms`].
     pub fn poll(&mut self, now_ms: f64) -> Option<FleetAction> {
         if self.outbox.begin_poll() {
             self.run_timers(now_ms);
@@ -220,7 +222,7 @@
         self.outbox.pop()
     }
 
-    /// When to poll again (ms), if no event comes before.
+    /// When to poll next (ms), unless an event arrives earlier.
     pub fn next_poll_ms(&self) -> f64 {
         self.next_poll_ms
     }
@@ -239,10 +241,10 @@
         }
         let output = self.detector.poll(now_ms);
         self.wake_at(output.next_poll_ms);
-        for sent in output.datagrams {
+        for datagram in output.datagrams {
             self.outbox.push(FleetAction::Send {
-                to: sent.to,
-                datagram: sent.bytes,
+                to: datagram.to,
+                datagram: datagram.bytes,
             });
         }
     }
@@ -272,7 +274,7 @@
             let members = members.chain([(own_id, true)]);
             zones.evaluate(&self.controller, quorum, members, now_ms);
         }
-        // The agent of a voter has all records of the voter.
+        // A voter's agent copies all records of the voter.
         self.agent.merge(quorum.records(), now_ms);
         let next_ms = quorum.next_poll_ms();
         self.wake_at(next_ms);
--- a/crates/rollout/src/fleet_node/interface.rs
+++ b/crates/rollout/src/fleet_node/interface.rs
@@ -1,4 +1,4 @@
-//! Configuration, input and output of a member.
+//! Configuration, events and actions of a member.
 
 use crate::rollout_config::RolloutConfig;
 use std::net::SocketAddr;
@@ -10,36 +10,36 @@
 pub struct FleetConfig {
     /// The member's name, unique in the fleet.
     pub name: String,
-    /// The address at which other members reach it.
+    /// The address at which other members reach this member.
     pub address: SocketAddr,
     /// Names of the voters.
     pub voters: Vec<String>,
-    /// Failure detection.
+    /// Configuration of the failure detection.
     pub membership: tansymux_membership::Config,
     /// Timing of the voters.
     pub quorum: QuorumConfig,
-    /// Keys of the datagrams.
+    /// Keys that authenticate the datagrams.
     pub keys: Keys,
     /// Whether no voter has ever voted, as at the first start of an installation.
     pub fresh: bool,
     /// The restart lease under which the member is started, so that others recognize its return; 0: none.
     pub grant_id: u64,
-    /// Rollouts and disruption budgets.
+    /// Configuration of rollouts and disruption budgets.
     pub rollout: RolloutConfig,
-    /// How the fleet evacuates zones; `None`: each member decides for itself.
+    /// Configuration of zone evacuation by the fleet; `None`: each member decides for itself.
     pub zones: Option<ZoneEvacuation>,
 }
 
-/// The part of the configuration that evacuates zones as a fleet.
+/// Configuration of zone evacuation by the fleet.
 #[derive(Debug, Clone)]
 pub struct ZoneEvacuation {
     /// Hash of the name of this member's zone.
     pub local_zone: u32,
-    /// When the fleet leaves a zone, and how it returns.
+    /// Conditions for evacuating a zone, and the recovery ramp.
     pub config: tansymux_zone_evacuation::Config,
 }
 
-/// An input of a member.
+/// An event for a member to handle.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum FleetEvent<'a> {
     /// A datagram arrived.
@@ -53,7 +53,7 @@
     LeaveRequested,
 }
 
-/// An output of a member, to be executed by the caller.
+/// An action of a member, to be executed by the caller.
 #[derive(Debug, Clone, PartialEq)]
 pub enum FleetAction {
     /// Send a datagram. It may be lost.
--- a/crates/rollout/src/fleet_node/messages.rs
+++ b/crates/rollout/src/fleet_node/messages.rs
@@ -11,13 +11,14 @@
 };
 use tansymux_membership::{MemberState, UserMessage};
 
-/// Limit on the datagrams with records in an answer.
+/// Maximum number of messages with records in one answer.
 const MAX_GOSSIP_MESSAGES: usize = 4;
-/// Time after which gossip begins at the next record (ms), so that later answers contain the records that one leaves out.
-const GOSSIP_ROTATION_MS: usize = 7;
+/// Interval at which the first record of gossip advances by one (ms), so that later answers contain records that did
+/// not fit into this one.
+const GOSSIP_ROTATION_INTERVAL_MS: usize = 7;
 
 impl FleetNode {
-    /// Handles a message from a datagram of membership.
+    /// Handles a user message that membership received.
     pub(super) fn on_user_message(&mut self, message: UserMessage) {
         let UserMessage {
             from,
@@ -44,7 +45,7 @@
             } => self
                 .agent
                 .on_call(call, nonce, command, address, self.now_ms),
-            // A client that is not a member may only call.
+            // A sender that is not a member may only make client calls.
             message if is_member => self.on_message(from, message),
             _ => {}
         }
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Handles a message of a member, this one included.
+    /// Handles a message from a member, which may be this member itself.
     pub(super) fn on_message(&mut self, from: Id, message: Message) {
         let now_ms = self.now_ms;
         match message {
@@ -129,7 +130,7 @@
         self.send(Destination::Member(from), &Message::Answer { call, answer });
     }
 
-    /// Handles a member's report to a voter: the answer names the leader, and contains records that the member lacks.
+    /// Handles a member's report to a voter. The answer names the leader and contains records that the member lacks.
     fn on_report(&mut self, from: Id, report: &Report) {
         let Some(quorum) = &mut self.quorum else {
             return;
@@ -145,20 +146,20 @@
             records.extend(quorum.records());
         }
         if !records.is_empty() {
-            let first = (now_ms as usize / GOSSIP_ROTATION_MS) % records.len();
+            let first = (now_ms as usize / GOSSIP_ROTATION_INTERVAL_MS) % records.len();
             records.rotate_left(first);
         }
-        let requests_records = quorum.is_leader(now_ms)
+        let should_request = quorum.is_leader(now_ms)
             && self
                 .controller
                 .should_request_records(quorum, from, differs, now_ms);
         self.send_gossip(from, leader, &records);
-        if requests_records {
+        if should_request {
             self.send(Destination::Member(from), &Message::RecordsRequest);
         }
     }
 
-    /// Sends gossip with records to a member; without records it is one message.
+    /// Sends gossip with `records` to a member; one message is sent even if there are no records.
     fn send_gossip(&mut self, to: Id, leader: Id, records: &[LeasedRecord]) {
         let tick = RolloutController::tick(self.now_ms);
         let mut chunks: Vec<&[LeasedRecord]> = records
@@ -178,8 +179,8 @@
         }
     }
 
-    /// Restores records that a member has and the voters have lost: the leader writes those that do not expire again, and
-    /// ends leases.
+    /// Restores records that a member still has and the voters have lost. The leader writes records without expiry
+    /// again, and writes tombstones for all others, such as leases.
     fn restore_records(&mut self, records: &[LeasedRecord]) {
         let Some(quorum) = &mut self.quorum else {
             return;
@@ -199,7 +200,7 @@
     }
 }
 
-/// Whether a record is in force until a tombstone ends it.
+/// Whether a record stays in force until a tombstone ends it.
 fn does_not_expire(value: &RecordValue) -> bool {
     match value {
         RecordValue::Halt { .. } | RecordValue::Release { .. } | RecordValue::Zone { .. } => true,
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -1,29 +1,31 @@
 //! Drains, restart leases and rolling releases of a fleet of dispatchers.
 //!
-//! # What it owns
-//! - [`FleetNode`]: a member, with membership, voter, controller and agent. The program, the tests and the testbed drive
-//!   this one object.
-//! - [`RolloutController`]: the leader's decisions: which units may be unavailable, the stage of a release, and its halts.
-//! - [`rollout_plan`]: canaries and waves; [`canary_analysis`]: whether the released dispatchers perform
-//!   worse.
+//! # Contents
+//! - [`FleetNode`]: a member, with membership, voter, controller and agent. The program, the tests and the testbed all
+//!   drive this type.
+//! - [`RolloutController`]: the leader's decisions: which units may be unavailable, the stage of a release, and its
+//!   halts.
+//! - [`rollout_plan`]: canaries and waves; [`canary_analysis`]: tests whether released dispatchers perform worse.
 //! - [`MemberAgent`]: a member's copies of the records, its reports, and the calls of clients.
 //! - [`FleetClient`] and [`RestartLease`]: the client's side, for a command line or a supervisor.
 //! - [`message`] and [`codec`]: the messages of members.
 //!
-//! It does no I/O and reads no clock: datagrams and times come in, datagrams go out. It never starts or ends a process and
-//! never decides on a query.
+//! The crate does no I/O and reads no clock: datagrams and times come in, datagrams go out. It neither starts nor ends
+//! processes, and takes no decisions about queries.
 //!
-//! # Sources, and what differs
-//! - Rolling updates and disruption budgets as in Kubernetes (Deployment, PodDisruptionBudget). A supervisor restarts each
-//!   dispatcher itself, under a lease; waves go zone by zone, and a halt has to be resumed by its number.
+//! # Sources and differences
+//! - Rolling updates and disruption budgets as in Kubernetes (Deployment, PodDisruptionBudget). Differences: each
+//!   dispatcher is restarted by its own supervisor, under a lease; waves proceed zone by zone; an operator resumes a
+//!   halt by its number.
 //! - Leases and sessions after M. Burrows, "The Chubby lock service" (2006); see crates/coordination.
-//! - Canary analysis with Student's paired t test ("The probable error of a mean", 1908), and a significance that is spent
-//!   over repeated evaluations, as in the alpha spending of Lan and DeMets (1983), here by 1/(n(n+1)).
+//! - Canary analysis with Student's paired t test ("The probable error of a mean", 1908), and a significance that is
+//!   spent over repeated evaluations, as in the alpha spending of Lan and DeMets (1983), here by 1/(n(n+1)).
 //!
 //! # Invariants, checked in `tests/`
-//! - A lease is granted only once a majority accepted it, and ends for its holder before the leader counts it as free.
+//! - A lease is granted only once a majority has accepted it, and ends for its holder before it ends for the leader.
 //! - A lost member counts as unavailable until it rejoins or the operators forget it.
-//! - A halt is in force until that halt is resumed; no release continues before.
+//! - A halt stays in force until it is resumed by its number or the release is rolled back; no release continues
+//!   before.
 //! - All tables, calls and queues are bounded.
 //!
 //! Start reading at [`FleetNode::poll`], then [`RolloutController::on_command`].
--- a/crates/rollout/src/member_agent.rs
+++ b/crates/rollout/src/member_agent.rs
@@ -1,5 +1,5 @@
-//! The part of a member that every one has: it copies the quorum records, reports its status to the leader, and forwards
-//! clients' commands to it.
+//! The agent that every member runs, voter or not: it copies the quorum records, reports the member's status to the
+//! leader, and forwards clients' commands to the leader.
 
 use crate::call_table::CallTable;
 use crate::message::{Answer, Command, Message, Report};
@@ -11,11 +11,12 @@
 
 /// Mean interval between two reports (ms).
 const REPORT_INTERVAL_MS: f64 = 1000.0;
-/// Width of the range that the interval between two reports is drawn from, as a fraction of its mean.
+/// Width of the jitter range of the report interval, as a fraction of the mean interval.
 const REPORT_JITTER: f64 = 0.2;
-/// Time after which a leader that no gossip named is no longer known (ms).
+/// Time after which a known leader expires, unless gossip names it again (ms).
 const LEADER_TIMEOUT_MS: f64 = 4000.0;
-/// The status of a dispatcher, for its reports.
+
+/// The status of a dispatcher that its reports contain.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct MemberStatus {
     /// The dispatcher's zone.
@@ -43,7 +44,7 @@
     Client(SocketAddr),
 }
 
-/// An output of an agent, to be executed by the caller.
+/// An action of an agent, to be executed by the caller.
 #[derive(Debug, Clone, PartialEq)]
 pub enum AgentAction {
     /// Send a message. It may be lost.
@@ -55,14 +56,14 @@
     },
 }
 
-/// The leader, as gossip last named it.
+/// The leader that gossip named last.
 #[derive(Debug, Clone, Copy)]
 struct KnownLeader {
     id: Id,
     named_at_ms: f64,
 }
 
-/// The last tick that arrived.
+/// The tick in the last gossip, and the voter that sent it.
 #[derive(Debug, Clone, Copy)]
 struct ReceivedTick {
     from: Id,
@@ -76,7 +77,7 @@
     pub from: Id,
     /// The leader that the voter knows; 0: none.
     pub leader: Id,
-    /// The voter's time (ms), the low 32 bits.
+    /// Low 32 bits of the voter's time (ms).
     pub tick: u32,
     /// Records that this member lacked.
     pub records: Vec<LeasedRecord>,
@@ -102,7 +103,8 @@
 }
 
 impl MemberAgent {
-    /// The agent of a member that was started under a restart lease (0: none). `seed` has to be drawn at each start.
+    /// Creates the agent of a member that was started under the restart lease `grant_id` (0: none). `seed` must be
+    /// drawn at random at each start.
     pub fn new(id: Id, voters: &[Id], grant_id: u64, seed: u64) -> Self {
         let mut rng = Pcg32::seed_from_u64(seed);
         let session = rng.random::<u32>() | 1;
@@ -123,17 +125,17 @@
         }
     }
 
-    /// The member's session: drawn at each start.
+    /// The member's session, drawn at random at each start.
     pub fn session(&self) -> u32 {
         self.session
     }
 
-    /// Replaces the status of the dispatcher, for the next reports.
+    /// Replaces the dispatcher status that the next reports contain.
     pub fn set_status(&mut self, status: MemberStatus) {
         self.status = status;
     }
 
-    /// The leader, if gossip named it recently.
+    /// The leader, unless it has expired because gossip no longer names it.
     pub fn leader(&self, now_ms: f64) -> Option<Id> {
         self.leader
             .filter(|known| now_ms - known.named_at_ms < LEADER_TIMEOUT_MS)
@@ -145,7 +147,7 @@
         self.copies.records(now_ms)
     }
 
-    /// Keys and reasons of the engines that are unavailable by a record.
+    /// Keys and reasons of the unexpired disruption records of engines.
     pub fn unavailable_engines(
         &self,
         now_ms: f64,
@@ -153,12 +155,13 @@
         self.copies.unavailable_engines(now_ms)
     }
 
-    /// Number of the halt, if the member knows of one.
+    /// Number of the halt, if the member has a copy of one.
     pub fn halt(&self) -> Option<u32> {
         self.copies.halt()
     }
 
-    /// Merges records into the copies: the later record of a key wins, and an unexpired one over an expired one.
+    /// Merges records into the copies. Of two records with one key, an unexpired record replaces an expired one;
+    /// otherwise the later record replaces the earlier one.
     pub fn merge(&mut self, records: impl Iterator<Item = LeasedRecord>, now_ms: f64) {
         self.copies.merge(records, now_ms);
     }
@@ -168,7 +171,7 @@
         self.copies.digest()
     }
 
-    /// The report to a voter.
+    /// Returns a report to a voter.
     pub fn report(&self, to: Id) -> Report {
         let echoed_tick = self.received_tick.filter(|received| received.from == to);
         Report {
@@ -189,14 +192,15 @@
 
     /// Handles a voter's answer to a report.
     pub fn on_gossip(&mut self, gossip: Gossip, now_ms: f64) {
-        // A reordered datagram may set an older tick for a while, which the voter recognizes. Ticks are not compared here,
-        // because the voter's clock may have been set back.
+        // A reordered datagram may set an older tick until the next gossip arrives; the voter detects older ticks.
+        // Ticks are not compared here, because the voter's clock may have been set back.
         self.received_tick = Some(ReceivedTick {
             from: gossip.from,
             tick: gossip.tick,
         });
         if gossip.leader != 0 {
-            // A voter's knowledge of a leader other than itself may be outdated.
+            // A voter's knowledge of a leader other than itself may be outdated, so it does not extend the time for
+            // which that leader stays known.
             let is_known = self.leader(now_ms) == Some(gossip.leader);
             if gossip.from == gossip.leader || !is_known {
                 self.leader = Some(KnownLeader {
@@ -210,14 +214,15 @@
         self.merge(gossip.records.into_iter(), now_ms);
     }
 
-    /// Handles a client's request for a nonce. There is no answer while the table of calls is full; the client retries.
+    /// Handles a client's request for a nonce. While the table of calls is full, no answer is sent and the client
+    /// retries.
     pub fn on_hello(&mut self, call: u64, from: SocketAddr, now_ms: f64) {
         if let Some(nonce) = self.calls.nonce_for(call, from, now_ms, &mut self.rng) {
             self.send(Destination::Client(from), Message::Nonce { call, nonce });
         }
     }
 
-    /// Handles a client's command. A retried call sends no second command to the leader.
+    /// Handles a client's command. A retransmitted call does not send the command to the leader a second time.
     pub fn on_call(
         &mut self,
         call: u64,
@@ -232,7 +237,7 @@
         }
     }
 
-    /// The command with this member's id where the client named no dispatcher.
+    /// Returns the command with this member's id if the client named no dispatcher.
     fn with_own_id(&self, command: Command) -> Command {
         match command {
             Command::RequestLease {
@@ -271,8 +276,8 @@
         }
     }
 
-    /// The next action. Call this function until it returns `None`: nothing is due before
-    /// [`MemberAgent::next_poll_ms`] then.
+    /// Returns the next action. Call this function until it returns `None`, which means that nothing more is due before
+    /// [`MemberAgent::next_poll_ms`].
     pub fn poll(&mut self, now_ms: f64) -> Option<AgentAction> {
         if self.outbox.begin_poll() {
             self.run_timers(now_ms);
@@ -280,7 +285,7 @@
         self.outbox.pop()
     }
 
-    /// When to poll again (ms), if no message arrives before.
+    /// When to poll next (ms), unless a message arrives earlier.
     pub fn next_poll_ms(&self) -> f64 {
         self.next_poll_ms
     }
@@ -305,8 +310,8 @@
     }
 
     fn send_report(&mut self, leader: Option<Id>, now_ms: f64) {
-        let spread = 1.0 - REPORT_JITTER / 2.0 + REPORT_JITTER * self.rng.random::<f64>();
-        self.next_report_ms = now_ms + REPORT_INTERVAL_MS * spread;
+        let jitter_factor = 1.0 - REPORT_JITTER / 2.0 + REPORT_JITTER * self.rng.random::<f64>();
+        self.next_report_ms = now_ms + REPORT_INTERVAL_MS * jitter_factor;
         if let Some(to) = leader.or_else(|| self.random_voter()) {
             let report = self.report(to);
             self.send(Destination::Member(to), Message::Report(report));
--- a/crates/rollout/src/message.rs
+++ b/crates/rollout/src/message.rs
@@ -1,4 +1,4 @@
-//! The messages of members and clients, other than the voters'. [`crate::codec`] encodes them.
+//! Messages of members and clients, other than those that voters exchange. [`crate::codec`] encodes them.
 
 use crate::rollout_plan::Release;
 use tansymux_coordination::disruption_budget::{HaltReason, Scope};
@@ -17,7 +17,7 @@
     pub zone: u32,
     /// The member's version.
     pub version: u32,
-    /// The member's session: drawn at each start.
+    /// The member's session, drawn at random at each start.
     pub session: u32,
     /// Fraction of the capacity that is in use.
     pub utilization: f32,
@@ -44,12 +44,12 @@
     RequestLease {
         /// The dispatcher; 0: the member that is called.
         id: Id,
-        /// The version after the restart; 0: the present one.
+        /// The version after the restart; 0: the current version.
         to: u32,
         /// Identifier of the lease, drawn by the requester.
         grant_id: u64,
     },
-    /// Returns a dispatcher's restart lease.
+    /// Gives back a dispatcher's restart lease.
     ReturnLease {
         /// The dispatcher; 0: the member that is called.
         id: Id,
@@ -101,7 +101,7 @@
     EvacuateZone {
         /// The zone.
         zone: u32,
-        /// Whether to check only if the other zones would carry the load.
+        /// Whether to check only that the other zones can carry the load, without an evacuation.
         dry_run: bool,
     },
     /// Returns to a zone, step by step.
@@ -122,7 +122,7 @@
     Pending,
     /// A lease is granted.
     Granted {
-        /// The remaining term of the lease (ms), from its first request.
+        /// The remaining term of the lease (ms), which the holder counts from its request.
         remaining_ms: u32,
     },
     /// The command is completed.
@@ -140,9 +140,9 @@
     BudgetExhausted {
         /// The scope of the exhausted limit.
         scope: Scope,
-        /// Units that are unavailable.
+        /// Number of units that are unavailable.
         unavailable: u32,
-        /// Units that may be unavailable.
+        /// Maximum number of units that may be unavailable.
         max_unavailable: u32,
     },
     /// The last disruption is too recent.
@@ -150,12 +150,13 @@
         /// Time until a retry may succeed (ms).
         wait_ms: u32,
     },
-    /// The unit is unavailable for another reason.
+    /// The unit is unavailable by another disruption, or by one that is being ended.
     AlreadyOut {
         /// The reason on record.
         reason: DisruptionReason,
     },
-    /// The other units could not carry the load.
+    /// The other units could not carry the load. Loads and capacities count threads for engines and zones, and whole
+    /// dispatchers for dispatchers.
     InsufficientCapacity {
         /// The observed load.
         load: f32,
@@ -179,18 +180,18 @@
     },
     /// The release names no previous version, so it cannot be rolled back.
     NoPreviousVersion,
-    /// The state of the fleet.
+    /// The status of the fleet.
     Status(Status),
     /// The evacuation would exceed the limit on the fraction of all cores.
     TooManyCoresEvacuated {
-        /// The fraction of all cores.
+        /// The fraction of all cores that would be evacuated.
         fraction: f32,
     },
     /// The zones that are not in normal use, each with the sum of its granted quotas.
     Zones(ZoneList),
 }
 
-/// Limit on the zones in an answer.
+/// Maximum number of zones in an answer.
 pub const MAX_LISTED_ZONES: usize = 8;
 /// Zones, each with its status and the sum of its granted quotas.
 pub type ZoneList = [Option<ZoneEntry>; MAX_LISTED_ZONES];
@@ -220,7 +221,7 @@
     pub remaining: u32,
     /// Number of pairs in the canary analysis.
     pub pairs: u32,
-    /// Mean difference of the success rate, below 0 where the released dispatchers perform worse.
+    /// Mean difference of the success rate, negative if the released dispatchers perform worse.
     pub mean_difference: f32,
 }
 
@@ -233,12 +234,12 @@
     Gossip {
         /// The leader; 0: none is known.
         leader: Id,
-        /// The voter's time (ms), its low 32 bits.
+        /// Low 32 bits of the voter's time (ms).
         tick: u32,
         /// Some of the records that the member lacks.
         records: Vec<LeasedRecord>,
     },
-    /// The leader requests a member's records: they may include some that the voters have lost.
+    /// The leader's request for a member's records, which may include records that the voters have lost.
     RecordsRequest,
     /// A member's records.
     Records {
@@ -268,7 +269,7 @@
     Nonce {
         /// The client's call.
         call: u64,
-        /// Drawn by the member for this call.
+        /// The nonce, drawn by the member for this call.
         nonce: u64,
     },
     /// A client's command.
--- a/crates/rollout/src/quorum_records.rs
+++ b/crates/rollout/src/quorum_records.rs
@@ -8,7 +8,7 @@
 /// A halt that is in force.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ActiveHalt {
-    /// The halt's number, which resuming has to name.
+    /// Number of the halt, which a command to resume must name.
     pub number: u32,
     /// Why all disruptions are halted.
     pub reason: HaltReason,
@@ -26,7 +26,7 @@
     }
 }
 
-/// The halt that is in force.
+/// Returns the halt that is in force.
 pub fn active_halt(node: &QuorumNode) -> Option<ActiveHalt> {
     match node.active(HALT_KEY)?.record.value {
         RecordValue::Halt { number, by, reason } => Some(ActiveHalt {
@@ -38,7 +38,7 @@
     }
 }
 
-/// The last release.
+/// Returns the last release, in progress or not.
 pub fn active_release(node: &QuorumNode) -> Option<Release> {
     match node.active(RELEASE_KEY)?.record.value {
         RecordValue::Release {
@@ -56,7 +56,7 @@
     }
 }
 
-/// The proposal that writes a release.
+/// Returns the proposal that writes a release.
 pub(crate) fn release_proposal(release: Release) -> Proposal {
     let value = RecordValue::Release {
         number: release.number,
@@ -67,13 +67,13 @@
     Proposal::lasting(RELEASE_KEY, value)
 }
 
-/// Proposes records. A rejected proposal is not an error: the next evaluation or the repeated command proposes the records
-/// again.
+/// Proposes records. A rejected proposal is not an error: the next evaluation or the retransmitted command proposes the
+/// records again.
 pub(crate) fn propose(node: &mut QuorumNode, proposals: &[Proposal], now_ms: f64) {
     let _ = node.propose(proposals, now_ms);
 }
 
-/// `answer` once a majority accepted the record of a key, [`Answer::Pending`] before.
+/// Returns `answer` if a majority has accepted the record of `key`, else [`Answer::Pending`].
 pub(crate) fn when_chosen(node: &QuorumNode, key: u64, answer: Answer) -> Answer {
     if node.is_chosen(key) {
         answer
@@ -82,7 +82,7 @@
     }
 }
 
-/// Ends the record of a key, once.
+/// Ends the record of `key` by a tombstone, which is not proposed again while it is pending.
 pub(crate) fn end_record(node: &mut QuorumNode, key: u64, now_ms: f64) -> Answer {
     if node.active(key).is_none() {
         return Answer::Done;
--- a/crates/rollout/src/record_copies.rs
+++ b/crates/rollout/src/record_copies.rs
@@ -5,7 +5,7 @@
     DisruptionReason, LeasedRecord, Record, RecordValue, UnitKind, HALT_KEY, MAX_RECORDS,
 };
 
-/// Retention of a tombstone (ms), as at the voters.
+/// Retention of a tombstone (ms), the same as at the voters.
 const TOMBSTONE_RETENTION_MS: f64 = 600_000.0;
 
 /// The copy of one record.
@@ -16,15 +16,15 @@
     received_at_ms: f64,
 }
 
-/// At most [`MAX_RECORDS`] copies, by key.
+/// Table of at most [`MAX_RECORDS`] copies, by key.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct RecordCopies {
     copies: BTreeMap<u64, RecordCopy>,
 }
 
 impl RecordCopies {
-    /// Stores records. Of two records with one key the later one replaces the other, and an unexpired one replaces an
-    /// expired one.
+    /// Stores records. Of two records with one key, an unexpired record replaces an expired one; otherwise the later
+    /// record replaces the earlier one.
     pub(crate) fn merge(&mut self, records: impl Iterator<Item = LeasedRecord>, now_ms: f64) {
         for leased in records {
             self.merge_record(leased, now_ms);
@@ -40,28 +40,30 @@
             received_at_ms: now_ms,
         };
         let has_capacity = self.copies.len() < MAX_RECORDS;
-        let Some(known) = self.copies.get_mut(&leased.record.key) else {
+        let Some(existing) = self.copies.get_mut(&leased.record.key) else {
             if has_capacity {
                 self.copies.insert(leased.record.key, incoming);
             }
             return;
         };
-        let known_counts = now_ms < known.expires_at_ms;
-        let incoming_counts = now_ms < incoming.expires_at_ms;
-        let is_later = known.record.stamp < incoming.record.stamp;
-        if incoming_counts && !known_counts || incoming_counts == known_counts && is_later {
-            *known = incoming;
+        let existing_is_valid = now_ms < existing.expires_at_ms;
+        let incoming_is_valid = now_ms < incoming.expires_at_ms;
+        let is_later = existing.record.stamp < incoming.record.stamp;
+        if incoming_is_valid && !existing_is_valid
+            || incoming_is_valid == existing_is_valid && is_later
+        {
+            *existing = incoming;
         }
     }
 
-    /// Drops tombstones whose retention is over.
+    /// Drops tombstones whose retention has ended.
     pub(crate) fn drop_old_tombstones(&mut self, now_ms: f64) {
         self.copies.retain(|_, copy| {
             !copy.record.is_tombstone() || now_ms - copy.received_at_ms < TOMBSTONE_RETENTION_MS
         });
     }
 
-    /// All records with their remaining time, tombstones included.
+    /// All records with their remaining time, including tombstones.
     pub(crate) fn records(&self, now_ms: f64) -> impl Iterator<Item = LeasedRecord> + '_ {
         self.copies.values().map(move |copy| {
             let remaining_ms = (copy.expires_at_ms - now_ms).max(0.0) as u32;
@@ -72,7 +74,7 @@
         })
     }
 
-    /// Keys and reasons of the engines that are unavailable by a record.
+    /// Keys and reasons of the unexpired disruption records of engines.
     pub(crate) fn unavailable_engines(
         &self,
         now_ms: f64,
@@ -98,7 +100,7 @@
         }
     }
 
-    /// Digest of all records, see [`tansymux_coordination::digest`].
+    /// Digest of all records; see [`tansymux_coordination::digest`].
     pub(crate) fn digest(&self) -> u32 {
         tansymux_coordination::digest(self.copies.values().map(|copy| &copy.record))
     }
--- a/crates/rollout/src/restart_lease.rs
+++ b/crates/rollout/src/restart_lease.rs
@@ -7,7 +7,7 @@
 use tansymux_coordination::Id;
 use tansymux_membership::Keys;
 
-/// Mean interval between two requests (ms); the jitter is half of it on either side.
+/// Mean interval between two requests (ms); the jitter adds or subtracts up to half of it.
 const REQUEST_INTERVAL_MS: f64 = 700.0;
 
 /// A request for a restart lease.
@@ -17,7 +17,7 @@
     pub keys: Keys,
     /// The dispatcher; 0: the member that is called.
     pub dispatcher: Id,
-    /// The version after the restart; 0: the present one.
+    /// The version after the restart; 0: the current version.
     pub to: u32,
     /// Limit on the difference in rate between two clocks, as a fraction.
     pub max_clock_skew: f64,
@@ -28,35 +28,37 @@
 /// The outcome of the wait for a lease.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum LeaseOutcome {
-    /// The dispatcher may restart, and has to rejoin before the lease ends.
+    /// The dispatcher may restart, and must rejoin before the lease ends.
     Granted {
         /// When the lease ends for its holder (ms).
         until_ms: f64,
     },
-    /// The request cannot succeed by waiting: a halt is in force, or there is no such release.
+    /// The request was refused for a reason that waiting does not remove, such as a halt or an unknown release.
     Refused(Answer),
-    /// The wait timed out; the last answer.
+    /// The wait timed out. Contains the last answer.
     TimedOut(Answer),
 }
 
-/// The wait for a lease. At its end it returns a lease that may have been granted without the answer arriving.
+/// The wait for a lease. If it ends without a grant, it returns the lease: the answer that granted it may have been
+/// lost.
 #[derive(Debug, Clone)]
 pub struct RestartLease {
     request: LeaseRequest,
     grant_id: u64,
     give_up_ms: f64,
-    /// When the present request was first sent (ms).
+    /// When the current request was first sent (ms).
     requested_ms: f64,
     next_request_ms: f64,
     client: Option<FleetClient>,
     last_answer: Answer,
     outcome: Option<LeaseOutcome>,
-    returning: Option<FleetClient>,
+    /// The call that returns the lease.
+    return_call: Option<FleetClient>,
     rng: Pcg32,
 }
 
 impl RestartLease {
-    /// Begins the wait. `seed` has to be drawn for each lease.
+    /// Starts the wait. `seed` must be drawn at random for each lease.
     pub fn new(request: LeaseRequest, now_ms: f64, seed: u64) -> Self {
         let mut rng = Pcg32::seed_from_u64(seed);
         RestartLease {
@@ -68,7 +70,7 @@
             client: None,
             last_answer: Answer::NoLeader,
             outcome: None,
-            returning: None,
+            return_call: None,
             rng,
         }
     }
@@ -83,19 +85,19 @@
         self.last_answer
     }
 
-    /// The outcome of the wait; `None` during the wait, and while the lease is being returned.
+    /// The outcome of the wait; `None` during the wait and while the lease is being returned.
     pub fn outcome(&self) -> Option<LeaseOutcome> {
         let is_returned = self
-            .returning
+            .return_call
             .as_ref()
             .is_none_or(|client| client.answer().is_some());
         self.outcome.filter(|_| is_returned)
     }
 
-    /// Handles a datagram of the member that is called.
+    /// Handles a datagram of the called member.
     pub fn handle(&mut self, datagram: &[u8], now_ms: f64) {
-        if let Some(returning) = &mut self.returning {
-            returning.handle(datagram);
+        if let Some(return_call) = &mut self.return_call {
+            return_call.handle(datagram);
             return;
         }
         let Some(client) = &mut self.client else {
@@ -111,12 +113,13 @@
         };
         self.client = None;
         self.last_answer = answer;
-        let spread = 0.5 + self.rng.random::<f64>();
-        self.next_request_ms =
-            self.requested_ms.max(now_ms - REQUEST_INTERVAL_MS) + REQUEST_INTERVAL_MS * spread;
+        let jitter_factor = 0.5 + self.rng.random::<f64>();
+        self.next_request_ms = self.requested_ms.max(now_ms - REQUEST_INTERVAL_MS)
+            + REQUEST_INTERVAL_MS * jitter_factor;
         match answer {
             Answer::Granted { remaining_ms } => {
-                // The term begins at the request, and is reduced by the clock skew: it ends before the leader's.
+                // The holder counts the term from its request and reduces it by the clock skew, so that the lease ends
+                // for the holder before it ends for the leader.
                 let term_ms = f64::from(remaining_ms) * (1.0 - self.request.max_clock_skew);
                 let until_ms = self.requested_ms + term_ms;
                 if now_ms < until_ms {
@@ -124,23 +127,24 @@
                 }
             }
             Answer::Halted { .. } | Answer::NoSuchRelease | Answer::Already => {
-                self.end(LeaseOutcome::Refused(answer), now_ms);
+                self.end_without_grant(LeaseOutcome::Refused(answer), now_ms);
             }
-            // The fleet may not know a dispatcher yet that has just started.
+            // The fleet may not yet know a dispatcher that has just started, so an earlier such answer is not final.
             Answer::UnknownUnit if now_ms >= self.give_up_ms => {
-                self.end(LeaseOutcome::Refused(answer), now_ms);
+                self.end_without_grant(LeaseOutcome::Refused(answer), now_ms);
             }
             _ => {}
         }
     }
 
-    fn end(&mut self, outcome: LeaseOutcome, now_ms: f64) {
+    /// Ends the wait without a grant and returns the lease.
+    fn end_without_grant(&mut self, outcome: LeaseOutcome, now_ms: f64) {
         self.outcome = Some(outcome);
         let command = Command::ReturnLease {
             id: self.request.dispatcher,
             grant_id: self.grant_id,
         };
-        self.returning = Some(self.call(command, now_ms));
+        self.return_call = Some(self.call(command, now_ms));
     }
 
     fn call(&mut self, command: Command, now_ms: f64) -> FleetClient {
@@ -148,17 +152,17 @@
         FleetClient::new(keys, command, now_ms, self.rng.random())
     }
 
-    /// The next action; `None`: nothing is due before [`RestartLease::next_poll_ms`].
+    /// Returns the next action; `None`: nothing is due before [`RestartLease::next_poll_ms`].
     pub fn poll(&mut self, now_ms: f64) -> Option<ClientAction> {
-        if let Some(returning) = &mut self.returning {
-            return returning.poll(now_ms);
+        if let Some(return_call) = &mut self.return_call {
+            return return_call.poll(now_ms);
         }
         if self.outcome.is_some() {
             return None;
         }
         if now_ms >= self.give_up_ms {
             self.client = None;
-            self.end(LeaseOutcome::TimedOut(self.last_answer), now_ms);
+            self.end_without_grant(LeaseOutcome::TimedOut(self.last_answer), now_ms);
             return self.poll(now_ms);
         }
         if let Some(client) = &mut self.client {
@@ -183,10 +187,10 @@
         action
     }
 
-    /// When to poll again (ms).
+    /// When to poll next (ms).
     pub fn next_poll_ms(&self) -> f64 {
-        if let Some(returning) = &self.returning {
-            return returning.next_poll_ms();
+        if let Some(return_call) = &self.return_call {
+            return return_call.next_poll_ms();
         }
         if self.outcome.is_some() {
             return f64::INFINITY;
--- a/crates/rollout/src/rollout_config.rs
+++ b/crates/rollout/src/rollout_config.rs
@@ -3,12 +3,12 @@
 use crate::rollout_plan::RolloutPlan;
 use tansymux_coordination::disruption_budget::DisruptionBudget;
 
-/// Budgets, leases and releases of a fleet.
+/// Configuration of the disruption budgets, restart leases and releases of a fleet.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RolloutConfig {
-    /// Budget for dispatchers.
+    /// Disruption budget for dispatchers.
     pub dispatchers: DisruptionBudget,
-    /// Budget for engines.
+    /// Disruption budget for engines.
     pub engines: DisruptionBudget,
     /// Order of releases.
     pub plan: RolloutPlan,
@@ -18,7 +18,8 @@
     pub settle_ms: f64,
     /// Time for which a dispatcher that left without a lease counts as unavailable (ms).
     pub left_retention_ms: f64,
-    /// Number of dispatchers that have to find an engine failing before it is ejected; `None`: engines are not ejected.
+    /// Number of dispatchers that must report an engine as failing before it is ejected; `None`: engines are not
+    /// ejected.
     pub ejection_witnesses: Option<usize>,
     /// Time for which an engine is ejected (ms).
     pub ejection_term_ms: f64,
--- a/crates/rollout/src/rollout_controller.rs
+++ b/crates/rollout/src/rollout_controller.rs
@@ -1,7 +1,7 @@
-//! The rollout controller: runs on the fleet's leader, and decides on restart leases, drains, ejections and releases.
+//! The rollout controller runs on the fleet's leader, and decides on restart leases, drains, ejections and releases.
 //!
-//! Its state is soft. A new leader rebuilds it from reports of members for [`RolloutConfig::settle_ms`] before it grants
-//! anything; state that has to survive a change of leaders is in the quorum records.
+//! Its state is soft: a new leader collects members' reports for [`RolloutConfig::settle_ms`] before it grants
+//! anything. State that must survive a change of leaders is stored in the quorum records.
 //!
 //! | state | owner |
 //! | --- | --- |
@@ -31,15 +31,15 @@
 use tansymux_coordination::{DisruptionReason, Id, QuorumNode, UnitKind};
 use tansymux_membership::MemberState;
 
-/// Time before the beginning of the leadership at which a tick still counts as the leader's own (ms): ticks are rounded to
-/// milliseconds.
+/// Tolerance for ticks that seem to precede the start of the leadership (ms): a tick is truncated to whole
+/// milliseconds, so the leader's own first ticks may seem up to 1 ms too early.
 const TICK_TOLERANCE_MS: f64 = 1.0;
 
 /// The leader's soft state and its decisions.
 #[derive(Debug, Clone)]
 pub struct RolloutController {
     config: RolloutConfig,
-    /// When the leadership began to which the state belongs.
+    /// Start of the leadership to which the state belongs (ms).
     leader_since_ms: Option<f64>,
     fleet: FleetState,
     grants: DisruptionGrants,
@@ -49,7 +49,7 @@
 }
 
 impl RolloutController {
-    /// A controller that knows nothing of the fleet yet.
+    /// Creates a controller without knowledge of the fleet.
     pub fn new(config: RolloutConfig) -> Self {
         RolloutController {
             config,
@@ -62,7 +62,8 @@
         }
     }
 
-    /// Replaces the configuration. A limit below the number of unavailable units grants no more, and revokes nothing.
+    /// Replaces the configuration. If a limit is now below the number of unavailable units, no further disruption is
+    /// granted, and none is revoked.
     pub fn set_config(&mut self, config: RolloutConfig) {
         self.config = config;
     }
@@ -72,17 +73,18 @@
         &self.config
     }
 
-    /// Replaces the members by those that membership knows, this one included.
+    /// Replaces the members by those that membership knows, including this member.
     pub fn set_members(&mut self, members: impl Iterator<Item = (Id, MemberState)>) {
         self.fleet.set_members(members);
     }
 
-    /// Replaces the engines by those of this dispatcher's endpoint list.
+    /// Replaces the known engines by those of this dispatcher's endpoint list.
     pub fn set_engines(&mut self, engines: &[Unit]) {
         self.fleet.set_engines(engines);
     }
 
-    /// Whether to request a member's records, after a report whose digest differed (`differs`) or not.
+    /// Records whether the digest in a member's report differs from the leader's, and returns whether to request the
+    /// member's records.
     pub fn should_request_records(
         &mut self,
         node: &QuorumNode,
@@ -103,13 +105,13 @@
 
     /// Records a member's report.
     pub fn on_report(&mut self, node: &QuorumNode, from: Id, report: Report, now_ms: f64) {
-        let proven_ms = self
+        let present_at_ms = self
             .tick_sent_at_ms(report.echoed_tick, now_ms)
             .unwrap_or(f64::NEG_INFINITY);
         let received = ReceivedReport {
             report,
             received_ms: now_ms,
-            proven_ms,
+            present_at_ms,
         };
         let ReportUpdate::Recorded { previous } = self.fleet.record_report(from, received) else {
             return;
@@ -125,12 +127,12 @@
         }
     }
 
-    /// The tick to send now: the low 32 bits of the time (ms).
+    /// The tick to send at a time: the low 32 bits of the time in milliseconds.
     pub fn tick(now_ms: f64) -> u32 {
         now_ms.max(0.0) as u64 as u32
     }
 
-    /// When this leader sent a tick (ms); `None` for a tick from before its leadership.
+    /// When this leader sent a tick (ms); `None` for a tick that precedes its leadership.
     fn tick_sent_at_ms(&self, tick: u32, now_ms: f64) -> Option<f64> {
         let age_ms = f64::from(RolloutController::tick(now_ms).wrapping_sub(tick));
         let sent_ms = now_ms - age_ms;
@@ -143,7 +145,7 @@
         self.fleet.zone_of(UnitKind::Dispatcher, id)
     }
 
-    /// Whether this node leads, and has collected reports for long enough to decide.
+    /// Whether this node leads, and has collected reports for [`RolloutConfig::settle_ms`].
     pub fn is_settled_leader(&self, node: &QuorumNode, now_ms: f64) -> bool {
         let is_settled = node
             .leader_since_ms()
@@ -168,16 +170,16 @@
             .evaluate(node, &self.fleet, &self.config, now_ms);
     }
 
-    /// Drops the state of another leadership, whose ticks were others.
+    /// Drops the state of another leadership, whose ticks do not count in this one.
     fn reset(&mut self, now_ms: f64) {
         self.progress = ReleaseProgress::default();
-        // The previous leader may have granted a disruption just now.
+        // The previous leader may have granted a disruption immediately before the change.
         self.grants = DisruptionGrants::granted_at(now_ms);
         self.engine_failures.clear();
         self.record_requests.clear();
     }
 
-    /// Ejects engines that enough dispatchers find failing, where the disruption budget allows it.
+    /// Ejects engines that enough dispatchers report as failing, if the disruption budget allows it.
     fn eject_failing_engines(&mut self, node: &mut QuorumNode, now_ms: f64) {
         let Some(min_witnesses) = self.config.ejection_witnesses else {
             return;
--- a/crates/rollout/src/rollout_controller/commands.rs
+++ b/crates/rollout/src/rollout_controller/commands.rs
@@ -23,8 +23,8 @@
 }
 
 impl RolloutController {
-    /// Answers a command. The member repeats it until the answer is other than [`Answer::Pending`]; the number in a
-    /// command makes it idempotent.
+    /// Answers a command. The member retransmits it while the answer is [`Answer::Pending`]; the number or grant id in
+    /// a command makes it idempotent.
     pub fn on_command(&mut self, node: &mut QuorumNode, command: Command, now_ms: f64) -> Answer {
         if !self.is_settled_leader(node, now_ms) {
             return Answer::NoLeader;
@@ -55,7 +55,7 @@
             },
             Command::Resume { number } => self.resume(node, number, now_ms),
             Command::Forget { id } => self.forget(node, id, now_ms),
-            // The zone coordinator answers these, where zones are configured.
+            // The zone coordinator answers these commands if zone evacuation is configured.
             Command::EvacuateZone { .. } | Command::ReturnToZone { .. } | Command::ListZones => {
                 Answer::UnknownUnit
             }
@@ -92,7 +92,7 @@
             .grant(node, &self.fleet, &self.config, request, now_ms)
     }
 
-    /// Whether the order of the release lets a dispatcher restart to another version now.
+    /// Checks whether the order of the release allows a dispatcher to restart with another version now.
     fn admit_to_release(
         &self,
         node: &QuorumNode,
@@ -162,8 +162,8 @@
     }
 }
 
-/// Whether a dispatcher's record is the lease with this grant id.
-fn holds_lease(node: &QuorumNode, id: Id, lease: u64) -> bool {
+/// Whether a dispatcher's record is the restart lease with this grant id.
+fn holds_lease(node: &QuorumNode, id: Id, expected_grant_id: u64) -> bool {
     let key = Record::unit_key(UnitKind::Dispatcher, id);
     let value = node.active(key).map(|leased| leased.record.value);
     matches!(
@@ -172,7 +172,7 @@
             reason: DisruptionReason::RestartLease,
             grant_id,
             ..
-        }) if grant_id == lease
+        }) if grant_id == expected_grant_id
     )
 }
 
@@ -200,11 +200,11 @@
         return halt.into();
     }
     match active_release(node) {
-        Some(running) if running.number == release.number => {
+        Some(current) if current.number == release.number => {
             when_chosen(node, RELEASE_KEY, Answer::Done)
         }
-        Some(running) if !running.stage.is_final() => Answer::ReleaseInProgress {
-            number: running.number,
+        Some(current) if !current.stage.is_final() => Answer::ReleaseInProgress {
+            number: current.number,
         },
         _ => {
             propose(node, &[release_proposal(release)], now_ms);
@@ -213,7 +213,7 @@
     }
 }
 
-/// Rolls a release back, and ends the halt that it may have caused.
+/// Rolls a release back, and ends the halt in force, which the release may have caused.
 fn roll_back(node: &mut QuorumNode, number: u32, now_ms: f64) -> Answer {
     let Some(release) = active_release(node).filter(|release| release.number == number) else {
         return Answer::NoSuchRelease;
@@ -221,11 +221,11 @@
     if release.from == 0 {
         return Answer::NoPreviousVersion;
     }
-    let is_back = matches!(
+    let is_rollback = matches!(
         release.stage,
         ReleaseStage::RollingBack | ReleaseStage::RolledBack
     );
-    if !is_back {
+    if !is_rollback {
         let mut proposals = vec![release_proposal(Release {
             stage: ReleaseStage::RollingBack,
             ..release
--- a/crates/rollout/src/rollout_controller/disruption_upkeep.rs
+++ b/crates/rollout/src/rollout_controller/disruption_upkeep.rs
@@ -1,5 +1,5 @@
-//! Periodic upkeep of the dispatchers' and engines' disruption records: those that are over end, and members that
-//! disappeared are recorded as lost.
+//! Periodic update of the disruption records of dispatchers and engines: ends records that no longer apply, and records
+//! members that disappeared as lost.
 
 use super::fleet_state::{FleetState, ReceivedReport};
 use crate::quorum_records::propose;
@@ -11,16 +11,15 @@
 };
 use tansymux_membership::MemberState;
 
-/// Number of lease terms after which a member that did not rejoin is marked lost, counted from the grant of its restart
-/// lease.
+/// Time from the grant of its restart lease after which a member that did not rejoin is marked lost (lease terms).
 const LOST_AFTER_TERMS: f64 = 1.5;
-/// Limit on the lost members that one evaluation records.
+/// Maximum number of lost members that one evaluation records.
 const MAX_LOST_PER_EVALUATION: usize = 24;
-/// Limit on the messages with changes of disruptions in one evaluation.
+/// Maximum number of messages with changed disruption records in one evaluation.
 const MAX_CHANGE_MESSAGES: usize = 8;
 
-/// Ends the disruptions of units that are back, or whose lease expired unused. A dispatcher that stopped under a lease and
-/// did not rejoin is marked lost.
+/// Ends the disruptions of units that are back or whose lease expired unused. A dispatcher that stopped under a lease
+/// and did not rejoin is marked lost.
 pub(super) fn end_disruptions(
     node: &mut QuorumNode,
     fleet: &FleetState,
@@ -85,7 +84,7 @@
 }
 
 impl DispatcherDisruption {
-    /// The same disruption with the reason that the dispatcher is lost; it does not expire.
+    /// Returns the proposal that marks the dispatcher as lost. The new record does not expire.
     fn marked_lost(&self) -> Proposal {
         let value = RecordValue::Disruption {
             kind: UnitKind::Dispatcher,
@@ -97,8 +96,8 @@
         Proposal::lasting(self.key, value)
     }
 
-    /// Whether a dispatcher was started under this lease. A new session alone proves nothing: the dispatcher may have
-    /// crashed and come back before the holder of the lease uses it.
+    /// Whether the reporting dispatcher was started under this lease. A new session alone does not prove that: the
+    /// dispatcher may have crashed and come back before the holder of the lease used it.
     fn was_used_by(&self, received: &ReceivedReport) -> bool {
         let report = &received.report;
         report.grant_id == self.grant_id && self.grant_id != 0 && report.session != self.session
@@ -106,7 +105,7 @@
 }
 
 impl DisruptionUpkeep<'_> {
-    /// The changes of disruption records that are due.
+    /// Returns the changes of disruption records that are due.
     fn changes(&self) -> Vec<Proposal> {
         let ids = self.fleet.members_by_key();
         self.node
@@ -116,7 +115,7 @@
             .collect()
     }
 
-    /// The change of a record that is due; `None`: the record stays.
+    /// Returns the change of a record that is due; `None`: the record stays as it is.
     fn change(&self, ids: &BTreeMap<u64, Id>, leased: LeasedRecord) -> Option<Proposal> {
         let RecordValue::Disruption {
             kind,
@@ -152,45 +151,46 @@
         let key = disruption.key;
         let received = id.and_then(|id| self.fleet.received_report(id));
         let is_present = id.is_some_and(|id| self.fleet.is_present(id));
-        let proven_ms = received.map_or(f64::NEG_INFINITY, |received| received.proven_ms);
-        let since_ms = self.node.accepted_at_ms(key).unwrap_or(self.now_ms);
-        let seen_since = is_present && proven_ms > since_ms;
-        if seen_since && received.is_some_and(|received| disruption.was_used_by(received)) {
+        let present_at_ms = received.map_or(f64::NEG_INFINITY, |received| received.present_at_ms);
+        let accepted_ms = self.node.accepted_at_ms(key).unwrap_or(self.now_ms);
+        let present_since = is_present && present_at_ms > accepted_ms;
+        if present_since && received.is_some_and(|received| disruption.was_used_by(received)) {
             return Some(Proposal::tombstone(key));
         }
         match disruption.reason {
             DisruptionReason::RestartLease if disruption.has_expired => {
-                // The lease is over for its holder too. If the dispatcher was present after that, it never stopped, or is
+                // The lease has ended for its holder too. A dispatcher that was present after that never stopped, or is
                 // back without having returned the lease.
-                if is_present && proven_ms > self.holder_end_ms(since_ms) {
+                if is_present && present_at_ms > self.holder_end_ms(accepted_ms) {
                     return Some(Proposal::tombstone(key));
                 }
-                // The dispatcher may have stopped at the very end of the lease; it counts as unavailable until then.
+                // The dispatcher may have stopped just before the lease ended, so it is not marked lost before this
+                // time.
                 let lost_after_ms = LOST_AFTER_TERMS * self.config.lease_term_ms;
-                let is_lost = !is_present && self.now_ms - since_ms >= lost_after_ms;
+                let is_lost = !is_present && self.now_ms - accepted_ms >= lost_after_ms;
                 is_lost.then(|| disruption.marked_lost())
             }
-            DisruptionReason::Lost if disruption.has_expired || seen_since => {
+            DisruptionReason::Lost if disruption.has_expired || present_since => {
                 Some(Proposal::tombstone(key))
             }
             _ => None,
         }
     }
 
-    /// When a restart lease that was granted at `since_ms` has ended for its holder at the latest (ms).
-    fn holder_end_ms(&self, since_ms: f64) -> f64 {
+    /// Latest time at which a restart lease that was accepted at `accepted_ms` ends for its holder (ms).
+    fn holder_end_ms(&self, accepted_ms: f64) -> f64 {
         let max_clock_skew = self.node.config().max_clock_skew;
-        since_ms + self.config.lease_term_ms * (1.0 + 2.0 * max_clock_skew)
+        accepted_ms + self.config.lease_term_ms * (1.0 + 2.0 * max_clock_skew)
     }
 
-    /// The record of an absent member that is lost; `None`: the member has a record already, or does not belong to the
-    /// fleet.
+    /// Returns the record that marks an absent member as lost; `None`: the member already has a record, or does not
+    /// belong to the fleet.
     fn lost_member(&self, id: Id, state: MemberState) -> Option<Proposal> {
         let key = Record::unit_key(UnitKind::Dispatcher, id);
         if self.node.active(key).is_some() {
             return None;
         }
-        // A member that never reported did not belong to this leader's fleet.
+        // A member that never reported to this leader did not belong to its fleet.
         let report = self.fleet.report_of(id)?;
         let has_left = state == MemberState::Left;
         // A member that left no longer belongs to the fleet once its record has ended.
--- a/crates/rollout/src/rollout_controller/engine_failures.rs
+++ b/crates/rollout/src/rollout_controller/engine_failures.rs
@@ -1,23 +1,23 @@
-//! Dispatchers' reports that an engine fails: the evidence for ejecting it.
+//! Dispatchers' reports of failing engines, as evidence for an ejection.
 
 use super::fleet_state::REPORT_RETENTION_MS;
 use std::collections::BTreeMap;
 use tansymux_coordination::Id;
 
-/// By engine: when each dispatcher last found it failing (ms).
+/// Time of each dispatcher's last report that an engine fails (ms), by engine and dispatcher.
 #[derive(Debug, Clone, Default)]
 pub(super) struct EngineFailures {
     reported_ms: BTreeMap<Id, BTreeMap<Id, f64>>,
 }
 
 impl EngineFailures {
-    /// Records that a dispatcher found an engine failing.
+    /// Records that a dispatcher reported an engine as failing.
     pub(super) fn record(&mut self, engine: Id, witness: Id, now_ms: f64) {
         let witnesses = self.reported_ms.entry(engine).or_default();
         witnesses.insert(witness, now_ms);
     }
 
-    /// The engines that at least `min_witnesses` dispatchers found failing lately.
+    /// Returns the engines that at least `min_witnesses` dispatchers reported within [`REPORT_RETENTION_MS`].
     pub(super) fn failing_engines(&mut self, min_witnesses: usize, now_ms: f64) -> Vec<Id> {
         for witnesses in self.reported_ms.values_mut() {
             witnesses.retain(|_, reported_ms| now_ms - *reported_ms < REPORT_RETENTION_MS);
--- a/crates/rollout/src/rollout_controller/fleet_state.rs
+++ b/crates/rollout/src/rollout_controller/fleet_state.rs
@@ -1,5 +1,5 @@
-//! The leader's knowledge of the fleet: members, their reports, and engines. Units, disruptions and load are derived from
-//! it and the quorum records.
+//! The leader's knowledge of the fleet: members, their reports, and engines. Units, disruptions and load are derived
+//! from it and the quorum records.
 
 use crate::message::Report;
 use crate::rollout_plan::Participant;
@@ -10,10 +10,10 @@
 };
 use tansymux_membership::MemberState;
 
-/// Limit on the members whose state and reports are stored.
+/// Maximum number of members whose states and reports are stored.
 const MAX_MEMBERS: usize = 1024;
-/// Load and failing engines of a report count for this long (ms). Whether the member is present is membership's
-/// decision.
+/// Time for which the load and the failing engine of a report count (ms). Whether a member is present is decided by
+/// membership.
 pub(super) const REPORT_RETENTION_MS: f64 = 10_000.0;
 
 /// A member's last report.
@@ -21,9 +21,9 @@
 pub(super) struct ReceivedReport {
     pub(super) report: Report,
     pub(super) received_ms: f64,
-    /// A time (ms) at which the member was present: when the leader sent the tick that the report echoes. A datagram may
-    /// be late, but a tick is never echoed before it was sent.
-    pub(super) proven_ms: f64,
+    /// A time at which the member was certainly present (ms): when the leader sent the tick that the report echoes. The
+    /// report may arrive late, but a tick is never echoed before it was sent.
+    pub(super) present_at_ms: f64,
 }
 
 /// The outcome of [`FleetState::record_report`].
@@ -33,7 +33,7 @@
     Ignored,
     /// The report is now the member's last one.
     Recorded {
-        /// The one before.
+        /// The member's previous report.
         previous: Option<Report>,
     },
 }
@@ -43,9 +43,9 @@
 pub(super) struct FleetState {
     members: BTreeMap<Id, MemberState>,
     reports: BTreeMap<Id, ReceivedReport>,
-    /// In the order of their ids.
+    /// Sorted by id.
     engines: Vec<Unit>,
-    /// Members that will not come back, by an operator's command.
+    /// Members that will not come back, according to an operator's command.
     forgotten: BTreeSet<Id>,
 }
 
@@ -68,7 +68,7 @@
             return ReportUpdate::Ignored;
         }
         let previous = self.reports.get(&from).copied();
-        if previous.is_some_and(|previous| received.proven_ms < previous.proven_ms) {
+        if previous.is_some_and(|previous| received.present_at_ms < previous.present_at_ms) {
             return ReportUpdate::Ignored;
         }
         self.reports.insert(from, received);
@@ -82,7 +82,7 @@
         self.forgotten.insert(id);
     }
 
-    /// Drops forgotten members that came back all the same.
+    /// Drops a member from the forgotten members once it is present again.
     pub(super) fn drop_returned_from_forgotten(&mut self) {
         let members = &self.members;
         self.forgotten.retain(|id| {
@@ -91,14 +91,14 @@
         });
     }
 
-    /// Whether a dispatcher is present by membership.
+    /// Whether a dispatcher is present, according to membership.
     pub(super) fn is_present(&self, id: Id) -> bool {
         self.members
             .get(&id)
             .is_some_and(|state| state.is_present())
     }
 
-    /// The last report of a member, with the times of its receipt.
+    /// The last report of a member, with its times.
     pub(super) fn received_report(&self, id: Id) -> Option<&ReceivedReport> {
         self.reports.get(&id)
     }
@@ -123,7 +123,7 @@
         self.engines.iter().any(|engine| engine.id == id)
     }
 
-    /// The members by the keys of their records.
+    /// Member ids by the keys of their disruption records.
     pub(super) fn members_by_key(&self) -> BTreeMap<u64, Id> {
         self.members
             .keys()
@@ -139,7 +139,7 @@
             .map(|(id, state)| (*id, *state))
     }
 
-    /// The ids of all known units by the keys of their records.
+    /// Ids of all known units of one kind, by the keys of their disruption records.
     fn ids_by_key(&self, kind: UnitKind) -> BTreeMap<u64, Id> {
         let by_key = |id: &Id| (Record::unit_key(kind, *id), *id);
         match kind {
@@ -154,7 +154,8 @@
         }
     }
 
-    /// The disruptions of one kind of unit. If the unit of a record is unknown, the record's key serves as its id.
+    /// The disruptions on record of one kind of unit. If the unit of a record is unknown, the record's key serves as
+    /// its id.
     pub(super) fn disruptions(&self, node: &QuorumNode, kind: UnitKind) -> Vec<Disruption> {
         let ids = self.ids_by_key(kind);
         let to_disruption = |leased: LeasedRecord| match leased.record.value {
@@ -204,7 +205,8 @@
         })
     }
 
-    /// The load of all units of one kind, by recent reports.
+    /// Total load of all units of one kind by recent reports: threads for engines, utilization fractions for
+    /// dispatchers.
     pub(super) fn load(&self, kind: UnitKind, now_ms: f64) -> f64 {
         let load_of = |report: &Report| match kind {
             UnitKind::Engine => f64::from(report.threads),
@@ -231,7 +233,7 @@
             .collect()
     }
 
-    /// Number of dispatchers that are unavailable without a lease or drain.
+    /// Number of lost dispatchers: those recorded as lost, and dead members without a record.
     pub(super) fn lost_count(&self, node: &QuorumNode) -> usize {
         let disruptions = self.disruptions(node, UnitKind::Dispatcher);
         let recorded = disruptions
@@ -250,7 +252,7 @@
         recorded + not_recorded
     }
 
-    /// Number of units of one kind, in total and unavailable.
+    /// Numbers of all units and of unavailable units of one kind.
     pub(super) fn count_units(&self, node: &QuorumNode, kind: UnitKind) -> UnitCount {
         let view = FleetView {
             units: &self.units(node, kind),
--- a/crates/rollout/src/rollout_controller/grants.rs
+++ b/crates/rollout/src/rollout_controller/grants.rs
@@ -7,13 +7,13 @@
 use tansymux_coordination::disruption_budget::{self, Decision, DisruptionRequest, FleetView};
 use tansymux_coordination::{Proposal, QuorumNode, Record, RecordValue, UnitKind};
 
-/// A request for a disruption, and the terms of its record.
+/// A request for a disruption, with the session and term of its record.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct GrantRequest {
     pub(super) disruption: DisruptionRequest,
     /// The session of the dispatcher that the disruption ends; 0 for engines.
     pub(super) session: u32,
-    /// Time until the record expires (ms); `None`: it does not.
+    /// Time until the record expires (ms); `None`: it does not expire.
     pub(super) term_ms: Option<f64>,
 }
 
@@ -25,7 +25,7 @@
 }
 
 impl DisruptionGrants {
-    /// The state after a grant of each kind at `now_ms`.
+    /// The state after a grant for each kind of unit at `now_ms`.
     pub(super) fn granted_at(now_ms: f64) -> Self {
         DisruptionGrants {
             last_dispatcher_ms: now_ms,
@@ -118,8 +118,8 @@
     }
 }
 
-/// The answer to a granted request: the remaining term of its record, without the allowance for clock skew that the record
-/// includes.
+/// Returns the answer to a granted request: the remaining term of its record, without the margin for clock skew that
+/// the record includes.
 fn granted(node: &QuorumNode, key: u64) -> Answer {
     let remaining_ms = node
         .active(key)
@@ -132,12 +132,12 @@
     when_chosen(node, key, answer)
 }
 
-/// The answer to a request on which the budget decided.
+/// Returns the answer for a decision of the disruption budget.
 fn answer(node: &QuorumNode, request: DisruptionRequest, decision: Decision) -> Answer {
     let key = Record::unit_key(request.kind, request.id);
     match decision {
         Decision::Granted => granted(node, key),
-        // A disruption that is being ended is not granted once more.
+        // A disruption that is being ended is not granted again.
         Decision::AlreadyGranted if node.is_ending(key) => Answer::AlreadyOut {
             reason: request.reason,
         },
--- a/crates/rollout/src/rollout_controller/record_requests.rs
+++ b/crates/rollout/src/rollout_controller/record_requests.rs
@@ -1,20 +1,20 @@
-//! When the leader requests a member's copy of the records.
+//! Decides when the leader requests a member's copies of the records.
 //!
-//! A member whose records still differ after it was sent all of the leader's has records that the voters lost, by
-//! restarting one after the other. The leader restores them from the member's copy.
+//! If a member's records still differ after the leader sent it all records, the member has records that the voters lost
+//! by restarting one after the other. The leader restores them from the member's copies.
 
 use std::collections::BTreeMap;
 use tansymux_coordination::Id;
 
-/// Number of reports in a row whose records differ, after which a member's records are requested.
+/// Number of consecutive reports with differing records after which a member's records are requested.
 const REPORTS_UNTIL_REQUEST: u32 = 3;
 /// Minimum interval between two requests (ms).
 const MIN_INTERVAL_MS: f64 = 100.0;
 
-/// Members whose records differ, and the last request.
+/// Members whose records differ, and the time of the last request.
 #[derive(Debug, Clone)]
 pub(super) struct RecordRequests {
-    /// Number of reports in a row in which a member's records differed.
+    /// Number of consecutive reports with differing records, by member.
     differing_reports: BTreeMap<Id, u32>,
     last_request_ms: f64,
 }
@@ -29,13 +29,13 @@
 }
 
 impl RecordRequests {
-    /// Records that a member reported the leader's records.
+    /// Records that a member's records equal the leader's.
     pub(super) fn record_equal(&mut self, from: Id) {
         self.differing_reports.remove(&from);
     }
 
-    /// Records that a member reported other records than the leader's, and returns whether to request them now. A new
-    /// leader requests them at once.
+    /// Records that a member's records differ from the leader's, and returns whether to request them now. A new leader
+    /// requests them after the first such report.
     pub(super) fn record_differing(&mut self, from: Id, is_new_leader: bool, now_ms: f64) -> bool {
         let count = self.differing_reports.entry(from).or_insert(0);
         *count += 1;
--- a/crates/rollout/src/rollout_controller/release_progress.rs
+++ b/crates/rollout/src/rollout_controller/release_progress.rs
@@ -9,14 +9,14 @@
 use tansymux_coordination::disruption_budget::HaltReason;
 use tansymux_coordination::{QuorumNode, ReleaseStage, UnitKind, RELEASE_KEY};
 
-/// Whether a release rolls forward or back.
+/// Direction of a release: to the new version, or back to the previous version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Direction {
     Forward,
     Back,
 }
 
-/// The release that is analysed.
+/// The release that the analysis belongs to.
 #[derive(Debug, Clone, Copy)]
 struct AnalysedRelease {
     number: u32,
@@ -25,18 +25,19 @@
     lost_at_start: usize,
 }
 
-/// The figures of the last analysis.
+/// Pairs and mean difference of the last analysis.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub(super) struct AnalysisSummary {
     pub(super) pairs: usize,
     pub(super) mean_difference: f64,
 }
 
-/// The fleet as one evaluation of the release finds it.
+/// Input of one evaluation of the release.
 struct Evaluation<'a> {
     release: Release,
     participants: &'a [Participant],
     result: AnalysisResult,
+    /// Number of lost dispatchers.
     lost: usize,
 }
 
@@ -46,9 +47,9 @@
     analysis: CanaryAnalysis,
     result: Option<AnalysisResult>,
     analysed: Option<AnalysedRelease>,
-    /// When all canaries had restarted (ms).
+    /// Time at which all canaries had restarted (ms).
     canaries_since_ms: Option<f64>,
-    /// The zone of the present wave.
+    /// The zone of the current wave.
     current_zone: Option<u32>,
     paused_until_ms: f64,
 }
@@ -67,12 +68,12 @@
 }
 
 impl ReleaseProgress {
-    /// Whether the pause after a zone is not over.
+    /// Whether the release pauses after a zone.
     pub(super) fn is_paused(&self, now_ms: f64) -> bool {
         now_ms < self.paused_until_ms
     }
 
-    /// Starts the analysis again after a halt was resumed: members that are lost by now count as lost at its start.
+    /// Restarts the analysis after a halt was resumed. Members lost by then count as lost at the start of the analysis.
     pub(super) fn on_resume(&mut self) {
         self.analysed = None;
     }
@@ -101,8 +102,8 @@
         }
     }
 
-    /// Adds the requests between two reports of one session to the analysis. Reports hold running totals, so a lost report
-    /// loses no requests.
+    /// Adds the requests between two reports of one session to the analysis. Reports contain cumulative totals, so a
+    /// lost report loses no requests.
     pub(super) fn count_requests(
         &mut self,
         node: &QuorumNode,
@@ -128,7 +129,7 @@
         self.analysis.report(window, report.zone, group, requests);
     }
 
-    /// Analyses the release, halts it where necessary, and moves it to its next stage.
+    /// Analyses the release, halts it if necessary, and moves it to its next stage when that is due.
     pub(super) fn evaluate(
         &mut self,
         node: &mut QuorumNode,
@@ -201,7 +202,7 @@
         }
     }
 
-    /// Why the release has to halt now.
+    /// The reason to halt the release now, if there is one.
     fn halt_reason(
         &self,
         node: &QuorumNode,
@@ -219,11 +220,11 @@
         }
         let total = fleet.units(node, UnitKind::Dispatcher).len();
         let limit = config.dispatchers.fleet.resolve(total);
-        let is_exhausted = limit.is_some_and(|limit| lost >= limit && lost > lost_at_start);
-        is_exhausted.then_some(HaltReason::BudgetExhausted)
+        let is_budget_exhausted = limit.is_some_and(|limit| lost >= limit && lost > lost_at_start);
+        is_budget_exhausted.then_some(HaltReason::BudgetExhausted)
     }
 
-    /// Whether all canaries restarted and were observed for long enough.
+    /// Whether all canaries restarted and were observed for [`RolloutPlan::canary_observation_ms`].
     fn canaries_observed(
         &mut self,
         plan: &RolloutPlan,
@@ -243,7 +244,7 @@
             .is_some_and(|since_ms| now_ms - since_ms >= plan.canary_observation_ms)
     }
 
-    /// Begins the pause when a zone is completed.
+    /// Starts the pause when a zone is completed.
     fn update_wave(&mut self, plan: &RolloutPlan, evaluation: &Evaluation, now_ms: f64) {
         let release = &evaluation.release;
         let zone = plan.current_zone(release, evaluation.participants);
@@ -257,12 +258,12 @@
     }
 }
 
-/// The number of the analysis window at a time.
+/// Number of the analysis window that contains a time.
 fn analysis_window(plan: &RolloutPlan, now_ms: f64) -> u64 {
     (now_ms / plan.analysis.window_ms) as u64
 }
 
-/// Whether the canaries had too little traffic, and the release may not continue without a comparison.
+/// Whether the canaries had too little traffic for a comparison, and the release may not continue without it.
 fn is_inconclusive(plan: &RolloutPlan, evaluation: &Evaluation, canaries_observed: bool) -> bool {
     let release = &evaluation.release;
     let is_inconclusive = matches!(evaluation.result, AnalysisResult::Inconclusive { .. });
@@ -277,8 +278,8 @@
         && any_remaining
 }
 
-/// Whether the versions of all present dispatchers are known. A fleet without participants does not count as restarted,
-/// and a dispatcher that has not reported its version may still have to restart.
+/// Whether the versions of all present dispatchers are known, and there are participants. A fleet without participants
+/// does not count as restarted, and a dispatcher that has not reported its version may still have to restart.
 fn versions_are_known(node: &QuorumNode, fleet: &FleetState, participants: &[Participant]) -> bool {
     let units = fleet.units(node, UnitKind::Dispatcher);
     let all_known = units
@@ -293,7 +294,7 @@
     write_halt(node, reason, number, now_ms);
 }
 
-/// A number for a halt, different for each time and release.
+/// Returns a number for a halt, derived from the time and the release.
 fn halt_number(now_ms: f64, release_number: u32) -> u32 {
     /// 2^64 divided by the golden ratio, as in Fibonacci hashing.
     const MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
--- a/crates/rollout/src/rollout_plan.rs
+++ b/crates/rollout/src/rollout_plan.rs
@@ -1,4 +1,4 @@
-//! The order of a rolling release: canaries, then one wave for each zone.
+//! The order of a rolling release: canaries, then one wave per zone.
 
 use crate::canary_analysis::AnalysisConfig;
 use tansymux_coordination::{Id, ReleaseStage};
@@ -12,11 +12,11 @@
     pub canary_observation_ms: f64,
     /// Whether a release continues if the canaries had too little traffic for a comparison.
     pub continue_if_inconclusive: bool,
-    /// Zones in the order of their waves; the others follow by number.
+    /// Zones in the order of their waves. Zones that are not listed follow in ascending order of their numbers.
     pub zone_order: Vec<u32>,
     /// Pause after a zone (ms).
     pub zone_pause_ms: f64,
-    /// Limit on the members lost since the start of a release; it halts beyond it.
+    /// Maximum number of members lost since the start of a release; the release halts if more are lost.
     pub max_lost_members: usize,
     /// Comparison of the released dispatchers with the others.
     pub analysis: AnalysisConfig,
@@ -31,7 +31,7 @@
     pub zone: u32,
     /// The dispatcher's version.
     pub version: u32,
-    /// Whether the dispatcher is observed to serve.
+    /// Whether the dispatcher is present.
     pub available: bool,
 }
 
@@ -42,14 +42,14 @@
     pub number: u32,
     /// The new version.
     pub to: u32,
-    /// The previous version; 0: any, and the release can't be rolled back.
+    /// The previous version; 0: any version, and the release cannot be rolled back.
     pub from: u32,
-    /// The present stage.
+    /// The current stage.
     pub stage: ReleaseStage,
 }
 
 impl Release {
-    /// The version that dispatchers have after their restart: in a rollback the previous one.
+    /// The version that dispatchers have after their restart: the new version, or in a rollback the previous version.
     pub fn target_version(&self) -> u32 {
         if self.stage == ReleaseStage::RollingBack {
             self.from
@@ -76,17 +76,17 @@
     }
 }
 
-/// Why a dispatcher may not restart for a release now.
+/// Reason for which a dispatcher may not restart for a release now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum RestartRejected {
     /// No release has that target version.
-    #[error("no release goes to that version")]
+    #[error("no release has that target version")]
     NoSuchRelease,
-    /// The dispatcher has that version.
-    #[error("the dispatcher has that version")]
+    /// The dispatcher already has that version.
+    #[error("the dispatcher already has that version")]
     AlreadyRestarted,
-    /// Canaries or another zone are first.
-    #[error("canaries or another zone are first")]
+    /// Canaries or another zone have to restart first.
+    #[error("canaries or another zone have to restart first")]
     OthersFirst,
     /// The release pauses after a zone.
     #[error("the release pauses after a zone")]
@@ -102,7 +102,8 @@
     pub to: u32,
 }
 
-/// Rank of a dispatcher in the draw of canaries: pseudo-random by the release's number, and the same at every leader.
+/// Rank of a dispatcher in the selection of canaries: pseudo-random by the number of the release, and equal at every
+/// leader.
 fn canary_rank(id: Id, release_number: u32) -> u64 {
     (id ^ u64::from(release_number))
         .wrapping_mul(0x9E37_79B9_7F4A_7C15)
@@ -120,7 +121,8 @@
         }
     }
 
-    /// The canaries, drawn from participants with any version, so that canaries that restarted still count.
+    /// Selects the canaries. Participants that already have the new version are included, so that the selection stays
+    /// the same when canaries restart.
     pub fn canaries(&self, release: &Release, participants: &[Participant]) -> Vec<Id> {
         let mut ranked: Vec<(u64, Id)> = participants
             .iter()
@@ -142,7 +144,8 @@
         (position, zone)
     }
 
-    /// The zone of the present wave: the first with a dispatcher that has to restart, in a rollback the last.
+    /// The zone of the current wave: the first zone with a dispatcher that has to restart, or in a rollback the last
+    /// such zone.
     pub fn current_zone(&self, release: &Release, participants: &[Participant]) -> Option<u32> {
         let zones = participants
             .iter()
@@ -154,10 +157,11 @@
         }
     }
 
-    /// Whether the order of the release lets a dispatcher restart now. `is_paused`: the pause after a zone is not over.
+    /// Checks whether the order of the release allows a dispatcher to restart now. `is_paused`: whether the release
+    /// pauses after a zone.
     ///
     /// # Errors
-    /// Why it may not.
+    /// A [`RestartRejected`] if the dispatcher may not restart now.
     pub fn admit(
         &self,
         release: Option<&Release>,
@@ -193,7 +197,8 @@
         Ok(())
     }
 
-    /// The next stage, or the present one. `canaries_observed`: the canaries were observed for long enough.
+    /// Returns the next stage if it is due, else the current stage. `canaries_observed`: whether the canaries were
+    /// observed for [`RolloutPlan::canary_observation_ms`].
     pub fn next_stage(
         &self,
         release: &Release,
--- a/crates/rollout/src/zone_coordinator.rs
+++ b/crates/rollout/src/zone_coordinator.rs
@@ -19,23 +19,24 @@
 
 /// Interval between two evaluations by the leader (ms).
 const EVALUATION_INTERVAL_MS: f64 = 200.0;
-/// The evacuation of zones at one member, and the leader's decisions about it.
+
+/// Zone evacuation at one member: the member's use of zones and, at the leader, the decisions on evacuations.
 #[derive(Debug, Clone)]
 pub struct ZoneCoordinator {
     controller: EvacuationController,
     /// This member's use of zones.
     pub follower: EvacuationFollower,
-    /// When the leadership began to which the controller's state belongs.
+    /// Start of the leadership to which the controller's state belongs (ms).
     leader_since_ms: Option<f64>,
     last_evaluation_ms: f64,
     reporter: ZoneReporter,
 }
 
 impl ZoneCoordinator {
-    /// A member in `own_zone` at its start. `seed` has to be drawn at each start.
-    pub fn new(own_zone: ZoneId, config: Config, session: u32, now_ms: f64, seed: u64) -> Self {
+    /// Creates the coordinator of a member in `local_zone`. `seed` must be drawn at random at each start.
+    pub fn new(local_zone: ZoneId, config: Config, session: u32, now_ms: f64, seed: u64) -> Self {
         ZoneCoordinator {
-            follower: EvacuationFollower::new(own_zone, config.autonomy_after_ms, now_ms),
+            follower: EvacuationFollower::new(local_zone, config.autonomy_after_ms, now_ms),
             controller: EvacuationController::new(config),
             leader_since_ms: None,
             last_evaluation_ms: f64::NEG_INFINITY,
@@ -48,12 +49,12 @@
         self.controller.set_config(config);
     }
 
-    /// Replaces this dispatcher's observations of zones. `is_isolated`: the dispatcher reaches no zone.
+    /// Replaces this dispatcher's observations of zones. `is_isolated`: whether the dispatcher reaches no zone.
     pub fn observe(&mut self, evidence: Vec<Evidence>, is_isolated: bool) {
         self.reporter.set_evidence(evidence, is_isolated);
     }
 
-    /// Replaces the engines by those of the endpoint list. Their cores are the capacity of their zone.
+    /// Replaces the engines by those of the endpoint list. The capacity of a zone is the sum of its engines' cores.
     pub fn set_engines(&mut self, engines: &[Unit]) {
         let mut cores: BTreeMap<ZoneId, f64> = BTreeMap::new();
         for engine in engines {
@@ -63,17 +64,18 @@
         self.controller.set_capacity(&cores);
     }
 
-    /// The report to the leader that is due; `None`: nothing is due before [`ZoneCoordinator::next_poll_ms`].
+    /// Returns the report to the leader that is due; `None`: nothing is due before [`ZoneCoordinator::next_poll_ms`].
     pub fn poll(&mut self, now_ms: f64) -> Option<MemberReport> {
         self.reporter.poll(now_ms)
     }
 
-    /// When to poll again (ms).
+    /// When to poll next (ms).
     pub fn next_poll_ms(&self) -> f64 {
         self.reporter.next_report_ms()
     }
 
-    /// Handles the leader's answer to a report, once for each report. The term of a quota begins when the report was sent.
+    /// Handles the leader's answer to a report; further answers to the same report are ignored. The term of a quota
+    /// counts from the time at which the report was sent.
     pub fn on_plan(&mut self, reply: &LeaderReply, now_ms: f64) {
         let Some(sent_ms) = self.reporter.take_sent_ms(reply.sequence_number) else {
             return;
@@ -118,11 +120,11 @@
         if !rollout.is_settled_leader(node, now_ms) {
             return None;
         }
-        let grants_quotas = self.grants_quotas(node, now_ms);
+        let may_grant_quotas = self.may_grant_quotas(node, now_ms);
         let mut zones = Vec::new();
         for (zone, status) in agreed_statuses(node).into_iter().take(MAX_ZONES) {
             let demand = demands.get(&zone).copied().unwrap_or(0.0);
-            let quota = if grants_quotas {
+            let quota = if may_grant_quotas {
                 self.controller
                     .request_quota(from, zone, demand, status, now_ms)
             } else {
@@ -140,15 +142,16 @@
         })
     }
 
-    /// Whether all quotas that an earlier leader granted have ended.
-    fn grants_quotas(&self, node: &QuorumNode, now_ms: f64) -> bool {
+    /// Whether this leader may grant quotas: all quotas that an earlier leader granted have expired.
+    fn may_grant_quotas(&self, node: &QuorumNode, now_ms: f64) -> bool {
         let config = self.controller.config();
         let wait_ms = config.quota_term_ms * (1.0 + 2.0 * config.clock_skew);
         node.leader_since_ms()
             .is_some_and(|since_ms| now_ms - since_ms >= wait_ms)
     }
 
-    /// Runs the leader's periodic evaluation of members' observations. `members`: whether each is present.
+    /// Runs the leader's periodic evaluation of members' observations. `members`: the members' ids, and whether each
+    /// member is present.
     pub fn evaluate(
         &mut self,
         rollout: &RolloutController,
@@ -177,7 +180,8 @@
         }
         let statuses = agreed_statuses(node);
         for decision in self.controller.evaluate(&statuses, now_ms) {
-            // A zone has one change in flight: while its record is not chosen, the next evaluation decides again.
+            // A zone has at most one change in flight: while its record is not chosen, this decision is skipped, and
+            // the next evaluation decides again.
             let key = Record::zone_key(decision.zone);
             if node.active(key).is_none() || node.is_chosen(key) {
                 write_status(node, decision.zone, decision.status, now_ms);
--- a/crates/rollout/src/zone_coordinator/commands.rs
+++ b/crates/rollout/src/zone_coordinator/commands.rs
@@ -11,8 +11,9 @@
     EvacuationController, EvacuationRefused, Initiator, Reason, Stage, ZoneId, ZoneStatus,
 };
 
-/// Unit of time in the first number of an operator's evacuation (ms), so that numbers increase over restarts.
-const NUMBER_UNIT_MS: f64 = 100.0;
+/// Unit of the time from which the decision number of an operator's evacuation is derived (ms). Numbers derived from
+/// the time increase across restarts.
+const DECISION_NUMBER_UNIT_MS: f64 = 100.0;
 
 impl ZoneCoordinator {
     /// Answers an operator's command about zones.
@@ -61,11 +62,11 @@
             return Answer::Done;
         }
         let current_number = current.map_or(0, |status| status.decision_number);
-        let time_number = (now_ms / NUMBER_UNIT_MS) as u64 as u32;
+        let time_based_number = (now_ms / DECISION_NUMBER_UNIT_MS) as u64 as u32;
         let status = ZoneStatus {
             stage: Stage::Evacuated,
             step: 0,
-            decision_number: current_number.max(time_number) + 1,
+            decision_number: current_number.max(time_based_number) + 1,
             reason: Reason::Operator,
         };
         write_status(node, zone, Some(status), now_ms);
@@ -91,15 +92,15 @@
 }
 
 fn list_zones(controller: &EvacuationController, statuses: BTreeMap<ZoneId, ZoneStatus>) -> Answer {
-    let mut list = ZoneList::default();
-    for (entry, (zone, status)) in list.iter_mut().zip(statuses) {
+    let mut zone_list = ZoneList::default();
+    for (entry, (zone, status)) in zone_list.iter_mut().zip(statuses) {
         *entry = Some(ZoneEntry {
             zone,
             status,
             quota: controller.granted_total(zone) as f32,
         });
     }
-    Answer::Zones(list)
+    Answer::Zones(zone_list)
 }
 
 fn return_to_zone(
--- a/crates/rollout/src/zone_coordinator/reporter.rs
+++ b/crates/rollout/src/zone_coordinator/reporter.rs
@@ -1,4 +1,4 @@
-//! A member's reports about zones: what they contain, when they are due, and which answers are outstanding.
+//! A member's reports about zones: their content, their schedule, and the reports whose answers are outstanding.
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
@@ -7,9 +7,9 @@
 
 /// Mean interval between two reports to the leader (ms).
 const REPORT_INTERVAL_MS: f64 = 700.0;
-/// Width of the range that the interval between two reports is drawn from, as a fraction of its mean.
+/// Width of the jitter range of the report interval, as a fraction of the mean interval.
 const REPORT_JITTER: f64 = 0.2;
-/// Limit on the reports whose answers are outstanding.
+/// Maximum number of reports whose answers are outstanding; beyond it the oldest report is dropped.
 const MAX_OUTSTANDING_REPORTS: usize = 32;
 
 /// A report whose answer is outstanding.
@@ -19,7 +19,7 @@
     sent_ms: f64,
 }
 
-/// Sends one member's reports about zones.
+/// Produces one member's reports about zones.
 #[derive(Debug, Clone)]
 pub(super) struct ZoneReporter {
     evidence: Vec<Evidence>,
@@ -51,13 +51,13 @@
         self.evidence.truncate(MAX_ZONES);
     }
 
-    /// The report that is due; `None`: nothing is due before [`ZoneReporter::next_report_ms`].
+    /// Returns the report that is due; `None`: nothing is due before [`ZoneReporter::next_report_ms`].
     pub(super) fn poll(&mut self, now_ms: f64) -> Option<MemberReport> {
         if now_ms < self.next_report_ms {
             return None;
         }
-        let spread = 1.0 - REPORT_JITTER / 2.0 + REPORT_JITTER * self.rng.random::<f64>();
-        self.next_report_ms = now_ms + REPORT_INTERVAL_MS * spread;
+        let jitter_factor = 1.0 - REPORT_JITTER / 2.0 + REPORT_JITTER * self.rng.random::<f64>();
+        self.next_report_ms = now_ms + REPORT_INTERVAL_MS * jitter_factor;
         self.last_report_number = self.last_report_number.wrapping_add(1);
         self.outstanding.push_back(OutstandingReport {
             number: self.last_report_number,
@@ -79,7 +79,8 @@
         self.next_report_ms
     }
 
-    /// When the report with this number was sent (ms), if its answer is outstanding. Later answers to it are ignored.
+    /// Returns when the report with this number was sent (ms), if its answer is outstanding. Marks the report as
+    /// answered.
     pub(super) fn take_sent_ms(&mut self, number: u32) -> Option<f64> {
         let position = self
             .outstanding
--- a/crates/rollout/src/zone_coordinator/zone_records.rs
+++ b/crates/rollout/src/zone_coordinator/zone_records.rs
@@ -1,4 +1,4 @@
-//! The quorum records of zones: their agreed status, read and written.
+//! Reads and writes the quorum records with the agreed status of zones.
 
 use crate::message::Answer;
 use crate::quorum_records::{self, propose};
@@ -6,12 +6,12 @@
 use tansymux_coordination::{LeasedRecord, Proposal, QuorumNode, Record, RecordValue};
 use tansymux_zone_evacuation::{Reason, Stage, ZoneId, ZoneStatus};
 
-/// The status of all zones that a majority accepted, or may have.
+/// Statuses of zones that a majority of voters has accepted, or may have accepted.
 pub(super) fn agreed_statuses(node: &QuorumNode) -> BTreeMap<ZoneId, ZoneStatus> {
     node.all_active().filter_map(zone_status).collect()
 }
 
-/// A record as the status of a zone; `None` for any other record, and for codes of a later version.
+/// Reads the status of a zone from a record; `None` for any other record, and for unknown codes of a later version.
 fn zone_status(leased: LeasedRecord) -> Option<(ZoneId, ZoneStatus)> {
     let RecordValue::Zone {
         zone,
@@ -32,7 +32,7 @@
     Some((zone, status))
 }
 
-/// Proposes a zone's status; `None` ends its record, which puts the zone to normal use.
+/// Proposes a zone's status; `None` ends the zone's record, which returns the zone to normal use.
 pub(super) fn write_status(
     node: &mut QuorumNode,
     zone: ZoneId,
@@ -56,7 +56,7 @@
     propose(node, &[proposal], now_ms);
 }
 
-/// [`Answer::Done`] once a majority accepted the status of a zone, [`Answer::Pending`] before.
+/// Returns [`Answer::Done`] if a majority has accepted the status of a zone, else [`Answer::Pending`].
 pub(super) fn when_chosen(node: &QuorumNode, zone: ZoneId) -> Answer {
     quorum_records::when_chosen(node, Record::zone_key(zone), Answer::Done)
 }
--- a/crates/rollout/tests/datagram_fixtures.rs
+++ b/crates/rollout/tests/datagram_fixtures.rs
@@ -13,13 +13,13 @@
     Evidence, MemberReport, Reachability, Reason, Stage as ZoneStage, ZoneStatus,
 };
 
-/// One `name hex` a line, as encoded by commit 0fd3fce.
+/// Lines of the form `name hex`: the messages of `samples` as encoded by commit 0fd3fce.
 const FIXTURES: &str = include_str!("fixtures/datagrams.hex");
 
 const CALL: u64 = 0x0102_0304_0506_0708;
 const NONCE: u64 = 0x1112_1314_1516_1718;
 const ID: u64 = 0x2122_2324_2526_2728;
-const GRANT: u64 = 0x3132_3334_3536_3738;
+const GRANT_ID: u64 = 0x3132_3334_3536_3738;
 const NUMBER: u32 = 0x4142_4344;
 const ZONE: u32 = 0x5152_5354;
 
@@ -36,18 +36,18 @@
         by: ID,
         reason: 1,
     };
-    let out = RecordValue::Disruption {
+    let lease = RecordValue::Disruption {
         kind: UnitKind::Dispatcher,
         reason: DisruptionReason::RestartLease,
         zone: ZONE,
         session: 77,
-        grant_id: GRANT,
+        grant_id: GRANT_ID,
     };
-    [(1, halt, None), (3, out, Some(12_345))]
+    [(1, halt, None), (3, lease, Some(12_345))]
         .into_iter()
-        .map(|(key, value, left_ms)| LeasedRecord {
+        .map(|(key, value, remaining)| LeasedRecord {
             record: Record { key, stamp, value },
-            remaining_ms: left_ms,
+            remaining_ms: remaining,
         })
         .collect()
 }
@@ -65,7 +65,7 @@
         total: 1024,
         failing_engine: 6,
         echoed_tick: 0x8182_8384,
-        grant_id: GRANT,
+        grant_id: GRANT_ID,
     }
 }
 
@@ -75,15 +75,15 @@
         Command::RequestLease {
             id: ID,
             to: 9,
-            grant_id: GRANT,
+            grant_id: GRANT_ID,
         },
         Command::ReturnLease {
             id: ID,
-            grant_id: GRANT,
+            grant_id: GRANT_ID,
         },
         Command::Drain {
             engine: ID,
-            grant_id: GRANT,
+            grant_id: GRANT_ID,
         },
         Command::Undrain { engine: ID },
         Command::Release {
@@ -125,7 +125,7 @@
     })
 }
 
-fn zone_states() -> Vec<ZoneEntry> {
+fn zone_entries() -> Vec<ZoneEntry> {
     let evacuated = ZoneStatus {
         stage: ZoneStage::Evacuated,
         step: 0,
@@ -160,7 +160,7 @@
     }
 }
 
-fn full(scope: Scope) -> Answer {
+fn budget_exhausted(scope: Scope) -> Answer {
     Answer::BudgetExhausted {
         scope,
         unavailable: 4,
@@ -170,8 +170,8 @@
 
 fn answers() -> Vec<Answer> {
     let mut list = ZoneList::default();
-    for (place, state) in list.iter_mut().zip(zone_states()) {
-        *place = Some(state);
+    for (slot, entry) in list.iter_mut().zip(zone_entries()) {
+        *slot = Some(entry);
     }
     let mut answers = vec![
         Answer::NoLeader,
@@ -213,7 +213,7 @@
         HaltReason::Inconclusive,
     ];
     answers.extend(halts.map(halted));
-    answers.extend([Scope::Fleet, Scope::Zone, Scope::Version].map(full));
+    answers.extend([Scope::Fleet, Scope::Zone, Scope::Version].map(budget_exhausted));
     let reasons = [
         DisruptionReason::RestartLease,
         DisruptionReason::Drain,
@@ -226,13 +226,13 @@
 }
 
 fn zone_report() -> Message {
-    let reaches = [
+    let reachabilities = [
         Reachability::Unknown,
         Reachability::Reachable,
         Reachability::Recovering,
         Reachability::Unreachable,
     ];
-    let zones = reaches
+    let zones = reachabilities
         .into_iter()
         .zip(0..)
         .map(|(reachability, offset)| Evidence {
@@ -276,7 +276,7 @@
             "zone-plan",
             Message::ZonePlan(LeaderReply {
                 sequence_number: NUMBER,
-                zones: zone_states(),
+                zones: zone_entries(),
             }),
         ),
     ];
--- a/crates/rollout/tests/rollout_controller.rs
+++ b/crates/rollout/tests/rollout_controller.rs
@@ -1,4 +1,4 @@
-//! Decisions of the rollout controller, without a network: one voter is its own majority.
+//! Tests of the rollout controller's decisions without a network: a single voter is its own majority.
 
 use proptest::prelude::*;
 use tansymux_coordination::disruption_budget::{DisruptionBudget, Limit, Scope, Unit};
@@ -21,14 +21,14 @@
     now_ms: f64,
 }
 
-/// Engines of two zones, available where `ready`.
-fn engines(count: u64, ready: impl Fn(u64) -> bool) -> Vec<Unit> {
+/// Engines in two zones; `is_available` tells by id whether an engine is available.
+fn engines(count: u64, is_available: impl Fn(u64) -> bool) -> Vec<Unit> {
     (1..=count)
         .map(|id| Unit {
             id,
             zone: (id % 2) as u32,
             version: 0,
-            available: ready(id),
+            available: is_available(id),
             capacity: 8.0,
         })
         .collect()
@@ -75,7 +75,7 @@
         fixture
     }
 
-    /// Lets time pass, with an evaluation every 100 ms.
+    /// Advances the virtual time, with an evaluation every 100 ms.
     fn advance(&mut self, ms: f64) {
         let end = self.now_ms + ms;
         while self.now_ms < end {
@@ -85,7 +85,7 @@
         }
     }
 
-    /// A report of a member, with the present tick.
+    /// Delivers a report of a member that echoes the current tick.
     fn report(&mut self, id: u64, report: Report) {
         let report = Report {
             echoed_tick: RolloutController::tick(self.now_ms),
@@ -100,7 +100,7 @@
             .on_command(&mut self.node, command, self.now_ms)
     }
 
-    /// Number of records of one kind and reason.
+    /// Number of disruption records of one kind of unit and one reason.
     fn disruption_count(&self, kind: UnitKind, reason: DisruptionReason) -> usize {
         let is_counted = |value: &RecordValue| match value {
             RecordValue::Disruption {
@@ -117,7 +117,7 @@
     }
 }
 
-/// A request for a restart lease at the dispatcher's present version.
+/// A request for a restart lease without a change of the dispatcher's version.
 fn request_lease(id: u64, grant_id: u64) -> Command {
     Command::RequestLease {
         id,
@@ -126,7 +126,7 @@
     }
 }
 
-/// Budgets of at most this many unavailable dispatchers and engines.
+/// Configuration with budgets of at most these numbers of unavailable dispatchers and engines.
 fn config(dispatchers: u32, engines: u32) -> RolloutConfig {
     let budget = |max_count| DisruptionBudget {
         fleet: Limit {
@@ -181,7 +181,7 @@
         fixture.disruption_count(UnitKind::Engine, DisruptionReason::Ejected),
         0
     );
-    // The drained engines are back, so the budget allows the drain.
+    // The drained engines are available again, so the budget allows the drain.
     fixture.controller.set_engines(&engines(8, |_| true));
     assert_eq!(
         fixture.command(Command::Drain {
@@ -203,7 +203,7 @@
         200,
     );
     fixture.controller.set_engines(&engines(8, |_| true));
-    // Half of the members report one engine, half another one, and a single member a third one.
+    // Only member 7 reports engine 5. About half of the others report engine 2, and the rest engine 3.
     for id in 1..=200 {
         let failing_engine = if id == 7 { 5 } else { 2 + id % 2 };
         fixture.report(
@@ -234,7 +234,7 @@
 }
 
 #[test]
-fn drain_is_refused_with_figures_where_the_other_engines_could_not_carry_the_load() {
+fn drain_is_refused_with_load_and_capacity_if_the_other_engines_could_not_carry_the_load() {
     let mut fixture = LeaderFixture::new(config(1, 4), 2);
     fixture.controller.set_engines(&engines(4, |_| true));
     (1..=2).for_each(|id| {
@@ -262,7 +262,7 @@
 }
 
 #[test]
-fn lease_is_free_once_its_holder_restarted_under_it_but_not_after_a_crash_of_the_holder() {
+fn lease_ends_once_the_dispatcher_restarted_under_it_but_not_after_a_crash_of_the_dispatcher() {
     let mut fixture = LeaderFixture::new(config(1, 1), 3);
     let lease = request_lease(2, 99);
     assert!(matches!(fixture.command(lease), Answer::Granted { .. }));
@@ -271,7 +271,7 @@
         Answer::BudgetExhausted { .. }
     ));
     fixture.advance(1000.0);
-    // The dispatcher crashed and came back before its lease was used: the holder of the lease may still use it.
+    // The dispatcher crashed and came back before its lease was used. The holder of the lease may still use it.
     fixture.report(
         2,
         Report {
@@ -308,7 +308,7 @@
 }
 
 #[test]
-fn dispatcher_that_does_not_come_back_counts_as_lost_until_it_is_back_or_forgotten() {
+fn dispatcher_that_does_not_rejoin_counts_as_lost_until_it_is_forgotten() {
     let mut fixture = LeaderFixture::new(config(1, 1), 3);
     assert!(matches!(
         fixture.command(request_lease(2, 99)),
@@ -372,19 +372,22 @@
     };
     let mut node = voter(quorum_config, VoterMemory::MayBeLost);
     let mut controller = RolloutController::new(config(1, 1));
-    let command = |now_ms: f64, node: &mut QuorumNode, controller: &mut RolloutController| {
+    let query_status = |now_ms: f64, node: &mut QuorumNode, controller: &mut RolloutController| {
         while node.poll(now_ms).is_some() {}
         controller.evaluate(node, now_ms);
         controller.on_command(node, Command::Status, now_ms)
     };
     let mut now_ms = START_MS;
-    let first = loop {
+    let settled_after_ms = loop {
         now_ms += 500.0;
-        if command(now_ms, &mut node, &mut controller) != Answer::NoLeader {
+        if query_status(now_ms, &mut node, &mut controller) != Answer::NoLeader {
             break now_ms - START_MS;
         }
     };
-    assert!(first >= quorum_config.quarantine_ms() + 3000.0, "{first}");
+    assert!(
+        settled_after_ms >= quorum_config.quarantine_ms() + 3000.0,
+        "{settled_after_ms}"
+    );
 }
 
 proptest! {
@@ -395,9 +398,9 @@
         for code in 16..26 {
             let framed: Vec<u8> = [&[code], bytes.as_slice()].concat();
             if let Ok(decoded) = codec::decode(&framed) {
-                let again = codec::encode(&decoded);
-                prop_assert!(again.len() <= tansymux_coordination::codec::MAX_DATAGRAM_BYTES);
-                prop_assert_eq!(codec::decode(&again), Ok(decoded));
+                let reencoded = codec::encode(&decoded);
+                prop_assert!(reencoded.len() <= tansymux_coordination::codec::MAX_DATAGRAM_BYTES);
+                prop_assert_eq!(codec::decode(&reencoded), Ok(decoded));
             }
         }
         let command = Message::Command { call, command: Command::Release { number, to: number ^ 1, from: 3 } };
