--- a/crates/membership/src/authenticator.rs
+++ b/crates/membership/src/authenticator.rs
@@ -1,11 +1,11 @@
-//! Authentication and replay protection of datagrams: a keyed hash (SipHash-2-4) over each, two keys valid at a time
-//! so that keys can be rotated, and a sliding window over sequence numbers.
+//! Authentication and replay protection of datagrams: a keyed hash (SipHash-2-4) over each datagram, and a sliding
+//! window over sequence numbers. Two keys can be valid at a time, which allows key rotation.
 //!
 //! The seal is appended to the datagram; integers are big-endian:
 //!
 //! | bytes | field |
 //! | --- | --- |
-//! | 4 | session of the sender, drawn at its start |
+//! | 4 | session of the sender, drawn at random when the process starts |
 //! | 4 | sequence number within the session |
 //! | 8 | SipHash-2-4 over the datagram, session and sequence number |
 
@@ -17,19 +17,20 @@
 pub const SEAL_LEN: usize = 16;
 /// Length of the part of the seal that the hash covers (bytes): session and sequence number.
 const SEAL_HEADER_LEN: usize = 8;
-/// Limit on the sessions of a sender; beyond it the least recently used one is evicted.
+/// Maximum number of sessions recorded per sender. The least recently used session is evicted first.
 const MAX_SESSIONS: usize = 8;
-/// Number of sequence numbers below the highest one that are accepted, once each.
+/// Size of the replay window: the number of sequence numbers below the highest received one that are still accepted,
+/// each once.
 const REPLAY_WINDOW: u32 = 64;
-/// Limit on the senders whose sequence numbers are recorded; beyond it the least recently used one is evicted.
+/// Maximum number of senders whose sequence numbers are recorded. The least recently used sender is evicted first.
 const MAX_SENDERS: usize = 2048;
 
-/// The keys in force. Without keys, datagrams are neither sealed nor checked.
+/// The keys in use. Without keys, datagrams are neither sealed nor verified.
 #[derive(Debug, Clone, Default)]
 pub struct Keys {
-    /// Key that seals outgoing datagrams, and is accepted in incoming ones.
+    /// Key that seals outgoing datagrams and is accepted on incoming datagrams.
     pub signing: Option<[u8; 16]>,
-    /// Second key that is accepted in incoming datagrams, during a rotation.
+    /// Second key that is accepted on incoming datagrams during a rotation.
     pub also_accepted: Option<[u8; 16]>,
 }
 
@@ -44,16 +45,17 @@
 struct Session {
     id: u32,
     highest: u32,
-    /// Bit n is set once sequence number `highest - 1 - n` was received.
+    /// Bit n is set if sequence number `highest - 1 - n` has been received.
     received: u64,
 }
 
-/// A sender's sessions, the most recently used one at the end. Old sessions are accepted too: a receiver that has just
-/// started cannot know which of two sessions is newer, and a delayed datagram of the old one must not block the new one.
+/// The sessions of a sender, ordered from least to most recently used. Old sessions stay valid: a receiver that has
+/// just started cannot tell which of two sessions is newer, and a delayed datagram of the old session must not block
+/// the new session.
 #[derive(Debug, Clone, Default)]
 struct Sender {
     sessions: Vec<Session>,
-    /// Value of `accepted_count` at the sender's last accepted datagram.
+    /// Value of `accepted_count` when the sender's last datagram was accepted.
     last_accepted: u64,
 }
 
@@ -64,12 +66,12 @@
     session: u32,
     sequence_number: u32,
     senders: HashMap<u64, Sender>,
-    /// Number of accepted datagrams, which orders senders by their last one.
+    /// Number of accepted datagrams of all senders; serves as the clock for the eviction of senders.
     accepted_count: u64,
 }
 
 impl DatagramAuthenticator {
-    /// An authenticator at the start of the process. `session` has to be drawn at each start.
+    /// Creates an authenticator. `session` must be drawn at random each time the process starts.
     pub fn new(keys: Keys, session: u32) -> Self {
         DatagramAuthenticator {
             keys,
@@ -80,12 +82,12 @@
         }
     }
 
-    /// Replaces the keys; replay windows stay.
+    /// Replaces the keys. The replay windows are kept.
     pub fn set_keys(&mut self, keys: Keys) {
         self.keys = keys;
     }
 
-    /// Appends a seal to a datagram; does nothing without a signing key.
+    /// Appends a seal to a datagram. Does nothing without a signing key.
     pub fn seal(&mut self, datagram: &mut Vec<u8>) {
         let Some(key) = &self.keys.signing else {
             return;
@@ -99,8 +101,8 @@
         datagram.extend_from_slice(&hash);
     }
 
-    /// The content of a sealed datagram that names this sender; `None` where the seal is missing or wrong, or the
-    /// datagram was received before. Without keys every datagram is accepted as it is.
+    /// Verifies a datagram of the given sender and returns its content without the seal. Returns `None` if the seal is
+    /// missing or wrong, or if the datagram is a replay. Without keys, returns every datagram unchanged.
     pub fn open<'a>(&mut self, sender: u64, datagram: &'a [u8]) -> Option<&'a [u8]> {
         if self.keys.is_empty() {
             return Some(datagram);
@@ -121,26 +123,27 @@
             .then_some(content)
     }
 
-    /// Records a sequence number of a session; returns whether it was not received before.
+    /// Records a sequence number of a session. Returns false for a replay.
     fn accept_once(&mut self, sender: u64, session: u32, sequence_number: u32) -> bool {
-        // Only holders of a key get this far. Evicting a sender reopens its window for replays; commands of the fleet also
-        // contain a nonce of their receiver, so a replay of them is still rejected.
+        // The seal has been verified here, so only holders of a key can cause an eviction. Evicting a sender discards
+        // its replay window. Fleet commands also contain a nonce of their receiver, so their replays are still
+        // rejected.
         if !self.senders.contains_key(&sender) && self.senders.len() >= MAX_SENDERS {
-            self.evict_oldest_sender();
+            self.evict_least_recently_used_sender();
         }
         self.accepted_count += 1;
-        let known = self.senders.entry(sender).or_default();
-        known.last_accepted = self.accepted_count;
-        known.accept_once(session, sequence_number)
+        let record = self.senders.entry(sender).or_default();
+        record.last_accepted = self.accepted_count;
+        record.accept_once(session, sequence_number)
     }
 
-    fn evict_oldest_sender(&mut self) {
-        let oldest = self
+    fn evict_least_recently_used_sender(&mut self) {
+        let least_recently_used = self
             .senders
             .iter()
             .min_by_key(|(id, sender)| (sender.last_accepted, **id))
             .map(|(id, _)| *id);
-        if let Some(id) = oldest {
+        if let Some(id) = least_recently_used {
             self.senders.remove(&id);
         }
     }
@@ -153,7 +156,7 @@
     hasher.finish().to_be_bytes()
 }
 
-/// Compares all bytes regardless of differences, so that the time taken reveals nothing about the hash.
+/// Compares two hashes in constant time, so that the duration reveals nothing about the expected hash.
 fn equal_in_constant_time(expected: &[u8; 8], received: &[u8]) -> bool {
     let differing_bits = expected
         .iter()
--- a/crates/membership/src/codec.rs
+++ b/crates/membership/src/codec.rs
@@ -7,11 +7,11 @@
 //! | 1 | message: 0 ping, 1 ack, 2 ping request, 3 indirect ack, 4 join, 5 table sync, 6 user message |
 //! | 8 | sender's [`MemberId`] |
 //! | 4 | sequence number; 0 in a user message |
-//! | 8 | messages 2 and 3 only: the [`MemberId`] they are about |
-//! | 64 | message 5 only: one digest of 4 bytes for each of [`TABLE_BUCKETS`] buckets |
+//! | 8 | messages 2 and 3 only: [`MemberId`] of the probe target |
+//! | 64 | message 5 only: one 4-byte digest per bucket, for [`TABLE_BUCKETS`] buckets |
 //! | n | message 6 only: the content, up to [`MAX_USER_MESSAGE_LEN`] bytes; no gossip follows |
 //! | 19 each | gossip entries |
-//! | 16 | seal of [`crate::authenticator`], where keys are set |
+//! | 16 | seal, see [`crate::authenticator`]; absent without keys |
 //!
 //! A gossip entry:
 //!
@@ -26,25 +26,26 @@
 use std::net::{IpAddr, Ipv4Addr, SocketAddr, SocketAddrV4};
 use tansymux_codec::{wire_enum, ByteReader, ByteWriter};
 
-/// Limit on the length of a datagram with its seal (bytes). The fleet's network contract allows datagrams of up to 256 bytes.
+/// Maximum length of a datagram including its seal (bytes). The fleet's network contract allows datagrams of up to 256
+/// bytes.
 pub const MAX_DATAGRAM_LEN: usize = 256;
 /// First byte of every membership datagram.
 pub const DATAGRAM_KIND: u8 = 4;
-/// Version of the layout.
+/// Version of the datagram layout.
 const VERSION: u8 = 1;
-/// Length of the header (bytes): kind, version, message, sender, sequence number.
+/// Length of the header (bytes): kind, version, message code, sender and sequence number.
 const HEADER_LEN: usize = 3 + 8 + 4;
-/// Length of the member that a message is about (bytes).
-const SUBJECT_LEN: usize = 8;
+/// Length of the probe target's identifier in a ping request or indirect ack (bytes).
+const TARGET_LEN: usize = 8;
 /// Length of one gossip entry (bytes).
 const GOSSIP_LEN: usize = 8 + 4 + 2 + 1 + 4;
-/// Number of buckets of the member table whose digests a table sync compares.
+/// Number of buckets into which a table sync divides the member table; it compares one digest per bucket.
 pub const TABLE_BUCKETS: usize = 16;
-/// Length of the digests of a table sync (bytes).
+/// Length of the digests in a table sync (bytes).
 const DIGESTS_LEN: usize = 4 * TABLE_BUCKETS;
 
 wire_enum! {
-    /// The code of a message.
+    /// Code of a message on the wire.
     enum MessageKind {
         /// [`Message::Ping`].
         Ping = 0,
@@ -63,107 +64,109 @@
     }
 }
 
-/// Limit on the content of a user message (bytes).
+/// Maximum length of a user message's content (bytes).
 pub const MAX_USER_MESSAGE_LEN: usize = MAX_DATAGRAM_LEN - authenticator::SEAL_LEN - HEADER_LEN;
 
-/// A member's identifier, derived from its name: the same after a restart.
+/// Identifier of a member, derived from its name and therefore stable across restarts.
 pub type MemberId = u64;
 
-/// The identifier of a member's name: 64-bit FNV-1a.
+/// Returns the identifier of the member with this name: its 64-bit FNV-1a hash.
 pub fn member_id_of(name: &str) -> MemberId {
     tansymux_codec::fnv1a_64(name.as_bytes())
 }
 
 wire_enum! {
-    /// State of a member, from best to worst: at equal incarnation the worse state wins.
+    /// State of a member, in order of precedence: of two claims with the same incarnation, the later state in this list
+    /// wins.
     pub enum MemberState {
         /// The member answers probes.
         Alive = 0,
-        /// The member did not answer and has not refuted the suspicion yet.
+        /// The member did not answer probes and has not refuted the suspicion yet.
         Suspect = 1,
-        /// The suspicion timed out.
+        /// The suspicion timed out without a refutation.
         Dead = 2,
-        /// The member announced that it leaves.
+        /// The member announced its departure.
         Left = 3,
     }
 }
 
 impl MemberState {
-    /// Whether a member in this state counts as running: alive or suspected.
+    /// Whether a member in this state counts as running (alive or suspect).
     pub fn is_present(self) -> bool {
         self <= MemberState::Suspect
     }
 }
 
-/// A claim about a member, piggybacked on other messages.
+/// A claim about a member's state, piggybacked on other messages.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Gossip {
-    /// The member that the claim is about.
+    /// Identifier of the member.
     pub id: MemberId,
     /// The member's address.
     pub address: SocketAddr,
     /// The member's state.
     pub state: MemberState,
-    /// The incarnation that the state belongs to.
+    /// The incarnation of the member that the state applies to.
     pub incarnation: u32,
 }
 
-/// The request or answer in a datagram.
+/// The request or response in a datagram.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Message {
     /// A direct probe.
     Ping,
-    /// The answer to a ping or a join, under its sequence number.
+    /// The response to a ping or a join, with the sequence number of the request.
     Ack,
-    /// A request to probe this member on behalf of the sender (indirect probe).
+    /// A request to probe the given member on behalf of the sender (indirect probe).
     PingRequest(MemberId),
-    /// The answer to a ping request: this member acknowledged.
+    /// The response to a ping request: the given member acknowledged a ping.
     IndirectAck(MemberId),
-    /// A request for the member table of a seed.
+    /// A request for a seed's member table.
     Join,
-    /// Digests of the sender's table by bucket; the receiver answers with its members of buckets that differ.
+    /// The digests of the sender's member table, one per bucket. The receiver responds with its members in the buckets
+    /// that differ.
     TableSync([u32; TABLE_BUCKETS]),
 }
 
 /// A datagram without its seal.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Datagram {
-    /// The request or answer.
+    /// The request or response.
     pub message: Message,
-    /// The sender that the datagram names.
+    /// The sender, as claimed by the datagram.
     pub sender: MemberId,
-    /// Sequence number of the request, which its answer repeats.
+    /// Sequence number of the request; a response repeats it.
     pub sequence_number: u32,
     /// Claims about members.
     pub gossip: Vec<Gossip>,
 }
 
-/// Why bytes could not be decoded as a membership datagram.
+/// An error in decoding a membership datagram.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum DecodeError {
-    /// The datagram is too short for the header, or of another kind or version.
-    #[error("no membership datagram of version {VERSION}")]
+    /// The datagram is too short for the header, or has another kind or version.
+    #[error("not a membership datagram of version {VERSION}")]
     NotMembership,
-    /// The code is unknown, or that of a user message.
-    #[error("message code {0}: expected 0 to 5")]
+    /// The message code is unknown, or is the code of a user message.
+    #[error("unexpected message code {0}, expected 0 to 5")]
     UnknownMessage(u8),
-    /// The datagram ends inside a field of its message.
-    #[error("datagram ends inside its message")]
+    /// The datagram ends before the fields of its message are complete.
+    #[error("membership datagram truncated inside its message")]
     Truncated,
 }
 
-/// Number of gossip entries that fit behind this message.
+/// Returns the number of gossip entries that fit in a datagram after this message.
 pub fn gossip_capacity(message: Message) -> usize {
     let body_len = match message {
-        Message::PingRequest(_) | Message::IndirectAck(_) => SUBJECT_LEN,
+        Message::PingRequest(_) | Message::IndirectAck(_) => TARGET_LEN,
         Message::TableSync(_) => DIGESTS_LEN,
         Message::Ping | Message::Ack | Message::Join => 0,
     };
     (MAX_DATAGRAM_LEN - authenticator::SEAL_LEN - HEADER_LEN - body_len) / GOSSIP_LEN
 }
 
-/// Encodes a datagram without a seal. Gossip beyond [`gossip_capacity`] and gossip of addresses other than IPv4 is
-/// left out.
+/// Encodes a datagram without a seal. Omits gossip beyond [`gossip_capacity`] and gossip about members whose address is
+/// not IPv4.
 pub fn encode(datagram: &Datagram) -> Vec<u8> {
     let kind = match datagram.message {
         Message::Ping => MessageKind::Ping,
@@ -175,8 +178,8 @@
     };
     let mut writer = encode_header(kind, datagram.sender, datagram.sequence_number);
     match datagram.message {
-        Message::PingRequest(subject) | Message::IndirectAck(subject) => {
-            writer.u64(subject);
+        Message::PingRequest(target) | Message::IndirectAck(target) => {
+            writer.u64(target);
         }
         Message::TableSync(digests) => {
             for digest in digests {
@@ -213,14 +216,14 @@
         .u32(gossip.incarnation);
 }
 
-/// The fields in front of every message.
+/// The header fields that precede every message.
 struct Header {
     message_code: u8,
     sender: MemberId,
     sequence_number: u32,
 }
 
-/// Decodes the header; `None` for bytes of another kind or version.
+/// Decodes the header. Returns `None` if it is incomplete or has another kind or version.
 fn decode_header(reader: &mut ByteReader) -> Option<Header> {
     let kind = reader.u8().ok()?;
     let version = reader.u8().ok()?;
@@ -234,16 +237,17 @@
     })
 }
 
-/// The sender that a datagram names, not verified; `None` for bytes of another kind or version.
+/// Returns the sender claimed by a datagram, without verifying it. Returns `None` if the header is incomplete or has
+/// another kind or version.
 pub fn peek_sender(bytes: &[u8]) -> Option<MemberId> {
     decode_header(&mut ByteReader::new(bytes)).map(|header| header.sender)
 }
 
-/// Decodes a datagram whose seal was removed. Gossip with an unknown state is skipped, as is an incomplete entry at
-/// the end; at most as many entries are read as fit behind a ping.
+/// Decodes a datagram whose seal has been removed. Skips gossip entries with an unknown state and an incomplete last
+/// entry, and reads at most as many entries as fit in a ping.
 ///
 /// # Errors
-/// A [`DecodeError`] for malformed bytes and for user messages.
+/// Returns a [`DecodeError`] for malformed bytes and for user messages.
 pub fn decode(bytes: &[u8]) -> Result<Datagram, DecodeError> {
     let mut reader = ByteReader::new(bytes);
     let header = decode_header(&mut reader).ok_or(DecodeError::NotMembership)?;
@@ -267,15 +271,15 @@
     match kind {
         MessageKind::Ping => Ok(Message::Ping),
         MessageKind::Ack => Ok(Message::Ack),
-        MessageKind::PingRequest => Ok(Message::PingRequest(decode_subject(reader)?)),
-        MessageKind::IndirectAck => Ok(Message::IndirectAck(decode_subject(reader)?)),
+        MessageKind::PingRequest => Ok(Message::PingRequest(decode_target(reader)?)),
+        MessageKind::IndirectAck => Ok(Message::IndirectAck(decode_target(reader)?)),
         MessageKind::Join => Ok(Message::Join),
         MessageKind::TableSync => Ok(Message::TableSync(decode_digests(reader)?)),
         MessageKind::UserMessage => Err(DecodeError::UnknownMessage(code)),
     }
 }
 
-fn decode_subject(reader: &mut ByteReader) -> Result<MemberId, DecodeError> {
+fn decode_target(reader: &mut ByteReader) -> Result<MemberId, DecodeError> {
     reader.u64().map_err(|_| DecodeError::Truncated)
 }
 
@@ -300,7 +304,7 @@
     })
 }
 
-/// Encodes a user message without a seal; `None` where the content is longer than [`MAX_USER_MESSAGE_LEN`].
+/// Encodes a user message without a seal. Returns `None` if the content is longer than [`MAX_USER_MESSAGE_LEN`].
 pub fn encode_user_message(sender: MemberId, content: &[u8]) -> Option<Vec<u8>> {
     if content.len() > MAX_USER_MESSAGE_LEN {
         return None;
@@ -310,7 +314,7 @@
     Some(writer.into_bytes())
 }
 
-/// The content of a user message whose seal was removed; `None` for other datagrams.
+/// Returns the content of a user message whose seal has been removed. Returns `None` for other datagrams.
 pub fn decode_user_message(bytes: &[u8]) -> Option<&[u8]> {
     let mut reader = ByteReader::new(bytes);
     let header = decode_header(&mut reader)?;
--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -2,18 +2,18 @@
 
 use std::net::SocketAddr;
 
-/// Settings of the failure detector; times in milliseconds. Their ranges are checked where the operators' file is read.
+/// Settings of the failure detector. Times are in milliseconds. Ranges are checked when the operators' file is read.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Config {
-    /// Protocol period: one member is probed in each.
+    /// Length of a protocol period. One member is probed in each period.
     pub period_ms: f64,
     /// Timeout of a direct probe, after which indirect probes are requested.
     pub probe_timeout_ms: f64,
-    /// Number of members from which indirect probes are requested at a time.
+    /// Number of members asked for an indirect probe in each retry of a probe.
     pub indirect_probes: usize,
-    /// Suspicion timeout, in protocol periods for each doubling of the size of the group.
+    /// Suspicion timeout, in protocol periods per doubling of the group size.
     pub suspicion_multiplier: f64,
-    /// Addresses of members from which a joining member requests the member table.
+    /// Addresses of the members from which a joining member requests the member table.
     pub seeds: Vec<SocketAddr>,
 }
 
--- a/crates/membership/src/detector.rs
+++ b/crates/membership/src/detector.rs
@@ -1,8 +1,8 @@
 //! The SWIM failure detector of one member.
 //!
-//! [`SwimDetector::handle`] handles datagrams and [`SwimDetector::poll`] runs timers; both queue datagrams, which `poll`
-//! returns. The steps of the protocol are in the submodules: `probing` (direct and indirect probes, suspicion), `gossip`
-//! (dissemination) and `table_sync` (joining and anti-entropy).
+//! [`SwimDetector::handle`] processes received datagrams and [`SwimDetector::poll`] runs the timers. Both queue
+//! outgoing datagrams, which `poll` returns. The submodules implement the parts of the protocol: `probing` (direct and
+//! indirect probes, suspicion), `gossip` (dissemination) and `table_sync` (joining and anti-entropy).
 
 mod gossip;
 mod interface;
@@ -28,20 +28,20 @@
 use std::net::SocketAddr;
 use transport::Transport;
 
-/// Limit on the members, including those that are dead and not yet forgotten.
+/// Maximum number of members in the table, including dead members that are still retained.
 pub const MAX_MEMBERS: usize = 1024;
-/// Limit on the state changes in the history.
+/// Maximum number of state changes in the history.
 const MAX_HISTORY: usize = 128;
-/// Limit on the queued user messages.
+/// Maximum number of queued user messages.
 const MAX_QUEUED_USER_MESSAGES: usize = 1024;
-/// Number of protocol periods after the start in each of which tables are synchronized.
+/// Number of protocol periods after the start during which a table sync is sent in every period.
 const INITIAL_UNSETTLED_PERIODS: u32 = 10;
-/// Gap between two polls that counts as a pause of this process, in protocol periods.
+/// Time between two polls beyond which this process is considered paused, in protocol periods.
 const PAUSE_PERIODS: f64 = 2.0;
 /// Increase of the local health multiplier after a pause.
 const PAUSE_HEALTH_PENALTY: u32 = 2;
 
-/// The SWIM failure detector of one member. All times in milliseconds of the caller's clock.
+/// The SWIM failure detector of one member. All times are milliseconds on the caller's clock.
 #[derive(Debug, Clone)]
 pub struct SwimDetector {
     id: MemberId,
@@ -52,20 +52,20 @@
     config: Config,
     transport: Transport,
     rng: Pcg32,
-    /// All known members but this one.
+    /// All known members except this one.
     members: BTreeMap<MemberId, Member>,
     probe_round: ProbeRound,
     probe: Option<Probe>,
-    /// Probes that this member sends on behalf of others.
+    /// Probes that this member sends on behalf of other members.
     indirect_probes: Vec<IndirectProbe>,
     next_period_ms: f64,
     next_join_ms: f64,
     next_sync_ms: f64,
-    /// Remaining number of protocol periods in each of which tables are synchronized.
+    /// Number of remaining protocol periods during which a table sync is sent in every period.
     unsettled_periods: u32,
-    /// Datagrams that answered table syncs in this period.
+    /// Number of datagrams sent in response to table syncs in this period.
     sync_answers_sent: usize,
-    /// Datagrams that answered joins in this period.
+    /// Number of datagrams with member tables sent in response to joins in this period.
     join_answers_sent: usize,
     user_messages: VecDeque<UserMessage>,
     local_health: LocalHealth,
@@ -75,8 +75,8 @@
 }
 
 impl SwimDetector {
-    /// A detector at the start of a member. `name` is the same after a restart; `last_incarnation` is the member's last
-    /// known incarnation, or 0; `seed` has to be drawn at each start.
+    /// Creates a detector. `name` must stay the same across restarts. `last_incarnation` is the stored incarnation of
+    /// the previous run, or 0 if there is none. `seed` must be drawn at random at each start.
     pub fn new(
         name: &str,
         address: SocketAddr,
@@ -114,47 +114,47 @@
         }
     }
 
-    /// This member's identifier.
+    /// Returns this member's identifier.
     pub fn id(&self) -> MemberId {
         self.id
     }
 
-    /// This member's incarnation, to be stored for the next start.
+    /// Returns this member's incarnation, to be stored for the next start.
     pub fn incarnation(&self) -> u32 {
         self.incarnation
     }
 
-    /// All known members but this one, in order of their identifiers.
+    /// Returns all known members except this one, ordered by identifier.
     pub fn members(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
 
-    /// Number of members that count as running, this one included.
+    /// Returns the number of members that count as running, including this one.
     pub fn present_count(&self) -> usize {
         self.present_members().count() + 1
     }
 
-    /// The state of another member; `None` if it is not known.
+    /// Returns the state of another member, or `None` if the member is unknown.
     pub fn state(&self, id: MemberId) -> Option<MemberState> {
         self.members.get(&id).map(|member| member.state)
     }
 
-    /// The last state changes, oldest first.
+    /// Returns the most recent state changes, oldest first.
     pub fn history(&self) -> &[StateChange] {
         &self.history
     }
 
-    /// Lifeguard's local health multiplier, from 0 (healthy): timeouts are `1 + local_health` times as long.
+    /// Returns Lifeguard's local health multiplier; 0 means healthy. Timeouts are multiplied by `1 + local_health`.
     pub fn local_health(&self) -> u32 {
         self.local_health.multiplier()
     }
 
-    /// Replaces the keys of the datagrams.
+    /// Replaces the keys that authenticate datagrams.
     pub fn set_keys(&mut self, keys: Keys) {
         self.transport.set_keys(keys);
     }
 
-    /// Handles an event. The next [`SwimDetector::poll`] returns the answers.
+    /// Handles an event. The next [`SwimDetector::poll`] returns the resulting datagrams.
     pub fn handle(&mut self, event: Event<'_>, now_ms: f64) {
         self.now_ms = self.now_ms.max(now_ms);
         match event {
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Runs the timers that are due. Returns the datagrams to send and when to poll again.
+    /// Runs the timers that are due. Returns the datagrams to send and the time of the next poll.
     pub fn poll(&mut self, now_ms: f64) -> PollOutput {
         if self.was_paused(now_ms) {
             self.recover_from_pause(now_ms);
@@ -199,7 +199,8 @@
             .max(self.now_ms + 1.0)
     }
 
-    /// Sends a message of another protocol to a member. Returns whether the member is present and the message fits.
+    /// Sends a user message to a member. Returns false if the member is not present or the message does not fit in a
+    /// datagram.
     pub fn send_user_message(&mut self, to: MemberId, content: &[u8]) -> bool {
         match self.members.get(&to) {
             Some(member) if member.is_present() => {
@@ -210,20 +211,21 @@
         }
     }
 
-    /// Sends a message of another protocol to an address, for instance of a client. Returns whether the message fits.
+    /// Sends a user message to an address, for example that of a client. Returns false if the message does not fit in a
+    /// datagram.
     pub fn send_user_message_to(&mut self, to: SocketAddr, content: &[u8]) -> bool {
         self.transport.push_user_message(to, content)
     }
 
-    /// The next message that another protocol sent to this member.
+    /// Removes and returns the oldest user message received.
     pub fn next_user_message(&mut self) -> Option<UserMessage> {
         self.user_messages.pop_front()
     }
 
     fn leave(&mut self) {
         self.is_leaving = true;
-        let farewell = self.own_gossip(MemberState::Left);
-        self.enqueue_gossip(farewell);
+        let departure = self.own_gossip(MemberState::Left);
+        self.enqueue_gossip(departure);
         let receivers: Vec<SocketAddr> = self
             .present_members()
             .take(2 * self.config.indirect_probes + 2)
@@ -270,40 +272,40 @@
         }
     }
 
-    /// Handles the message of a datagram.
+    /// Handles the request or response in a datagram.
     fn on_message(&mut self, from: SocketAddr, datagram: &Datagram) {
         let sequence_number = datagram.sequence_number;
         match datagram.message {
             Message::Ping => self.send_numbered(from, Message::Ack, sequence_number),
             Message::Join => self.answer_join(from, sequence_number),
             Message::Ack => self.on_ack(datagram.sender, sequence_number),
-            Message::IndirectAck(subject) => self.on_indirect_ack(subject, sequence_number),
+            Message::IndirectAck(target) => self.on_indirect_ack(target, sequence_number),
             Message::TableSync(digests) => self.answer_table_sync(from, &digests),
-            Message::PingRequest(subject) => {
-                self.on_ping_request(datagram.sender, subject, sequence_number);
+            Message::PingRequest(target) => {
+                self.on_ping_request(datagram.sender, target, sequence_number);
             }
         }
     }
 
-    /// Whether this process was paused since the last poll.
+    /// Whether this process was paused since the last event or poll.
     fn was_paused(&self, now_ms: f64) -> bool {
         now_ms - self.now_ms > PAUSE_PERIODS * self.config.period_ms && self.now_ms.is_finite()
     }
 
-    /// Drops the probe in progress and extends suspicions: after a pause of this process, missing answers are no evidence
-    /// against other members.
+    /// Abandons the probe in progress and extends suspicions: after a pause of this process, missing responses are not
+    /// evidence against other members.
     fn recover_from_pause(&mut self, now_ms: f64) {
         self.local_health.degrade(PAUSE_HEALTH_PENALTY);
         self.probe = None;
-        let earliest_start_ms = now_ms - self.suspicion_timeout_ms() / 2.0;
+        let min_suspected_since_ms = now_ms - self.suspicion_timeout_ms() / 2.0;
         for member in self.members.values_mut() {
             if member.state == MemberState::Suspect {
-                member.state_since_ms = member.state_since_ms.max(earliest_start_ms);
+                member.state_since_ms = member.state_since_ms.max(min_suspected_since_ms);
             }
         }
     }
 
-    /// A claim about this member.
+    /// Returns a claim about this member.
     fn own_gossip(&self, state: MemberState) -> Gossip {
         Gossip {
             id: self.id,
@@ -317,12 +319,12 @@
         self.members.values().filter(|member| member.is_present())
     }
 
-    /// The address of a known member in any state.
+    /// Returns the address of a known member, regardless of its state.
     fn address_of(&self, id: MemberId) -> Option<SocketAddr> {
         self.members.get(&id).map(|member| member.address)
     }
 
-    /// Binary logarithm of the size of the group. SWIM's dissemination and suspicion times are proportional to it.
+    /// Returns the binary logarithm of the group size. SWIM's dissemination and suspicion times are proportional to it.
     fn group_doublings(&self) -> f64 {
         (self.members.len() as f64 + 2.0).log2()
     }
@@ -338,14 +340,14 @@
         });
     }
 
-    /// Sends a request and returns its sequence number.
+    /// Sends a request with a new sequence number. Returns the sequence number.
     fn send(&mut self, to: SocketAddr, message: Message) -> u32 {
         let sequence_number = self.transport.next_sequence_number();
         self.send_numbered(to, message, sequence_number);
         sequence_number
     }
 
-    /// Sends a message under a given sequence number, with as much gossip as fits.
+    /// Sends a message with the given sequence number and as much gossip as fits.
     fn send_numbered(&mut self, to: SocketAddr, message: Message, sequence_number: u32) {
         let gossip = self.take_gossip(codec::gossip_capacity(message));
         self.transport.push(to, message, sequence_number, gossip);
--- a/crates/membership/src/detector/gossip.rs
+++ b/crates/membership/src/detector/gossip.rs
@@ -1,4 +1,4 @@
-//! Dissemination: how claims about members are merged and how often they are transmitted.
+//! Dissemination: merging of claims about members, and their piggybacking on outgoing datagrams.
 
 use super::{SwimDetector, MAX_MEMBERS};
 use crate::codec::{Gossip, MemberId, MemberState};
@@ -7,21 +7,23 @@
 use std::cmp::Reverse;
 use std::collections::VecDeque;
 
-/// Number of transmissions of a claim for each doubling of the size of the group, plus one doubling.
+/// Number of transmissions of a claim per doubling of the group size; one doubling is added to the actual number.
 const TRANSMISSIONS_PER_DOUBLING: f64 = 3.0;
-/// Limit on the claims about random members in a datagram, where it has capacity.
-const MAX_REMINDERS: usize = 2;
-/// Number of protocol periods after a new member was found in each of which tables are synchronized.
+/// Maximum number of claims about random members in a datagram that has spare capacity.
+const MAX_RANDOM_CLAIMS: usize = 2;
+/// Number of protocol periods after a member was added during which a table sync is sent in every period.
 const UNSETTLED_PERIODS_AFTER_JOIN: u32 = 3;
-/// Half of the range of incarnations, which wrap around: a smaller difference means newer, any other older.
+/// Half of the range of incarnations, which wrap around. An incarnation is newer than another if it is ahead by less
+/// than this number.
 const INCARNATION_HALF_RANGE: u32 = 0x8000_0000;
 
-/// Whether an incarnation is newer than another one.
-fn is_newer_incarnation(incarnation: u32, than: u32) -> bool {
-    (1..INCARNATION_HALF_RANGE).contains(&incarnation.wrapping_sub(than))
+/// Whether an incarnation is newer than a reference incarnation.
+fn is_newer_incarnation(incarnation: u32, reference: u32) -> bool {
+    (1..INCARNATION_HALF_RANGE).contains(&incarnation.wrapping_sub(reference))
 }
 
-/// Whether a claim overrides the known state of a member: a higher incarnation, or a worse state at the same one.
+/// Whether a claim overrides the known state of a member: it has a newer incarnation, or the same incarnation and a
+/// state with higher precedence.
 fn overrides(gossip: &Gossip, known: &Member) -> bool {
     if gossip.incarnation == known.incarnation {
         return gossip.state > known.state;
@@ -29,37 +31,38 @@
     is_newer_incarnation(gossip.incarnation, known.incarnation)
 }
 
-/// Claims to be transmitted, at most one for each member, each with its remaining transmissions.
+/// Claims to be transmitted, at most one per member, each with its number of remaining transmissions.
 #[derive(Debug, Clone, Default)]
 pub(super) struct GossipQueue {
     entries: VecDeque<(Gossip, u32)>,
 }
 
 impl GossipQueue {
-    /// Queues a claim first, in place of any other about the same member.
+    /// Adds a claim at the front of the queue and removes any other claim about the same member.
     fn push(&mut self, gossip: Gossip, transmissions: u32) {
         self.entries.retain(|(queued, _)| queued.id != gossip.id);
         self.entries.push_front((gossip, transmissions));
         self.entries.truncate(MAX_MEMBERS);
     }
 
-    /// Takes up to `count` claims, those with the most remaining transmissions first, without those about `except`.
-    fn take(&mut self, count: usize, except: MemberId) -> Vec<Gossip> {
+    /// Returns up to `count` claims, most remaining transmissions first, and counts one transmission of each. Skips
+    /// claims about `excluded`.
+    fn take(&mut self, count: usize, excluded: MemberId) -> Vec<Gossip> {
         self.entries
             .make_contiguous()
             .sort_by_key(|(_, remaining)| Reverse(*remaining));
-        let mut taken = Vec::new();
+        let mut selected = Vec::new();
         for (gossip, remaining) in &mut self.entries {
-            if taken.len() >= count {
+            if selected.len() >= count {
                 break;
             }
-            if gossip.id != except {
-                taken.push(*gossip);
+            if gossip.id != excluded {
+                selected.push(*gossip);
                 *remaining -= 1;
             }
         }
         self.entries.retain(|(_, remaining)| *remaining > 0);
-        taken
+        selected
     }
 }
 
@@ -71,8 +74,8 @@
         self.gossip_queue.push(gossip, transmissions);
     }
 
-    /// Gossip for a datagram with `capacity` claims: about this member, then the claims transmitted least often, then
-    /// claims about random members.
+    /// Returns the gossip for a datagram with room for `capacity` claims: the claim about this member first, then the
+    /// queued claims with the most remaining transmissions, then claims about random members.
     pub(super) fn take_gossip(&mut self, capacity: usize) -> Vec<Gossip> {
         let own_state = if self.is_leaving {
             MemberState::Left
@@ -82,30 +85,31 @@
         let mut gossip = vec![self.own_gossip(own_state)];
         let queued = self.gossip_queue.take(capacity.saturating_sub(1), self.id);
         gossip.extend(queued);
-        let reminders = MAX_REMINDERS
+        let random_claims = MAX_RANDOM_CLAIMS
             .min(capacity.saturating_sub(gossip.len()))
             .min(self.members.len());
-        for _ in 0..reminders {
-            gossip.extend(self.draw_reminder());
+        for _ in 0..random_claims {
+            gossip.extend(self.random_claim());
         }
         gossip
     }
 
-    /// A claim about a member drawn at random, if that member is present, for receivers that missed its gossip.
-    fn draw_reminder(&mut self) -> Option<Gossip> {
+    /// Returns a claim about a random member, for receivers that missed earlier gossip about it. Returns `None` if the
+    /// member drawn is not present.
+    fn random_claim(&mut self) -> Option<Gossip> {
         let index = self.rng.random_range(0..self.members.len());
         let member = self.members.values().nth(index)?;
         member.is_present().then(|| member.to_gossip())
     }
 
-    /// Merges a claim into the table, and disseminates it if it is new.
+    /// Merges a claim into the member table, and queues it for dissemination if it changed the table.
     pub(super) fn apply_gossip(&mut self, gossip: Gossip) {
         if gossip.id == self.id {
             self.refute_if_needed(gossip);
         } else if self.members.contains_key(&gossip.id) {
             self.update_member(gossip);
         } else if gossip.state < MemberState::Dead && self.members.len() < MAX_MEMBERS {
-            // A claim that an unknown member is dead or left is of no use.
+            // Claims that an unknown member is dead or has left are ignored.
             self.add_member(gossip);
         }
     }
@@ -148,20 +152,20 @@
         self.enqueue_gossip(gossip);
     }
 
-    /// Refutes a claim that this member is suspect, dead or left, or has a newer incarnation, by a higher incarnation. A
-    /// suspicion is also evidence that this member answers slowly.
+    /// Refutes a claim that this member is suspect, dead or has left, or a claim with a newer incarnation, by taking an
+    /// incarnation above that of the claim. A suspicion is also evidence that this member answers slowly.
     fn refute_if_needed(&mut self, gossip: Gossip) {
         if self.is_leaving {
             return;
         }
-        let accuses_this_incarnation =
+        let challenges_this_incarnation =
             gossip.incarnation == self.incarnation && gossip.state != MemberState::Alive;
-        let is_later = is_newer_incarnation(gossip.incarnation, self.incarnation);
-        if !accuses_this_incarnation && !is_later {
+        let is_newer = is_newer_incarnation(gossip.incarnation, self.incarnation);
+        if !challenges_this_incarnation && !is_newer {
             return;
         }
         self.incarnation = gossip.incarnation.wrapping_add(1);
-        if accuses_this_incarnation && gossip.state == MemberState::Suspect {
+        if challenges_this_incarnation && gossip.state == MemberState::Suspect {
             self.local_health.degrade(1);
         }
         let refutation = self.own_gossip(MemberState::Alive);
--- a/crates/membership/src/detector/interface.rs
+++ b/crates/membership/src/detector/interface.rs
@@ -5,21 +5,21 @@
 /// An input of a detector.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Event<'a> {
-    /// A datagram arrived. It is ignored if it cannot be decoded or is not authentic.
+    /// A datagram was received. Datagrams that are malformed or not authentic are ignored.
     DatagramReceived {
-        /// The address of the sender.
+        /// The source address.
         from: SocketAddr,
-        /// The bytes.
+        /// The sealed bytes.
         bytes: &'a [u8],
     },
-    /// This member leaves; the datagrams of the next poll notify the others.
+    /// This member is about to leave. The datagrams of the next poll notify other members.
     LeaveRequested,
 }
 
 /// A datagram to be sent.
 #[derive(Debug, Clone, PartialEq)]
 pub struct OutgoingDatagram {
-    /// The address of the receiver.
+    /// The destination address.
     pub to: SocketAddr,
     /// The sealed bytes.
     pub bytes: Vec<u8>,
@@ -30,6 +30,6 @@
 pub struct PollOutput {
     /// Datagrams to be sent, in order.
     pub datagrams: Vec<OutgoingDatagram>,
-    /// When to poll next at the latest (ms).
+    /// Latest time of the next poll (ms).
     pub next_poll_ms: f64,
 }
--- a/crates/membership/src/detector/probe_round.rs
+++ b/crates/membership/src/detector/probe_round.rs
@@ -1,18 +1,19 @@
-//! The order in which members are probed.
+//! The randomized round-robin order in which members are probed.
 
 use crate::codec::MemberId;
 use rand::RngExt;
 use rand_pcg::Pcg32;
 
-/// Members still to be probed in this round, in random order: each is probed again within two rounds.
+/// The members still to be probed in this round, in random order. Since every round probes each member once, at most
+/// two rounds pass between two probes of the same member.
 #[derive(Debug, Clone, Default)]
 pub(super) struct ProbeRound {
     members: Vec<MemberId>,
 }
 
 impl ProbeRound {
-    /// A round of these members in random order.
-    pub(super) fn draw(mut members: Vec<MemberId>, rng: &mut Pcg32) -> Self {
+    /// Creates a round that probes the given members in random order.
+    pub(super) fn shuffled(mut members: Vec<MemberId>, rng: &mut Pcg32) -> Self {
         for last in (1..members.len()).rev() {
             let other = rng.random_range(0..=last);
             members.swap(last, other);
@@ -20,12 +21,12 @@
         ProbeRound { members }
     }
 
-    /// The next member to probe; `None` at the end of the round.
+    /// Removes and returns the next member to probe. Returns `None` at the end of the round.
     pub(super) fn next(&mut self) -> Option<MemberId> {
         self.members.pop()
     }
 
-    /// Adds a member at a random position, so that not all members probe a new one at once.
+    /// Adds a member at a random position, so that the members of the group do not all probe a new member at once.
     pub(super) fn insert(&mut self, member: MemberId, rng: &mut Pcg32) {
         let position = rng.random_range(0..=self.members.len());
         self.members.insert(position, member);
--- a/crates/membership/src/detector/probing.rs
+++ b/crates/membership/src/detector/probing.rs
@@ -6,12 +6,14 @@
 use rand::RngExt;
 use std::net::SocketAddr;
 
-/// Limit on the direct pings of one member in a protocol period. Indirect probes accompany all but the first.
+/// Maximum number of direct pings to the probe target in a protocol period. Indirect probes are requested together with
+/// each ping except the first.
 const MAX_PINGS_PER_PERIOD: u32 = 3;
-/// Number of protocol periods in a row without an answer after which a member is suspected. With one, refutations in a
-/// large group on a lossy network would exceed the capacity of gossip.
+/// Number of consecutive protocol periods without an answer after which a member is suspected. With 1, the refutations
+/// in a large group on a lossy network would exceed the capacity of gossip.
 const PERIODS_BEFORE_SUSPICION: u32 = 2;
-/// Retention of a member that is dead or left, in protocol periods, so that old gossip does not add it again.
+/// Retention of a member that is dead or has left, in protocol periods. It prevents outdated gossip from adding the
+/// member again.
 const RETENTION_PERIODS: f64 = 60.0;
 
 /// The probe in progress.
@@ -21,14 +23,14 @@
     sequence_number: u32,
     sent_ms: f64,
     pings: u32,
-    /// Number of previous periods in a row in which the target did not answer.
+    /// Number of consecutive previous periods in which the target did not answer.
     missed_periods: u32,
 }
 
-/// A probe that this member sends on behalf of another one.
+/// A probe that this member sends on behalf of another member.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct IndirectProbe {
-    /// The requester's sequence number, under which the answer is forwarded.
+    /// The sequence number of the ping request, repeated in the indirect ack.
     sequence_number: u32,
     /// The sequence number of this member's ping to the target.
     ping_number: u32,
@@ -38,17 +40,18 @@
 }
 
 impl IndirectProbe {
-    /// Whether an answer of the target is to a ping that was sent at the request or later: an earlier one does not show
-    /// that the target still answers.
+    /// Whether an ack of the target acknowledges the ping sent for this request, or a later ping. An ack of an earlier
+    /// ping does not show that the target still answers.
     fn is_answered_by(&self, sequence_number: u32) -> bool {
         sequence_number.wrapping_sub(self.ping_number) as i32 >= 0
     }
 }
 
 impl SwimDetector {
-    /// Begins a protocol period: probes the member again that did not answer in the last period, or else the next one.
+    /// Begins a protocol period. Repeats an unanswered probe of the last period if it may be repeated; otherwise
+    /// suspects its target and probes the next member.
     pub(super) fn begin_period(&mut self) {
-        self.forget_departed();
+        self.purge_departed_members();
         self.join_answers_sent = 0;
         self.sync_answers_sent = 0;
         if let Some(unanswered) = self.probe.take() {
@@ -60,12 +63,12 @@
         }
         if !self.probe_next_in_round() {
             let present = self.present_members().map(|member| member.id).collect();
-            self.probe_round = ProbeRound::draw(present, &mut self.rng);
+            self.probe_round = ProbeRound::shuffled(present, &mut self.rng);
         }
     }
 
-    /// Probes a member again that did not answer in the last period, unless it is suspected already, was forgotten or
-    /// missed the limit of periods. Returns whether it does.
+    /// Starts another probe of a member that did not answer in the last period. Returns false, without a probe, if the
+    /// member is unknown, is not alive, or has reached [`PERIODS_BEFORE_SUSPICION`].
     fn probe_again(&mut self, unanswered: &Probe) -> bool {
         let Some(member) = self.members.get(&unanswered.target) else {
             return false;
@@ -90,7 +93,7 @@
         });
     }
 
-    /// Probes the next present member of the round; false at its end.
+    /// Probes the next present member of the round. Returns false at the end of the round.
     fn probe_next_in_round(&mut self) -> bool {
         while let Some(target) = self.probe_round.next() {
             let present = self
@@ -105,7 +108,7 @@
         false
     }
 
-    /// When a probe without an answer is retried (ms).
+    /// Returns the time at which a probe is retried if it is still unanswered (ms).
     pub(super) fn probe_retry_ms(&self, probe: &Probe) -> f64 {
         if probe.pings >= MAX_PINGS_PER_PERIOD {
             return f64::INFINITY;
@@ -116,7 +119,8 @@
                 * f64::from(probe.pings)
     }
 
-    /// Pings the target again, and requests indirect probes from other members, drawn at random for each retry.
+    /// Repeats the ping of the probe in progress and requests indirect probes from random members, newly drawn for each
+    /// retry.
     pub(super) fn retry_probe_if_due(&mut self) {
         let Some(probe) = self.probe else {
             return;
@@ -131,9 +135,9 @@
             .collect();
         for _ in 0..self.config.indirect_probes.min(candidates.len()) {
             let index = self.rng.random_range(0..candidates.len());
-            let helper = candidates.swap_remove(index);
+            let intermediary = candidates.swap_remove(index);
             let request = Message::PingRequest(probe.target);
-            self.send_numbered(helper, request, probe.sequence_number);
+            self.send_numbered(intermediary, request, probe.sequence_number);
         }
         if let Some(address) = self.address_of(probe.target) {
             self.send_numbered(address, Message::Ping, probe.sequence_number);
@@ -167,7 +171,7 @@
     }
 
     pub(super) fn on_ack(&mut self, from: MemberId, sequence_number: u32) {
-        if self.ends_probe(from, sequence_number) {
+        if self.answers_current_probe(from, sequence_number) {
             self.probe = None;
             self.local_health.improve();
         }
@@ -184,12 +188,12 @@
     }
 
     pub(super) fn on_indirect_ack(&mut self, target: MemberId, sequence_number: u32) {
-        if self.ends_probe(target, sequence_number) {
+        if self.answers_current_probe(target, sequence_number) {
             self.probe = None;
         }
     }
 
-    fn ends_probe(&self, target: MemberId, sequence_number: u32) -> bool {
+    fn answers_current_probe(&self, target: MemberId, sequence_number: u32) -> bool {
         self.probe
             .is_some_and(|probe| probe.target == target && probe.sequence_number == sequence_number)
     }
@@ -207,11 +211,11 @@
             ..member.to_gossip()
         };
         self.apply_gossip(suspicion);
-        // The ping carries the suspicion to the member at once, so that it can refute.
+        // The ping carries the suspicion to the member immediately, so that the member can refute it.
         self.send(address, Message::Ping);
     }
 
-    /// Time for which a member is suspected before it is declared dead (ms).
+    /// Returns the time for which a member is suspected before it is declared dead (ms).
     pub(super) fn suspicion_timeout_ms(&self) -> f64 {
         self.config.suspicion_multiplier
             * self.group_doublings()
@@ -236,7 +240,7 @@
         }
     }
 
-    fn forget_departed(&mut self) {
+    fn purge_departed_members(&mut self) {
         let now_ms = self.now_ms;
         let retention_ms = RETENTION_PERIODS * self.config.period_ms;
         self.members.retain(|_, member| {
--- a/crates/membership/src/detector/table_sync.rs
+++ b/crates/membership/src/detector/table_sync.rs
@@ -1,4 +1,5 @@
-//! Joining through seeds, and anti-entropy: members compare digests of their tables and exchange the differing parts.
+//! Joining through seeds, and anti-entropy: members compare digests of their member tables and exchange the buckets
+//! that differ.
 
 use super::SwimDetector;
 use crate::codec::{self, Gossip, MemberId, MemberState, Message, TABLE_BUCKETS};
@@ -6,46 +7,48 @@
 use rand::RngExt;
 use std::net::SocketAddr;
 
-/// Limit on the datagrams in a protocol period that answer joins, since an answer is longer than its request: enough for
-/// a few joining members.
+/// Maximum number of datagrams with member tables sent in response to joins in a protocol period, because such
+/// responses are longer than the request. The limit is enough for a few joining members.
 const MAX_JOIN_ANSWERS: usize = 60;
-/// Limit on the datagrams in a protocol period that answer table syncs.
+/// Maximum number of datagrams sent in response to table syncs in a protocol period.
 const MAX_SYNC_ANSWERS: usize = 5;
-/// The same limit while the table is unsettled.
+/// [`MAX_SYNC_ANSWERS`] while the member table is unsettled: shortly after the start or after a member was added.
 const MAX_SYNC_ANSWERS_UNSETTLED: usize = 3 * MAX_SYNC_ANSWERS;
-/// Mean number of protocol periods between two table syncs; one while the table is unsettled.
+/// Mean number of protocol periods between two table syncs. While the member table is unsettled, the mean is 1.
 const SYNC_PERIODS: f64 = 5.0;
-/// Mean number of protocol periods between two joins of a member that knows others; one while it knows none.
+/// Mean number of protocol periods between two joins of a member that knows other present members. While it knows none,
+/// it sends joins in every period.
 const REJOIN_PERIODS: f64 = 15.0;
-/// Multiplier of Fibonacci hashing (2^64 divided by the golden ratio). It is part of the wire format: all members have to
-/// compute the same buckets and digests.
+/// Multiplier of Fibonacci hashing (2^64 divided by the golden ratio). It is part of the wire format, since all members
+/// must compute the same buckets and digests.
 const HASH_MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
 
-/// The bucket of the member table that a member belongs to.
+/// Returns the bucket of the member table that a member belongs to.
 fn bucket_of(id: MemberId) -> usize {
     (id.wrapping_mul(HASH_MULTIPLIER) >> 60) as usize % TABLE_BUCKETS
 }
 
 impl SwimDetector {
-    /// Requests the tables of the seeds: of all seeds while no other member is known, else of a random one periodically, so
-    /// that two halves of a partitioned group find each other again.
+    /// Requests the member tables of seeds: of all seeds while no other member is present, and otherwise of a random
+    /// seed from time to time (see [`REJOIN_PERIODS`]), so that the sides of a partitioned group merge after the
+    /// partition.
     pub(super) fn join_if_due(&mut self) {
         if self.now_ms < self.next_join_ms {
             return;
         }
-        let knows_nobody = self.present_members().next().is_none();
-        // The jitter keeps members that started together from sending their requests together.
-        let spread = 0.5 + self.rng.random::<f64>();
-        let periods = if knows_nobody {
+        let has_no_peers = self.present_members().next().is_none();
+        // The jitter spreads the requests of members that started at the same time.
+        let jitter = 0.5 + self.rng.random::<f64>();
+        let periods = if has_no_peers {
             1.0
         } else {
-            REJOIN_PERIODS * spread
+            REJOIN_PERIODS * jitter
         };
         self.next_join_ms = self.now_ms + self.config.period_ms * periods;
         let own_address = self.address;
         let mut seeds = self.config.seeds.clone();
         seeds.retain(|seed| *seed != own_address);
-        if knows_nobody {
+        if has_no_peers {
             for seed in seeds {
                 self.send(seed, Message::Join);
             }
@@ -55,7 +58,7 @@
         }
     }
 
-    /// Sends all present members to a joining one, in as many datagrams as the limit of the period allows.
+    /// Sends all present members to a joining member, within [`MAX_JOIN_ANSWERS`].
     pub(super) fn answer_join(&mut self, to: SocketAddr, sequence_number: u32) {
         let present: Vec<Gossip> = self.present_members().map(Member::to_gossip).collect();
         self.send_numbered(to, Message::Ack, sequence_number);
@@ -63,7 +66,8 @@
         self.join_answers_sent += self.send_table(to, sequence_number, present, allowed);
     }
 
-    /// Sends claims in at most `max_datagrams`, beginning at a random claim; returns the number of datagrams.
+    /// Sends claims in at most `max_datagrams` datagrams, beginning with a random claim. Returns the number of
+    /// datagrams sent.
     fn send_table(
         &mut self,
         to: SocketAddr,
@@ -88,7 +92,7 @@
         sent
     }
 
-    /// A digest of each bucket of the table, over the present members and their incarnations.
+    /// Returns the digest of each bucket of the member table, computed over the present members and their incarnations.
     fn table_digests(&self) -> [u32; TABLE_BUCKETS] {
         let mut digests = [0_u32; TABLE_BUCKETS];
         let mut add = |id: MemberId, incarnation: u32| {
@@ -103,10 +107,14 @@
         digests
     }
 
-    /// Sends the members of the buckets that differ, dead members included.
-    pub(super) fn answer_table_sync(&mut self, to: SocketAddr, theirs: &[u32; TABLE_BUCKETS]) {
-        let ours = self.table_digests();
-        let differs = |id: MemberId| ours[bucket_of(id)] != theirs[bucket_of(id)];
+    /// Sends the members of the buckets whose digests differ, including dead members.
+    pub(super) fn answer_table_sync(
+        &mut self,
+        to: SocketAddr,
+        remote_digests: &[u32; TABLE_BUCKETS],
+    ) {
+        let local_digests = self.table_digests();
+        let differs = |id: MemberId| local_digests[bucket_of(id)] != remote_digests[bucket_of(id)];
         let mut claims: Vec<Gossip> = self
             .members
             .values()
@@ -128,26 +136,27 @@
         self.sync_answers_sent += self.send_table(to, 0, claims, allowed);
     }
 
-    /// Compares tables with a random member: gossip is transmitted a limited number of times and may miss some members.
+    /// Compares member tables with a random member. Gossip alone is not sufficient, since each claim is transmitted a
+    /// limited number of times and may not reach all members.
     pub(super) fn sync_tables_if_due(&mut self) {
         if self.now_ms < self.next_sync_ms || self.is_leaving {
             return;
         }
-        let spread = 0.5 + self.rng.random::<f64>();
+        let jitter = 0.5 + self.rng.random::<f64>();
         let periods = if self.unsettled_periods > 0 {
             1.0
         } else {
             SYNC_PERIODS
         };
         self.unsettled_periods = self.unsettled_periods.saturating_sub(1);
-        self.next_sync_ms = self.now_ms + periods * spread * self.config.period_ms;
+        self.next_sync_ms = self.now_ms + periods * jitter * self.config.period_ms;
         let present_count = self.present_members().count();
         if present_count == 0 {
             return;
         }
         let index = self.rng.random_range(0..present_count);
-        let partner = self.present_members().nth(index);
-        if let Some(address) = partner.map(|member| member.address) {
+        let peer = self.present_members().nth(index);
+        if let Some(address) = peer.map(|member| member.address) {
             let message = Message::TableSync(self.table_digests());
             self.send(address, message);
         }
--- a/crates/membership/src/detector/transport.rs
+++ b/crates/membership/src/detector/transport.rs
@@ -1,11 +1,11 @@
-//! The datagrams of a member: sealed and queued until the next poll, or verified on receipt.
+//! Sealing and queueing of outgoing datagrams, and verification of received datagrams.
 
 use super::OutgoingDatagram;
 use crate::authenticator::{DatagramAuthenticator, Keys};
 use crate::codec::{self, Datagram, Gossip, MemberId, Message};
 use std::net::SocketAddr;
 
-/// Encodes, seals and queues the datagrams that a member sends, and verifies those that it receives.
+/// Encodes, seals and queues the datagrams that a member sends, and verifies the datagrams that it receives.
 #[derive(Debug, Clone)]
 pub(super) struct Transport {
     sender: MemberId,
@@ -15,38 +15,38 @@
 }
 
 impl Transport {
-    /// A transport whose sequence numbers begin at `first_sequence_number`, which has to differ from start to start: answers
-    /// to requests of an earlier start of this member may still arrive.
+    /// Creates a transport. `initial_sequence_number` must differ between starts of this member, because responses to
+    /// requests sent before a restart may still arrive.
     pub(super) fn new(
         sender: MemberId,
         authenticator: DatagramAuthenticator,
-        first_sequence_number: u32,
+        initial_sequence_number: u32,
     ) -> Self {
         Transport {
             sender,
             authenticator,
-            sequence_number: first_sequence_number,
+            sequence_number: initial_sequence_number,
             datagrams: Vec::new(),
         }
     }
 
-    /// Replaces the keys of the datagrams.
+    /// Replaces the keys that authenticate datagrams.
     pub(super) fn set_keys(&mut self, keys: Keys) {
         self.authenticator.set_keys(keys);
     }
 
-    /// The content of a received datagram, see [`DatagramAuthenticator::open`].
+    /// Verifies a received datagram and returns its content, see [`DatagramAuthenticator::open`].
     pub(super) fn open<'a>(&mut self, sender: MemberId, bytes: &'a [u8]) -> Option<&'a [u8]> {
         self.authenticator.open(sender, bytes)
     }
 
-    /// The sequence number of a new request.
+    /// Allocates the sequence number of a new request.
     pub(super) fn next_sequence_number(&mut self) -> u32 {
         self.sequence_number = self.sequence_number.wrapping_add(1);
         self.sequence_number
     }
 
-    /// Queues a datagram of the protocol.
+    /// Queues a membership datagram.
     pub(super) fn push(
         &mut self,
         to: SocketAddr,
@@ -63,7 +63,7 @@
         self.seal_and_push(to, bytes);
     }
 
-    /// Queues a message of another protocol; returns whether it fits in a datagram.
+    /// Queues a user message. Returns false if it does not fit in a datagram.
     pub(super) fn push_user_message(&mut self, to: SocketAddr, content: &[u8]) -> bool {
         match codec::encode_user_message(self.sender, content) {
             Some(bytes) => {
@@ -79,7 +79,7 @@
         self.datagrams.push(OutgoingDatagram { to, bytes });
     }
 
-    /// Takes all queued datagrams.
+    /// Removes and returns all queued datagrams.
     pub(super) fn take(&mut self) -> Vec<OutgoingDatagram> {
         std::mem::take(&mut self.datagrams)
     }
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -1,9 +1,9 @@
-//! Members, their state changes, and messages of other protocols.
+//! Members, their state changes, and user messages.
 
 use crate::codec::{Gossip, MemberId, MemberState};
 use std::net::SocketAddr;
 
-/// A member as this detector knows it.
+/// A member, as last known to this detector.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Member {
     /// Identifier derived from the member's name.
@@ -14,12 +14,12 @@
     pub state: MemberState,
     /// The last known incarnation.
     pub incarnation: u32,
-    /// When `state` last changed (ms).
+    /// Time of the last change of `state` (ms).
     pub state_since_ms: f64,
 }
 
 impl Member {
-    /// The claim about this member for dissemination.
+    /// Returns the last known state as a claim for dissemination.
     pub(crate) fn to_gossip(&self) -> Gossip {
         Gossip {
             id: self.id,
@@ -29,30 +29,30 @@
         }
     }
 
-    /// Whether the member counts as running: alive or suspected.
+    /// Whether the member counts as running (alive or suspect).
     pub fn is_present(&self) -> bool {
         self.state.is_present()
     }
 }
 
-/// A change of a member: it appeared, or its state or address changed.
+/// A change of a member: it was added, or its state or address changed.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct StateChange {
-    /// When the change was recorded (ms).
+    /// Time at which the change was recorded (ms).
     pub at_ms: f64,
-    /// The member.
+    /// Identifier of the member.
     pub id: MemberId,
-    /// The member's new state.
+    /// The member's state after the change.
     pub state: MemberState,
 }
 
-/// A message of another protocol in a membership datagram.
+/// A message of another protocol, carried in a membership datagram.
 #[derive(Debug, Clone, PartialEq)]
 pub struct UserMessage {
-    /// The sender that the datagram names.
+    /// The sender, as claimed by the datagram.
     pub from: MemberId,
-    /// The address that the datagram came from.
+    /// The source address of the datagram.
     pub address: SocketAddr,
-    /// The message, which the detector does not interpret.
+    /// The message; opaque to the detector.
     pub content: Vec<u8>,
 }
--- a/crates/membership/tests/codec.rs
+++ b/crates/membership/tests/codec.rs
@@ -1,4 +1,5 @@
-//! Datagrams of the previous version (commit 7790f50): each is decoded, and the same values are encoded to the same bytes.
+//! Wire compatibility with datagrams written by commit 7790f50: each is decoded, and encoding the same values gives the
+//! same bytes.
 
 use std::net::SocketAddr;
 use tansymux_codec::test_support::from_hex;
@@ -28,25 +29,25 @@
 }
 
 #[test]
-fn datagrams_of_the_previous_version_are_decoded_and_encoded_to_the_same_bytes() {
+fn datagrams_of_commit_7790f50_are_decoded_and_encoded_to_the_same_bytes() {
     let digests: [u32; TABLE_BUCKETS] =
         std::array::from_fn(|bucket| 0x0102_0304_u32.wrapping_mul(bucket as u32 + 1));
-    let sync_header = "04010508b37b07b558d4c0a1b2c3d401020304020406080306090c04080c10050a0f14060c1218070e151c08101820\
+    let table_sync_header = "04010508b37b07b558d4c0a1b2c3d401020304020406080306090c04080c10050a0f14060c1218070e151c08101820\
         09121b240a141e280b16212c0c1824300d1a27340e1c2a380f1e2d3c10203040";
-    let subject = member_id_of("n7");
+    let target = member_id_of("n7");
     for (message, header) in [
         (Message::Ping, "04010008b37b07b558d4c0a1b2c3d4"),
         (Message::Ack, "04010108b37b07b558d4c0a1b2c3d4"),
         (
-            Message::PingRequest(subject),
+            Message::PingRequest(target),
             "04010208b37b07b558d4c0a1b2c3d408b38107b558def2",
         ),
         (
-            Message::IndirectAck(subject),
+            Message::IndirectAck(target),
             "04010308b37b07b558d4c0a1b2c3d408b38107b558def2",
         ),
         (Message::Join, "04010408b37b07b558d4c0a1b2c3d4"),
-        (Message::TableSync(digests), sync_header),
+        (Message::TableSync(digests), table_sync_header),
     ] {
         let datagram = Datagram {
             message,
@@ -62,7 +63,7 @@
 }
 
 #[test]
-fn user_message_of_the_previous_version_is_decoded_and_encoded_to_the_same_bytes() {
+fn user_message_of_commit_7790f50_is_decoded_and_encoded_to_the_same_bytes() {
     let bytes = from_hex("04010608b37b07b558d4c0000000007061796c6f6164");
     let sender = member_id_of("n1");
     assert_eq!(
@@ -77,7 +78,7 @@
 }
 
 #[test]
-fn seal_of_the_previous_version_is_accepted_and_the_same_seal_is_written() {
+fn seal_of_commit_7790f50_is_accepted_and_reproduced() {
     let content = "04010008b37b07b558d4c00000000108b37b07b558d4c00a0000011f0a0000000101";
     let sealed = from_hex(&[content, "01020304000000018a6da2cf3f04ec48"].concat());
     let keys = Keys {
@@ -93,7 +94,7 @@
 }
 
 #[test]
-fn incomplete_datagrams_are_rejected_with_a_typed_error() {
+fn truncated_datagrams_are_rejected_with_a_decode_error() {
     assert_eq!(codec::decode(b"\x04"), Err(DecodeError::NotMembership));
     let request = from_hex("04010208b37b07b558d4c0a1b2c3d408b381");
     assert_eq!(codec::decode(&request), Err(DecodeError::Truncated));
--- a/crates/membership/tests/network/simulated_network.rs
+++ b/crates/membership/tests/network/simulated_network.rs
@@ -1,4 +1,4 @@
-//! Detectors on a simulated network in virtual time.
+//! A group of detectors on a simulated network in virtual time.
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
@@ -20,11 +20,11 @@
 /// Loss, duplication and delay of datagrams.
 #[derive(Clone, Copy)]
 pub struct LinkConditions {
-    /// Probabilities that a datagram is lost, duplicated, or delayed by ten seconds.
+    /// Probabilities from 0 to 1 that a datagram is lost, duplicated, or delayed by 10 s.
     pub loss: f64,
     pub duplication: f64,
     pub long_delay: f64,
-    /// Limit on the delay of all other datagrams (ms).
+    /// Maximum delay of all other datagrams (ms).
     pub max_delay_ms: f64,
 }
 
@@ -35,18 +35,18 @@
     max_delay_ms: 5.0,
 };
 
-pub struct InFlight {
+pub struct InFlightDatagram {
     pub sender: usize,
     pub to: SocketAddr,
     pub bytes: Vec<u8>,
 }
 
 pub struct Network {
-    /// The detector of each process; `None` while it is not running.
+    /// The detector of each process; `None` while the process is not running.
     pub detectors: Vec<Option<SwimDetector>>,
     pub paused: Vec<bool>,
-    /// Datagrams in flight, by time of arrival (us) and order.
-    pub in_flight: BTreeMap<(u64, u64), InFlight>,
+    /// Datagrams in flight, by arrival time (us) and send order.
+    pub in_flight: BTreeMap<(u64, u64), InFlightDatagram>,
     pub datagrams_sent: u64,
     pub bytes_sent: u64,
     pub longest_datagram: usize,
@@ -54,18 +54,18 @@
     pub conditions: LinkConditions,
     pub now_ms: f64,
     pub keys: Keys,
-    pub processes: BTreeMap<SocketAddr, usize>,
+    pub process_by_address: BTreeMap<SocketAddr, usize>,
 }
 
 impl Network {
-    pub fn new(many: usize, seed: u64) -> Self {
-        Network::with_keys(many, seed, Keys::default())
+    pub fn new(member_count: usize, seed: u64) -> Self {
+        Network::with_keys(member_count, seed, Keys::default())
     }
 
-    pub fn with_keys(many: usize, seed: u64, keys: Keys) -> Self {
+    pub fn with_keys(member_count: usize, seed: u64, keys: Keys) -> Self {
         let mut network = Network {
-            detectors: (0..many).map(|_| None).collect(),
-            paused: vec![false; many],
+            detectors: (0..member_count).map(|_| None).collect(),
+            paused: vec![false; member_count],
             in_flight: BTreeMap::new(),
             datagrams_sent: 0,
             bytes_sent: 0,
@@ -74,9 +74,9 @@
             conditions: GOOD_LINK,
             now_ms: 0.0,
             keys,
-            processes: (0..many).map(|n| (address(n), n)).collect(),
+            process_by_address: (0..member_count).map(|n| (address(n), n)).collect(),
         };
-        (0..many).for_each(|n| network.start(n, 0));
+        (0..member_count).for_each(|n| network.start(n, 0));
         network
     }
 
@@ -96,21 +96,21 @@
         ));
     }
 
-    /// Runs for `lasts` (ms). Datagrams are delivered where `reaches(sender, receiver)`.
-    pub fn run(&mut self, lasts: f64, reaches: impl Fn(usize, usize) -> bool) {
-        let end = self.now_ms + lasts;
-        while self.now_ms < end {
+    /// Advances virtual time by `duration_ms`. Datagrams are delivered only if `reaches(sender, receiver)`.
+    pub fn run(&mut self, duration_ms: f64, reaches: impl Fn(usize, usize) -> bool) {
+        let end_ms = self.now_ms + duration_ms;
+        while self.now_ms < end_ms {
             self.now_ms += STEP_MS;
             let still_in_flight = self
                 .in_flight
                 .split_off(&((self.now_ms * 1000.0) as u64, 0));
             let arrived = std::mem::replace(&mut self.in_flight, still_in_flight);
-            for InFlight { sender, to, bytes } in arrived.into_values() {
+            for InFlightDatagram { sender, to, bytes } in arrived.into_values() {
                 let Some(receiver) = self
-                    .processes
+                    .process_by_address
                     .get(&to)
                     .copied()
-                    .filter(|to| !self.paused[*to])
+                    .filter(|process| !self.paused[*process])
                 else {
                     continue;
                 };
@@ -139,7 +139,7 @@
 
     #[expect(
         clippy::needless_pass_by_value,
-        reason = "a datagram is handed over to the network"
+        reason = "the network takes ownership of the datagram"
     )]
     pub fn send(
         &mut self,
@@ -151,7 +151,7 @@
         self.datagrams_sent += 1;
         self.bytes_sent += bytes.len() as u64;
         self.longest_datagram = self.longest_datagram.max(bytes.len());
-        let receiver = self.processes.get(&to).copied();
+        let receiver = self.process_by_address.get(&to).copied();
         if !receiver.is_some_and(|receiver| reaches(from, receiver)) {
             return;
         }
@@ -164,16 +164,16 @@
             if self.rng.random_bool(self.conditions.loss) {
                 continue;
             }
-            let is_late = self.rng.random_bool(self.conditions.long_delay);
-            let delay = if is_late {
+            let is_long_delay = self.rng.random_bool(self.conditions.long_delay);
+            let delay_ms = if is_long_delay {
                 10_000.0
             } else {
                 self.rng.random_range(0.0..=self.conditions.max_delay_ms)
             };
-            let arrival_us = ((self.now_ms + delay) * 1000.0) as u64;
+            let arrival_us = ((self.now_ms + delay_ms) * 1000.0) as u64;
             self.in_flight.insert(
                 (arrival_us, self.datagrams_sent * 2 + copies),
-                InFlight {
+                InFlightDatagram {
                     sender: from,
                     to,
                     bytes: bytes.clone(),
@@ -183,12 +183,12 @@
     }
 
     pub fn detector(&self, n: usize) -> &SwimDetector {
-        self.detectors[n].as_ref().expect("it runs")
+        self.detectors[n].as_ref().expect("the process is running")
     }
 
-    /// Number of running detectors that count a member as present.
-    pub fn present_at(&self, n: usize) -> usize {
-        let there = |detector: &SwimDetector| {
+    /// Returns the number of running detectors that count a member as present.
+    pub fn present_in_count(&self, n: usize) -> usize {
+        let is_present_in = |detector: &SwimDetector| {
             detector
                 .state(member_id_of(&name(n)))
                 .is_some_and(|state| state <= MemberState::Suspect)
@@ -196,11 +196,11 @@
         self.detectors
             .iter()
             .flatten()
-            .filter(|detector| there(detector))
+            .filter(|detector| is_present_in(detector))
             .count()
     }
 
-    /// Whether every running detector counts as many members as processes run.
+    /// Whether every running detector counts as many present members as there are running processes.
     pub fn has_converged(&self) -> bool {
         let running = self.detectors.iter().flatten().count();
         self.detectors
@@ -209,51 +209,51 @@
             .all(|detector| detector.present_count() == running)
     }
 
-    /// Runs until `done`, for at most `most` (ms). Returns the elapsed time, or `None`.
-    pub fn until(
+    /// Runs until `done`, for at most `timeout_ms`. Returns the elapsed time (ms), or `None` on timeout.
+    pub fn run_until(
         &mut self,
-        most: f64,
+        timeout_ms: f64,
         reaches: impl Fn(usize, usize) -> bool,
         done: impl Fn(&Network) -> bool,
     ) -> Option<f64> {
-        let from = self.now_ms;
-        while self.now_ms - from < most {
+        let start_ms = self.now_ms;
+        while self.now_ms - start_ms < timeout_ms {
             if done(self) {
-                return Some(self.now_ms - from);
+                return Some(self.now_ms - start_ms);
             }
             self.run(100.0, &reaches);
         }
-        done(self).then_some(most)
+        done(self).then_some(timeout_ms)
     }
 
-    /// Runs on a network without partitions until all members know each other, for at most 30 s.
+    /// Runs without partitions until the group has converged. Panics if that takes more than 30 s.
     pub fn converge(&mut self) {
-        self.until(30_000.0, all, Network::has_converged)
-            .expect("the group converges");
+        self.run_until(30_000.0, fully_connected, Network::has_converged)
+            .expect("the group converges within 30 s");
     }
 
-    /// Number of times that a running detector declared a member dead.
-    pub fn deaths(&self) -> usize {
-        let dead = |detector: &SwimDetector| {
+    /// Returns the number of times that the running detectors declared a member dead.
+    pub fn death_count(&self) -> usize {
+        let deaths_in = |detector: &SwimDetector| {
             detector
                 .history()
                 .iter()
                 .filter(|change| change.state == MemberState::Dead)
                 .count()
         };
-        self.detectors.iter().flatten().map(dead).sum()
+        self.detectors.iter().flatten().map(deaths_in).sum()
     }
 }
 
-/// A datagram from the address of member 1.
-pub fn from_member_one(bytes: &[u8]) -> Event<'_> {
+/// The receipt of a datagram from the address of member 1.
+pub fn received_from_member_1(bytes: &[u8]) -> Event<'_> {
     Event::DatagramReceived {
         from: address(1),
         bytes,
     }
 }
 
-/// Every process reaches every other one.
-pub fn all(_: usize, _: usize) -> bool {
+/// Connectivity without partitions: every process reaches all others.
+pub fn fully_connected(_: usize, _: usize) -> bool {
     true
 }
