--- a/crates/zone-routing/src/config.rs
+++ b/crates/zone-routing/src/config.rs
@@ -1,48 +1,49 @@
-//! The configuration: routes, limits and thresholds.
+//! Configuration of zone routing: routes, limits and thresholds.
 
 mod validation;
 
 pub use validation::ConfigError;
 
-/// The highest rank of a zone.
+/// Maximum rank of a zone.
 const MAX_RANK: usize = 254;
 
-/// Zones that a class prefers equally.
+/// Zones with equal preference.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Tier {
-    /// The zones' names.
+    /// Names of the zones.
     pub zones: Vec<String>,
 }
 
-/// The tiers of preference of a class, or of all classes without a route of their own, for dispatchers of one zone or of
-/// any zone.
+/// Preference tiers for a class, or for all classes without a more specific route. A route applies to the dispatchers
+/// of one zone or of all zones.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Route {
-    /// The class (resource group); `None`: any.
+    /// The class (resource group); `None` matches any class.
     pub class: Option<String>,
-    /// The dispatchers' zone; `None`: any.
+    /// The zone of the dispatchers; `None` matches any zone.
     pub from: Option<String>,
-    /// The tiers, the most preferred first. Zones in no tier form a last tier.
+    /// The tiers, most preferred first. All zones not named in any tier form an additional last tier.
     pub tiers: Vec<Tier>,
 }
 
-/// A limit on work of other zones in a zone, for all classes together or for one class.
+/// A limit on the spill into a zone, that is, on the work that dispatchers of other zones run there. It applies to one
+/// class, or to all classes together.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SpillLimit {
-    /// The zone that the work runs in; `None`: any.
+    /// The zone that the work spills into; `None` matches any zone.
     pub into: Option<String>,
-    /// The class (resource group); `None`: all classes together.
+    /// The class (resource group); `None` means the total of all classes.
     pub class: Option<String>,
-    /// Threads for each of the zone's cores.
+    /// Maximum number of threads per core of the zone, for all dispatchers together.
     pub max_threads_per_core: f64,
 }
 
-/// The condition for an unreachable zone: enough of its engines fail, and none has answered for a time.
+/// The thresholds for declaring a zone unreachable: enough of its engines fail, and none has answered for `silent_ms`.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CutDetection {
-    /// How long no engine of the zone must have answered (ms).
+    /// Minimum time without an answer of any engine of the zone, from its first missing answer (ms).
     pub silent_ms: f64,
-    /// Fraction of the recently tried engines that must fail.
+    /// Minimum fraction of the recently tried engines that must be failing.
     pub failing_fraction: f64,
 }
 
@@ -55,14 +56,14 @@
     }
 }
 
-/// The ramp by which a zone that answers again returns to full use.
+/// The recovery ramp: how a zone that answers again returns to full use.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RecoveryRamp {
-    /// Fraction of full use at the start of the ramp.
+    /// Fraction of full use that is allowed at the start of the ramp.
     pub initial_fraction: f64,
-    /// Duration of the ramp while no answers are missing (ms).
+    /// Duration of the ramp if no answers are missing (ms).
     pub duration_ms: f64,
-    /// Threads per core at full use.
+    /// Threads per core at full use, for all dispatchers together.
     pub full_threads_per_core: f64,
 }
 
@@ -79,36 +80,37 @@
 /// The configuration of zone routing.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct Config {
-    /// Preferences by class and zone.
+    /// Preferences by class and dispatcher zone.
     pub routes: Vec<Route>,
-    /// Limits on work from other zones.
+    /// Limits on spill between zones.
     pub spill_limits: Vec<SpillLimit>,
-    /// The condition for an unreachable zone.
+    /// The thresholds for declaring a zone unreachable.
     pub cut_detection: CutDetection,
-    /// The return of a zone to full use.
+    /// The ramp of a recovering zone.
     pub recovery_ramp: RecoveryRamp,
-    /// Fraction of the retries that may go to another zone than the previous attempt.
+    /// Maximum fraction of retries that may be sent to a zone other than that of the previous attempt.
     pub cross_zone_retry_fraction: f64,
 }
 
 impl Config {
-    /// The most specific route that fits a class and the dispatcher's zone; of equally specific ones the first.
+    /// Returns the most specific route for a class and a dispatcher zone. Of equally specific routes, returns the
+    /// first.
     pub fn route(&self, class: &str, from: &str) -> Option<&Route> {
-        let fits = |route: &&Route| {
+        let matches = |route: &&Route| {
             route.class.as_deref().is_none_or(|named| named == class)
                 && route.from.as_deref().is_none_or(|named| named == from)
         };
         let specificity = |route: &&Route| (route.class.is_some(), route.from.is_some());
-        // `max_by_key` returns the last of equal ones.
+        // `max_by_key` returns the last of equal maxima, hence the reversed order.
         self.routes
             .iter()
             .rev()
-            .filter(fits)
+            .filter(matches)
             .max_by_key(specificity)
     }
 
-    /// The rank of a zone for a class, from 0, the most preferred. Zones in no tier rank after all tiers. Without a route
-    /// the dispatcher's own zone has rank 0 and all others have rank 1.
+    /// Returns the rank of a zone for a class; 0 is the most preferred. Zones not named in any tier rank after all
+    /// tiers. Without a route, the dispatcher's local zone has rank 0 and all other zones have rank 1.
     pub fn rank(&self, class: &str, from: &str, zone: &str) -> u8 {
         match self.route(class, from) {
             Some(route) => {
@@ -122,17 +124,18 @@
         }
     }
 
-    /// Threads for each of a zone's cores that work of other zones may use there, for a class or for all classes together
-    /// (`None`); infinite without a limit. A limit that names the zone overrides one for any zone.
+    /// Returns the maximum number of threads per core of a zone for spill from other zones, for a class or for all
+    /// classes together (`None`). Returns infinity without a limit. A limit that names the zone overrides a limit for
+    /// any zone.
     pub fn spill_limit(&self, zone: &str, class: Option<&str>) -> f64 {
-        let fitting: Vec<&SpillLimit> = self
+        let matching: Vec<&SpillLimit> = self
             .spill_limits
             .iter()
             .filter(|limit| limit.into.as_deref().is_none_or(|named| named == zone))
             .filter(|limit| limit.class.as_deref() == class)
             .collect();
-        let specific = fitting.iter().find(|limit| limit.into.is_some());
-        match specific.or(fitting.first()) {
+        let specific = matching.iter().find(|limit| limit.into.is_some());
+        match specific.or(matching.first()) {
             Some(limit) => limit.max_threads_per_core,
             None => f64::INFINITY,
         }
--- a/crates/zone-routing/src/detector.rs
+++ b/crates/zone-routing/src/detector.rs
@@ -1,8 +1,8 @@
 //! The zone health detector of one dispatcher.
 //!
-//! [`ZoneHealthDetector::handle`] records evidence, [`ZoneHealthDetector::evaluate`] changes the states of zones by it
-//! (submodule `evaluation`), and [`ZoneHealthDetector::routing_plan`] is the resulting plan for placement (submodule
-//! `planning`). Submodule `evidence` has what is reported to the fleet and to peers.
+//! [`ZoneHealthDetector::handle`] records evidence, [`ZoneHealthDetector::evaluate`] updates the states of zones from
+//! that evidence (submodule `evaluation`), and [`ZoneHealthDetector::routing_plan`] returns the resulting plan for
+//! placement (submodule `planning`). Submodule `evidence` prepares the reports to the fleet and to peers.
 
 mod evaluation;
 mod evidence;
@@ -15,49 +15,49 @@
 use records::{EngineRecord, PeerRecord, ZoneRecord};
 use std::collections::BTreeMap;
 
-/// Lifetime of evidence (ms).
+/// Time for which an observation counts as recent (ms).
 const EVIDENCE_LIFETIME_MS: f64 = 8000.0;
-/// Interval of messages to peers (ms); a change is sent at once.
+/// Interval between messages to peers (ms). After a change of state, the next message is due immediately.
 const MESSAGE_INTERVAL_MS: f64 = 1500.0;
-/// An endpoint list is recorded as suspicious if it drops at least this fraction of a zone's ready engines while they
-/// answer.
+/// An endpoint list that drops at least this fraction of a zone's ready engines while they are answering is recorded as
+/// suspicious.
 const SUSPICIOUS_DROP_FRACTION: f64 = 0.5;
-/// A dropped engine counts as answering if it answered within this time before (ms).
-const ANSWERED_LATELY_MS: f64 = 2000.0;
-/// Interval of health checks of an unreachable zone (ms), each of the next engine.
+/// Time for which an engine counts as answering after its last answer (ms), for engines dropped from the endpoint list.
+const ANSWERED_RECENTLY_MS: f64 = 2000.0;
+/// Interval between health checks of an unreachable zone (ms). Each check goes to the next engine in round-robin order.
 const HEALTH_CHECK_INTERVAL_MS: f64 = 500.0;
-/// Maximum number of peers.
+/// Maximum number of peers whose reports are kept.
 const MAX_PEERS: usize = 1024;
-/// Maximum number of changes kept for display.
+/// Maximum number of entries in the history.
 const MAX_HISTORY: usize = 64;
-/// A time before all others (ms).
-const LONG_AGO_MS: f64 = -1e12;
+/// Timestamp of events that have not occurred (ms); earlier than all other times.
+const NEVER_MS: f64 = -1e12;
 
 /// An event for the detector.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Event<'a> {
-    /// The full endpoint list. Evidence of engines that are no longer listed is discarded.
+    /// A new endpoint list, in full. Evidence on engines that are no longer listed is discarded.
     EnginesListed(&'a [Engine]),
-    /// The result of an attempt or a health check. Results of engines that are not listed are ignored.
+    /// The result of an attempt or a health check. Observations of engines that are not listed are ignored.
     EngineObserved(Observation),
-    /// A message of a peer. Bytes that are no message about zones are ignored.
+    /// A message from a peer. Messages that are not valid zone reports are ignored.
     PeerMessage {
-        /// The peer's number.
+        /// Number that identifies the peer.
         peer: u32,
-        /// The message.
+        /// The encoded message.
         content: &'a [u8],
     },
 }
 
-/// Detects which zones this dispatcher reaches. All times are milliseconds on the caller's clock.
+/// Detects the zones that this dispatcher cannot reach. All times are milliseconds on the caller's clock.
 #[derive(Debug, Clone)]
 pub struct ZoneHealthDetector {
     config: Config,
-    /// Engines by id, in a fixed order so that results are deterministic.
+    /// Listed engines by identifier. The fixed order makes results deterministic.
     engines: BTreeMap<u64, EngineRecord>,
     zones: Vec<ZoneRecord>,
     peers: Vec<PeerRecord>,
-    /// Number of dispatchers that share the engines, as configured.
+    /// Configured number of dispatchers that share the engines.
     dispatchers: f64,
     now_ms: f64,
     evaluated_ms: f64,
@@ -69,7 +69,8 @@
 }
 
 impl ZoneHealthDetector {
-    /// A detector without evidence. `dispatchers`: the configured number of dispatchers that share the engines.
+    /// Creates a detector without evidence. `dispatchers` is the configured number of dispatchers that share the
+    /// engines.
     pub fn new(config: Config, dispatchers: f64) -> Self {
         ZoneHealthDetector {
             config,
@@ -77,54 +78,54 @@
             zones: Vec::new(),
             peers: Vec::new(),
             dispatchers: dispatchers.max(1.0),
-            now_ms: LONG_AGO_MS,
-            evaluated_ms: LONG_AGO_MS,
+            now_ms: NEVER_MS,
+            evaluated_ms: NEVER_MS,
             is_isolated: false,
-            message_sent_ms: LONG_AGO_MS,
+            message_sent_ms: NEVER_MS,
             version: 1,
             history: Vec::new(),
             new_changes: Vec::new(),
         }
     }
 
-    /// The configuration.
+    /// Returns the configuration.
     pub fn config(&self) -> &Config {
         &self.config
     }
 
-    /// Replaces the configuration. The state of zones and engines is kept.
+    /// Replaces the configuration. The states of zones and the evidence on engines are kept.
     pub fn set_config(&mut self, config: Config) {
         self.config = config;
         self.version += 1;
     }
 
-    /// Whether all zones fail at once, so that this dispatcher is probably cut off itself.
+    /// Whether all zones fail at once, so that this dispatcher is probably isolated from the network.
     pub fn is_isolated(&self) -> bool {
         self.is_isolated
     }
 
-    /// A number that increases with each change of a state or of the configuration.
+    /// Returns a number that increases with each entry of the history and each change of the configuration.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The last changes, oldest first.
+    /// Returns the most recent changes, oldest first.
     pub fn history(&self) -> &[ZoneChange] {
         &self.history
     }
 
-    /// Removes and returns the changes since the last call.
+    /// Returns the changes since the last call of this function.
     pub fn take_changes(&mut self) -> Vec<ZoneChange> {
         std::mem::take(&mut self.new_changes)
     }
 
-    /// The state of a zone; `None` for an unknown zone.
+    /// Returns the state of a zone, or `None` if the zone is unknown.
     pub fn state(&self, zone: &str) -> Option<ZoneState> {
         let record = self.zones.iter().find(|record| record.name == zone)?;
         Some(record.state)
     }
 
-    /// Records evidence. States change at the next call of [`ZoneHealthDetector::evaluate`].
+    /// Records evidence. The states of zones change at the next call of [`ZoneHealthDetector::evaluate`].
     pub fn handle(&mut self, event: Event<'_>, now_ms: f64) {
         self.now_ms = self.now_ms.max(now_ms);
         match event {
@@ -134,7 +135,7 @@
         }
     }
 
-    /// The message that is due to peers, if one is.
+    /// Returns the message to send to peers if a message is due.
     pub fn poll_message(&mut self, now_ms: f64) -> Option<Vec<u8>> {
         if now_ms - self.message_sent_ms < MESSAGE_INTERVAL_MS || self.zones.len() < 2 {
             return None;
@@ -147,8 +148,8 @@
         Some(codec::encode(self.is_isolated, reports))
     }
 
-    /// The engine of an unreachable zone whose health check is due, if one is. Must be called only where health checks are
-    /// allowed.
+    /// Returns the engine to health-check if a check of an unreachable zone is due. Must be called only if health
+    /// checks are allowed.
     pub fn poll_health_check(&mut self, now_ms: f64) -> Option<u64> {
         let zone = self.zones.iter().position(|record| {
             record.state == ZoneState::Unreachable
@@ -181,30 +182,30 @@
         let dropped = self.replace_engines(engines);
         let mut dropped_answering = vec![0_usize; ready_before.len()];
         for engine in dropped.values() {
-            let answered_lately = self.now_ms - engine.answered_ms < ANSWERED_LATELY_MS;
-            if engine.ready && engine.failures_in_row == 0 && answered_lately {
+            let answered_recently = self.now_ms - engine.answered_ms < ANSWERED_RECENTLY_MS;
+            if engine.ready && engine.failures_in_row == 0 && answered_recently {
                 dropped_answering[engine.zone] += 1;
             }
         }
         for (zone, ready) in ready_before.into_iter().enumerate() {
-            let suspicious = SUSPICIOUS_DROP_FRACTION * ready as f64;
-            if ready > 1 && dropped_answering[zone] as f64 >= suspicious {
+            let suspicious_count = SUSPICIOUS_DROP_FRACTION * ready as f64;
+            if ready > 1 && dropped_answering[zone] as f64 >= suspicious_count {
                 let state = self.zones[zone].state;
                 self.set_state(zone, state, Reason::ListDropsEngines);
             }
         }
     }
 
-    /// Replaces the engines by those of a list, and returns the engines that are no longer listed. The evidence of an
-    /// engine is kept if it is still in the same zone.
+    /// Replaces the engines with those of a new list. Returns the engines that are no longer listed. The evidence on an
+    /// engine is kept if the engine is still in the same zone.
     fn replace_engines(&mut self, engines: &[Engine]) -> BTreeMap<u64, EngineRecord> {
         let mut listed = BTreeMap::new();
         for engine in engines {
-            let zone = self.zone_index(&engine.zone);
-            let known = self.engines.remove(&engine.engine_id);
-            let mut record = match known {
-                Some(known) if known.zone == zone => known,
-                _ => EngineRecord::without_evidence(zone),
+            let zone = self.zone_index_or_insert(&engine.zone);
+            let previous = self.engines.remove(&engine.engine_id);
+            let mut record = match previous {
+                Some(previous) if previous.zone == zone => previous,
+                _ => EngineRecord::new(zone),
             };
             record.cores = engine.cores;
             record.ready = engine.ready;
@@ -232,14 +233,14 @@
             report,
         };
         match self.peers.iter().position(|known| known.number == peer) {
-            Some(known) => self.peers[known] = record,
+            Some(index) => self.peers[index] = record,
             None if self.peers.len() < MAX_PEERS => self.peers.push(record),
             None => {}
         }
     }
 
-    /// The index of a zone. An unknown zone is added.
-    fn zone_index(&mut self, name: &str) -> usize {
+    /// Returns the index of a zone. Adds the zone if it is unknown.
+    fn zone_index_or_insert(&mut self, name: &str) -> usize {
         if let Some(index) = self.zones.iter().position(|zone| zone.name == name) {
             return index;
         }
@@ -247,7 +248,7 @@
         self.zones.len() - 1
     }
 
-    /// Sets a zone's state and records the change. The next message to peers is due at once.
+    /// Sets a zone's state and records the change. The next message to peers becomes due immediately.
     fn set_state(&mut self, zone: usize, state: ZoneState, reason: Reason) {
         let record = &mut self.zones[zone];
         record.state = state;
@@ -259,7 +260,7 @@
             reason,
         };
         self.version += 1;
-        self.message_sent_ms = LONG_AGO_MS;
+        self.message_sent_ms = NEVER_MS;
         if self.history.len() >= MAX_HISTORY {
             self.history.remove(0);
         }
--- a/crates/zone-routing/src/detector/evaluation.rs
+++ b/crates/zone-routing/src/detector/evaluation.rs
@@ -1,30 +1,31 @@
-//! The periodic evaluation: which zones become unreachable, begin to recover, or advance in their recovery.
+//! Periodic evaluation of the evidence: transitions between the states of zones, and progress of recoveries.
 
 use super::{ZoneHealthDetector, EVIDENCE_LIFETIME_MS};
 use crate::codec;
 use crate::model::{Reachability, Reason, ZoneState};
 
-/// Missing answers in a row from which an engine counts as failing.
+/// Number of consecutive missing answers from which an engine counts as failing.
 const FAILING_AFTER: u32 = 2;
-/// Lifetime of a peer's message (ms); peers send one every 1.5 s.
+/// Time after which a peer's last report is discarded (ms). Peers send a report every 1.5 s.
 const PEER_LIFETIME_MS: f64 = 6000.0;
-/// A recovery is set back if more than this fraction of the zone's recent outcomes are failures.
-const MAX_FAILURES_TO_STAY: f64 = 0.3;
-/// A recovery advances if at most this fraction of the zone's recent outcomes are failures.
-const MAX_FAILURES_TO_ADVANCE: f64 = 0.1;
-/// A recovery advances only with more recent successes (with decay) than this.
+/// A recovery is set back if more than this fraction of the zone's recent observations are missing answers.
+const SETBACK_FAILURE_FRACTION: f64 = 0.3;
+/// A recovery advances only if at most this fraction of the zone's recent observations are missing answers.
+const MAX_FAILURE_FRACTION_TO_ADVANCE: f64 = 0.1;
+/// A recovery advances only if the decayed number of recent successes is greater than this.
 const MIN_RECENT_SUCCESSES: f64 = 0.2;
-/// Shortest time between two setbacks of a recovery (ms).
-const SET_BACK_INTERVAL_MS: f64 = 1000.0;
-/// An unreachable zone without observations for this long begins to recover (ms). Without health checks, and while no work
-/// is sent there, there would be no other evidence that the zone is back.
+/// Minimum time between two setbacks of a recovery (ms).
+const MIN_SETBACK_INTERVAL_MS: f64 = 1000.0;
+/// Time without observations after which an unreachable zone begins to recover (ms). No work is sent to an unreachable
+/// zone, so without health checks there would be no evidence that it is reachable again.
 const UNTRIED_MS: f64 = 12_000.0;
-/// A longer time between two evaluations counts as a pause of the process (ms), during which no recovery advances.
+/// Time between two evaluations beyond which the process is considered paused (ms). Recoveries do not advance during a
+/// pause.
 const MAX_EVALUATION_GAP_MS: f64 = 1000.0;
 
 impl ZoneHealthDetector {
-    /// Evaluates all evidence. Must be called several times a second. [`ZoneHealthDetector::take_changes`] returns the
-    /// resulting changes.
+    /// Evaluates all evidence and updates the states of zones. Must be called several times per second.
+    /// [`ZoneHealthDetector::take_changes`] returns the resulting changes.
     pub fn evaluate(&mut self, now_ms: f64) {
         self.now_ms = self.now_ms.max(now_ms);
         let now_ms = self.now_ms;
@@ -40,7 +41,7 @@
         for zone in &mut self.zones {
             zone.decay(now_ms);
         }
-        self.forget_empty_zones();
+        self.remove_empty_zones();
         let failing: Vec<Option<bool>> = (0..self.zones.len())
             .map(|zone| self.is_failing(zone))
             .collect();
@@ -52,16 +53,16 @@
 
     fn evaluate_zone(&mut self, zone: usize, is_failing: bool, elapsed_ms: f64) {
         let state = self.zones[zone].state;
-        // An isolated dispatcher has no evidence on any zone.
+        // The failures that an isolated dispatcher observes are no evidence on the zones.
         if is_failing && !self.is_isolated && state != ZoneState::Unreachable {
-            self.lose_zone(zone);
+            self.mark_unreachable(zone);
             return;
         }
         match state {
             ZoneState::Healthy => {}
             ZoneState::Recovering(_) => self.advance_recovery(zone, elapsed_ms),
-            // Failures before the answer are no evidence on the zone's present state.
-            ZoneState::Unreachable if self.answered_since_loss(zone) => {
+            // Failures observed before the answer are no evidence on the zone's current state.
+            ZoneState::Unreachable if self.has_answered_since_loss(zone) => {
                 self.zones[zone].reset_ramp(1.0);
                 self.begin_recovery(zone, Reason::Answered);
             }
@@ -73,18 +74,18 @@
         }
     }
 
-    /// Whether a zone fails by the evidence on its engines; `None` without enough evidence.
+    /// Whether a zone is failing by the evidence on its engines. Returns `None` if the evidence is insufficient.
     fn is_failing(&self, zone: usize) -> Option<bool> {
         let mut ready = 0;
         let mut tried = 0;
         let mut failing = 0;
         for engine in self.ready_engines(zone) {
             ready += 1;
-            tried += usize::from(engine.was_tried_since(self.now_ms, EVIDENCE_LIFETIME_MS));
-            let failed_lately = self.now_ms - engine.failed_ms < EVIDENCE_LIFETIME_MS;
-            failing += usize::from(engine.failures_in_row >= FAILING_AFTER && failed_lately);
+            tried += usize::from(engine.was_tried_within(self.now_ms, EVIDENCE_LIFETIME_MS));
+            let failed_recently = self.now_ms - engine.failed_ms < EVIDENCE_LIFETIME_MS;
+            failing += usize::from(engine.failures_in_row >= FAILING_AFTER && failed_recently);
         }
-        // Half of the zone's engines must have been tried.
+        // At least half of the zone's ready engines must have been tried recently.
         if tried == 0 || 2 * tried < ready {
             return None;
         }
@@ -95,7 +96,7 @@
         Some(is_silent && failing as f64 >= detection.failing_fraction * tried as f64)
     }
 
-    fn lose_zone(&mut self, zone: usize) {
+    fn mark_unreachable(&mut self, zone: usize) {
         let record = &self.zones[zone];
         let reason = if record.state.is_recovering() {
             Reason::FailedAgain
@@ -108,7 +109,7 @@
         self.set_state(zone, ZoneState::Unreachable, reason);
     }
 
-    /// Whether any peer that is not isolated reaches a zone.
+    /// Whether any peer that is not isolated reports a zone as reachable or recovering.
     fn is_reached_by_peers(&self, zone: &str) -> bool {
         let zone_hash = codec::zone_hash(zone);
         self.peers
@@ -124,7 +125,7 @@
             })
     }
 
-    fn answered_since_loss(&self, zone: usize) -> bool {
+    fn has_answered_since_loss(&self, zone: usize) -> bool {
         let since_ms = self.zones[zone].state_since_ms;
         self.ready_engines(zone)
             .any(|engine| engine.answered_ms > since_ms)
@@ -140,18 +141,18 @@
         self.set_state(zone, ZoneState::Recovering(initial), reason);
     }
 
-    /// Advances a recovery while answers are good, and halves it when they worsen.
+    /// Advances the recovery ramp while few answers are missing. Halves its progress while too many are missing.
     fn advance_recovery(&mut self, zone: usize, elapsed_ms: f64) {
         let now_ms = self.now_ms;
         let ramp = self.config.recovery_ramp;
         let record = &mut self.zones[zone];
-        let recent = (record.recent_successes + record.recent_failures).max(1.0);
-        let failed_fraction = record.recent_failures / recent;
-        let may_set_back = now_ms - record.set_back_ms >= SET_BACK_INTERVAL_MS;
-        if failed_fraction > MAX_FAILURES_TO_STAY && may_set_back {
-            record.set_back_ms = now_ms;
+        let recent_observations = (record.recent_successes + record.recent_failures).max(1.0);
+        let failure_fraction = record.recent_failures / recent_observations;
+        let is_setback_allowed = now_ms - record.last_setback_ms >= MIN_SETBACK_INTERVAL_MS;
+        if failure_fraction > SETBACK_FAILURE_FRACTION && is_setback_allowed {
+            record.last_setback_ms = now_ms;
             record.ramp_progress /= 2.0;
-        } else if failed_fraction <= MAX_FAILURES_TO_ADVANCE
+        } else if failure_fraction <= MAX_FAILURE_FRACTION_TO_ADVANCE
             && record.recent_successes > MIN_RECENT_SUCCESSES
         {
             record.ramp_progress = (record.ramp_progress + elapsed_ms / ramp.duration_ms).min(1.0);
@@ -165,19 +166,20 @@
 
     // ---- Isolation of this dispatcher ----
 
-    /// Updates whether this dispatcher is isolated: all zones with enough evidence fail or are unreachable. Zones that
-    /// became unreachable shortly before the isolation are healthy again.
+    /// Updates whether this dispatcher is isolated, that is, whether all zones with sufficient evidence fail or are
+    /// unreachable. Zones that became unreachable shortly before the isolation are restored.
     fn update_isolation(&mut self, failing: &[Option<bool>]) {
-        let known: Vec<usize> = (0..failing.len())
+        let zones_with_evidence: Vec<usize> = (0..failing.len())
             .filter(|zone| failing[*zone].is_some() || self.is_unreachable(*zone))
             .collect();
-        let all_fail = known
+        let all_fail = zones_with_evidence
             .iter()
             .all(|zone| failing[*zone] == Some(true) || self.is_unreachable(*zone));
-        let any_newly_fails = known
+        let any_reachable_fails = zones_with_evidence
             .iter()
             .any(|zone| failing[*zone] == Some(true) && !self.is_unreachable(*zone));
-        let is_isolated = known.len() > 1 && all_fail && (any_newly_fails || self.is_isolated);
+        let is_isolated =
+            zones_with_evidence.len() > 1 && all_fail && (any_reachable_fails || self.is_isolated);
         if is_isolated == self.is_isolated {
             return;
         }
@@ -185,28 +187,29 @@
         if is_isolated {
             self.restore_recently_lost_zones();
         }
-        self.record_isolation(known.first().copied());
+        self.record_isolation(zones_with_evidence.first().copied());
     }
 
     fn is_unreachable(&self, zone: usize) -> bool {
         self.zones[zone].state == ZoneState::Unreachable
     }
 
-    /// Marks recently lost zones as healthy: the first failures were attributed to these zones before the failures of the
-    /// others showed that this dispatcher is the cause.
+    /// Marks zones that became unreachable recently as healthy. Their failures were attributed to the zones before the
+    /// failures of the other zones showed that this dispatcher is isolated.
     fn restore_recently_lost_zones(&mut self) {
         for zone in 0..self.zones.len() {
-            let lost_ms = self.now_ms - self.zones[zone].state_since_ms;
-            if self.is_unreachable(zone) && lost_ms < EVIDENCE_LIFETIME_MS {
+            let unreachable_for_ms = self.now_ms - self.zones[zone].state_since_ms;
+            if self.is_unreachable(zone) && unreachable_for_ms < EVIDENCE_LIFETIME_MS {
                 self.set_state(zone, ZoneState::Healthy, Reason::Isolated);
             }
         }
     }
 
-    /// Records the change of isolation in the history of a known zone, or of the first one, without changing its state.
-    fn record_isolation(&mut self, known_zone: Option<usize>) {
+    /// Records the change of isolation in the history under the given zone, or under the first zone if it is `None`.
+    /// Does not change the zone's state.
+    fn record_isolation(&mut self, zone_with_evidence: Option<usize>) {
         let first_zone = (!self.zones.is_empty()).then_some(0);
-        let Some(zone) = known_zone.or(first_zone) else {
+        let Some(zone) = zone_with_evidence.or(first_zone) else {
             return;
         };
         let state = self.zones[zone].state;
@@ -218,15 +221,16 @@
         self.set_state(zone, state, reason);
     }
 
-    /// Removes zones without engines from the end of the list only, so that the indices of the others stay valid.
-    fn forget_empty_zones(&mut self) {
+    /// Removes healthy zones without engines and without recent changes. Removes them only from the end of the list, so
+    /// that the indices of the other zones stay valid.
+    fn remove_empty_zones(&mut self) {
         while let Some(last) = self.zones.len().checked_sub(1) {
             let has_engines = self.engines.values().any(|engine| engine.zone == last);
             let record = &self.zones[last];
-            let unchanged_ms = self.now_ms - record.state_since_ms;
+            let unchanged_for_ms = self.now_ms - record.state_since_ms;
             if has_engines
                 || record.state != ZoneState::Healthy
-                || unchanged_ms < EVIDENCE_LIFETIME_MS
+                || unchanged_for_ms < EVIDENCE_LIFETIME_MS
             {
                 return;
             }
--- a/crates/zone-routing/src/detector/planning.rs
+++ b/crates/zone-routing/src/detector/planning.rs
@@ -1,11 +1,11 @@
-//! The routing plan that follows from the states of zones.
+//! Derivation of the routing plan from the states of zones.
 
 use super::{EngineRecord, ZoneHealthDetector, ZoneRecord};
 use crate::model::ZoneState;
 use crate::routing_plan::{EnginePlan, RoutingPlan, ZonePlan};
 
 impl ZoneHealthDetector {
-    /// The plan for a dispatcher in zone `from`, with ranks and limits for these classes (resource groups).
+    /// Returns the plan for a dispatcher in zone `from`, with ranks and limits for the given classes (resource groups).
     pub fn routing_plan(&self, from: &str, classes: &[String]) -> RoutingPlan {
         let zones = self.zones.iter().enumerate();
         let engines = self.engines.iter();
@@ -21,8 +21,8 @@
         }
     }
 
-    /// This dispatcher's equal share of a zone: one part in the configured number of dispatchers, or in the number of those
-    /// that send messages if that is greater.
+    /// Returns this dispatcher's share of a zone, as a fraction. All dispatchers have equal shares; their number is the
+    /// configured number, or the number of known peers plus one if that is greater.
     fn dispatcher_share(&self) -> f64 {
         1.0 / self.dispatchers.max(self.peers.len() as f64 + 1.0)
     }
--- a/crates/zone-routing/src/detector/records.rs
+++ b/crates/zone-routing/src/detector/records.rs
@@ -1,34 +1,34 @@
-//! The detector's records of engines, zones and peers.
+//! Records of engines, zones and peers.
 
-use super::LONG_AGO_MS;
+use super::NEVER_MS;
 use crate::codec::PeerReport;
 use crate::model::{ObservationKind, ZoneState};
 
 /// Half-life of a zone's recent successes and failures (ms).
 const HALF_LIFE_MS: f64 = 1500.0;
 
-/// The evidence on an engine.
+/// An engine and the evidence on it.
 #[derive(Debug, Clone)]
 pub(super) struct EngineRecord {
     /// Index of the engine's zone.
     pub(super) zone: usize,
     pub(super) cores: f64,
     pub(super) ready: bool,
-    /// Missing answers since the last answer.
+    /// Number of missing answers since the last answer.
     pub(super) failures_in_row: u32,
     pub(super) answered_ms: f64,
     pub(super) failed_ms: f64,
 }
 
 impl EngineRecord {
-    pub(super) fn without_evidence(zone: usize) -> Self {
+    pub(super) fn new(zone: usize) -> Self {
         EngineRecord {
             zone,
             cores: 0.0,
             ready: false,
             failures_in_row: 0,
-            answered_ms: LONG_AGO_MS,
-            failed_ms: LONG_AGO_MS,
+            answered_ms: NEVER_MS,
+            failed_ms: NEVER_MS,
         }
     }
 
@@ -45,36 +45,36 @@
         }
     }
 
-    pub(super) fn was_tried_since(&self, now_ms: f64, period_ms: f64) -> bool {
+    pub(super) fn was_tried_within(&self, now_ms: f64, period_ms: f64) -> bool {
         now_ms - self.answered_ms.max(self.failed_ms) < period_ms
     }
 }
 
-/// The state of a zone, and the evidence on it.
+/// A zone, its state and the evidence on it.
 #[derive(Debug, Clone)]
 pub(super) struct ZoneRecord {
     pub(super) name: String,
     pub(super) state: ZoneState,
     pub(super) state_since_ms: f64,
-    /// Successes with exponential decay.
+    /// Number of successes, with exponential decay.
     pub(super) recent_successes: f64,
-    /// Failures with exponential decay.
+    /// Number of failures, with exponential decay.
     pub(super) recent_failures: f64,
-    /// Time up to which successes and failures have decayed.
+    /// Time of the last decay (ms).
     decayed_ms: f64,
-    /// Successes since the zone was first listed, wrapping around.
+    /// Number of successes since the zone was first listed; wraps around.
     pub(super) total_successes: u16,
-    /// Failures since the zone was first listed, wrapping around.
+    /// Number of failures since the zone was first listed; wraps around.
     pub(super) total_failures: u16,
     /// Progress of the recovery ramp, from 0 to 1.
     pub(super) ramp_progress: f64,
-    /// Time of the last setback of the recovery.
-    pub(super) set_back_ms: f64,
-    /// Time of the first failure since the last answer; `None` if the last outcome was an answer.
+    /// Time of the last setback of the recovery (ms).
+    pub(super) last_setback_ms: f64,
+    /// Time of the first failure since the last answer (ms); `None` if the last observation was an answer.
     pub(super) failing_since_ms: Option<f64>,
     pub(super) observed_ms: f64,
     pub(super) health_checked_ms: f64,
-    /// Number of health checks, which selects the engine of the next one.
+    /// Number of health checks; selects the engine to check next in round-robin order.
     pub(super) health_checks: usize,
 }
 
@@ -90,10 +90,10 @@
             total_successes: 0,
             total_failures: 0,
             ramp_progress: 0.0,
-            set_back_ms: LONG_AGO_MS,
+            last_setback_ms: NEVER_MS,
             failing_since_ms: None,
             observed_ms: now_ms,
-            health_checked_ms: LONG_AGO_MS,
+            health_checked_ms: NEVER_MS,
             health_checks: 0,
         }
     }
@@ -123,7 +123,7 @@
         self.decayed_ms = now_ms;
     }
 
-    /// Starts the recovery ramp anew, with these recent successes and no failures.
+    /// Restarts the recovery ramp with the given number of recent successes and no recent failures.
     pub(super) fn reset_ramp(&mut self, recent_successes: f64) {
         self.ramp_progress = 0.0;
         self.recent_successes = recent_successes;
@@ -131,7 +131,7 @@
     }
 }
 
-/// The last report of a peer.
+/// The most recent report of a peer.
 #[derive(Debug, Clone)]
 pub(super) struct PeerRecord {
     pub(super) number: u32,
--- a/crates/zone-routing/src/lib.rs
+++ b/crates/zone-routing/src/lib.rs
@@ -1,21 +1,21 @@
-//! Zone-aware routing as one dispatcher sees it: losing a zone and returning to it.
+//! Zone-aware routing of one dispatcher: detection of zone failures, failover to other zones, and recovery.
 //!
-//! Implements docs/design/zone-routing.md. Preference tiers and spill limits follow what service meshes call locality
-//! load balancing with failover priorities (as in Envoy); failure detection aggregates passive outlier evidence by
-//! zone. What differs: a dispatcher that loses all zones at once concludes that it is isolated itself, and the return
-//! is a ramp that advances only while answers are good, shared evenly among dispatchers.
+//! Implements docs/design/zone-routing.md. Preference tiers and spill limits correspond to locality load balancing with
+//! failover priorities in service meshes such as Envoy. Failure detection aggregates passive outlier evidence by zone.
+//! Differences: a dispatcher for which all zones fail at once concludes that it is isolated; and a zone recovers along
+//! a ramp that advances only while few answers are missing and that is divided equally among the dispatchers.
 //!
-//! Owns: which zones are reachable, by this dispatcher's evidence ([`ZoneHealthDetector`]); which zone a class of work
-//! prefers, how much may spill into others, and the limit of a returning zone ([`RoutingPlan`]); and the validation of
-//! configurations ([`Config::validate`]). It never does I/O, reads no clock and draws no random numbers. It places no
-//! query: placement chooses within the plan, and rules 1 to 7 of the root package still apply.
+//! This crate owns the reachability of zones by this dispatcher's evidence ([`ZoneHealthDetector`]); the zone
+//! preferences of each class, the spill limits and the limits of recovering zones ([`RoutingPlan`]); and the validation
+//! of the configuration ([`Config::validate`]). It does no I/O, reads no clock and draws no random numbers. It places
+//! no queries: the root package does, within the plan and subject to its rules 1 to 7.
 //!
 //! Invariants, checked in `tests/`:
-//! - a zone becomes unreachable by this dispatcher's own failures only, never by what peers report, and never while
-//!   all zones fail at once;
-//! - the limit of a returning zone grows only while few of its answers are missing, and starts again at the initial
-//!   fraction when the zone fails again;
-//! - the limits of all dispatchers for a returning engine add up to no more than its full use.
+//! - a zone becomes unreachable only because of failures that this dispatcher observed, never because of peers'
+//!   reports, and never while all zones fail at once;
+//! - the limit of a recovering zone increases only while few of its answers are missing, and restarts at the initial
+//!   fraction after another failure of the zone;
+//! - the limits of all dispatchers for an engine of a recovering zone add up to at most its full use.
 //!
 //! Start reading at [`ZoneHealthDetector::evaluate`].
 
--- a/crates/zone-routing/src/model.rs
+++ b/crates/zone-routing/src/model.rs
@@ -1,46 +1,46 @@
-//! Input and output of the detector: engines, observations, states of zones and their changes.
+//! Input and output of the detector: engines, observations, zone states and their changes.
 
 use std::fmt;
 
-/// An engine of the endpoint list.
+/// An engine in the endpoint list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Engine {
-    /// Id of the engine.
+    /// Identifier of the engine.
     pub engine_id: u64,
     /// Name of the engine's zone.
     pub zone: String,
-    /// Cores of the engine.
+    /// Number of cores of the engine.
     pub cores: f64,
-    /// Whether the engine is ready by the list.
+    /// Whether the list reports the engine as ready.
     pub ready: bool,
 }
 
 /// The result of an attempt or a health check.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ObservationKind {
-    /// The engine answered: with a result, an error, a rejection, a progress note or the answer of a health check.
+    /// The engine answered with a result, an error, a rejection, a progress note or a health check response.
     Answered,
-    /// No connection, a reset, or no answer until the timeout.
+    /// The connection could not be established or was reset, or the engine did not answer within the timeout.
     NoAnswer,
 }
 
-/// Evidence on an engine.
+/// An observation of an engine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Observation {
-    /// The engine.
+    /// Identifier of the engine.
     pub engine_id: u64,
-    /// Whether it answered.
+    /// Whether the engine answered.
     pub kind: ObservationKind,
 }
 
-/// Whether this dispatcher can use a zone.
+/// How far this dispatcher may use a zone.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum ZoneState {
-    /// In full use.
+    /// The zone may be used fully.
     Healthy,
     /// The zone's engines do not answer, so no work is sent there.
     Unreachable,
-    /// The zone answers again; this fraction of its full use is allowed.
+    /// The zone answers again. The value is the fraction of its full use that is allowed, from 0 to 1.
     Recovering(f64),
 }
 
@@ -50,31 +50,31 @@
     }
 }
 
-/// The reason of a change of state, or another event.
+/// The reason for a zone's change of state, or for a history entry without one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reason {
-    /// Most of the zone's engines fail, and none has answered for a time.
+    /// Most of the zone's engines fail, and none has answered for [`crate::CutDetection::silent_ms`].
     Lost,
-    /// As [`Reason::Lost`], while peers reach the zone: the network path of this dispatcher is cut.
+    /// As [`Reason::Lost`], but peers reach the zone, so the network path from this dispatcher to the zone has failed.
     LostFromHere,
-    /// An engine answered again.
+    /// An engine of the unreachable zone answered.
     Answered,
-    /// Nothing was sent to the zone for a long time: a recovery begins in order to get evidence.
+    /// No engine of the unreachable zone was observed for `UNTRIED_MS`, so a recovery begins to obtain evidence.
     Untried,
-    /// The recovery ramp is complete.
+    /// The recovery ramp was completed.
     Recovered,
     /// The zone failed during its recovery.
     FailedAgain,
-    /// All zones fail, so this dispatcher is isolated.
+    /// All zones fail, so this dispatcher considers itself isolated.
     Isolated,
     /// This dispatcher is no longer isolated.
     NotIsolated,
-    /// The endpoint list drops engines that answer.
+    /// An endpoint list dropped a large part of the zone's ready engines although they were answering.
     ListDropsEngines,
 }
 
 impl fmt::Display for Reason {
-    /// The word that the dispatcher's status page shows.
+    /// Writes the name of the reason on the dispatcher's status page.
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(match self {
             Reason::Lost => "Lost",
@@ -90,41 +90,41 @@
     }
 }
 
-/// A change of a zone's state, or an event that leaves it as it is.
+/// An entry of the history: a change of a zone's state, or an event that does not change it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ZoneChange {
-    /// Time of the change (ms).
+    /// Time of the change or event (ms).
     pub at_ms: f64,
     /// Name of the zone.
     pub zone: String,
-    /// The zone's state after the change.
+    /// The zone's state after the change or event.
     pub state: ZoneState,
     /// The reason.
     pub reason: Reason,
 }
 
-/// Whether a dispatcher reaches a zone, in reports to others.
+/// Reachability of a zone from a dispatcher, as reported to peers and to the fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reachability {
     /// An engine of the zone answered recently.
     Reachable,
     /// The zone is recovering.
     Recovering,
-    /// The zone's engines do not answer.
+    /// The zone is unreachable from the dispatcher.
     Unreachable,
     /// There is no recent evidence.
     Unknown,
 }
 
-/// This dispatcher's evidence on a zone, for the fleet.
+/// This dispatcher's evidence on a zone, as reported to the fleet.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ZoneEvidence<'a> {
     /// Name of the zone.
     pub zone: &'a str,
-    /// Whether the zone is reached.
+    /// Reachability of the zone.
     pub reachability: Reachability,
-    /// Answers since the zone was first listed, wrapping around.
+    /// Number of answers since the zone was first listed; wraps around.
     pub successes: u16,
-    /// Missing answers since the zone was first listed, wrapping around.
+    /// Number of missing answers since the zone was first listed; wraps around.
     pub failures: u16,
 }
--- a/crates/zone-routing/src/routing_plan.rs
+++ b/crates/zone-routing/src/routing_plan.rs
@@ -1,4 +1,4 @@
-//! The routing plan, which is the input of placement.
+//! The routing plan: the limits and preferences by zone that placement applies.
 
 use crate::model::ZoneState;
 
@@ -7,35 +7,35 @@
 pub struct ZonePlan {
     /// Name of the zone.
     pub name: String,
-    /// Whether the zone can be used.
+    /// How far the zone may be used.
     pub state: ZoneState,
-    /// The zone's tier for each class, from 0, the most preferred.
+    /// The zone's rank for each class; 0 is the most preferred.
     pub ranks: Vec<u8>,
-    /// Maximum number of threads in the zone for this dispatcher's work from other zones.
+    /// Maximum number of threads that this dispatcher may use in the zone while spilling from another zone.
     pub spill_threads: f64,
-    /// The same limit for each class.
+    /// The corresponding limit of each class.
     pub spill_threads_by_class: Vec<f64>,
 }
 
 /// The plan for an engine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct EnginePlan {
-    /// The engine.
+    /// Identifier of the engine.
     pub engine_id: u64,
-    /// Maximum number of threads on the engine for this dispatcher's work: 0 while its zone is unreachable, infinite while
-    /// its zone is healthy.
+    /// Maximum number of threads that this dispatcher may use on the engine: 0 while its zone is unreachable, infinite
+    /// while its zone is healthy.
     pub threads: f64,
 }
 
 /// The plan for all zones and engines.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RoutingPlan {
-    /// All zones.
+    /// The plans for all zones.
     pub zones: Vec<ZonePlan>,
-    /// All listed engines.
+    /// The plans for all listed engines.
     pub engines: Vec<EnginePlan>,
-    /// Whether this dispatcher is isolated. Isolation moves no work.
+    /// Whether this dispatcher is isolated. Isolation does not move work to other zones.
     pub is_isolated: bool,
-    /// Fraction of the retries that may go to another zone than the previous attempt.
+    /// Maximum fraction of retries that may be sent to a zone other than that of the previous attempt.
     pub cross_zone_retry_fraction: f64,
 }
--- a/crates/zone-routing/tests/codec.rs
+++ b/crates/zone-routing/tests/codec.rs
@@ -1,5 +1,5 @@
-//! Messages between dispatchers: what is encoded is decoded, and messages written by the version before the renames
-//! (commit 7790f50) are still read and written byte for byte.
+//! Zone reports between dispatchers: round trip, malformed messages, and wire compatibility with messages written by
+//! commit 7790f50.
 
 use tansymux_zone_routing::codec::{self, zone_hash, DecodeError, PeerReport, ZoneReport};
 use tansymux_zone_routing::Reachability;
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn encoded_messages_are_decoded_and_other_bytes_refused() {
+fn encoded_reports_are_decoded_and_malformed_messages_are_rejected() {
     let zones = [
         report("east", Reachability::Unreachable),
         ZoneReport {
@@ -26,15 +26,15 @@
     assert_eq!(codec::decode(&bytes[..2]), Err(DecodeError::NotZoneReport));
     assert!(codec::decode(b"\x02\x01\x00").is_err());
     assert_eq!(codec::decode(&bytes[..8]).unwrap().zones.len(), 1);
-    let many = (0..99).map(|zone_hash| ZoneReport {
+    let too_many_zones = (0..99).map(|zone_hash| ZoneReport {
         zone_hash,
         reachability: Reachability::Reachable,
     });
-    assert!(codec::encode(false, many).len() <= 256);
+    assert!(codec::encode(false, too_many_zones).len() <= 256);
 }
 
 #[test]
-fn messages_of_the_version_before_are_read_and_written_byte_for_byte() {
+fn messages_of_commit_7790f50_are_decoded_and_encoded_to_the_same_bytes() {
     let bytes = [
         3, 1, 1, 0x72, 0x6f, 0, 0xa3, 0x47, 1, 0x49, 0xeb, 2, 0x23, 0x5d, 3,
     ];
--- a/crates/zone-routing/tests/config.rs
+++ b/crates/zone-routing/tests/config.rs
@@ -1,9 +1,9 @@
-//! Which route counts, and which configurations are refused.
+//! Selection of routes, and rejection of invalid configurations.
 
 use tansymux_zone_routing::{Config, Route, SpillLimit, Tier};
 
-fn tiers(names: &[&[&str]]) -> Vec<Tier> {
-    names
+fn tiers(zones_by_tier: &[&[&str]]) -> Vec<Tier> {
+    zones_by_tier
         .iter()
         .map(|zones| Tier {
             zones: zones.iter().map(ToString::to_string).collect(),
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn most_specific_route_counts_and_unnamed_zones_come_last() {
+fn most_specific_route_applies_and_unnamed_zones_rank_last() {
     let routes = vec![
         Route {
             class: None,
@@ -44,39 +44,44 @@
 }
 
 #[test]
-fn configurations_that_cannot_work_are_refused_with_their_key() {
-    let route = |class: Option<&str>, names: &[&[&str]]| Route {
+fn invalid_configurations_are_rejected_with_the_key() {
+    let route = |class: Option<&str>, zones_by_tier: &[&[&str]]| Route {
         class: class.map(Into::into),
         from: None,
-        tiers: tiers(names),
+        tiers: tiers(zones_by_tier),
     };
-    let says = |routes: Vec<Route>, spills: Vec<SpillLimit>| {
-        let all = Config {
+    let errors = |routes: Vec<Route>, limits: Vec<SpillLimit>| {
+        let found = Config {
             routes,
-            spill_limits: spills,
+            spill_limits: limits,
             ..Config::default()
         }
         .validate();
-        all.iter()
+        found
+            .iter()
             .map(|error| format!("{}: {}", error.key, error.found))
             .collect::<Vec<_>>()
             .join("; ")
     };
-    let spill = |class: Option<&str>, most| SpillLimit {
+    let spill_limit = |class: Option<&str>, max_threads| SpillLimit {
         into: None,
         class: class.map(Into::into),
-        max_threads_per_core: most,
+        max_threads_per_core: max_threads,
     };
-    assert!(says(vec![route(None, &[&["a"], &["b", "a"]])], vec![])
+    assert!(errors(vec![route(None, &[&["a"], &["b", "a"]])], vec![])
         .contains("route.0.tier.1.hall.1: \"a\" a second"));
     assert!(
-        says(vec![route(None, &[&["a"]]), route(None, &[&["b"]])], vec![])
+        errors(vec![route(None, &[&["a"]]), route(None, &[&["b"]])], vec![])
             .contains("route.1: the same")
     );
-    assert!(says(vec![route(None, &[])], vec![]).contains("route.0.tier: missing"));
-    assert!(says(vec![route(None, &[&[]])], vec![]).contains("tier.0.hall: missing"));
-    assert!(says(vec![], vec![spill(None, 0.1), spill(None, 0.2)]).contains("spill.1: the same"));
-    let load = || vec![route(Some("load"), &[&["a"], &["b"]])];
-    assert!(says(load(), vec![spill(Some("load"), 0.0)]).contains("spill.0.most: 0 for a class"));
-    assert!(says(load(), vec![spill(Some("load"), 0.1)]).is_empty());
+    assert!(errors(vec![route(None, &[])], vec![]).contains("route.0.tier: missing"));
+    assert!(errors(vec![route(None, &[&[]])], vec![]).contains("tier.0.hall: missing"));
+    assert!(
+        errors(vec![], vec![spill_limit(None, 0.1), spill_limit(None, 0.2)])
+            .contains("spill.1: the same")
+    );
+    let load_routes = || vec![route(Some("load"), &[&["a"], &["b"]])];
+    assert!(errors(load_routes(), vec![spill_limit(Some("load"), 0.0)])
+        .contains("spill.0.most: 0 for a class"));
+    assert!(errors(load_routes(), vec![spill_limit(Some("load"), 0.1)]).is_empty());
 }
--- a/crates/zone-routing/tests/reasons.rs
+++ b/crates/zone-routing/tests/reasons.rs
@@ -1,10 +1,10 @@
-//! Words that the dispatcher's status page shows.
+//! Names of reasons on the dispatcher's status page.
 
 use tansymux_zone_routing::Reason;
 
 #[test]
-fn reasons_keep_the_words_of_the_status_page() {
-    let words: Vec<String> = [
+fn reasons_keep_their_names_on_the_status_page() {
+    let names: Vec<String> = [
         Reason::Lost,
         Reason::LostFromHere,
         Reason::Answered,
@@ -19,7 +19,7 @@
     .map(ToString::to_string)
     .collect();
     assert_eq!(
-        words,
+        names,
         [
             "Lost",
             "LostFromHere",
--- a/crates/zone-routing/tests/zone_failures/world.rs
+++ b/crates/zone-routing/tests/zone_failures/world.rs
@@ -1,12 +1,12 @@
-//! A detector, its zones and engines in virtual time.
+//! Simulation of a detector with its zones and engines in virtual time.
 
 use tansymux_zone_routing::{
     Config, CutDetection, Engine, Event, Observation, ObservationKind, Reason, RecoveryRamp, Route,
     RoutingPlan, SpillLimit, Tier, ZoneChange, ZoneHealthDetector,
 };
 
-/// Interval of evaluations (ms).
-pub const EVALUATION_MS: f64 = 100.0;
+/// Interval between evaluations (ms).
+pub const EVALUATION_INTERVAL_MS: f64 = 100.0;
 
 pub fn config() -> Config {
     let tiers = |names: &[&str]| {
@@ -52,60 +52,64 @@
     }
 }
 
-/// A detector and zones, each with a number of engines.
-pub struct World {
+/// A detector in zone east, and zones with their numbers of engines.
+pub struct Simulation {
     pub detector: ZoneHealthDetector,
     pub zones: Vec<(&'static str, usize)>,
-    pub now: f64,
+    pub now_ms: f64,
 }
 
 pub fn engine_id(zone: usize, engine: usize) -> u64 {
     (zone * 100 + engine) as u64
 }
 
-impl World {
+impl Simulation {
     pub fn new(zones: &[(&'static str, usize)], dispatchers: f64) -> Self {
-        let mut world = World {
+        let mut simulation = Simulation {
             detector: ZoneHealthDetector::new(config(), dispatchers),
             zones: zones.to_vec(),
-            now: 0.0,
+            now_ms: 0.0,
         };
-        world.list(|_, _| true);
-        world
+        simulation.list_engines(|_, _| true);
+        simulation
     }
 
     pub fn engines(&self, ready: impl Fn(usize, usize) -> bool) -> Vec<Engine> {
-        let of = |(zone, (name, many)): (usize, &(&'static str, usize))| {
+        let engines_of_zone = |(zone, (name, engine_count)): (usize, &(&'static str, usize))| {
             let engine = |n| Engine {
                 engine_id: engine_id(zone, n),
                 zone: name.to_string(),
                 cores: 8.0,
                 ready: ready(zone, n),
             };
-            (0..*many).map(engine).collect::<Vec<_>>()
+            (0..*engine_count).map(engine).collect::<Vec<_>>()
         };
-        self.zones.iter().enumerate().flat_map(of).collect()
+        self.zones
+            .iter()
+            .enumerate()
+            .flat_map(engines_of_zone)
+            .collect()
     }
 
-    pub fn list(&mut self, ready: impl Fn(usize, usize) -> bool) {
+    pub fn list_engines(&mut self, ready: impl Fn(usize, usize) -> bool) {
         let engines = self.engines(ready);
         self.detector
-            .handle(Event::EnginesListed(&engines), self.now);
+            .handle(Event::EnginesListed(&engines), self.now_ms);
     }
 
-    /// Runs for `lasts` (ms) with each engine tried before every evaluation; `answers` says whether it answers (none: it is
-    /// not tried). Returns what changed.
+    /// Advances virtual time by `duration_ms`. Before each evaluation, `answers(zone, engine, now_ms)` determines
+    /// whether an engine answers an attempt; `None` means no attempt. Returns the resulting changes.
     pub fn run(
         &mut self,
-        lasts: f64,
+        duration_ms: f64,
         answers: impl Fn(usize, usize, f64) -> Option<bool>,
     ) -> Vec<ZoneChange> {
-        let end = self.now + lasts;
-        while self.now < end {
-            self.now += EVALUATION_MS;
+        let end_ms = self.now_ms + duration_ms;
+        while self.now_ms < end_ms {
+            self.now_ms += EVALUATION_INTERVAL_MS;
             for zone in 0..self.zones.len() {
                 for engine in 0..self.zones[zone].1 {
-                    if let Some(answered) = answers(zone, engine, self.now) {
+                    if let Some(answered) = answers(zone, engine, self.now_ms) {
                         let kind = if answered {
                             ObservationKind::Answered
                         } else {
@@ -116,11 +120,11 @@
                             kind,
                         };
                         self.detector
-                            .handle(Event::EngineObserved(observation), self.now);
+                            .handle(Event::EngineObserved(observation), self.now_ms);
                     }
                 }
             }
-            self.detector.evaluate(self.now);
+            self.detector.evaluate(self.now_ms);
         }
         self.detector.take_changes()
     }
@@ -130,12 +134,13 @@
             .routing_plan("east", &["look".into(), "report".into()])
     }
 
+    /// Returns the total of the engines' thread limits in a zone.
     pub fn threads(&self, zone: usize) -> f64 {
         self.plan()
             .engines
             .iter()
-            .filter(|e| e.engine_id / 100 == zone as u64)
-            .map(|e| e.threads)
+            .filter(|engine| engine.engine_id / 100 == zone as u64)
+            .map(|engine| engine.threads)
             .sum()
     }
 }
@@ -147,4 +152,4 @@
         .collect()
 }
 
-pub const TWO: &[(&str, usize)] = &[("east", 4), ("west", 4)];
+pub const TWO_ZONES: &[(&str, usize)] = &[("east", 4), ("west", 4)];
