--- a/crates/engine-state/src/cache.rs
+++ b/crates/engine-state/src/cache.rs
@@ -1,4 +1,4 @@
-//! The cache: merges observations and weights them at a given time.
+//! The cache of observations: merges them, and derives the state of an engine from their weighted means.
 
 use crate::observation::{Observation, ObservationKind};
 use crate::serial;
@@ -6,9 +6,9 @@
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
 
-/// Limit on the engines; beyond it the least recently updated one is evicted.
+/// Maximum number of engines in the cache; beyond it the least recently updated engine is evicted.
 pub const MAX_ENGINES: usize = 2048;
-/// Limit on the origins of each engine and kind; beyond it those with the lowest ids are dropped.
+/// Maximum number of origins per engine and kind; beyond it the origins with the lowest ids are dropped.
 pub const MAX_ORIGINS: usize = 8;
 /// Weight of this dispatcher's own observations, relative to received ones.
 const OWN_WEIGHT: f64 = 8.0;
@@ -17,33 +17,35 @@
 /// Weight above which a table group counts as locked.
 const MIN_LOCK_WEIGHT: f64 = 0.5;
 
-/// A value, and the weight with which decisions should prefer it to their default, from 0 (not at all) to 1 (fully).
+/// A value and its weight against the default that is used without observations: from 0 (use the default) to 1
+/// (use the value).
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct WeightedValue {
     /// The weighted mean of the observations.
     pub value: f64,
-    /// The highest weight of any observation.
+    /// The highest weight of a single observation, from 0 to 1.
     pub weight: f64,
 }
 
-/// The state of an engine by the cache at a given time.
+/// The state of an engine at a given time, derived from the observations in the cache.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct EngineView {
-    /// The engine drains or is gone: nothing may be sent to it.
+    /// Whether the engine is draining or gone: no query may be sent to it.
     pub is_closed: bool,
-    /// Weight for ejecting the engine until it has answered this dispatcher, from 0 to 1: recent unresponsiveness or errors.
+    /// Evidence of recent unresponsiveness or errors, from 0 to 1. A suspected engine can be ejected until it has
+    /// answered this dispatcher.
     pub suspicion: f64,
-    /// Log ratio of observed to best run time.
+    /// Logarithm of the ratio of observed to best run time.
     pub slowdown: Option<WeightedValue>,
-    /// Concurrency limit for the low lane (threads a core).
+    /// Concurrency limit for the low lane (threads per core).
     pub concurrency_limit: Option<WeightedValue>,
     /// Time since the engine started (ms).
     pub uptime_ms: Option<f64>,
-    /// The table group that a load has locked there.
+    /// The table group that a load has locked on the engine.
     pub locked_table_group: Option<u32>,
 }
 
-/// A stored observation, with its time by this dispatcher's clock.
+/// A stored observation, with its time on this dispatcher's clock.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct Entry {
     value: f64,
@@ -54,33 +56,35 @@
 #[derive(Debug, Clone, Default)]
 struct EngineEntries {
     incarnation: u32,
-    /// By kind and origin.
+    /// Latest observation of each kind and origin.
     entries: BTreeMap<(ObservationKind, u64), Entry>,
-    /// Time of the latest observation.
+    /// Time of the latest observation (ms).
     updated_at_ms: f64,
 }
 
 impl EngineEntries {
-    /// Entries of a kind, in the order of their origins.
+    /// Origins and entries of a kind, in the order of the origin ids.
     fn of_kind(&self, kind: ObservationKind) -> impl Iterator<Item = (u64, &Entry)> {
         self.entries
             .range((kind, 0)..=(kind, u64::MAX))
             .map(|((_, origin_id), entry)| (*origin_id, entry))
     }
 
-    fn has(&self, kind: ObservationKind) -> bool {
+    fn is_reported(&self, kind: ObservationKind) -> bool {
         self.of_kind(kind).any(|(_, entry)| entry.value > 0.0)
     }
 
-    /// Merges an entry of the same incarnation. The higher sequence number of an origin wins; of equal sequence numbers the
-    /// greater age and the greater value, so that the order of merges does not matter.
+    /// Merges an entry of the same incarnation. The entry with the higher sequence number wins. Entries of equal
+    /// sequence numbers are combined into the greater age and the greater value, so that the order of merges does not
+    /// matter.
     fn merge(&mut self, kind: ObservationKind, origin_id: u64, candidate: Entry) {
         self.updated_at_ms = self.updated_at_ms.max(candidate.observed_at_ms);
         let entry = self.entries.entry((kind, origin_id)).or_insert(candidate);
         match serial::compare(candidate.sequence, entry.sequence) {
             Ordering::Greater => *entry = candidate,
             Ordering::Equal => {
-                // The same observation on another path: its time in transit is unknown and makes it look younger.
+                // The same observation over another path. The time in transit is not part of its age, so the greater
+                // age is the more accurate.
                 entry.observed_at_ms = entry.observed_at_ms.min(candidate.observed_at_ms);
                 if candidate.value.total_cmp(&entry.value).is_gt() {
                     entry.value = candidate.value;
@@ -91,7 +95,7 @@
         self.drop_excess_origins(kind);
     }
 
-    /// Drops origins with the lowest ids: a rule that does not depend on the order of merges.
+    /// Drops the origins with the lowest ids beyond [`MAX_ORIGINS`]. The choice does not depend on the order of merges.
     fn drop_excess_origins(&mut self, kind: ObservationKind) {
         let origins: Vec<u64> = self.of_kind(kind).map(|(origin_id, _)| origin_id).collect();
         let excess = origins.len().saturating_sub(MAX_ORIGINS);
@@ -101,7 +105,7 @@
     }
 }
 
-/// Observations of all engines at one dispatcher.
+/// The observations of all engines that a dispatcher has made or received.
 #[derive(Debug, Clone)]
 pub struct EngineStateCache {
     own_id: u64,
@@ -111,8 +115,8 @@
 }
 
 impl EngineStateCache {
-    /// An empty cache. `own_id` must differ at each start of the dispatcher, so that its former run is an origin like
-    /// any other.
+    /// Creates an empty cache. `own_id` must differ at each start of the dispatcher: observations of an earlier run
+    /// then count as received ones.
     pub fn new(own_id: u64) -> Self {
         EngineStateCache {
             own_id,
@@ -132,7 +136,7 @@
         self.engines.is_empty()
     }
 
-    /// Records an observation of this dispatcher.
+    /// Records an observation made by this dispatcher.
     pub fn record(
         &mut self,
         engine_id: u64,
@@ -154,15 +158,15 @@
         self.merge(&observation, now_ms);
     }
 
-    /// Merges an observation of any origin. A later incarnation of the engine replaces all observations of
-    /// earlier ones; observations that are not finite or of negative age are ignored.
+    /// Merges an observation of any origin. An observation of a later incarnation of the engine replaces those of
+    /// earlier incarnations. Values that are not finite and ages that are negative or not finite are ignored.
     pub fn merge(&mut self, observation: &Observation, now_ms: f64) {
         let has_valid_age = observation.age_ms >= 0.0 && observation.age_ms.is_finite();
         if !observation.value.is_finite() || !has_valid_age {
             return;
         }
         if !self.engines.contains_key(&observation.engine_id) && self.engines.len() >= MAX_ENGINES {
-            self.evict_oldest();
+            self.evict_least_recently_updated();
         }
         let engine = self
             .engines
@@ -187,28 +191,28 @@
         engine.merge(observation.kind, observation.origin_id, candidate);
     }
 
-    fn evict_oldest(&mut self) {
-        let oldest = self
+    fn evict_least_recently_updated(&mut self) {
+        let least_recent = self
             .engines
             .iter()
             .min_by(|left, right| left.1.updated_at_ms.total_cmp(&right.1.updated_at_ms))
             .map(|(engine_id, _)| *engine_id);
-        if let Some(engine_id) = oldest {
+        if let Some(engine_id) = least_recent {
             self.engines.remove(&engine_id);
         }
     }
 
-    /// Removes an engine that is no longer in the endpoint list.
+    /// Removes an engine and all its observations, once it is no longer in the endpoint list.
     pub fn remove(&mut self, engine_id: u64) {
         self.engines.remove(&engine_id);
     }
 
-    /// Records that an observation of an origin was verified by this dispatcher's own observation.
+    /// Records the comparison of an origin's observation with this dispatcher's own.
     pub fn record_verification(&mut self, origin_id: u64, verification: Verification) {
         self.trust.record(origin_id, verification);
     }
 
-    /// Trust in an origin, from 0 to 1. A refuted observation lowers the weight of all others of its origin.
+    /// Returns the trust in an origin, from 0 to 1. It scales the weight of all observations of the origin.
     pub fn trust(&self, origin_id: u64) -> f64 {
         if origin_id == self.own_id {
             return 1.0;
@@ -216,7 +220,8 @@
         self.trust.trust(origin_id)
     }
 
-    /// The mean of a kind's observations, weighted by age and trust.
+    /// Returns the mean of a kind's observations, weighted by age and trust; `None` without observations or for kinds
+    /// whose weight does not decay.
     fn weighted_mean(
         &self,
         engine: &EngineEntries,
@@ -226,45 +231,46 @@
         let half_life_ms = kind.half_life_ms()?;
         let mut weighted_sum = 0.0;
         let mut total_weight = 0.0;
-        let mut max_belief = 0.0_f64;
+        let mut max_confidence = 0.0_f64;
         for (origin_id, entry) in engine.of_kind(kind) {
             let age_ms = (now_ms - entry.observed_at_ms).max(0.0);
             let decay = (-age_ms / half_life_ms * std::f64::consts::LN_2).exp();
-            let belief = self.trust(origin_id) * decay;
-            let own_factor = if origin_id == self.own_id {
+            let confidence = self.trust(origin_id) * decay;
+            let origin_factor = if origin_id == self.own_id {
                 OWN_WEIGHT
             } else {
                 1.0
             };
-            let weight = belief * own_factor;
+            let weight = confidence * origin_factor;
             weighted_sum += weight * entry.value;
             total_weight += weight;
-            max_belief = max_belief.max(belief);
+            max_confidence = max_confidence.max(confidence);
         }
-        let is_known = total_weight > MIN_TOTAL_WEIGHT;
-        if !is_known {
+        let has_weight = total_weight > MIN_TOTAL_WEIGHT;
+        if !has_weight {
             return None;
         }
         Some(WeightedValue {
             value: weighted_sum / total_weight,
-            weight: max_belief,
+            weight: max_confidence,
         })
     }
 
-    /// The state of an engine at `now_ms`; the default for an unknown engine.
+    /// Returns the state of an engine at `now_ms`; the default for an unknown engine.
     pub fn view(&self, engine_id: u64, now_ms: f64) -> EngineView {
         let Some(engine) = self.engines.get(&engine_id) else {
             return EngineView::default();
         };
         let mean = |kind| self.weighted_mean(engine, kind, now_ms);
-        let strength = |kind| mean(kind).map_or(0.0, |mean| mean.value * mean.weight);
-        let unresponsive = strength(ObservationKind::Unresponsive);
-        let error_rate = strength(ObservationKind::ErrorRate);
+        let discounted_mean = |kind| mean(kind).map_or(0.0, |mean| mean.value * mean.weight);
+        let unresponsive = discounted_mean(ObservationKind::Unresponsive);
+        let error_rate = discounted_mean(ObservationKind::ErrorRate);
         let locked_table_group = mean(ObservationKind::LockedTableGroup)
             .filter(|mean| mean.weight > MIN_LOCK_WEIGHT)
             .map(|mean| mean.value as u32);
         EngineView {
-            is_closed: engine.has(ObservationKind::Draining) || engine.has(ObservationKind::Gone),
+            is_closed: engine.is_reported(ObservationKind::Draining)
+                || engine.is_reported(ObservationKind::Gone),
             suspicion: unresponsive.max(error_rate).clamp(0.0, 1.0),
             slowdown: mean(ObservationKind::Slowdown),
             concurrency_limit: mean(ObservationKind::ConcurrencyLimit),
@@ -273,7 +279,8 @@
         }
     }
 
-    /// All observations with their ages at `now_ms`, to be sent to others: the most important kinds first.
+    /// Returns all observations with their ages at `now_ms`, to be sent to peers. They are sorted by kind, the most
+    /// important first, and then by age.
     pub fn export(&self, now_ms: f64) -> Vec<Observation> {
         let mut observations = Vec::new();
         for (engine_id, engine) in &self.engines {
@@ -299,8 +306,8 @@
     }
 }
 
-/// The shortest uptime that any origin reports: an engine that is warming up must not look warm because an observation
-/// of its latest start was lost.
+/// Returns the shortest uptime that any origin reports (ms): an engine that is warming up must not look warm because an
+/// observation of its latest start was lost.
 fn shortest_uptime_ms(engine: &EngineEntries, now_ms: f64) -> Option<f64> {
     engine
         .of_kind(ObservationKind::Uptime)
--- a/crates/engine-state/src/codec.rs
+++ b/crates/engine-state/src/codec.rs
@@ -4,11 +4,11 @@
 //! | --- | --- | --- |
 //! | 0 | 1 | message type, [`MESSAGE_TYPE`] |
 //! | 1 | 1 | version, [`VERSION`] |
-//! | 2 | | entries up to the end |
+//! | 2 | | entries, to the end of the message |
 //!
 //! | offset | bytes | field of an entry |
 //! | --- | --- | --- |
-//! | 0 | 1 | length of the entry without this byte |
+//! | 0 | 1 | length of the rest of the entry (bytes) |
 //! | 1 | 1 | kind: its position in [`ObservationKind::ALL`] |
 //! | 2 | 8 | engine id |
 //! | 10 | 4 | incarnation |
@@ -17,22 +17,22 @@
 //! | 26 | 4 | age (ms), rounded up |
 //! | 30 | 4 | value, IEEE 754 single precision |
 //!
-//! An entry of an unknown kind is skipped by its length, and bytes after the known fields are ignored, so that versions
-//! can be mixed.
+//! Dispatchers of different versions can exchange messages: an entry of an unknown kind is skipped by its length, and
+//! bytes after the known fields of an entry are ignored.
 
 use crate::observation::{Observation, ObservationKind};
 use tansymux_codec::{ByteReader, ByteWriter, DecodeError};
 
-/// The first byte of a message, which distinguishes it from other messages between dispatchers.
+/// First byte of a message; distinguishes it from the other messages between dispatchers.
 pub const MESSAGE_TYPE: u8 = 5;
-/// The version of the encoding. Other versions are not decoded.
+/// Version of the encoding. Messages of other versions are not decoded.
 pub const VERSION: u8 = 1;
-/// Length of the message's header (bytes).
+/// Length of the header of a message (bytes).
 const HEADER_BYTES: usize = 2;
 /// Length of an entry of this version without its length byte (bytes).
 const ENTRY_BYTES: usize = 1 + 8 + 4 + 8 + 4 + 4 + 4;
 
-/// Why a message could not be decoded.
+/// An error of decoding a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum CodecError {
     /// The message is shorter than its header.
@@ -49,13 +49,13 @@
 /// An encoded message.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Encoded {
-    /// The bytes.
+    /// The message.
     pub bytes: Vec<u8>,
-    /// Number of observations that fit; the others belong in the next message.
+    /// Number of observations that fit in the message, from the first on; the caller sends the rest in further messages.
     pub count: usize,
 }
 
-/// Encodes as many observations, in their order, as fit in `max_bytes`.
+/// Encodes observations, in order, until the message would exceed `max_bytes`.
 pub fn encode(observations: &[Observation], max_bytes: usize) -> Encoded {
     let mut writer = ByteWriter::default();
     writer.u8(MESSAGE_TYPE).u8(VERSION);
@@ -74,7 +74,7 @@
 }
 
 fn encode_entry(observation: &Observation, writer: &mut ByteWriter) {
-    // Rounded up: an observation must not become younger in transit.
+    // Rounds up: an observation must not become younger in transit.
     let age_ms = observation.age_ms.ceil().clamp(0.0, f64::from(u32::MAX)) as u32;
     writer
         .u8(ENTRY_BYTES as u8)
@@ -87,10 +87,11 @@
         .f32(observation.value as f32);
 }
 
-/// Decodes a message. Entries that are unknown, too short, or not finite are skipped; decoding ends at a truncated entry.
+/// Decodes a message. Entries of an unknown kind, entries that are too short and values that are not finite are skipped;
+/// decoding ends at a truncated entry.
 ///
 /// # Errors
-/// The message has no valid header. Any bytes are accepted without a panic.
+/// The message has no valid header. No input causes a panic.
 pub fn decode(bytes: &[u8]) -> Result<Vec<Observation>, CodecError> {
     let mut reader = ByteReader::new(bytes);
     let (Ok(message_type), Ok(version)) = (reader.u8(), reader.u8()) else {
--- a/crates/engine-state/src/observation.rs
+++ b/crates/engine-state/src/observation.rs
@@ -1,30 +1,31 @@
-//! Observations of engines and how fast each kind loses weight.
+//! Observations of engines, and the rate at which each kind loses weight.
 
-/// The kind of an observation. The order is that of the encoding and of [`EngineStateCache::export`].
+/// The kind of an observation. [`EngineStateCache::export`] returns observations in the order of the variants; the
+/// encoding numbers kinds as [`ObservationKind::ALL`] does.
 ///
 /// [`EngineStateCache::export`]: crate::EngineStateCache::export
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ObservationKind {
-    /// 1: the engine drains. Ends with a new incarnation.
+    /// 1: the engine is draining. Holds until the next incarnation.
     Draining,
-    /// 1: the engine is gone. Ends with a new incarnation.
+    /// 1: the engine is gone. Holds until the next incarnation.
     Gone,
-    /// 1: the engine did not answer when it should have; 0: it answered.
+    /// 1: the engine did not answer in time; 0: it answered.
     Unresponsive,
-    /// Fraction of the engine's answers that are errors.
+    /// Fraction of the engine's replies that are errors.
     ErrorRate,
-    /// Log ratio of observed to best run time.
+    /// Logarithm of the ratio of observed to best run time.
     Slowdown,
-    /// The engine's concurrency limit for the low lane (threads a core).
+    /// The engine's concurrency limit for the low lane (threads per core).
     ConcurrencyLimit,
-    /// Time since the engine started (ms); grows with the observation's own age.
+    /// Time from the engine's start to the observation (ms).
     Uptime,
-    /// The table group that a load has locked there.
+    /// The table group that a load has locked on the engine.
     LockedTableGroup,
 }
 
 impl ObservationKind {
-    /// All kinds; a kind's position is its number in the encoding.
+    /// All kinds; the index of a kind is its number in the encoding.
     pub const ALL: [ObservationKind; 8] = [
         ObservationKind::Draining,
         ObservationKind::Gone,
@@ -36,7 +37,7 @@
         ObservationKind::LockedTableGroup,
     ];
 
-    /// Half-life of the weight of an observation of this kind (ms); `None` where age does not matter.
+    /// Returns the half-life of an observation's weight (ms); `None` for kinds that do not lose weight with age.
     pub(crate) fn half_life_ms(self) -> Option<f64> {
         match self {
             ObservationKind::Draining | ObservationKind::Gone | ObservationKind::Uptime => None,
@@ -52,17 +53,18 @@
 /// An observation of an engine by a dispatcher.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Observation {
-    /// The engine.
+    /// Id of the engine.
     pub engine_id: u64,
-    /// The engine's incarnation: a number for each start, which all dispatchers derive equally from the endpoint list.
+    /// The engine's incarnation: the number of one start of the engine. All dispatchers derive the same number from the
+    /// endpoint list.
     pub incarnation: u32,
-    /// The kind.
+    /// Kind of the observation.
     pub kind: ObservationKind,
-    /// The value, in the unit of the kind.
+    /// The observed value, in the unit of the kind.
     pub value: f64,
-    /// The dispatcher that made the observation.
+    /// Id of the dispatcher that made the observation.
     pub origin_id: u64,
-    /// Sequence number: increases with each observation of this origin, by serial number arithmetic.
+    /// Sequence number: increases with each observation of the origin, and wraps around (serial number arithmetic).
     pub sequence: u32,
     /// Lower bound of the time since the observation (ms).
     pub age_ms: f64,
--- a/crates/engine-state/src/serial.rs
+++ b/crates/engine-state/src/serial.rs
@@ -1,11 +1,11 @@
-//! Comparison of numbers that wrap around, as in RFC 1982 (serial number arithmetic).
+//! Serial number arithmetic (RFC 1982): the order of numbers that wrap around.
 
 use std::cmp::Ordering;
 
-/// Limit on the distance by which a number is after another one.
+/// Maximum distance, modulo 2^32, at which a number still counts as later.
 const MAX_DISTANCE: u32 = 0x7fff_ffff;
 
-/// Whether `candidate` is before or after `current`.
+/// Returns the order of `candidate` relative to `current`.
 pub(crate) fn compare(candidate: u32, current: u32) -> Ordering {
     match candidate.wrapping_sub(current) {
         0 => Ordering::Equal,
--- a/crates/engine-state/src/trust.rs
+++ b/crates/engine-state/src/trust.rs
@@ -1,22 +1,22 @@
-//! Trust in observations of other dispatchers.
+//! Trust in the observations of each origin, by how many of them this dispatcher confirmed or refuted.
 
 use std::collections::BTreeMap;
 
-/// Trust in an origin without verifications.
+/// Trust in an origin of which no observation was verified.
 const INITIAL_TRUST: f64 = 0.7;
-/// Weight of the initial trust, in verifications.
+/// Weight of the initial trust, as a number of verifications.
 const INITIAL_WEIGHT: f64 = 3.0;
-/// Weight of a refutation, in confirmations.
+/// Weight of a refutation, as a number of confirmations.
 const REFUTATION_WEIGHT: f64 = 4.0;
-/// Limit on the origins whose verifications are counted.
+/// Maximum number of origins; beyond it the origins with the lowest ids are dropped.
 const MAX_TRACKED_ORIGINS: usize = 2048;
 
-/// Whether an observation of another dispatcher agreed with this dispatcher's own.
+/// The result of comparing an observation of another dispatcher with this dispatcher's own.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Verification {
-    /// The observations agreed.
+    /// Both dispatchers observed the same.
     Confirmed,
-    /// The observations differed.
+    /// This dispatcher observed otherwise.
     Refuted,
 }
 
@@ -26,7 +26,7 @@
     refuted: f64,
 }
 
-/// Verifications of each origin.
+/// Counts of confirmed and refuted observations by origin.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct TrustTable {
     counts: BTreeMap<u64, VerificationCounts>,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Trust in an origin, from 0 to 1.
+    /// Returns the trust in an origin, from 0 to 1.
     pub fn trust(&self, origin_id: u64) -> f64 {
         let VerificationCounts { confirmed, refuted } =
             self.counts.get(&origin_id).copied().unwrap_or_default();
--- a/crates/engine-state/tests/merge.rs
+++ b/crates/engine-state/tests/merge.rs
@@ -1,12 +1,13 @@
-//! Merging and weighting: each guarantee by an example, and the laws of merging by random observations in random order.
+//! Merging and weighting of observations: an example of each guarantee, and property tests of merging with random
+//! observations in random order.
 
 use proptest::prelude::*;
 use tansymux_engine_state::codec::{self, CodecError};
 use tansymux_engine_state::{EngineStateCache, Observation, ObservationKind, Verification};
 
 const OWN: u64 = 1;
-const DONOR: u64 = 2;
-const OTHER: u64 = 3;
+const PEER: u64 = 2;
+const OTHER_PEER: u64 = 3;
 
 fn observation(
     kind: ObservationKind,
@@ -27,36 +28,48 @@
 }
 
 #[test]
-fn engine_reported_as_draining_stays_closed_until_its_next_incarnation() {
+fn draining_engine_stays_closed_until_its_next_incarnation() {
     let mut cache = EngineStateCache::new(OWN);
     cache.merge(
-        &observation(ObservationKind::Draining, 1.0, DONOR, 1, 500.0),
+        &observation(ObservationKind::Draining, 1.0, PEER, 1, 500.0),
         0.0,
     );
-    // Neither age, nor a refuted origin, nor an own observation of health reopens the engine.
-    (0..50).for_each(|_| cache.record_verification(DONOR, Verification::Refuted));
+    // Neither age, nor refutations of the origin, nor this dispatcher's own observation of an answer reopens the engine.
+    (0..50).for_each(|_| cache.record_verification(PEER, Verification::Refuted));
     cache.record(9, 1, ObservationKind::Unresponsive, 0.0, 1000.0);
     assert!(cache.view(9, 1000.0).is_closed && cache.view(9, 1e9).is_closed);
     cache.record(9, 2, ObservationKind::Unresponsive, 0.0, 2000.0);
     assert!(!cache.view(9, 2000.0).is_closed);
     // Late observations of the previous incarnation are ignored.
     cache.merge(
-        &observation(ObservationKind::Draining, 1.0, OTHER, 7, 0.0),
+        &observation(ObservationKind::Draining, 1.0, OTHER_PEER, 7, 0.0),
         3000.0,
     );
     assert!(!cache.view(9, 3000.0).is_closed);
 }
 
 #[test]
-fn fresh_observation_of_health_or_silence_outweighs_a_stale_one() {
-    let suspicion = |silent_age: f64, well_age: f64| {
+fn recent_observation_of_an_answer_or_a_timeout_outweighs_an_old_one() {
+    let suspicion = |unresponsive_age_ms: f64, responsive_age_ms: f64| {
         let mut cache = EngineStateCache::new(OWN);
         cache.merge(
-            &observation(ObservationKind::Unresponsive, 1.0, DONOR, 1, silent_age),
+            &observation(
+                ObservationKind::Unresponsive,
+                1.0,
+                PEER,
+                1,
+                unresponsive_age_ms,
+            ),
             0.0,
         );
         cache.merge(
-            &observation(ObservationKind::Unresponsive, 0.0, OTHER, 1, well_age),
+            &observation(
+                ObservationKind::Unresponsive,
+                0.0,
+                OTHER_PEER,
+                1,
+                responsive_age_ms,
+            ),
             0.0,
         );
         cache.view(9, 0.0).suspicion
@@ -77,7 +90,7 @@
 fn own_observation_outweighs_a_received_one() {
     let mut cache = EngineStateCache::new(OWN);
     cache.merge(
-        &observation(ObservationKind::Unresponsive, 1.0, DONOR, 1, 0.0),
+        &observation(ObservationKind::Unresponsive, 1.0, PEER, 1, 0.0),
         0.0,
     );
     assert!(cache.view(9, 0.0).suspicion > 0.6);
@@ -90,36 +103,36 @@
 }
 
 #[test]
-fn refuted_observations_lower_the_weight_of_all_others_of_their_origin() {
+fn refutations_lower_the_weight_of_all_observations_of_the_origin() {
     let mut cache = EngineStateCache::new(OWN);
     cache.merge(
-        &observation(ObservationKind::Slowdown, 2.0, DONOR, 1, 0.0),
+        &observation(ObservationKind::Slowdown, 2.0, PEER, 1, 0.0),
         0.0,
     );
     let before = cache.view(9, 0.0).slowdown.unwrap().weight;
-    (0..4).for_each(|_| cache.record_verification(DONOR, Verification::Refuted));
+    (0..4).for_each(|_| cache.record_verification(PEER, Verification::Refuted));
     let after = cache.view(9, 0.0).slowdown.unwrap().weight;
     assert!(after < before / 3.0, "{before} {after}");
-    (0..40).for_each(|_| cache.record_verification(DONOR, Verification::Confirmed));
+    (0..40).for_each(|_| cache.record_verification(PEER, Verification::Confirmed));
     assert!(cache.view(9, 0.0).slowdown.unwrap().weight > after * 2.0);
 }
 
 #[test]
-fn observation_that_is_forwarded_in_circles_does_not_become_younger() {
+fn observation_forwarded_in_a_loop_does_not_become_younger() {
     let (mut a, mut b, mut c) = (
         EngineStateCache::new(OWN),
-        EngineStateCache::new(DONOR),
-        EngineStateCache::new(OTHER),
+        EngineStateCache::new(PEER),
+        EngineStateCache::new(OTHER_PEER),
     );
     c.record(9, 1, ObservationKind::Slowdown, 1.5, 0.0);
     let mut now = 0.0;
     for _ in 0..60 {
         now += 1000.0;
-        // Each cache forwards to the others; each message is in transit for 40 ms.
+        // Each cache forwards its observations; each message is in transit for 40 ms.
         for (from, to) in [(0, 1), (1, 2), (2, 0), (2, 1), (1, 0)] {
             let exported = [&a, &b, &c][from].export(now - 40.0);
             let bytes = codec::encode(&exported, 4096).bytes;
-            let into = match to {
+            let receiver = match to {
                 0 => &mut a,
                 1 => &mut b,
                 _ => &mut c,
@@ -127,14 +140,18 @@
             codec::decode(&bytes)
                 .unwrap()
                 .iter()
-                .for_each(|observation| into.merge(observation, now));
+                .for_each(|observation| receiver.merge(observation, now));
         }
     }
     for cache in [&a, &b, &c] {
-        let all = cache.export(now);
-        assert_eq!(all.len(), 1);
-        // The age may lack the time in transit only.
-        assert!(all[0].age_ms >= now - 100.0, "{} at {now}", all[0].age_ms);
+        let exported = cache.export(now);
+        assert_eq!(exported.len(), 1);
+        // The age falls short by no more than the times in transit.
+        assert!(
+            exported[0].age_ms >= now - 100.0,
+            "{} at {now}",
+            exported[0].age_ms
+        );
     }
 }
 
@@ -142,11 +159,11 @@
 fn uptime_is_the_shortest_that_any_origin_reports() {
     let mut cache = EngineStateCache::new(OWN);
     cache.merge(
-        &observation(ObservationKind::Uptime, 60_000.0, DONOR, 1, 0.0),
+        &observation(ObservationKind::Uptime, 60_000.0, PEER, 1, 0.0),
         0.0,
     );
     cache.merge(
-        &observation(ObservationKind::Uptime, 2000.0, OTHER, 1, 500.0),
+        &observation(ObservationKind::Uptime, 2000.0, OTHER_PEER, 1, 500.0),
         0.0,
     );
     assert_eq!(cache.view(9, 1000.0).uptime_ms, Some(3500.0));
@@ -155,15 +172,15 @@
 #[test]
 fn decoder_skips_unknown_entries_and_keeps_the_others() {
     let known = [
-        observation(ObservationKind::Slowdown, 1.0, DONOR, 1, 10.0),
-        observation(ObservationKind::Draining, 1.0, DONOR, 2, 0.0),
+        observation(ObservationKind::Slowdown, 1.0, PEER, 1, 10.0),
+        observation(ObservationKind::Draining, 1.0, PEER, 2, 0.0),
     ];
     let codec::Encoded { mut bytes, count } = codec::encode(&known, 4096);
     assert_eq!((count, codec::decode(&bytes)), (2, Ok(known.to_vec())));
-    // An unknown kind, a longer entry, an entry that is too short, and a truncated one.
-    let mut more = bytes[2..36].to_vec();
-    more[1] = 200;
-    bytes.extend_from_slice(&more);
+    // Appends an unknown kind, a longer entry, an entry that is too short, and a truncated entry.
+    let mut unknown_kind = bytes[2..36].to_vec();
+    unknown_kind[1] = 200;
+    bytes.extend_from_slice(&unknown_kind);
     let mut longer = bytes[2..36].to_vec();
     longer[0] += 3;
     bytes.extend_from_slice(&longer);
@@ -180,7 +197,7 @@
         Err(CodecError::WrongMessageType(6))
     );
     assert_eq!(codec::decode(b"\x05"), Err(CodecError::Truncated));
-    // An observation that does not fit is left out.
+    // An observation beyond the size limit is left out.
     assert!(codec::encode(&known, 40).count == 1 && codec::encode(&known, 40).bytes.len() <= 40);
 }
 
@@ -220,7 +237,7 @@
         cache.merge(
             &Observation {
                 engine_id: 1_000_000,
-                ..observation(ObservationKind::Slowdown, value, DONOR, 1, 0.0)
+                ..observation(ObservationKind::Slowdown, value, PEER, 1, 0.0)
             },
             1e9,
         );
@@ -251,38 +268,40 @@
         )
 }
 
-fn merged<'a>(observations: impl Iterator<Item = &'a Observation>) -> Vec<Observation> {
-    let mut all = EngineStateCache::new(OWN);
-    observations.for_each(|observation| all.merge(observation, 1000.0));
-    all.export(1000.0)
+fn export_after_merging<'a>(
+    observations: impl Iterator<Item = &'a Observation>,
+) -> Vec<Observation> {
+    let mut cache = EngineStateCache::new(OWN);
+    observations.for_each(|observation| cache.merge(observation, 1000.0));
+    cache.export(1000.0)
 }
 
 proptest! {
     #[test]
     fn merge_does_not_depend_on_order_or_repetition(
-        observations in proptest::collection::vec(any_observation(), 0..24), order in any::<u64>(), cut in 0..24_usize,
+        observations in proptest::collection::vec(any_observation(), 0..24), shuffle_seed in any::<u64>(), split_index in 0..24_usize,
     ) {
-        let plain = merged(observations.iter());
+        let expected = export_after_merging(observations.iter());
         let mut shuffled = observations.clone();
-        let mut x = order | 1;
+        let mut random_state = shuffle_seed | 1;
         for n in (1..shuffled.len()).rev() {
-            x = x.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
-            shuffled.swap(n, (x >> 33) as usize % (n + 1));
+            random_state = random_state.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
+            shuffled.swap(n, (random_state >> 33) as usize % (n + 1));
         }
-        prop_assert_eq!(&merged(shuffled.iter()), &plain);
-        prop_assert_eq!(&merged(observations.iter().chain(&shuffled)), &plain);
-        // In two parts, each merged separately and then forwarded.
-        let (a, b) = observations.split_at(cut.min(observations.len()));
-        let (a, b) = (merged(a.iter()), merged(b.iter()));
-        prop_assert_eq!(&merged(b.iter().chain(&a)), &plain);
+        prop_assert_eq!(&export_after_merging(shuffled.iter()), &expected);
+        prop_assert_eq!(&export_after_merging(observations.iter().chain(&shuffled)), &expected);
+        // Two caches merge one part each, and a third cache merges their exports.
+        let (a, b) = observations.split_at(split_index.min(observations.len()));
+        let (a, b) = (export_after_merging(a.iter()), export_after_merging(b.iter()));
+        prop_assert_eq!(&export_after_merging(b.iter().chain(&a)), &expected);
     }
 
     #[test]
     fn decoding_arbitrary_bytes_never_panics(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
-        let mut framed = vec![codec::MESSAGE_TYPE, 1];
-        framed.extend_from_slice(&bytes);
+        let mut with_header = vec![codec::MESSAGE_TYPE, 1];
+        with_header.extend_from_slice(&bytes);
         let mut cache = EngineStateCache::new(OWN);
-        codec::decode(&bytes).unwrap_or_default().iter().chain(&codec::decode(&framed).unwrap()).for_each(|observation| cache.merge(observation, 0.0));
+        codec::decode(&bytes).unwrap_or_default().iter().chain(&codec::decode(&with_header).unwrap()).for_each(|observation| cache.merge(observation, 0.0));
         cache.view(9, 0.0);
     }
 }
