--- a/crates/store/src/config.rs
+++ b/crates/store/src/config.rs
@@ -1,18 +1,19 @@
-//! Settings of a store, checked by the constructor.
+//! Settings of a store, validated by the constructor.
 
 use crate::error::StoreError;
 
-/// When appended records are synced to the disk.
+/// The policy by which appended records are synced to disk.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum SyncPolicy {
-    /// After each record.
+    /// Syncs after each record.
     EveryRecord,
-    /// Periodically, by [`Store::poll`](crate::Store::poll). A crash of the machine loses the records since the last sync.
+    /// Syncs periodically, in [`Store::poll`](crate::Store::poll). A crash of the machine may lose the records appended
+    /// since the last sync.
     Interval {
-        /// Interval between two syncs (ms), greater than 0.
+        /// Minimum time between two syncs (ms), greater than 0.
         interval_ms: f64,
     },
-    /// Never by the store. A crash of the machine may lose all records since the last checkpoint.
+    /// Does not sync appended records. A crash of the machine may lose all records since the last checkpoint.
     Never,
 }
 
@@ -26,13 +27,13 @@
 
 /// Default interval between two syncs (ms).
 const DEFAULT_SYNC_INTERVAL_MS: f64 = 1000.0;
-/// Default size of all logs beyond which a checkpoint is due (bytes).
+/// Default total size of the logs beyond which a checkpoint is due (bytes).
 const DEFAULT_MAX_LOG_BYTES: u64 = 4 << 20;
-/// Default time until a failed disk is retried (ms).
+/// Default time after a disk error until appends are retried (ms).
 const DEFAULT_RETRY_AFTER_MS: f64 = 30_000.0;
-/// Multiple of `max_log_bytes` beyond which appends are rejected.
+/// Total size of the logs beyond which appends are rejected, as a multiple of `max_log_bytes`.
 const HARD_LIMIT_FACTOR: u64 = 2;
-/// Multiple of `max_log_bytes` beyond which a file is not read.
+/// Length of a file beyond which recovery does not read it, as a multiple of `max_log_bytes`.
 const MAX_FILE_FACTOR: u64 = 4;
 
 impl Default for Config {
@@ -48,8 +49,8 @@
 }
 
 impl Config {
-    /// Settings for a store that needs a checkpoint beyond `max_log_bytes` of logs, rejects appends beyond twice that, and
-    /// retries a failed disk after `retry_after_ms`.
+    /// Creates settings for a store that needs a checkpoint beyond `max_log_bytes` of logs, rejects appends beyond
+    /// twice that size, and retries appends `retry_after_ms` after a disk error.
     ///
     /// # Errors
     /// [`StoreError::InvalidConfig`] for a sync interval that is not finite and positive, for `max_log_bytes` of 0, or
@@ -89,27 +90,27 @@
         })
     }
 
-    /// When appended records are synced.
+    /// Returns the policy by which appended records are synced.
     pub fn sync_policy(&self) -> SyncPolicy {
         self.sync_policy
     }
 
-    /// Size of all logs beyond which a checkpoint is due (bytes).
+    /// Returns the total size of the logs beyond which a checkpoint is due (bytes).
     pub fn max_log_bytes(&self) -> u64 {
         self.max_log_bytes
     }
 
-    /// Time after a disk error until appends are retried (ms).
+    /// Returns the time after a disk error until appends are retried (ms).
     pub fn retry_after_ms(&self) -> f64 {
         self.retry_after_ms
     }
 
-    /// Size of all logs beyond which appends are rejected (bytes).
+    /// Returns the total size of the logs beyond which appends are rejected (bytes).
     pub(crate) fn hard_limit_bytes(&self) -> u64 {
         HARD_LIMIT_FACTOR * self.max_log_bytes
     }
 
-    /// Length beyond which recovery does not read a file (bytes).
+    /// Returns the length beyond which recovery does not read a file (bytes).
     pub(crate) fn max_file_bytes(&self) -> u64 {
         MAX_FILE_FACTOR * self.max_log_bytes
     }
--- a/crates/store/src/disk.rs
+++ b/crates/store/src/disk.rs
@@ -1,36 +1,36 @@
-//! The disk operations that the store needs, and their implementation on a directory.
+//! The disk operations that the store uses, and their implementation on a directory.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Write};
 use std::path::PathBuf;
 
-/// A flat directory of files, whose names the store determines.
+/// A flat directory of files. The store chooses their names.
 pub trait Disk {
-    /// Names of all files.
+    /// Returns the names of all files.
     ///
     /// # Errors
     /// The directory cannot be read.
     fn list(&self) -> io::Result<Vec<String>>;
 
-    /// The content of a file.
+    /// Returns the content of a file.
     ///
     /// # Errors
     /// The file cannot be read, or is longer than `max_bytes` (`InvalidData`).
     fn read(&self, name: &str, max_bytes: u64) -> io::Result<Vec<u8>>;
 
-    /// Appends to a file, which is created if it does not exist.
+    /// Appends to a file, creating it if it does not exist.
     ///
     /// # Errors
-    /// An unknown number of bytes was not written.
+    /// The write failed; any number of the bytes may have been written.
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()>;
 
     /// Makes a file's content and its directory entry durable.
     ///
     /// # Errors
-    /// An unknown part of the file is not durable.
+    /// The sync failed; any part of the file may not be durable.
     fn sync(&mut self, name: &str) -> io::Result<()>;
 
-    /// Renames a file atomically, replacing an existing `to`.
+    /// Renames a file atomically, replacing an existing file `to`.
     ///
     /// # Errors
     /// The file was not renamed.
@@ -39,11 +39,11 @@
     /// Removes a file.
     ///
     /// # Errors
-    /// The file was not removed, or did not exist.
+    /// The file could not be removed, or does not exist.
     fn remove(&mut self, name: &str) -> io::Result<()>;
 }
 
-/// A directory of the file system. The file of the last append stays open.
+/// A directory of the file system. The file that was last appended to or synced stays open.
 #[derive(Debug)]
 pub struct Directory {
     path: PathBuf,
@@ -85,8 +85,8 @@
         Ok(&mut self.open_file.insert(open_file).file)
     }
 
-    /// Makes directory entries durable. Errors are ignored: some file systems neither support nor require
-    /// it.
+    /// Makes directory entries durable. Errors are ignored: some file systems neither support nor require syncing a
+    /// directory.
     fn sync_directory(&self) {
         if let Ok(directory) = File::open(&self.path) {
             let _ = directory.sync_all();
@@ -110,7 +110,7 @@
         if length > max_bytes {
             return Err(io::Error::new(
                 io::ErrorKind::InvalidData,
-                format!("{name} has {length} bytes, at most {max_bytes} are read"),
+                format!("{name} is too long: {length} bytes, at most {max_bytes} are read"),
             ));
         }
         fs::read(path)
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -1,6 +1,6 @@
 //! Errors of a store.
 
-/// An error of the store's settings, or the reason why a record or snapshot was not written.
+/// An invalid setting of a store, or the reason why a record or snapshot was not written.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum StoreError {
     /// A setting is outside its range.
@@ -13,14 +13,14 @@
         /// The allowed values.
         expected: &'static str,
     },
-    /// The disk is full, read-only, or failed in another way; it is retried after `retry_after_ms`.
+    /// The disk is full or read-only, or a write failed otherwise. Appends are retried after `retry_after_ms`.
     #[error("disk error: {0}")]
     Disk(String),
-    /// The logs have reached twice `max_log_bytes`: a checkpoint is needed first.
+    /// The logs exceed twice `max_log_bytes`: a checkpoint is needed before the next append.
     #[error("the log is full: a checkpoint is needed before the next record")]
     LogFull,
-    /// The directory holds files of a newer format version, so nothing is written to it.
-    #[error("the store holds files of a newer format version")]
+    /// The directory contains files of a newer format version, so nothing is written to it.
+    #[error("the store contains files of a newer format version and is read-only")]
     NewerVersion,
     /// The record is longer than [`format::MAX_RECORD_BYTES`](crate::format::MAX_RECORD_BYTES).
     #[error("a record of {length} bytes is too long: at most {max} are allowed", max = crate::format::MAX_RECORD_BYTES)]
--- a/crates/store/src/format.rs
+++ b/crates/store/src/format.rs
@@ -1,4 +1,4 @@
-//! The disk format. All numbers are big-endian; checksums are CRC-32 (ISO 3309).
+//! The disk format. Integers are big-endian; checksums are CRC-32 (ISO 3309).
 //!
 //! A file (a log segment or a snapshot) is a header followed by frames:
 //!
@@ -8,9 +8,9 @@
 //! | 4 | 2 | format version, [`VERSION`] |
 //! | 6 | 1 | kind: 0 log, 1 snapshot |
 //! | 7 | 8 | file number, as in the file's name |
-//! | 15 | 8 | logs: number of the file that this log continues; snapshots: 0 |
-//! | 23 | 8 | logs: valid bytes of that file when this log was begun; snapshots: 0 |
-//! | 31 | 4 | checksum of the 31 bytes before |
+//! | 15 | 8 | logs: number of the predecessor, the file that this log continues; snapshots: 0 |
+//! | 23 | 8 | logs: number of valid bytes of the predecessor when this log was created; snapshots: 0 |
+//! | 31 | 4 | checksum of the preceding 31 bytes |
 //!
 //! | offset | bytes | frame field |
 //! | --- | --- | --- |
@@ -18,9 +18,10 @@
 //! | 4 | 4 | checksum of the length field and the record |
 //! | 8 | length | the record; in a trailer 8 bytes, the number of records before it |
 //!
-//! A snapshot ends with a trailer, by which a snapshot truncated between two frames is recognised. A log has no trailer.
+//! A snapshot ends with a trailer, without which it would not be noticed if the snapshot were truncated between two
+//! frames. A log has no trailer.
 
-/// The format version that is written. Older ones are read, newer ones are left untouched.
+/// Format version of new files. Files of older versions are read; files of newer versions are neither read nor changed.
 pub const VERSION: u16 = 1;
 /// The first bytes of each file.
 const MAGIC: &[u8; 4] = b"TXST";
@@ -36,28 +37,28 @@
 const PREDECESSOR_LENGTH_OFFSET: usize = 23;
 /// Length of a frame's header (bytes): length and checksum of the record.
 pub const FRAME_HEADER_BYTES: usize = 8;
-/// Limit on the length of a record (bytes). A larger length field counts as corruption, and nothing is allocated for it.
+/// Maximum length of a record (bytes). A greater length field counts as corruption and causes no allocation.
 pub const MAX_RECORD_BYTES: usize = 64 * 1024;
 /// The length field of a trailer.
 const TRAILER_LENGTH: u32 = u32::MAX;
 /// Length of the record in a trailer (bytes).
 const TRAILER_RECORD_BYTES: usize = 8;
-/// Number of hexadecimal digits of the number in a file's name.
+/// Number of hexadecimal digits of the file number in a file name.
 const NAME_DIGITS: usize = 16;
 
 /// The kind of a file.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FileKind {
-    /// Records since a snapshot or since the previous log.
+    /// A log segment: the records since a snapshot or since the previous log.
     Log,
-    /// All records of the state at a checkpoint.
+    /// A snapshot: all records of the state at a checkpoint.
     Snapshot,
 }
 
-/// A position in the sequence of files: a file and the number of its valid bytes.
+/// A position in the sequence of files: a file, and the number of its valid bytes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LogPosition {
-    /// Number of the file, 0 if there is none.
+    /// Number of the file; 0 for the position before any file.
     pub file_number: u64,
     /// Number of valid bytes of the file.
     pub valid_bytes: u64,
@@ -71,19 +72,20 @@
     };
 }
 
-/// Why a file, or the part after its valid bytes, cannot be used.
+/// The reason why a file, or its part after the valid bytes, cannot be used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum FormatError {
     /// A header or a frame is incomplete.
-    #[error("a header or frame is cut short")]
+    #[error("a header or frame is truncated")]
     Truncated,
-    /// The file does not belong to the store, does not match its name, or does not continue the previous file.
+    /// The file was not written by the store, does not match its name, has a wrong trailer, or does not continue a
+    /// replayed file.
     #[error("the content does not belong to this file")]
     Foreign,
     /// A checksum differs, or a length is impossible.
     #[error("a checksum does not match")]
     ChecksumMismatch,
-    /// A newer version wrote the file.
+    /// The file has a newer format version.
     #[error("format version {0} is newer than {VERSION}")]
     NewerVersion(u16),
     /// The snapshot has no trailer.
@@ -91,7 +93,7 @@
     MissingTrailer,
 }
 
-/// The name of a file.
+/// Returns the name of a file.
 pub fn file_name(kind: FileKind, number: u64) -> String {
     match kind {
         FileKind::Log => format!("log-{number:016x}"),
@@ -99,7 +101,7 @@
     }
 }
 
-/// Kind and number of a file by its name; `None` for a file that does not belong to the store.
+/// Returns the kind and number of a file by its name; `None` for a file that does not belong to the store.
 pub fn parse_file_name(name: &str) -> Option<(FileKind, u64)> {
     let (prefix, digits) = name.split_once('-')?;
     let kind = match prefix {
@@ -114,7 +116,8 @@
     Some((kind, number))
 }
 
-/// The header of a file. `predecessor` is the position that a log continues, [`LogPosition::START`] for a snapshot.
+/// Encodes the header of a file. `predecessor` is the position that a log continues; [`LogPosition::START`] for a
+/// snapshot.
 pub fn encode_header(kind: FileKind, number: u64, predecessor: LogPosition) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(HEADER_BYTES);
     bytes.extend_from_slice(MAGIC);
@@ -128,12 +131,12 @@
     bytes
 }
 
-/// A record in its frame. `record` must have at most [`MAX_RECORD_BYTES`].
+/// Encodes a record as a frame. `record` must have at most [`MAX_RECORD_BYTES`].
 pub fn encode_frame(record: &[u8]) -> Vec<u8> {
     encode_frame_with_length(record.len() as u32, record)
 }
 
-/// The trailer of a snapshot of `record_count` records.
+/// Encodes the trailer of a snapshot of `record_count` records.
 pub fn encode_trailer(record_count: u64) -> Vec<u8> {
     encode_frame_with_length(TRAILER_LENGTH, &record_count.to_be_bytes())
 }
@@ -153,7 +156,7 @@
     hasher.finalize()
 }
 
-/// The content of a file up to the first error.
+/// The decoded content of a file, up to the first error.
 #[derive(Debug, Clone, PartialEq)]
 pub struct DecodedFile {
     /// The position that a log continues.
@@ -162,11 +165,11 @@
     pub records: Vec<Vec<u8>>,
     /// Number of valid bytes of the file.
     pub valid_bytes: usize,
-    /// The error after the valid bytes.
+    /// The error after the valid bytes, if any.
     pub error: Option<FormatError>,
 }
 
-/// Decodes a file whose name has this kind and number. Any bytes are accepted.
+/// Decodes a file whose name has this kind and number. No input causes a panic.
 pub fn decode_file(bytes: &[u8], kind: FileKind, number: u64) -> DecodedFile {
     let mut file = DecodedFile {
         predecessor: LogPosition::START,
@@ -184,7 +187,7 @@
 }
 
 impl DecodedFile {
-    /// Decodes the frames after the header, up to the end, the trailer or the first error.
+    /// Decodes the frames after the header, up to the end of the file, the trailer or the first error.
     fn decode_frames(&mut self, bytes: &[u8], kind: FileKind) -> Result<(), FormatError> {
         while self.valid_bytes < bytes.len() {
             match decode_frame(&bytes[self.valid_bytes..])? {
@@ -212,7 +215,7 @@
     }
 }
 
-/// Checks a header and returns the position that the file continues.
+/// Decodes a header, and returns the position that the file continues.
 fn decode_header(bytes: &[u8], kind: FileKind, number: u64) -> Result<LogPosition, FormatError> {
     let header = bytes.get(..HEADER_BYTES).ok_or(FormatError::Truncated)?;
     if !header.starts_with(MAGIC) {
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,24 +1,25 @@
 //! A write-ahead log with snapshots.
 //!
-//! The design is the usual one (as in ARIES-style redo logs or LevelDB's log format): checksummed frames are appended to
-//! numbered log segments, a checkpoint writes a snapshot that replaces all of them, and recovery replays the newest
-//! complete snapshot and then the logs that follow it. It differs from those in that there is no undo and no partial
-//! checkpoint: the state is small enough to be written at once.
+//! The design is that of redo logs as in ARIES or LevelDB: checksummed frames are appended to numbered log segments,
+//! a checkpoint writes a snapshot that replaces all segments, and recovery replays the newest complete snapshot and
+//! the logs that continue it. Unlike those, it has no undo and no partial checkpoint: the state is small enough to be
+//! written as a whole.
 //!
-//! Owns: the disk format ([`mod@format`]), recovery ([`Store::open`]), and when segments are written, synced and replaced
-//! ([`Store`]). It never interprets a record, reads no clock, and touches files only through [`Disk`], so that a test
-//! can make every single disk operation fail.
+//! Owns: the disk format ([`mod@format`]), recovery ([`Store::open`]), and writing, syncing and replacing segments
+//! ([`Store`]). The crate does not interpret records, reads no clock, and accesses files only through [`Disk`], so
+//! that a test can make each disk operation fail.
 //!
 //! Guarantees, tested by crashing at every step of a scripted run (`tests/crash_recovery.rs`):
 //! - a record that was appended and synced is recovered, unless its bytes were corrupted afterwards;
-//! - records are recovered in order and without gaps: nothing after a corrupt record is replayed;
-//! - no corruption makes it panic, and all corruption is reported: see [`RecoveryReport`];
+//! - records are recovered in order and without gaps: no record after a corrupt one is replayed;
+//! - corruption never causes a panic, and is always reported: see [`RecoveryReport`];
 //! - files of a newer format version are neither read nor changed;
-//! - a full or read-only disk stops writing only, and is retried later;
-//! - the size is bounded: beyond `max_log_bytes` the store needs a checkpoint, beyond twice that it rejects appends.
+//! - a full or read-only disk makes writes fail, but not recovery; writes are retried later;
+//! - the size of the logs is bounded: beyond `max_log_bytes` the store needs a checkpoint, and beyond twice that size
+//!   it rejects appends.
 //!
-//! It is written here instead of embedding a database because one open file, no threads and no memory map make every
-//! write position testable; `docs/design/engine-state.md` has the comparison.
+//! An embedded database was not chosen: with one open file, no threads and no memory map, a crash at every write can be
+//! tested. `docs/design/engine-state.md` has the comparison.
 //!
 //! Start reading at [`Store::open`].
 
--- a/crates/store/src/recovery.rs
+++ b/crates/store/src/recovery.rs
@@ -1,4 +1,4 @@
-//! Recovery: replays the newest complete snapshot, and then each log that continues the previous file.
+//! Recovery: replays the newest complete snapshot, then the chain of logs that continue it.
 
 use crate::config::Config;
 use crate::disk::Disk;
@@ -8,56 +8,56 @@
 /// The result of recovery.
 #[derive(Debug, Clone, PartialEq)]
 pub enum RecoveryReport {
-    /// The directory holds no file of the store.
+    /// The directory contains no file of the store.
     Empty,
     /// All records were recovered.
     Complete {
-        /// Number of records.
+        /// Number of recovered records.
         records: usize,
     },
-    /// Records up to an error were recovered; the rest was not used.
+    /// An error was found. The records that could be replayed in sequence were recovered.
     Partial {
-        /// Number of records.
+        /// Number of recovered records.
         records: usize,
-        /// The file with the error.
+        /// Name of the file with the error.
         file: String,
-        /// The error in it.
+        /// The error in the file.
         error: FormatError,
     },
     /// No record could be recovered.
     Lost {
-        /// The file with the error.
+        /// Name of the file with the error.
         file: String,
-        /// The error in it.
+        /// The error in the file.
         error: FormatError,
     },
-    /// The directory has files of a newer version: nothing was recovered, and nothing will be written.
+    /// The directory contains files of a newer format version: nothing was recovered, and the store is read-only.
     NewerVersion {
-        /// The file of the newer version.
+        /// Name of a file of the newer version.
         file: String,
-        /// The format version.
+        /// Format version of the file.
         version: u16,
     },
     /// The directory cannot be read.
     Unreadable {
-        /// The disk's error.
+        /// The error returned by the disk.
         reason: String,
     },
 }
 
-/// The report of [`Store::open`](crate::Store::open), without a change of the disk.
+/// Returns the report that [`Store::open`](crate::Store::open) would give, without opening a store.
 pub fn verify<D: Disk>(disk: &D, config: &Config) -> RecoveryReport {
     recover(disk, config.max_file_bytes()).report
 }
 
-/// A file of the store.
+/// A file of the store, by its name.
 pub(crate) struct StoreFile {
     pub kind: FileKind,
     pub number: u64,
     pub name: String,
 }
 
-/// Snapshots and logs in the order of their numbers.
+/// Returns the snapshots and logs of a disk, in the order of their numbers.
 pub(crate) fn list_files<D: Disk>(disk: &D) -> io::Result<Vec<StoreFile>> {
     let mut files = Vec::new();
     for name in disk.list()? {
@@ -73,11 +73,11 @@
 pub(crate) struct Recovered {
     pub records: Vec<Vec<u8>>,
     pub report: RecoveryReport,
-    /// Number of the next file: greater than that of any file that exists.
+    /// Number of the next file: greater than that of any existing file.
     pub next_number: u64,
-    /// Bytes of the logs that were replayed.
+    /// Total size of the replayed logs (bytes).
     pub log_bytes: u64,
-    /// The end of the last file that was replayed.
+    /// The end of the last replayed file.
     pub tail: LogPosition,
 }
 
@@ -109,18 +109,18 @@
     error: FormatError,
 }
 
-/// All files decoded, before logs are put in sequence.
+/// The decoded files, before the logs are put in sequence.
 #[derive(Default)]
 struct Scan {
     /// The newest complete snapshot.
     snapshot: Option<Snapshot>,
     /// Logs with a valid header, in the order of their numbers.
     logs: Vec<Log>,
-    /// The error to report: a snapshot's last one, else the first of all.
+    /// The error to report: that of the last invalid snapshot, otherwise that of the first invalid log.
     error: Option<FileError>,
 }
 
-/// Recovers all usable records. Files longer than `max_file_bytes` count as truncated.
+/// Recovers all valid records. Files longer than `max_file_bytes` are not read and count as truncated.
 pub(crate) fn recover<D: Disk>(disk: &D, max_file_bytes: u64) -> Recovered {
     let files = match list_files(disk) {
         Ok(files) => files,
@@ -139,7 +139,7 @@
     }
 }
 
-/// Decodes all files; `Err` with the report if one is of a newer version.
+/// Decodes all files. Returns the recovery report as `Err` if a file has a newer format version.
 fn scan<D: Disk>(
     disk: &D,
     files: Vec<StoreFile>,
@@ -159,8 +159,8 @@
                 let records = content.records;
                 scan.snapshot = Some(Snapshot { number, records });
             }
-            // An older snapshot, if there is one, is replayed with the logs that follow it: nothing is removed before
-            // the snapshot that replaces it was synced.
+            // An older snapshot, if any, is replayed with the logs that continue it: files are removed only after the
+            // snapshot that replaces them is durable.
             (FileKind::Snapshot, Some(error)) => {
                 scan.error = Some(FileError { file: name, error });
             }
@@ -195,7 +195,7 @@
     }
 }
 
-/// Puts snapshot and logs in sequence and collects their records.
+/// Puts the snapshot and the logs in sequence, and collects their records.
 fn replay(scan: Scan, next_number: u64) -> Recovered {
     let Scan {
         snapshot,
@@ -211,8 +211,8 @@
     let mut log_bytes = 0;
     while let Some(log) = successor_of(tail, &logs) {
         if log.content.predecessor.valid_bytes > tail.valid_bytes {
-            // The predecessor had more valid bytes when this log was begun: records in between are missing.
-            error.get_or_insert_with(|| log.error(FormatError::ChecksumMismatch));
+            // The predecessor had more valid bytes when this log was created: the records in between are missing.
+            error.get_or_insert_with(|| log.file_error(FormatError::ChecksumMismatch));
             break;
         }
         records.extend_from_slice(&log.content.records);
@@ -222,11 +222,11 @@
         };
         log_bytes += tail.valid_bytes;
         if let Some(format_error) = log.content.error {
-            error.get_or_insert_with(|| log.error(format_error));
+            error.get_or_insert_with(|| log.file_error(format_error));
         }
     }
-    if let Some(unused) = logs.iter().find(|log| log.number > tail.file_number) {
-        error.get_or_insert_with(|| unused.error(FormatError::Foreign));
+    if let Some(unreplayed) = logs.iter().find(|log| log.number > tail.file_number) {
+        error.get_or_insert_with(|| unreplayed.file_error(FormatError::Foreign));
     }
     Recovered {
         report: report(records.len(), error),
@@ -237,7 +237,8 @@
     }
 }
 
-/// The log that continues `tail`. Of several logs the latest one applies: it was begun after a write to the others failed.
+/// Returns the log that continues the file of `tail`. If several do, the latest is used: it was created after a write
+/// to the others had failed.
 fn successor_of(tail: LogPosition, logs: &[Log]) -> Option<&Log> {
     logs.iter().rev().find(|log| {
         log.content.predecessor.file_number == tail.file_number && log.number > tail.file_number
@@ -245,7 +246,7 @@
 }
 
 impl Log {
-    fn error(&self, error: FormatError) -> FileError {
+    fn file_error(&self, error: FormatError) -> FileError {
         FileError {
             file: self.name.clone(),
             error,
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -1,4 +1,4 @@
-//! The store: appends to the write-ahead log, syncs it, and replaces it by a snapshot at a checkpoint.
+//! The store: appends to the write-ahead log, syncs it, and replaces it with a snapshot at a checkpoint.
 
 use crate::config::{Config, SyncPolicy};
 use crate::disk::Disk;
@@ -7,9 +7,9 @@
 use crate::recovery::{list_files, recover, RecoveryReport};
 use std::io;
 
-/// A snapshot is written under this name and renamed once it is synced.
+/// Name of a snapshot while it is written. The file is renamed once it is synced.
 const TEMPORARY_NAME: &str = "new-snapshot";
-/// Size of a write of a snapshot (bytes): frames are collected up to it.
+/// Buffer size for writing a snapshot (bytes): buffered frames are written once they reach it.
 const SNAPSHOT_CHUNK_BYTES: usize = format::MAX_RECORD_BYTES;
 
 /// A write-ahead log with snapshots on a disk.
@@ -17,18 +17,18 @@
 pub struct Store<D: Disk> {
     disk: D,
     config: Config,
-    /// Number of the log for appends; `None` if the next record begins a new one.
+    /// Number of the log for appends; `None` if the next record starts a new log.
     active_log: Option<u64>,
-    /// Number of the next file. A number is never used twice.
+    /// Number of the next file. Numbers are never reused.
     next_number: u64,
     /// The end of the last valid file, which the next log continues.
     tail: LogPosition,
-    /// Size of all logs since the snapshot (bytes).
+    /// Total size of the logs since the snapshot (bytes).
     log_bytes: u64,
     has_unsynced_records: bool,
     last_sync_ms: f64,
     last_failure: Option<Failure>,
-    /// Whether the files are of a newer version.
+    /// Whether writes are rejected because a file has a newer format version.
     is_read_only: bool,
 }
 
@@ -50,8 +50,8 @@
 }
 
 impl<D: Disk> Store<D> {
-    /// Recovers the records on `disk`. Nothing is written before the first append. Corrupt files are not an error but part
-    /// of the report: the store can be used in any case.
+    /// Recovers the records on `disk`, without writing to it. Corruption is not an error, but part of the report: the
+    /// store can be used in any case.
     pub fn open(disk: D, config: Config) -> Opened<D> {
         let recovered = recover(&disk, config.max_file_bytes());
         let store = Store {
@@ -73,17 +73,17 @@
         }
     }
 
-    /// The error of the last write, if it failed.
+    /// Returns the error of the last write, if it failed.
     pub fn last_error(&self) -> Option<&StoreError> {
         self.last_failure.as_ref().map(|failure| &failure.error)
     }
 
-    /// Size of all logs since the last snapshot (bytes).
+    /// Returns the total size of the logs since the last snapshot (bytes).
     pub fn log_bytes(&self) -> u64 {
         self.log_bytes
     }
 
-    /// Whether [`checkpoint`](Self::checkpoint) should be called.
+    /// Returns whether [`checkpoint`](Self::checkpoint) should be called.
     pub fn needs_checkpoint(&self) -> bool {
         self.log_bytes > self.config.max_log_bytes()
     }
@@ -96,8 +96,8 @@
     /// Appends a record, and syncs it under [`SyncPolicy::EveryRecord`].
     ///
     /// # Errors
-    /// The record was not written, or is not known to be synced. The store stays usable; after a disk error appends
-    /// return that error until `retry_after_ms` has passed.
+    /// The record was not written, or may not be synced. The store stays usable: after a disk error, appends return
+    /// that error until `retry_after_ms` has passed.
     pub fn append(&mut self, record: &[u8], now_ms: f64) -> Result<(), StoreError> {
         self.check_append(record, now_ms)?;
         if let Err(error) = self.write_record(record) {
@@ -158,7 +158,7 @@
         Ok(())
     }
 
-    /// The next file number. It is not used again, even if the file cannot be created.
+    /// Returns the next file number. A number is not reused, even if its file cannot be created.
     fn take_number(&mut self) -> u64 {
         let number = self.next_number;
         self.next_number += 1;
@@ -175,13 +175,13 @@
                 self.last_sync_ms = now_ms;
                 Ok(())
             }
-            // After a failed sync the content on the disk is unknown.
+            // After a failed sync, the content on the disk is unknown.
             Err(error) => Err(self.record_failure(&error, now_ms)),
         }
     }
 
     fn record_failure(&mut self, error: &io::Error, now_ms: f64) -> StoreError {
-        // The content of the active log is unknown now: the next record begins another one.
+        // The content of the active log on the disk is unknown: the next record starts a new log.
         self.active_log = None;
         let error = StoreError::Disk(error.to_string());
         self.last_failure = Some(Failure {
@@ -191,10 +191,10 @@
         error
     }
 
-    /// Syncs the log if its interval has passed.
+    /// Syncs the log if the interval of [`SyncPolicy::Interval`] has passed.
     ///
     /// # Errors
-    /// As [`append`](Self::append).
+    /// [`StoreError::Disk`] if the sync failed.
     pub fn poll(&mut self, now_ms: f64) -> Result<(), StoreError> {
         match self.config.sync_policy() {
             SyncPolicy::Interval { interval_ms } if now_ms - self.last_sync_ms >= interval_ms => {
@@ -204,11 +204,12 @@
         }
     }
 
-    /// Replaces all records by a snapshot of `records`. The old files are removed only after the snapshot
-    /// is durable. Records longer than [`format::MAX_RECORD_BYTES`] are left out.
+    /// Replaces all records with a snapshot of `records`. The old files are removed only after the snapshot is durable.
+    /// Records longer than [`format::MAX_RECORD_BYTES`] are skipped.
     ///
     /// # Errors
-    /// As [`append`](Self::append); the old files are then unchanged.
+    /// [`StoreError::Disk`] if the snapshot was not written, [`StoreError::NewerVersion`] if the store is read-only.
+    /// The old files are unchanged.
     pub fn checkpoint<'a>(
         &mut self,
         records: impl Iterator<Item = &'a [u8]>,
@@ -238,7 +239,7 @@
         number: u64,
         records: impl Iterator<Item = &'a [u8]>,
     ) -> io::Result<()> {
-        // Left over from a checkpoint that failed.
+        // Removes the remains of a failed checkpoint.
         let _ = self.disk.remove(TEMPORARY_NAME);
         let header = format::encode_header(FileKind::Snapshot, number, LogPosition::START);
         self.disk.append(TEMPORARY_NAME, &header)?;
@@ -264,7 +265,7 @@
         )
     }
 
-    /// Removes the files that a snapshot replaced. The next recovery ignores files that cannot be removed.
+    /// Removes the files that a snapshot has replaced. Recovery ignores those that could not be removed.
     fn remove_files_before(&mut self, snapshot_number: u64) {
         let Ok(files) = list_files(&self.disk) else {
             return;
--- a/crates/store/tests/config.rs
+++ b/crates/store/tests/config.rs
@@ -1,4 +1,4 @@
-//! Settings are checked by the constructor.
+//! Validation of settings by the constructor.
 
 use tansymux_store::{Config, SyncPolicy};
 
--- a/crates/store/tests/crash_recovery.rs
+++ b/crates/store/tests/crash_recovery.rs
@@ -1,8 +1,9 @@
-//! Crashes at every step of a scripted run, torn and lost writes, corruption anywhere, full and read-only disks.
+//! Recovery after a crash at every operation of a scripted run, after torn and lost writes, and after corruption of
+//! every byte; full and read-only disks.
 
 #![allow(
     clippy::unwrap_used,
-    reason = "a test ends at the first thing that is not as it should be"
+    reason = "tests panic on the first unexpected result"
 )]
 
 use proptest::prelude::*;
@@ -13,35 +14,38 @@
     verify, Config, Directory, Disk, Opened, RecoveryReport, Store, StoreError, SyncPolicy,
 };
 
-/// A disk in memory that fails at a chosen operation, and then loses unsynced bytes.
+/// A disk in memory that crashes at a chosen operation, and loses unsynced bytes at the restart.
 #[derive(Debug, Clone, Default)]
 struct FaultyDisk {
-    /// Bytes of each file, and how many of them are synced.
+    /// Bytes of each file, and the number of synced bytes.
     files: BTreeMap<String, (Vec<u8>, usize)>,
-    /// Number of operations before the crash, and how many quarters of the write in progress reach the disk; `None`: no
-    /// crash.
+    /// Number of operations before the crash, and the part of the write in progress that reaches the disk, in quarters;
+    /// `None` for no crash.
     crash: Option<(usize, usize)>,
-    steps: usize,
+    /// Number of writing operations so far.
+    operations: usize,
     crashed: bool,
-    full_after: Option<usize>,
+    /// Capacity of the disk (bytes); `None` for no limit.
+    capacity: Option<usize>,
     read_only: bool,
 }
 
 impl FaultyDisk {
-    fn step(&mut self) -> io::Result<bool> {
+    /// Counts a writing operation, and returns whether the disk crashes during it.
+    fn begin_operation(&mut self) -> io::Result<bool> {
         if self.crashed {
             return Err(io::ErrorKind::BrokenPipe.into());
         }
         if self.read_only {
             return Err(io::ErrorKind::ReadOnlyFilesystem.into());
         }
-        self.steps += 1;
-        let now = self.crash.is_some_and(|(at, _)| self.steps > at);
-        self.crashed |= now;
-        Ok(now)
+        self.operations += 1;
+        let crashes = self.crash.is_some_and(|(at, _)| self.operations > at);
+        self.crashed |= crashes;
+        Ok(crashes)
     }
 
-    /// The disk after the machine has restarted, with `quarters_kept` quarters of the unsynced bytes.
+    /// Returns the disk after a restart of the machine, with `quarters_kept` quarters of the unsynced bytes.
     fn after_restart(mut self, quarters_kept: usize) -> Self {
         for (bytes, synced) in self.files.values_mut() {
             let kept = *synced + (bytes.len() - *synced) * quarters_kept / 4;
@@ -74,17 +78,17 @@
     }
 
     fn append(&mut self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        let crashes = self.step()?;
-        let all: usize = self.files.values().map(|(bytes, _)| bytes.len()).sum();
+        let crashes = self.begin_operation()?;
+        let used: usize = self.files.values().map(|(bytes, _)| bytes.len()).sum();
         let headroom = self
-            .full_after
-            .map_or(usize::MAX, |limit| limit.saturating_sub(all));
-        let torn = if crashes {
-            bytes.len() * self.crash.map_or(0, |(_, part)| part) / 4
+            .capacity
+            .map_or(usize::MAX, |capacity| capacity.saturating_sub(used));
+        let attempted = if crashes {
+            bytes.len() * self.crash.map_or(0, |(_, quarters)| quarters) / 4
         } else {
             bytes.len()
         };
-        let written = torn.min(headroom);
+        let written = attempted.min(headroom);
         self.files
             .entry(name.to_owned())
             .or_default()
@@ -101,7 +105,7 @@
     }
 
     fn sync(&mut self, name: &str) -> io::Result<()> {
-        if self.step()? {
+        if self.begin_operation()? {
             return Err(io::ErrorKind::BrokenPipe.into());
         }
         let file = self.files.get_mut(name).ok_or(io::ErrorKind::NotFound)?;
@@ -110,7 +114,7 @@
     }
 
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()> {
-        if self.step()? {
+        if self.begin_operation()? {
             return Err(io::ErrorKind::BrokenPipe.into());
         }
         let file = self.files.remove(from).ok_or(io::ErrorKind::NotFound)?;
@@ -119,7 +123,7 @@
     }
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
-        if self.step()? {
+        if self.begin_operation()? {
             return Err(io::ErrorKind::BrokenPipe.into());
         }
         self.files
@@ -129,8 +133,8 @@
     }
 }
 
-/// Syncs each record, needs a checkpoint beyond 4 KiB, retries a failed disk after 100 ms.
-fn sync_each() -> Config {
+/// Settings that sync each record, need a checkpoint beyond 4 KiB, and retry 100 ms after a disk error.
+fn sync_every_record() -> Config {
     config(SyncPolicy::EveryRecord)
 }
 
@@ -142,118 +146,122 @@
     format!("record {n} {}", "x".repeat(n as usize % 37)).into_bytes()
 }
 
-/// Appends twenty records with checkpoints after the ninth and the fifteenth, and returns those reported as written.
-fn script(disk: FaultyDisk) -> (FaultyDisk, Vec<u32>) {
-    let Opened { mut store, .. } = Store::open(disk, sync_each());
+/// Appends twenty records, with checkpoints after the ninth and the fifteenth. Returns the disk and the records whose
+/// append succeeded.
+fn run_script(disk: FaultyDisk) -> (FaultyDisk, Vec<u32>) {
+    let Opened { mut store, .. } = Store::open(disk, sync_every_record());
     let mut written: Vec<u32> = Vec::new();
     for n in 0..20 {
         if store.append(&record(n), f64::from(n)).is_ok() {
             written.push(n);
         }
         if n == 8 || n == 14 {
-            let all: Vec<Vec<u8>> = written.iter().map(|n| record(*n)).collect();
-            let _ = store.checkpoint(all.iter().map(Vec::as_slice), f64::from(n));
+            let snapshot: Vec<Vec<u8>> = written.iter().map(|n| record(*n)).collect();
+            let _ = store.checkpoint(snapshot.iter().map(Vec::as_slice), f64::from(n));
         }
     }
     (store.into_disk(), written)
 }
 
 #[test]
-fn crash_at_every_step_keeps_synced_records_and_adds_none() {
-    let (whole, _) = script(FaultyDisk::default());
-    let (steps, mut tried) = (whole.steps, 0);
-    for at in 0..=steps {
+fn crash_at_any_operation_loses_no_synced_record_and_adds_none() {
+    let (uninterrupted, _) = run_script(FaultyDisk::default());
+    let (operations, mut cases) = (uninterrupted.operations, 0);
+    for crash_at in 0..=operations {
         for torn in 0..=4 {
             for kept in 0..=4 {
                 let disk = FaultyDisk {
-                    crash: Some((at, torn)),
+                    crash: Some((crash_at, torn)),
                     ..FaultyDisk::default()
                 };
-                let (disk, written) = script(disk);
+                let (disk, written) = run_script(disk);
                 let Opened {
                     records, report, ..
-                } = Store::open(disk.after_restart(kept), sync_each());
+                } = Store::open(disk.after_restart(kept), sync_every_record());
                 let expected: Vec<Vec<u8>> = (0..records.len() as u32).map(record).collect();
                 assert_eq!(
                     records, expected,
-                    "in order and without holes: step {at}, torn {torn}, kept {kept}"
+                    "in order and without gaps: crash at {crash_at}, torn {torn}, kept {kept}"
                 );
                 assert!(
                     records.len() >= written.len(),
-                    "step {at}: {} of {}: {report:?}",
+                    "crash at {crash_at}: {} of {}: {report:?}",
                     records.len(),
                     written.len()
                 );
-                // The record in progress may be on the disk.
+                // The record whose append was interrupted may be on the disk.
                 assert!(records.len() <= written.len() + 1);
-                tried += 1;
+                cases += 1;
             }
         }
     }
-    assert!(tried > 1000, "{tried}");
+    assert!(cases > 1000, "{cases}");
 }
 
 #[test]
 fn records_appended_after_a_crash_survive_the_next_crash() {
-    let (whole, _) = script(FaultyDisk::default());
-    for at in 0..=whole.steps {
-        let (disk, _) = script(FaultyDisk {
-            crash: Some((at, 2)),
+    let (uninterrupted, _) = run_script(FaultyDisk::default());
+    for crash_at in 0..=uninterrupted.operations {
+        let (disk, _) = run_script(FaultyDisk {
+            crash: Some((crash_at, 2)),
             ..FaultyDisk::default()
         });
         let Opened {
             mut store,
             records: before,
             ..
-        } = Store::open(disk.after_restart(2), sync_each());
-        let mut all = before.clone();
+        } = Store::open(disk.after_restart(2), sync_every_record());
+        let mut expected = before.clone();
         for n in 100..104 {
             store.append(&record(n), 0.0).unwrap();
-            all.push(record(n));
+            expected.push(record(n));
         }
         let Opened {
             records, report, ..
-        } = Store::open(store.into_disk().after_restart(0), sync_each());
-        assert_eq!(records, all, "step {at}: {report:?}");
+        } = Store::open(store.into_disk().after_restart(0), sync_every_record());
+        assert_eq!(records, expected, "crash at {crash_at}: {report:?}");
     }
 }
 
 #[test]
-fn corruption_anywhere_is_reported_and_later_records_are_not_replayed() {
-    let (disk, _) = script(FaultyDisk::default());
+fn corruption_of_any_byte_is_reported_and_later_records_are_not_replayed() {
+    let (disk, _) = run_script(FaultyDisk::default());
     for (name, (bytes, _)) in disk.files.clone() {
-        for at in 0..bytes.len() {
+        for offset in 0..bytes.len() {
             let mut corrupted = disk.clone();
-            corrupted.files.get_mut(&name).unwrap().0[at] ^= 0x40;
+            corrupted.files.get_mut(&name).unwrap().0[offset] ^= 0x40;
             let Opened {
                 records, report, ..
-            } = Store::open(corrupted, sync_each());
+            } = Store::open(corrupted, sync_every_record());
             assert!(
                 !matches!(report, RecoveryReport::Complete { .. }),
-                "{name} {at}: {report:?}"
+                "{name} {offset}: {report:?}"
             );
             let expected: Vec<Vec<u8>> = (0..records.len() as u32).map(record).collect();
-            assert_eq!(records, expected, "{name} {at}");
+            assert_eq!(records, expected, "{name} {offset}");
         }
         // The file is truncated.
         for keep in [0, 1, format::HEADER_BYTES - 1, bytes.len() / 2] {
-            let mut cut = disk.clone();
-            cut.files.get_mut(&name).unwrap().0.truncate(keep);
-            let Opened { records, .. } = Store::open(cut, sync_each());
+            let mut truncated = disk.clone();
+            truncated.files.get_mut(&name).unwrap().0.truncate(keep);
+            let Opened { records, .. } = Store::open(truncated, sync_every_record());
             assert!(
-                records.iter().zip(0..).all(|(have, n)| *have == record(n)),
-                "{name} cut at {keep}"
+                records
+                    .iter()
+                    .zip(0..)
+                    .all(|(found, n)| *found == record(n)),
+                "{name} truncated at {keep}"
             );
         }
         // The file is missing.
-        let mut gone = disk.clone();
-        gone.files.remove(&name);
-        let Opened { records, .. } = Store::open(gone, sync_each());
-        let mut known = (0..20).map(record);
+        let mut incomplete = disk.clone();
+        incomplete.files.remove(&name);
+        let Opened { records, .. } = Store::open(incomplete, sync_every_record());
+        let mut appended = (0..20).map(record);
         assert!(
             records
                 .iter()
-                .all(|have| known.any(|record| record == *have)),
+                .all(|found| appended.any(|record| record == *found)),
             "{name}"
         );
     }
@@ -261,19 +269,19 @@
 
 #[test]
 fn files_of_a_newer_version_are_neither_read_nor_changed() {
-    let (mut disk, _) = script(FaultyDisk::default());
+    let (mut disk, _) = run_script(FaultyDisk::default());
     let name = format::file_name(FileKind::Log, 999);
-    let mut head = format::encode_header(FileKind::Log, 999, LogPosition::START);
-    head[5] = 9;
-    let sum = crc(&head[..format::HEADER_BYTES - 4]);
-    head[format::HEADER_BYTES - 4..].copy_from_slice(&sum.to_be_bytes());
-    disk.files.insert(name.clone(), (head, 0));
+    let mut header = format::encode_header(FileKind::Log, 999, LogPosition::START);
+    header[5] = 9;
+    let checksum = crc32(&header[..format::HEADER_BYTES - 4]);
+    header[format::HEADER_BYTES - 4..].copy_from_slice(&checksum.to_be_bytes());
+    disk.files.insert(name.clone(), (header, 0));
     let before = disk.files.clone();
     let Opened {
         mut store,
         records,
         report,
-    } = Store::open(disk, sync_each());
+    } = Store::open(disk, sync_every_record());
     assert_eq!(
         (records.len(), report),
         (
@@ -292,8 +300,8 @@
     assert_eq!(store.into_disk().files, before);
 }
 
-/// CRC-32 as in ISO 3309, independent of the store's.
-fn crc(bytes: &[u8]) -> u32 {
+/// Returns the CRC-32 (ISO 3309), computed independently of the store.
+fn crc32(bytes: &[u8]) -> u32 {
     !bytes.iter().fold(!0_u32, |mut crc, b| {
         crc ^= u32::from(*b);
         (0..8).for_each(|_| {
@@ -308,13 +316,13 @@
 }
 
 #[test]
-fn full_or_read_only_disk_stops_writes_and_is_retried() {
+fn full_or_read_only_disk_rejects_appends_until_it_is_writable() {
     let Opened { mut store, .. } = Store::open(
         FaultyDisk {
-            full_after: Some(300),
+            capacity: Some(300),
             ..FaultyDisk::default()
         },
-        sync_each(),
+        sync_every_record(),
     );
     let mut written = 0;
     for n in 0..40 {
@@ -323,39 +331,39 @@
     assert!(written > 2 && written < 40 && matches!(store.last_error(), Some(StoreError::Disk(_))));
     // Space is available again.
     let mut disk = store.into_disk();
-    disk.full_after = None;
+    disk.capacity = None;
     let Opened {
         mut store, records, ..
-    } = Store::open(disk, sync_each());
+    } = Store::open(disk, sync_every_record());
     assert_eq!(records.len() as u32, written);
     assert!(store.append(&record(written), 0.0).is_ok());
-    let Opened { records, .. } = Store::open(store.into_disk(), sync_each());
+    let Opened { records, .. } = Store::open(store.into_disk(), sync_every_record());
     assert_eq!(records, (0..=written).map(record).collect::<Vec<_>>());
     let Opened { mut store, .. } = Store::open(
         FaultyDisk {
             read_only: true,
             ..FaultyDisk::default()
         },
-        sync_each(),
+        sync_every_record(),
     );
     assert!(matches!(store.append(b"x", 0.0), Err(StoreError::Disk(_))));
-    // A reopened store writes at once.
+    // A reopened store writes without waiting for `retry_after_ms`.
     let mut store = {
         let mut disk = store.into_disk();
         disk.read_only = false;
-        Store::open(disk, sync_each()).store
+        Store::open(disk, sync_every_record()).store
     };
     assert!(store.append(b"x", 1.0).is_ok());
 }
 
 #[test]
 fn log_size_is_bounded() {
-    let Opened { mut store, .. } = Store::open(FaultyDisk::default(), sync_each());
-    let mut refused = 0;
+    let Opened { mut store, .. } = Store::open(FaultyDisk::default(), sync_every_record());
+    let mut rejected = 0;
     for n in 0..1000 {
-        refused += u32::from(store.append(&record(n), 0.0) == Err(StoreError::LogFull));
+        rejected += u32::from(store.append(&record(n), 0.0) == Err(StoreError::LogFull));
     }
-    assert!(store.needs_checkpoint() && refused > 0 && store.log_bytes() < 3 * 4096);
+    assert!(store.needs_checkpoint() && rejected > 0 && store.log_bytes() < 3 * 4096);
     store
         .checkpoint([b"all".as_slice()].into_iter(), 0.0)
         .unwrap();
@@ -369,13 +377,13 @@
     let disk = store.into_disk();
     assert_eq!(disk.files.len(), 2, "{:?}", disk.files.keys());
     assert_eq!(
-        verify(&disk, &sync_each()),
+        verify(&disk, &sync_every_record()),
         RecoveryReport::Complete { records: 2 }
     );
 }
 
 #[test]
-fn crash_between_syncs_loses_only_the_newest_records() {
+fn crash_between_syncs_loses_only_the_latest_records() {
     let config = config(SyncPolicy::Interval {
         interval_ms: 1000.0,
     });
@@ -406,7 +414,7 @@
         mut store,
         records,
         report,
-    } = Store::open(Directory::new(&path).unwrap(), sync_each());
+    } = Store::open(Directory::new(&path).unwrap(), sync_every_record());
     assert_eq!((records.len(), report), (0, RecoveryReport::Empty));
     (0..30).for_each(|n| store.append(&record(n), 0.0).unwrap());
     store
@@ -418,7 +426,7 @@
     std::fs::write(path.join("notes.txt"), "mine").unwrap();
     let Opened {
         records, report, ..
-    } = Store::open(Directory::new(&path).unwrap(), sync_each());
+    } = Store::open(Directory::new(&path).unwrap(), sync_every_record());
     assert_eq!(
         records,
         [b"one".to_vec(), b"two".to_vec(), b"three".to_vec()]
@@ -430,14 +438,16 @@
 
 proptest! {
     #[test]
-    fn decoding_arbitrary_bytes_never_panics(bytes in proptest::collection::vec(any::<u8>(), 0..300), headed in any::<bool>()) {
-        let mut file = if headed { format::encode_header(FileKind::Log, 1, LogPosition::START) } else { Vec::new() };
+    fn decoding_arbitrary_bytes_never_panics(
+        bytes in proptest::collection::vec(any::<u8>(), 0..300), has_header in any::<bool>(),
+    ) {
+        let mut file = if has_header { format::encode_header(FileKind::Log, 1, LogPosition::START) } else { Vec::new() };
         file.extend_from_slice(&bytes);
         let decoded = format::decode_file(&file, FileKind::Log, 1);
         assert!(decoded.valid_bytes <= file.len());
-        assert!(headed || decoded.error.is_some());
+        assert!(has_header || decoded.error.is_some());
         if decoded.error == Some(FormatError::MissingTrailer) {
-            unreachable!("a log needs no end");
+            unreachable!("a log has no trailer");
         }
     }
 }
--- a/crates/store/tests/version_1_files.rs
+++ b/crates/store/tests/version_1_files.rs
@@ -1,8 +1,9 @@
-//! Files of the version at commit 0fd3fce are recovered, and the same calls write the same bytes.
+//! Compatibility with format version 1: files written at commit 0fd3fce are recovered, and the same calls write the
+//! same bytes.
 
 #![allow(
     clippy::unwrap_used,
-    reason = "a test ends at the first thing that is not as it should be"
+    reason = "tests panic on the first unexpected result"
 )]
 
 use std::path::Path;
@@ -15,7 +16,7 @@
     "log-0000000000000004",
 ];
 
-fn sync_each() -> Config {
+fn sync_every_record() -> Config {
     let default = Config::default();
     Config::new(
         SyncPolicy::EveryRecord,
@@ -37,32 +38,32 @@
 }
 
 #[test]
-fn snapshot_and_logs_of_the_earlier_version_are_recovered() {
+fn snapshot_and_logs_of_version_1_are_recovered() {
     let Opened {
         records, report, ..
-    } = Store::open(Directory::new(FIXTURE).unwrap(), sync_each());
+    } = Store::open(Directory::new(FIXTURE).unwrap(), sync_every_record());
     assert_eq!(records, expected_records());
     assert_eq!(report, RecoveryReport::Complete { records: 6 });
 }
 
 #[test]
-fn the_same_calls_write_the_bytes_of_the_earlier_version() {
+fn same_calls_write_the_bytes_of_version_1() {
     let path = std::env::temp_dir().join(format!("tansymux-store-v1-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&path);
-    let Opened { mut store, .. } = Store::open(Directory::new(&path).unwrap(), sync_each());
+    let Opened { mut store, .. } = Store::open(Directory::new(&path).unwrap(), sync_every_record());
     store.append(b"replaced by the snapshot", 0.0).unwrap();
-    let kept = [b"first".as_slice(), b"", &[0xff; 300]];
-    store.checkpoint(kept.into_iter(), 1.0).unwrap();
+    let snapshot_records = [b"first".as_slice(), b"", &[0xff; 300]];
+    store.checkpoint(snapshot_records.into_iter(), 1.0).unwrap();
     store.append(b"second", 2.0).unwrap();
     store.append(&[0, 1, 2, 254, 255], 3.0).unwrap();
     drop(store);
-    let Opened { mut store, .. } = Store::open(Directory::new(&path).unwrap(), sync_each());
+    let Opened { mut store, .. } = Store::open(Directory::new(&path).unwrap(), sync_every_record());
     store.append(b"third", 4.0).unwrap();
     drop(store);
     for name in FILES {
         let written = std::fs::read(path.join(name)).unwrap();
-        let earlier = std::fs::read(Path::new(FIXTURE).join(name)).unwrap();
-        assert_eq!(written, earlier, "{name}");
+        let expected = std::fs::read(Path::new(FIXTURE).join(name)).unwrap();
+        assert_eq!(written, expected, "{name}");
     }
     assert_eq!(std::fs::read_dir(&path).unwrap().count(), FILES.len());
     std::fs::remove_dir_all(&path).unwrap();
