--- a/crates/engine-state/src/codec.rs
+++ b/crates/engine-state/src/codec.rs
@@ -51,7 +51,8 @@
 pub struct Encoded {
     /// The message.
     pub bytes: Vec<u8>,
-    /// Number of observations that fit in the message, from the first on; the caller sends the rest in further messages.
+    /// Number of observations that fit in the message, from the first on; the caller sends the rest in further
+    /// messages.
     pub count: usize,
 }
 
@@ -87,8 +88,8 @@
         .f32(observation.value as f32);
 }
 
-/// Decodes a message. Entries of an unknown kind, entries that are too short and values that are not finite are skipped;
-/// decoding ends at a truncated entry.
+/// Decodes a message. Entries of an unknown kind, entries that are too short and values that are not finite are
+/// skipped; decoding ends at a truncated entry.
 ///
 /// # Errors
 /// The message has no valid header. No input causes a panic.
--- a/crates/engine-state/src/lib.rs
+++ b/crates/engine-state/src/lib.rs
@@ -1,10 +1,10 @@
-//! A replicated cache of observations about engines: a dispatcher learns from its peers which engines are draining, slow
-//! or unresponsive.
+//! A replicated cache of observations about engines: a dispatcher learns from its peers which engines are draining,
+//! slow or unresponsive.
 //!
 //! The cache is a state-based replicated data type (CRDT, Shapiro et al. 2011): for each engine, kind and origin the
-//! observation with the highest sequence number wins, so that merging does not depend on order or repetition. It differs
-//! from the paper in two ways: values lose weight with age, and the weight of an origin depends on how many of its
-//! observations this dispatcher confirmed or refuted.
+//! observation with the highest sequence number wins, so that merging does not depend on order or repetition. It
+//! differs from the paper in two ways: values lose weight with age, and the weight of an origin depends on how many
+//! of its observations this dispatcher confirmed or refuted.
 //!
 //! Owns: observations with origin and age ([`Observation`]), their merge ([`EngineStateCache::merge`]), the weight of
 //! an observation at a given time ([`EngineStateCache::view`]), the trust in its origin
--- a/crates/engine-state/tests/merge.rs
+++ b/crates/engine-state/tests/merge.rs
@@ -34,7 +34,8 @@
         &observation(ObservationKind::Draining, 1.0, PEER, 1, 500.0),
         0.0,
     );
-    // Neither age, nor refutations of the origin, nor this dispatcher's own observation of an answer reopens the engine.
+    // Neither age, nor refutations of the origin, nor this dispatcher's own observation of an answer reopens the
+    // engine.
     (0..50).for_each(|_| cache.record_verification(PEER, Verification::Refuted));
     cache.record(9, 1, ObservationKind::Unresponsive, 0.0, 1000.0);
     assert!(cache.view(9, 1000.0).is_closed && cache.view(9, 1e9).is_closed);
@@ -279,7 +280,9 @@
 proptest! {
     #[test]
     fn merge_does_not_depend_on_order_or_repetition(
-        observations in proptest::collection::vec(any_observation(), 0..24), shuffle_seed in any::<u64>(), split_index in 0..24_usize,
+        observations in proptest::collection::vec(any_observation(), 0..24),
+        shuffle_seed in any::<u64>(),
+        split_index in 0..24_usize,
     ) {
         let expected = export_after_merging(observations.iter());
         let mut shuffled = observations.clone();
--- a/crates/service-levels/src/config/fingerprint.rs
+++ b/crates/service-levels/src/config/fingerprint.rs
@@ -1,22 +1,23 @@
-//! A short hash of a configuration, sent with every message: dispatchers with other levels do not count on each other.
+//! The fingerprint of a configuration, a 16-bit hash sent with every message. Dispatchers ignore reports of peers that
+//! have another configuration.
 //!
-//! The hash is part of the wire format. It is taken over a text that the first version made with `{:?}` of its types,
-//! so the names and the layout of that text are frozen here, whatever the types are called today.
+//! The fingerprint is part of the wire format. The first version hashed the `{:?}` output of its types, so this module
+//! reproduces that text letter for letter, including the former names of types and fields.
 
 use super::{Condition, Config, Degradation, Level, Trigger};
 use crate::signal::Signal;
 
 impl Config {
-    /// The hash of the frozen text: 32-bit FNV-1a folded to 16 bits.
+    /// Returns the fingerprint: 32-bit FNV-1a of the text, folded to 16 bits.
     pub fn fingerprint(&self) -> u16 {
-        let levels = list(&self.levels, level_text);
+        let levels = list_text(&self.levels, level_text);
         let text = format!("Definition {{ levels: {levels} }}");
         tansymux_codec::fnv1a_16(text.as_bytes())
     }
 }
 
-fn list<Item>(items: &[Item], text_of: fn(&Item) -> String) -> String {
-    let texts: Vec<String> = items.iter().map(text_of).collect();
+fn list_text<Item>(items: &[Item], item_text: fn(&Item) -> String) -> String {
+    let texts: Vec<String> = items.iter().map(item_text).collect();
     format!("[{}]", texts.join(", "))
 }
 
@@ -31,8 +32,8 @@
 }
 
 fn condition_text(condition: &Condition) -> String {
-    let all = list(&condition.all, trigger_text);
-    let any = list(&condition.any, trigger_text);
+    let all = list_text(&condition.all, trigger_text);
+    let any = list_text(&condition.any, trigger_text);
     format!("Condition {{ all: {all}, any: {any} }}")
 }
 
@@ -62,8 +63,8 @@
 }
 
 fn degradation_text(degradation: &Degradation) -> String {
-    let classes = list(&degradation.classes, |named| {
-        format!("({:?}, {:?})", named.class, named.fraction)
+    let classes = list_text(&degradation.classes, |limit| {
+        format!("({:?}, {:?})", limit.class, limit.fraction)
     });
     format!(
         "Reduction {{ bounds: {:?}, demotion: {:?}, grants: {:?}, retry_after: {:?}, spread: {:?}, \
--- a/crates/service-levels/src/config/validation.rs
+++ b/crates/service-levels/src/config/validation.rs
@@ -1,17 +1,17 @@
-//! Validation of levels: rejects levels that would flap, cannot be entered or left, or shadow another level.
+//! Validation of configurations: rejects levels that would flap, cannot be entered or left, or shadow another level.
 
 use super::{Condition, Config, Degradation, Level, Trigger, FULL_SERVICE};
 
-/// Smallest distance between a trigger's thresholds: noise would cross both of a closer pair.
+/// Minimum distance between a trigger's thresholds. Noise in the signal would cross both thresholds of a closer pair.
 const MIN_THRESHOLD_GAP: f64 = 0.02;
 
 /// An invalid setting of a level.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 #[error("level {level}, {key}: {found}; allowed: {allowed}")]
 pub struct ConfigError {
-    /// Index of the level.
+    /// Index of the level in the configuration.
     pub level: usize,
-    /// The key within the level, as in the operators' file.
+    /// Path of the key within the level, as in the operators' file.
     pub key: String,
     /// The value found.
     pub found: String,
@@ -19,7 +19,7 @@
     pub allowed: &'static str,
 }
 
-/// The errors of one level.
+/// Collects the errors of one level.
 struct LevelErrors<'a> {
     level: usize,
     errors: &'a mut Vec<ConfigError>,
@@ -37,7 +37,7 @@
 }
 
 impl Config {
-    /// All errors of the configuration; empty if it is valid.
+    /// Returns all errors of the configuration; empty if it is valid.
     pub fn validate(&self) -> Vec<ConfigError> {
         let mut errors = Vec::new();
         for index in 0..self.levels.len() {
@@ -121,22 +121,22 @@
     }
 }
 
-/// Rejects a condition that holds by rejections alone: the level itself causes them, so it could not be left.
+/// Rejects a condition that rejections alone can hold: the level itself causes rejections, so it could not be left.
 fn validate_can_be_left(condition: &Condition, errors: &mut LevelErrors<'_>) {
-    let holds_itself =
+    let is_self_sustaining =
         |trigger: &Trigger| trigger.signal.is_raised_by_levels() && trigger.is_high_active();
-    let by_any = condition.all.is_empty() && condition.any.iter().any(holds_itself);
-    let by_all = !condition.all.is_empty() && condition.all.iter().all(holds_itself);
+    let by_any = condition.all.is_empty() && condition.any.iter().any(is_self_sustaining);
+    let by_all = !condition.all.is_empty() && condition.all.iter().all(is_self_sustaining);
     if by_any || by_all {
         errors.add(
             "enter",
-            "held by deferrals alone".into(),
-            "a further term in all: the level itself keeps deferrals up and could not be left",
+            "held by rejections alone".into(),
+            "another term in all: the level itself causes rejections and could not be left",
         );
     }
 }
 
-/// Checks a level against the level before it, which must be milder.
+/// Checks that a level is stricter than the level before it, and harder to enter.
 fn validate_order(level: &Level, before: &Level, errors: &mut LevelErrors<'_>) {
     if is_entered_no_later(&level.enter, &before.enter) {
         errors.add(
@@ -161,34 +161,37 @@
     }
 }
 
-/// Whether readings that meet `earlier` meet `later` too: each trigger of `later` is implied by a trigger of `earlier`.
+/// Returns whether readings that meet `earlier` are known to meet `later` too: each trigger of `later` is implied by a
+/// trigger of `earlier`.
 fn is_entered_no_later(later: &Condition, earlier: &Condition) -> bool {
     let is_covered = |trigger: &Trigger| earlier.all.iter().any(|other| implies(other, trigger));
     if !later.all.iter().all(is_covered) {
         return false;
     }
-    // Of two conditions with alternatives, only equal ones are known to be no later.
+    // For alternatives, implication is recognised only if the lists are equal or `all` of `earlier` implies one of
+    // them.
     later.any.is_empty() || later.any == earlier.any || later.any.iter().any(is_covered)
 }
 
+/// Returns whether `trigger` is on whenever `other` is on.
 fn implies(other: &Trigger, trigger: &Trigger) -> bool {
-    let reaches_as_far = if trigger.is_high_active() {
+    let implies_threshold = if trigger.is_high_active() {
         other.enter_threshold >= trigger.enter_threshold
     } else {
         other.enter_threshold <= trigger.enter_threshold
     };
     other.signal == trigger.signal
         && other.is_high_active() == trigger.is_high_active()
-        && reaches_as_far
+        && implies_threshold
         && other.enter_hold_ms >= trigger.enter_hold_ms
 }
 
-/// The first setting that is milder than `before`, by its key in the operators' file.
+/// Returns the first setting that is milder than in `before`, by its key in the operators' file.
 fn milder_setting(degradation: &Degradation, before: &Degradation) -> Option<&'static str> {
     let any_class_milder = before
         .classes
         .iter()
-        .any(|named| degradation.class_fraction(&named.class) > named.fraction);
+        .any(|limit| degradation.class_fraction(&limit.class) > limit.fraction);
     let checks = [
         (
             degradation.concurrency_factor > before.concurrency_factor,
--- a/crates/service-levels/src/latch.rs
+++ b/crates/service-levels/src/latch.rs
@@ -1,18 +1,17 @@
-//! The latch of a trigger: whether it is on, and how long the threshold to switch has been reached.
+//! The state of a trigger: whether it is on, and the time for which its reading has reached the threshold to switch.
 
 use crate::config::Trigger;
 
-/// A trigger whose signal was not reported for this long switches off (ms), so that a missing signal does not keep a level
-/// in force.
+/// Time without a reading after which a trigger switches off (ms): a missing signal must not keep a level in force.
 pub(crate) const MISSING_SIGNAL_TIMEOUT_MS: f64 = 30_000.0;
 
 /// State of a trigger.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub(crate) struct Latch {
     pub(crate) is_on: bool,
-    /// How long the threshold to switch has been reached without interruption (ms).
+    /// Time for which readings have reached the threshold to switch without interruption (ms).
     pub(crate) held_ms: f64,
-    /// How long the signal has not been reported (ms).
+    /// Time since the last reading (ms).
     pub(crate) missing_ms: f64,
 }
 
@@ -24,7 +23,7 @@
         missing_ms: 0.0,
     };
 
-    /// Applies a reading, `elapsed_ms` after the last one. NaN means that the signal was not reported.
+    /// Applies a reading taken `elapsed_ms` after the previous one; NaN if the signal was not reported.
     pub(crate) fn update(&mut self, trigger: &Trigger, reading: f64, elapsed_ms: f64) {
         if reading.is_nan() {
             self.missing_ms += elapsed_ms;
--- a/crates/service-levels/src/lib.rs
+++ b/crates/service-levels/src/lib.rs
@@ -1,22 +1,24 @@
-//! Service levels: graceful degradation in named levels, from full service down.
+//! Service levels: graceful degradation of a fleet of dispatchers in named levels below full service.
 //!
 //! Implements docs/design/levels.md: graceful degradation with load shedding as in "Site Reliability Engineering"
-//! (chapters 21 and 22), each level switched by a Schmitt trigger (two thresholds, and a time that each must hold).
-//! What differs: a fleet agrees on a level by the median of what its members want, each level changes at most once in
-//! [`MIN_CHANGE_INTERVAL_MS`], and a level sheds nothing itself but scales the limits of admission control.
+//! (chapters 21 and 22). Schmitt triggers (two thresholds, each with a hold time) switch each level. It differs from
+//! the book in three ways: the dispatchers of a fleet agree on a level by the median of the depths that they want,
+//! each level changes at most once in [`MIN_CHANGE_INTERVAL_MS`], and a level rejects no queries itself but scales
+//! the limits of admission control.
 //!
-//! Owns: when the level changes ([`LevelStateMachine`]), the counts of outcomes for two of its signals
+//! Owns: the changes of level ([`LevelStateMachine`]), the counts of outcomes for two of the signals
 //! ([`OutcomeWindows`]), the messages between dispatchers ([`codec`]) and the validation of configurations
-//! ([`Config::validate`]). It never
-//! does I/O, reads no clock and draws no random numbers. It rejects or moves no query: a level hands a [`Degradation`]
-//! to admission control.
+//! ([`Config::validate`]). The crate does no I/O, reads no clock, draws no random numbers and decides on no query: the
+//! level in force gives a [`Degradation`] to the admission controller.
 //!
 //! Invariants, by construction and checked in `tests/`:
-//! - the depth changes by one step at a time; level n is in force while the depth is n or more;
-//! - each level changes at most once in any [`MIN_CHANGE_INTERVAL_MS`], whatever signals, peers, operators or clocks
-//!   do;
-//! - a level can be left once its conditions have cleared for their time, and a signal that is not reported clears;
-//! - silence of peers is no reason to change.
+//! - after the initial depth and except for a new configuration, the depth changes by one step at a time; level n is in
+//!   force while the depth is n or more;
+//! - each level changes at most once in any [`MIN_CHANGE_INTERVAL_MS`], regardless of signals, peers, operators and
+//!   clocks;
+//! - a level can be left once its triggers have been clear for their hold times; a trigger whose signal is not reported
+//!   clears after a timeout;
+//! - the loss of peers alone does not change the level.
 //!
 //! Start reading at [`LevelStateMachine::evaluate`].
 
@@ -37,6 +39,5 @@
     MIN_CHANGE_INTERVAL_MS,
 };
 
-/// The readings of all signals at one time: a value for each signal of a configuration, in the order of
-/// [`Config::signals`]; NaN if unknown.
+/// Readings of all signals at one time, in the order of [`Config::signals`]; NaN if unknown.
 pub type Readings = [f64];
--- a/crates/service-levels/src/outcome_windows.rs
+++ b/crates/service-levels/src/outcome_windows.rs
@@ -1,33 +1,33 @@
-//! Counts of late answers and rejections within the last ten seconds, by class, in buckets of one second.
+//! Sliding windows that count late and rejected queries of the last ten seconds, by class, in buckets of one second.
 
 /// The outcome of a query.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QueryOutcome {
-    /// It completed within its latency objective.
+    /// The query completed within its latency objective.
     InTime,
-    /// It completed late.
+    /// The query completed after its latency objective.
     Late,
-    /// It was rejected.
+    /// The query was rejected.
     Rejected,
-    /// It failed.
+    /// The query failed.
     Failed,
 }
 
-/// Buckets of a window: it covers the last ten seconds.
-const BUCKETS: usize = 10;
+/// Number of buckets in a window.
+const BUCKET_COUNT: usize = 10;
 /// Length of a bucket (ms).
 const BUCKET_MS: f64 = 1000.0;
-/// Fewest outcomes in the window for a fraction above 0.
+/// Minimum number of outcomes in a window; with fewer, fractions are 0.
 const MIN_OUTCOMES: u32 = 5;
 
 #[derive(Debug, Clone, Copy, Default)]
 struct Bucket {
-    /// Number of the second that the bucket counts, from 1; 0 for an empty bucket.
+    /// Number of the bucket's second, from 1; 0 for an empty bucket.
     number: u64,
     completed: u32,
     late: u32,
     rejected: u32,
-    all: u32,
+    total: u32,
 }
 
 impl Bucket {
@@ -35,17 +35,17 @@
         self.completed += other.completed;
         self.late += other.late;
         self.rejected += other.rejected;
-        self.all += other.all;
+        self.total += other.total;
     }
 }
 
-/// Counts of one class.
+/// Outcomes of one class, or of all classes.
 #[derive(Debug, Clone, Default)]
-struct Window([Bucket; BUCKETS]);
+struct Window([Bucket; BUCKET_COUNT]);
 
 impl Window {
     fn record(&mut self, number: u64, outcome: QueryOutcome) {
-        let bucket = &mut self.0[number as usize % BUCKETS];
+        let bucket = &mut self.0[number as usize % BUCKET_COUNT];
         if bucket.number != number {
             *bucket = Bucket {
                 number,
@@ -53,7 +53,7 @@
             };
         }
         let is_late = outcome == QueryOutcome::Late;
-        bucket.all += 1;
+        bucket.total += 1;
         bucket.completed += u32::from(is_late || outcome == QueryOutcome::InTime);
         bucket.late += u32::from(is_late);
         bucket.rejected += u32::from(outcome == QueryOutcome::Rejected);
@@ -62,7 +62,7 @@
     fn sum(&self, number: u64) -> Bucket {
         let mut sum = Bucket::default();
         for bucket in &self.0 {
-            if bucket.number <= number && number - bucket.number < BUCKETS as u64 {
+            if bucket.number <= number && number - bucket.number < BUCKET_COUNT as u64 {
                 sum.add(bucket);
             }
         }
@@ -70,7 +70,7 @@
     }
 }
 
-/// Outcomes of all classes together and of each.
+/// Outcomes of each class and of all classes together.
 #[derive(Debug, Clone)]
 pub struct OutcomeWindows {
     all: Window,
@@ -78,7 +78,7 @@
 }
 
 impl OutcomeWindows {
-    /// Empty windows for this many classes.
+    /// Creates empty windows for a number of classes.
     pub fn new(classes: usize) -> Self {
         OutcomeWindows {
             all: Window::default(),
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Records the outcome of a query; one of an unknown class counts only for all together.
+    /// Records the outcome of a query. An outcome of an unknown class counts only in the window of all classes.
     pub fn record(&mut self, class: usize, outcome: QueryOutcome, now_ms: f64) {
         let number = bucket_number(now_ms);
         self.all.record(number, outcome);
@@ -106,28 +106,30 @@
         }
     }
 
-    /// Fraction of the completed queries that were late, of a class or of all (`None`); 0 of few.
+    /// Returns the fraction of completed queries that were late, of a class or of all classes (`None`); 0 for fewer
+    /// than five completed queries.
     pub fn late_fraction(&self, class: Option<usize>, now_ms: f64) -> f64 {
         let sum = self.sum(class, now_ms);
         fraction(sum.late, sum.completed)
     }
 
-    /// Fraction of the queries that were rejected, of a class or of all (`None`); 0 of few.
+    /// Returns the fraction of queries that were rejected, of a class or of all classes (`None`); 0 for fewer than five
+    /// queries.
     pub fn rejected_fraction(&self, class: Option<usize>, now_ms: f64) -> f64 {
         let sum = self.sum(class, now_ms);
-        fraction(sum.rejected, sum.all)
+        fraction(sum.rejected, sum.total)
     }
 }
 
-/// Numbers count from 1, since an empty bucket has number 0.
+/// Returns the number of the bucket at a time. Numbers start at 1, since an empty bucket has number 0.
 fn bucket_number(now_ms: f64) -> u64 {
     (now_ms.max(0.0) / BUCKET_MS) as u64 + 1
 }
 
-fn fraction(count: u32, all: u32) -> f64 {
-    if all < MIN_OUTCOMES {
+fn fraction(count: u32, total: u32) -> f64 {
+    if total < MIN_OUTCOMES {
         0.0
     } else {
-        f64::from(count) / f64::from(all)
+        f64::from(count) / f64::from(total)
     }
 }
--- a/crates/service-levels/src/signal.rs
+++ b/crates/service-levels/src/signal.rs
@@ -1,30 +1,31 @@
-//! The measured signals that levels are entered and left by.
+//! The measured signals of triggers.
 
-/// A measured signal. All are fractions from 0 to 1.
+/// A measured signal: a fraction from 0 to 1.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Signal {
-    /// Ready engines that show pressure, in the pool or in a zone.
+    /// Fraction of ready engines that are under pressure, in the pool (`None`) or in a zone.
     PressuredEngines(Option<String>),
-    /// The low lane's concurrency limits in use, as they are at full service.
+    /// Fraction of the low lane's concurrency limits in use. The limits count as at full service, without the factor of
+    /// the level in force.
     ConcurrencyUsed,
-    /// Completed queries that exceeded their latency objective, of all or of a class.
+    /// Fraction of completed queries that exceeded their latency objective, of all classes (`None`) or of one.
     LateQueries(Option<String>),
-    /// Queries that were rejected, of all or of a class.
+    /// Fraction of queries that were rejected, of all classes (`None`) or of one.
     RejectedQueries(Option<String>),
-    /// Listed engines that are ready.
+    /// Fraction of engines in the endpoint list that are ready.
     ReadyEngines,
-    /// Listed engines that are warming up.
+    /// Fraction of engines in the endpoint list that are warming up.
     WarmingUpEngines,
-    /// Listed engines that outlier detection has ejected.
+    /// Fraction of engines in the endpoint list that outlier detection has ejected.
     EjectedEngines,
-    /// This dispatcher's memory limit in use.
+    /// Fraction of this dispatcher's memory limit in use.
     Memory,
-    /// This dispatcher's limit of file descriptors in use.
+    /// Fraction of this dispatcher's file descriptor limit in use.
     Descriptors,
 }
 
 impl Signal {
-    /// The name that status page and logs show.
+    /// Returns the name of the signal on status pages and in logs.
     pub fn name(&self) -> String {
         let (name, scope) = match self {
             Signal::PressuredEngines(zone) => ("pressed", zone.as_ref()),
@@ -43,7 +44,7 @@
         }
     }
 
-    /// Whether a deeper level raises the signal itself: such a signal alone must not keep a level in force.
+    /// Returns whether a deeper level itself raises the signal. Such a signal alone must not keep a level in force.
     pub(crate) fn is_raised_by_levels(&self) -> bool {
         matches!(self, Signal::RejectedQueries(_))
     }
--- a/crates/service-levels/src/state_machine.rs
+++ b/crates/service-levels/src/state_machine.rs
@@ -1,13 +1,14 @@
-//! The state machine of one dispatcher: the level in force, by its own signals, its peers and its operators.
+//! The state machine of one dispatcher. Its own signals, the reports of peers and pins by operators determine the level
+//! in force.
 //!
-//! [`LevelStateMachine::evaluate`] applies readings and makes at most one step.
+//! [`LevelStateMachine::evaluate`] applies readings and changes the level by at most one step.
 //!
 //! | file | concern |
 //! | --- | --- |
-//! | `triggers` | the triggers' latches, and the last readings |
-//! | `depth` | the depth in force, and the record of its changes |
-//! | `peers` | reports of peers, and the schedule of own messages |
-//! | `steps` | steps deeper and back |
+//! | `triggers` | the latches of all triggers, and the last readings |
+//! | `depth` | the depth in force, and the history of its changes |
+//! | `peers` | reports of peers, and the schedule of messages to them |
+//! | `steps` | the initial depth, and steps to deeper and shallower levels |
 //! | `status` | the state for display and for model checking |
 
 mod depth;
@@ -24,56 +25,56 @@
 pub use status::{Status, TriggerStatus};
 use triggers::TriggerStates;
 
-/// Shortest time between two changes of one level (ms): the minute that the operators' pages promise, and half a second
-/// for differences between clocks.
+/// Minimum time between two changes of a level (ms): one minute, as documented for operators, and half a second for
+/// differences between clocks.
 pub const MIN_CHANGE_INTERVAL_MS: f64 = 60_500.0;
-/// How long a new instance waits for reports of peers before it chooses its initial depth (ms).
+/// Time for which a new instance waits for reports of peers before it chooses its initial depth (ms).
 const STARTUP_LISTEN_MS: f64 = 2500.0;
-/// A time before all others (ms).
+/// Time of an event that has not happened yet: earlier than any other (ms).
 const LONG_AGO_MS: f64 = -1e12;
 
-/// A signal with its reading.
+/// A reading of a signal.
 #[derive(Debug, Clone, PartialEq)]
 pub struct SignalReading {
     /// Name of the signal: [`Signal::name`](crate::Signal::name).
     pub signal: String,
-    /// The signal's reading.
+    /// The reading.
     pub reading: f64,
 }
 
-/// The reason of a change of level.
+/// The reason for a change of level.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Reason {
-    /// Own signals that switched on or off.
+    /// Triggers of this dispatcher switched on or off, at these readings.
     Signals(Vec<SignalReading>),
     /// The median of the depths that this dispatcher and its peers want.
     Peers {
         /// Number of peers with a current report.
         peers: usize,
-        /// The median.
+        /// The median depth.
         wanted_depth: usize,
     },
     /// An operator pinned a level.
     Pinned,
     /// The initial depth of a new instance.
     Startup {
-        /// Number of peers that reported their depth; 0: the initial depth follows from own signals.
+        /// Number of peers that reported their depth; if 0, the initial depth follows from own signals or a pin.
         peers: usize,
     },
     /// The configuration changed.
     Reconfigured,
 }
 
-/// A change of level: one step, or the initial depth of an instance.
+/// A change of level: one step, the initial depth of an instance, or the result of a new configuration.
 #[derive(Debug, Clone, PartialEq)]
 pub struct LevelChange {
     /// Time of the change (ms).
     pub at_ms: f64,
-    /// The depth before.
+    /// The depth before the change.
     pub from: usize,
     /// The depth after the change.
     pub to: usize,
-    /// The reason.
+    /// The reason for the change.
     pub reason: Reason,
 }
 
@@ -84,7 +85,7 @@
     until_ms: f64,
 }
 
-/// The state machine. All times are milliseconds on the caller's clock.
+/// The state machine of service levels at one dispatcher. All times are in milliseconds on the caller's clock.
 #[derive(Debug, Clone)]
 pub struct LevelStateMachine {
     config: Config,
@@ -95,16 +96,16 @@
     messages: MessageSchedule,
     pin: Option<Pin>,
     now_ms: f64,
-    /// Time of the first evaluation.
+    /// Time of the first evaluation (ms).
     started_ms: Option<f64>,
-    /// Whether a new instance has chosen its initial depth.
+    /// Whether this instance has chosen its initial depth.
     is_settled: bool,
-    /// Start of the time for which a depth below the one in force has been wanted.
+    /// Time since which a depth below the one in force has been wanted (ms).
     recovering_since_ms: Option<f64>,
 }
 
 impl LevelStateMachine {
-    /// A new instance with a valid configuration: see [`Config::validate`].
+    /// Creates a new instance. The configuration must be valid: see [`Config::validate`].
     pub fn new(config: Config) -> Self {
         LevelStateMachine {
             config_fingerprint: config.fingerprint(),
@@ -121,55 +122,55 @@
         }
     }
 
-    /// The configuration.
+    /// Returns the configuration.
     pub fn config(&self) -> &Config {
         &self.config
     }
 
-    /// Number of levels in force; 0 is full service.
+    /// Returns the number of levels in force; 0 is full service.
     pub fn depth(&self) -> usize {
         self.depth.depth()
     }
 
-    /// A number that increases with each change, so that a client can wait for a higher one.
+    /// Returns a version that increases with each change, so that a client can wait for a higher one.
     pub fn version(&self) -> u64 {
         self.depth.version()
     }
 
-    /// The last changes, oldest first.
+    /// Returns the latest changes, oldest first.
     pub fn history(&self) -> &[LevelChange] {
         self.depth.history()
     }
 
-    /// Time at each depth (ms), from depth 0.
+    /// Returns the total time at each depth (ms), from depth 0.
     pub fn time_at_depth_ms(&self) -> &[f64] {
         self.depth.time_at_depth_ms()
     }
 
-    /// Number of changes of each level.
+    /// Returns the number of changes of each level.
     pub fn change_counts(&self) -> &[u64] {
         self.depth.change_counts()
     }
 
-    /// The name of the level at a depth; that of full service at 0 and at depths that are not configured.
+    /// Returns the name of the level at a depth; [`FULL_SERVICE`] for 0 and for depths that are not configured.
     pub fn level_name(&self, depth: usize) -> &str {
         self.level_at(depth)
             .map_or(FULL_SERVICE, |level| &level.name)
     }
 
-    /// The degradation of the level in force.
+    /// Returns the degradation of the level in force.
     pub fn degradation(&self) -> Degradation {
         self.level_at(self.depth())
             .map_or_else(Degradation::default, |level| level.degradation.clone())
     }
 
-    /// The level at a depth; `None` at 0 and at depths that are not configured.
+    /// Returns the level at a depth; `None` for 0 and for depths that are not configured.
     fn level_at(&self, depth: usize) -> Option<&Level> {
         self.config.levels.get(depth.checked_sub(1)?)
     }
 
-    /// Applies readings, and makes at most one step. To be called several times a second. If the clock goes back, the
-    /// time of the last call is used.
+    /// Applies readings, and changes the level by at most one step. Call it several times per second. If the clock goes
+    /// backwards, the time of the previous call is used.
     pub fn evaluate(&mut self, readings: &Readings, now_ms: f64) -> Option<&LevelChange> {
         let elapsed_ms = if self.now_ms == LONG_AGO_MS {
             0.0
@@ -191,8 +192,8 @@
         self.choose_initial_depth()
     }
 
-    /// The message that is due to peers, if one is: at once after a change, else at an interval. A message of a new
-    /// instance requests the others' depths.
+    /// Returns the message to send to all peers, if one is due: immediately after a change, otherwise at an interval.
+    /// The messages of a new instance request the depths of its peers.
     pub fn poll_message(&mut self, now_ms: f64) -> Option<[u8; codec::MESSAGE_LEN]> {
         if !self.messages.is_due(self.is_settled, now_ms) || self.config.levels.is_empty() {
             return None;
@@ -210,7 +211,8 @@
         }))
     }
 
-    /// Records a peer's message. Ignores messages with another configuration, and those older than the last one.
+    /// Handles a message of a peer. Ignores messages that are malformed, of another configuration, or older than the
+    /// peer's last one.
     pub fn handle_peer_message(&mut self, peer: u32, content: &[u8], now_ms: f64) {
         let Ok(report) = codec::decode(content) else {
             return;
@@ -220,15 +222,15 @@
         }
         let now_ms = now_ms.max(self.now_ms);
         if report.depth == DEPTH_UNKNOWN {
-            // A new instance does not count as a peer before it has chosen its initial depth.
-            self.messages.answer_new_instance(now_ms);
+            // A new instance counts as a peer only after it has chosen its initial depth.
+            self.messages.request_reply_to_new_instance(now_ms);
             return;
         }
         self.peers.record(peer, report, now_ms);
     }
 
-    /// Pins a level by its name until a time; `None` ends the pin. Returns false for an unknown name, which changes
-    /// nothing.
+    /// Pins the level with a name until `until_ms`; `None` ends the pin. Returns false, without any change, for an
+    /// unknown name.
     pub fn pin(&mut self, name: Option<&str>, until_ms: f64) -> bool {
         let Some(name) = name else {
             self.pin = None;
@@ -241,8 +243,9 @@
         depth.is_some()
     }
 
-    /// Replaces the configuration. Levels in force stay in force, by their names, and have to clear anew; levels that are
-    /// not in the new configuration are left. A pin ends. Peers count again once they report with the new configuration.
+    /// Replaces the configuration. Levels in force that the new configuration contains, by name, stay in force; their
+    /// triggers must be clear for the whole hold time before they are left. Levels that it does not contain are left. A
+    /// pin ends. Peers count again once they report with the new configuration. Returns the change of level, if any.
     pub fn reconfigure(&mut self, config: Config, now_ms: f64) -> Option<&LevelChange> {
         let now_ms = now_ms.max(self.now_ms);
         let old = std::mem::replace(self, LevelStateMachine::new(config));
@@ -250,7 +253,7 @@
         self.started_ms = old.started_ms;
         self.is_settled = old.is_settled;
         self.messages = old.messages;
-        self.messages.send_at_once();
+        self.messages.make_due();
         self.depth = old.depth;
         let is_changed = self
             .depth
@@ -263,16 +266,16 @@
         }
     }
 
-    /// Changes the depth now. The next message is due at once.
+    /// Changes the depth, and makes the next message due immediately.
     fn change_depth(&mut self, to: usize, reason: Reason) -> Option<&LevelChange> {
         self.depth.change(to, reason, self.now_ms);
         self.recovering_since_ms = None;
-        self.messages.send_at_once();
+        self.messages.make_due();
         self.history().last()
     }
 }
 
-/// A depth as a message holds it: below [`DEPTH_UNKNOWN`].
+/// Returns a depth as encoded in messages: below [`DEPTH_UNKNOWN`].
 fn depth_byte(depth: usize) -> u8 {
     depth.min(usize::from(DEPTH_UNKNOWN) - 1) as u8
 }
--- a/crates/service-levels/src/state_machine/depth.rs
+++ b/crates/service-levels/src/state_machine/depth.rs
@@ -1,9 +1,9 @@
-//! The depth in force, and the record of its changes.
+//! The depth in force, and the history of its changes.
 
 use super::{LevelChange, Reason, LONG_AGO_MS, MIN_CHANGE_INTERVAL_MS};
 use crate::config::Level;
 
-/// Maximum number of changes kept for display.
+/// Maximum number of changes in the history.
 const MAX_HISTORY: usize = 64;
 
 /// The depth in force, with the times and counts of its changes.
@@ -11,7 +11,7 @@
 pub(super) struct DepthRecord {
     depth: usize,
     since_ms: f64,
-    /// Time of each level's last change.
+    /// Time of the last change of each level (ms).
     level_changed_ms: Vec<f64>,
     time_at_depth_ms: Vec<f64>,
     change_counts: Vec<u64>,
@@ -20,7 +20,7 @@
 }
 
 impl DepthRecord {
-    /// Full service, with `levels` levels that never changed.
+    /// Creates a record at full service, with `levels` levels that have never changed.
     pub fn new(levels: usize) -> Self {
         DepthRecord {
             depth: 0,
@@ -33,57 +33,57 @@
         }
     }
 
-    /// Number of levels in force.
+    /// Returns the number of levels in force.
     pub fn depth(&self) -> usize {
         self.depth
     }
 
-    /// Time of the last change of depth (ms).
+    /// Returns the time of the last change of depth (ms).
     pub fn since_ms(&self) -> f64 {
         self.since_ms
     }
 
-    /// Time at each depth (ms), from depth 0.
+    /// Returns the total time at each depth (ms), from depth 0.
     pub fn time_at_depth_ms(&self) -> &[f64] {
         &self.time_at_depth_ms
     }
 
-    /// Number of changes of each level.
+    /// Returns the number of changes of each level.
     pub fn change_counts(&self) -> &[u64] {
         &self.change_counts
     }
 
-    /// A number that increases with each change.
+    /// Returns a version that increases with each change.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The last changes, oldest first.
+    /// Returns the latest changes, oldest first.
     pub fn history(&self) -> &[LevelChange] {
         &self.history
     }
 
-    /// Times of the last change of each level (ms).
+    /// Returns the time of the last change of each level (ms).
     pub fn level_changed_ms(&self) -> &[f64] {
         &self.level_changed_ms
     }
 
-    /// Whether a level may change: the only place that enforces [`MIN_CHANGE_INTERVAL_MS`].
+    /// Returns whether a level may change. Only this function enforces [`MIN_CHANGE_INTERVAL_MS`].
     pub fn may_change(&self, level: usize, now_ms: f64) -> bool {
         now_ms - self.level_changed_ms[level] >= MIN_CHANGE_INTERVAL_MS
     }
 
-    /// Adds time to the current depth.
+    /// Adds elapsed time to the total of the current depth.
     pub fn advance_time(&mut self, elapsed_ms: f64) {
         self.time_at_depth_ms[self.depth] += elapsed_ms;
     }
 
-    /// Lets the current depth begin now, without a change.
+    /// Sets the start of the current depth to now, without a change.
     pub fn restart(&mut self, now_ms: f64) {
         self.since_ms = now_ms;
     }
 
-    /// Changes the depth, and records the change for each level between.
+    /// Changes the depth, and records a change for each level between the old and the new depth.
     pub fn change(&mut self, to: usize, reason: Reason, now_ms: f64) {
         let from = self.depth;
         for level in from.min(to)..from.max(to) {
@@ -96,12 +96,12 @@
         self.add_to_history(from, reason, now_ms);
     }
 
-    /// Replaces the levels, and returns whether the depth changes. Levels in force stay in force, by their names, and with
-    /// them the levels that now come before them. New levels, and levels whose state switches, count as changed now, so
-    /// that the interval between changes holds for them too.
+    /// Replaces the levels, and returns whether the depth changes. Levels are matched by name: those in force stay in
+    /// force, together with all levels that precede them in the new order. New levels, and levels that enter or leave
+    /// force, count as changed now, so that [`MIN_CHANGE_INTERVAL_MS`] applies to them too.
     pub fn reconfigure(&mut self, old_levels: &[Level], new_levels: &[Level], now_ms: f64) -> bool {
         let depth_before = self.depth;
-        let depth = kept_depth(&old_levels[..depth_before], new_levels);
+        let depth = retained_depth(&old_levels[..depth_before], new_levels);
         let mut level_changed_ms = Vec::with_capacity(new_levels.len());
         for (index, level) in new_levels.iter().enumerate() {
             let is_in_force = index < depth;
@@ -140,8 +140,8 @@
     }
 }
 
-/// The depth of the deepest level in force within the new levels.
-fn kept_depth(in_force: &[Level], new_levels: &[Level]) -> usize {
+/// Returns the depth, in the new levels, of the deepest level that was in force; 0 if none of them remains.
+fn retained_depth(in_force: &[Level], new_levels: &[Level]) -> usize {
     let new_depth = |old: &Level| {
         let index = new_levels.iter().position(|level| level.name == old.name)?;
         Some(index + 1)
--- a/crates/service-levels/src/state_machine/peers.rs
+++ b/crates/service-levels/src/state_machine/peers.rs
@@ -1,23 +1,23 @@
-//! Reports of peers, and the schedule of own messages.
+//! Reports of peers, and the schedule of messages to them.
 
 use super::LONG_AGO_MS;
 use crate::codec::PeerReport;
 
-/// Lifetime of a peer's report (ms).
+/// Time after which a peer's report expires (ms).
 const PEER_LIFETIME_MS: f64 = 20_000.0;
-/// Interval of messages (ms); a change is sent at once.
+/// Interval between messages (ms). A change of level is sent immediately.
 const MESSAGE_INTERVAL_MS: f64 = 4000.0;
-/// Interval of messages of a new instance, which request the depths of its peers (ms). Within one interval, one message
-/// answers all new instances.
+/// Interval between the messages of a new instance, which request the depths of its peers (ms). Peers reply to all new
+/// instances with at most one message per interval.
 const STARTUP_MESSAGE_INTERVAL_MS: f64 = 800.0;
-/// Maximum number of peers.
+/// Maximum number of peers whose reports are kept.
 const MAX_PEERS: usize = 1024;
-/// Half of the range of sequence numbers, which wrap around: a smaller difference means newer.
+/// Half of the range of sequence numbers, which wrap around: a number ahead by less than this is newer.
 const SEQUENCE_HALF_RANGE: u16 = 0x8000;
-/// Highest sequence number that is accepted as that of a restarted peer.
+/// Highest sequence number that counts as newer than any other: it may be that of a restarted peer.
 const MAX_RESTARTED_SEQUENCE: u16 = 2;
 
-/// A peer's last report.
+/// The last report of a peer.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) struct Peer {
     pub number: u32,
@@ -29,14 +29,14 @@
 #[derive(Debug, Clone)]
 pub(super) struct PeerReports {
     peers: Vec<Peer>,
-    /// Number of peers at the last call of [`PeerReports::detect_loss`].
+    /// Number of peers at the previous call of [`PeerReports::detect_loss`].
     previous_count: usize,
-    /// Time of the last loss of a peer.
+    /// Time at which the last loss of a peer was detected (ms).
     lost_ms: f64,
 }
 
 impl PeerReports {
-    /// Without peers.
+    /// Creates an empty set of reports.
     pub fn new() -> Self {
         PeerReports {
             peers: Vec::new(),
@@ -45,27 +45,27 @@
         }
     }
 
-    /// All peers with their last reports.
+    /// Returns the last report of each peer.
     pub fn all(&self) -> &[Peer] {
         &self.peers
     }
 
-    /// Number of peers.
+    /// Returns the number of peers with a current report.
     pub fn count(&self) -> usize {
         self.peers.len()
     }
 
-    /// Number of peers at the last call of [`PeerReports::detect_loss`].
+    /// Returns the number of peers at the previous call of [`PeerReports::detect_loss`].
     pub fn previous_count(&self) -> usize {
         self.previous_count
     }
 
-    /// Time of the last loss of a peer (ms).
+    /// Returns the time at which the last loss of a peer was detected (ms).
     pub fn lost_ms(&self) -> f64 {
         self.lost_ms
     }
 
-    /// Records a peer's report, unless a newer one is known or there are too many peers.
+    /// Records the report of a peer, unless a newer one is known or [`MAX_PEERS`] is reached.
     pub fn record(&mut self, peer: u32, report: PeerReport, now_ms: f64) {
         let has_room = self.peers.len() < MAX_PEERS;
         match self.peers.iter_mut().find(|known| known.number == peer) {
@@ -89,8 +89,8 @@
             .retain(|peer| now_ms - peer.received_ms < PEER_LIFETIME_MS);
     }
 
-    /// Records the time if there are fewer peers than at the last call. The lost peer may have been the reason for the
-    /// level in force, so a step back must be wanted anew from then on.
+    /// Records a loss if there are fewer peers than at the previous call. The lost peer may have wanted the level in
+    /// force, so the time for which a lower depth must be wanted starts again at the loss.
     pub fn detect_loss(&mut self, now_ms: f64) {
         if self.peers.len() < self.previous_count {
             self.lost_ms = now_ms;
@@ -98,7 +98,7 @@
         self.previous_count = self.peers.len();
     }
 
-    /// The depths in force at the peers, sorted.
+    /// Returns the depths in force at the peers, sorted.
     pub fn depths(&self) -> Vec<usize> {
         let mut depths: Vec<usize> = self
             .peers
@@ -109,7 +109,7 @@
         depths
     }
 
-    /// The depths that the peers' own signals call for.
+    /// Returns the depths that the peers' own signals require.
     pub fn wanted_depths(&self) -> Vec<usize> {
         self.peers
             .iter()
@@ -118,12 +118,13 @@
     }
 }
 
-fn is_newer(sequence_number: u16, than: u16) -> bool {
-    let ahead = sequence_number.wrapping_sub(than);
+/// Returns whether a sequence number is newer than the last known one, or may be that of a restarted peer.
+fn is_newer(sequence_number: u16, last_known: u16) -> bool {
+    let ahead = sequence_number.wrapping_sub(last_known);
     (1..SEQUENCE_HALF_RANGE).contains(&ahead) || sequence_number <= MAX_RESTARTED_SEQUENCE
 }
 
-/// When messages to peers are sent, and their sequence numbers.
+/// The schedule of messages to peers, and their sequence numbers.
 #[derive(Debug, Clone)]
 pub(super) struct MessageSchedule {
     sent_ms: f64,
@@ -131,7 +132,7 @@
 }
 
 impl MessageSchedule {
-    /// The first message is due at once.
+    /// Creates a schedule whose first message is due immediately.
     pub fn new() -> Self {
         MessageSchedule {
             sent_ms: LONG_AGO_MS,
@@ -139,12 +140,12 @@
         }
     }
 
-    /// Time of the last message (ms); long ago if one is due at once.
+    /// Returns the time of the last message (ms); [`LONG_AGO_MS`] if a message is due immediately.
     pub fn sent_ms(&self) -> f64 {
         self.sent_ms
     }
 
-    /// Whether a message is due. `is_settled`: this instance has chosen its initial depth.
+    /// Returns whether a message is due. `is_settled` tells whether this instance has chosen its initial depth.
     pub fn is_due(&self, is_settled: bool, now_ms: f64) -> bool {
         let interval_ms = if is_settled {
             MESSAGE_INTERVAL_MS
@@ -154,23 +155,23 @@
         now_ms - self.sent_ms >= interval_ms
     }
 
-    /// Records that a message is sent now, and returns its sequence number.
+    /// Records that a message is sent, and returns its sequence number.
     pub fn next_sequence_number(&mut self, now_ms: f64) -> u16 {
         self.sent_ms = now_ms;
         self.sequence_number = self.sequence_number.wrapping_add(1);
         self.sequence_number
     }
 
-    /// Makes the next message due at once.
-    pub fn send_at_once(&mut self) {
+    /// Makes the next message due immediately.
+    pub fn make_due(&mut self) {
         self.sent_ms = LONG_AGO_MS;
     }
 
-    /// Answers a new instance with the next message. Several of them, or one that asks repeatedly, get one message for
-    /// each [`STARTUP_MESSAGE_INTERVAL_MS`].
-    pub fn answer_new_instance(&mut self, now_ms: f64) {
+    /// Makes the next message due in reply to a new instance, unless the last message is younger than
+    /// [`STARTUP_MESSAGE_INTERVAL_MS`]: one message replies to several instances and to repeated requests.
+    pub fn request_reply_to_new_instance(&mut self, now_ms: f64) {
         if now_ms - self.sent_ms >= STARTUP_MESSAGE_INTERVAL_MS {
-            self.send_at_once();
+            self.make_due();
         }
     }
 }
--- a/crates/service-levels/src/state_machine/status.rs
+++ b/crates/service-levels/src/state_machine/status.rs
@@ -1,25 +1,25 @@
-//! The state of the machine for display, and as a key for model checking.
+//! Views of the state machine: its status for display, and a key of its state for model checking.
 
 use super::{LevelStateMachine, MIN_CHANGE_INTERVAL_MS, STARTUP_LISTEN_MS};
 use crate::latch::MISSING_SIGNAL_TIMEOUT_MS;
 
-/// Cap of hold times in [`LevelStateMachine::state_key`] (ms).
+/// Maximum hold time in [`LevelStateMachine::state_key`] (ms).
 const MAX_KEY_HOLD_MS: f64 = 1e6;
 
-/// A trigger with its last reading.
+/// The status of a trigger.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TriggerStatus {
     /// Name of the trigger's signal.
     pub signal: String,
-    /// The last reading; NaN if unknown.
+    /// The last reading of the signal; NaN if unknown.
     pub reading: f64,
-    /// The threshold at which the trigger switches.
+    /// The threshold to enter or to leave.
     pub threshold: f64,
     /// Whether the trigger is on.
     pub is_on: bool,
-    /// How long the threshold has been reached (ms).
+    /// Time for which the threshold to switch has been reached (ms).
     pub held_ms: f64,
-    /// How long the threshold must be reached (ms).
+    /// Hold time of the threshold (ms).
     pub required_ms: f64,
 }
 
@@ -28,23 +28,23 @@
 pub struct Status {
     /// Number of levels in force.
     pub depth: usize,
-    /// Name of the deepest level in force.
+    /// Name of the deepest level in force; [`FULL_SERVICE`](crate::FULL_SERVICE) if there is none.
     pub level_name: String,
-    /// Time of the last change (ms).
+    /// Time of the last change of depth (ms).
     pub since_ms: f64,
-    /// The depth that own signals call for.
+    /// Depth that this dispatcher's own signals require.
     pub wanted_depth: usize,
     /// Number of peers with a current report.
     pub peer_count: usize,
     /// Time at which an operator's pin ends (ms).
     pub pinned_until_ms: Option<f64>,
-    /// Triggers of the next deeper level, with their thresholds to enter.
+    /// Triggers of the next deeper level, with the thresholds to enter.
     pub enter_triggers: Vec<TriggerStatus>,
-    /// Triggers of the level in force, with their thresholds to leave.
+    /// Triggers of the deepest level in force, with the thresholds to leave.
     pub leave_triggers: Vec<TriggerStatus>,
 }
 
-/// Which of a trigger's thresholds is shown.
+/// Selects a threshold of a trigger.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum Direction {
     /// The threshold to switch on.
@@ -54,7 +54,7 @@
 }
 
 impl LevelStateMachine {
-    /// The level in force, and the triggers that would change it.
+    /// Returns the level in force, and the triggers that would change it.
     pub fn status(&self) -> Status {
         let depth = self.depth();
         let leave_triggers = match depth.checked_sub(1) {
@@ -73,16 +73,18 @@
         }
     }
 
-    /// The triggers of a level; empty for a level that is not configured.
+    /// Returns the triggers of a level; empty for a level that is not configured.
     fn trigger_statuses(&self, level: usize, direction: Direction) -> Vec<TriggerStatus> {
         match self.config.levels.get(level) {
-            Some(definition) => self.triggers.statuses(level, &definition.enter, direction),
+            Some(level_config) => self
+                .triggers
+                .statuses(level, &level_config.enter, direction),
             None => Vec::new(),
         }
     }
 
-    /// A key for model checking: two machines with the same key behave alike. Holds the whole state that later steps
-    /// depend on, with times as ages, which are capped where a greater age changes nothing.
+    /// Returns a key for model checking: two machines with equal keys behave identically. The key holds all state that
+    /// later steps depend on. Times are ages, capped at the age beyond which they make no difference.
     pub fn state_key(&self) -> Vec<i64> {
         let age = |at_ms: f64| (self.now_ms - at_ms).min(MIN_CHANGE_INTERVAL_MS + 1.0) as i64;
         let startup_age = |at_ms: f64| age(at_ms).min(STARTUP_LISTEN_MS as i64 + 1);
--- a/crates/service-levels/src/state_machine/steps.rs
+++ b/crates/service-levels/src/state_machine/steps.rs
@@ -1,16 +1,16 @@
-//! The initial depth, then steps deeper and back, one at a time.
+//! The choice of the initial depth, and single steps to deeper and shallower levels.
 
 use super::{LevelChange, LevelStateMachine, Reason};
 
-/// The depth that the dispatchers agree on, or that an operator pinned.
-struct Wanted {
+/// The depth that the dispatchers agree on or an operator pinned, and the reason for a step towards it.
+struct Target {
     depth: usize,
     reason: Reason,
 }
 
 impl LevelStateMachine {
-    /// Chooses the initial depth: the level that an operator pinned, else the median of the depths that peers reported,
-    /// else the depth by the last readings.
+    /// Chooses the initial depth: that of the pinned level if there is a pin, otherwise the median of the depths that
+    /// peers reported, and without reports the depth by the last readings.
     pub(super) fn choose_initial_depth(&mut self) -> Option<&LevelChange> {
         self.is_settled = true;
         self.depth.restart(self.now_ms);
@@ -30,7 +30,8 @@
         self.change_depth(depth, Reason::Startup { peers })
     }
 
-    /// The depth whose conditions the last readings meet, regardless of hold times.
+    /// Returns the number of levels, from the mildest on, whose conditions the last readings meet, regardless of hold
+    /// times.
     fn depth_by_readings(&self) -> usize {
         let is_met = |level: &usize| {
             let condition = &self.config.levels[*level].enter;
@@ -39,32 +40,37 @@
         (0..self.config.levels.len()).take_while(is_met).count()
     }
 
-    /// Makes one step towards the wanted depth, if it is allowed now.
+    /// Makes one step towards the target depth, if the step is allowed now.
     pub(super) fn step(&mut self) -> Option<&LevelChange> {
         let now_ms = self.now_ms;
         self.pin = self.pin.filter(|pin| now_ms < pin.until_ms);
         let own_depth = self.wanted_depth();
         self.peers.detect_loss(now_ms);
-        let wanted = match self.pin {
-            Some(pin) => Wanted {
+        let target = match self.pin {
+            Some(pin) => Target {
                 depth: pin.depth,
                 reason: Reason::Pinned,
             },
             None => self.agreed_depth(own_depth),
         };
         let depth = self.depth();
-        if wanted.depth < depth {
-            return self.step_back(own_depth, wanted.reason);
+        if target.depth < depth {
+            return self.step_towards_full_service(own_depth, target.reason);
         }
         self.recovering_since_ms = None;
-        if wanted.depth > depth && self.depth.may_change(depth, now_ms) {
-            return self.change_depth(depth + 1, wanted.reason);
+        if target.depth > depth && self.depth.may_change(depth, now_ms) {
+            return self.change_depth(depth + 1, target.reason);
         }
         None
     }
 
-    /// Makes one step towards full service, once a lower depth has been wanted for long enough.
-    fn step_back(&mut self, own_depth: usize, reason: Reason) -> Option<&LevelChange> {
+    /// Makes one step towards full service, once the level has stayed for its minimum time and a lower depth has been
+    /// wanted for [`Self::clearing_time_ms`].
+    fn step_towards_full_service(
+        &mut self,
+        own_depth: usize,
+        reason: Reason,
+    ) -> Option<&LevelChange> {
         let now_ms = self.now_ms;
         let since_ms = *self.recovering_since_ms.get_or_insert(now_ms);
         let level = self.depth() - 1;
@@ -78,13 +84,13 @@
         None
     }
 
-    /// Whether a level's condition holds, by its latches.
+    /// Returns whether a level's condition holds, by the latches of its triggers.
     fn holds(&self, level: usize) -> bool {
         self.triggers.holds(level, &self.config.levels[level].enter)
     }
 
-    /// The depth that own signals call for: the deepest level in force whose condition holds, and from there on all
-    /// further levels whose conditions hold.
+    /// Returns the depth that own signals require: that of the deepest level in force whose condition holds,
+    /// increased by each directly following level whose condition holds.
     pub(super) fn wanted_depth(&self) -> usize {
         let mut wanted = (0..self.depth())
             .rev()
@@ -96,25 +102,28 @@
         wanted
     }
 
-    /// How long a lower depth must be wanted before a step back (ms). If own signals want it, their latches have already
-    /// waited. If only peers want it, or a peer that may have wanted the level was lost, the same time passes here.
+    /// Returns the time for which a lower depth must be wanted before a step towards full service (ms). It is 0 if
+    /// own signals require the lower depth, since their latches have already waited for the hold time. It is the
+    /// longest hold time of the level if only peers want the lower depth, or if a peer was lost that may have wanted
+    /// the level.
     fn clearing_time_ms(&self, level: usize, own_depth: usize) -> f64 {
         let longest_hold_ms = self.config.levels[level]
             .enter
             .triggers()
             .map(|trigger| trigger.leave_hold_ms)
             .fold(0.0, f64::max);
-        let lost_lately = self.now_ms - self.peers.lost_ms() < longest_hold_ms;
-        if own_depth >= self.depth() || lost_lately {
+        let lost_recently = self.now_ms - self.peers.lost_ms() < longest_hold_ms;
+        if own_depth >= self.depth() || lost_recently {
             longest_hold_ms
         } else {
             0.0
         }
     }
 
-    /// The median of the depths that this dispatcher and its peers want, so that no single one decides for all. Of two
-    /// medians the one nearer to this dispatcher's own. Without peers it is the own depth.
-    fn agreed_depth(&self, own_depth: usize) -> Wanted {
+    /// Returns the median of the depths that this dispatcher and its peers want, so that a single dispatcher cannot
+    /// change the level of all. Of two medians, the one closer to `own_depth` applies; without peers the result is
+    /// `own_depth`.
+    fn agreed_depth(&self, own_depth: usize) -> Target {
         let mut wanted = self.peers.wanted_depths();
         wanted.push(own_depth);
         wanted.sort_unstable();
@@ -131,10 +140,10 @@
                 wanted_depth: depth,
             }
         };
-        Wanted { depth, reason }
+        Target { depth, reason }
     }
 
-    /// The signals that switched on for the next deeper level, or off for the level in force.
+    /// Returns the signals whose triggers are on for the next deeper level, or off for the level in force.
     fn own_reason(&self, own_depth: usize) -> Reason {
         let depth = self.depth();
         let deepens = own_depth > depth;
--- a/crates/service-levels/src/state_machine/triggers.rs
+++ b/crates/service-levels/src/state_machine/triggers.rs
@@ -1,4 +1,4 @@
-//! The state of all triggers, and the last readings of their signals.
+//! The states of all triggers, and the last readings of their signals.
 
 use super::status::{Direction, TriggerStatus};
 use super::SignalReading;
@@ -7,8 +7,8 @@
 use crate::signal::Signal;
 use crate::Readings;
 
-/// A longer time between two evaluations counts as a pause of the process (ms). Nothing was measured during a pause, so
-/// thresholds must be reached again after it.
+/// Maximum time between two evaluations (ms). A longer time counts as a pause of the process, during which nothing was
+/// measured: hold times start again after it.
 const MAX_EVALUATION_GAP_MS: f64 = 2000.0;
 
 /// The state of one trigger.
@@ -19,17 +19,17 @@
     latch: Latch,
 }
 
-/// The triggers of all levels. Methods take the condition of the level that they are called for.
+/// The triggers of all levels. Methods that take a level also take its condition.
 #[derive(Debug, Clone)]
 pub(super) struct TriggerStates {
-    /// For each level the state of its triggers, in the order of [`Condition::triggers`].
+    /// States of the triggers of each level, in the order of [`Condition::triggers`].
     by_level: Vec<Vec<TriggerState>>,
     /// The last reading of each signal, in the order of [`Config::signals`].
     readings: Vec<f64>,
 }
 
 impl TriggerStates {
-    /// All triggers off, without readings.
+    /// Creates the states of a configuration's triggers: all off, without readings.
     pub fn new(config: &Config) -> Self {
         let signals = config.signals();
         let levels = config.levels.iter();
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Updates all latches by new readings, `elapsed_ms` after the last ones.
+    /// Updates all latches with readings taken `elapsed_ms` after the previous ones.
     pub fn update(&mut self, config: &Config, readings: &Readings, elapsed_ms: f64) {
         let was_paused = elapsed_ms > MAX_EVALUATION_GAP_MS;
         let counted_ms = if was_paused { 0.0 } else { elapsed_ms };
@@ -59,21 +59,21 @@
         }
     }
 
-    /// Switches on all triggers of the first `levels` levels, so that they have to clear before a level is left.
+    /// Switches on all triggers of the first `levels` levels: they must clear before a level is left.
     pub fn switch_on(&mut self, levels: usize) {
         for state in self.by_level[..levels].iter_mut().flatten() {
             state.latch = Latch::ON;
         }
     }
 
-    /// Whether a level's condition holds by its latches.
+    /// Returns whether a level's condition holds, by the latches of its triggers.
     pub fn holds(&self, level: usize, condition: &Condition) -> bool {
         let (all, any) = self.by_level[level].split_at(condition.all.len());
         all.iter().all(|state| state.latch.is_on)
             && (any.is_empty() || any.iter().any(|state| state.latch.is_on))
     }
 
-    /// Whether a level's condition is met by the last readings, regardless of hold times.
+    /// Returns whether the last readings meet a level's condition, regardless of hold times.
     pub fn is_met_by_readings(&self, level: usize, condition: &Condition) -> bool {
         let met: Vec<bool> = condition
             .triggers()
@@ -84,7 +84,7 @@
         all.iter().all(|is_met| *is_met) && (any.is_empty() || any.contains(&true))
     }
 
-    /// The readings of a level's triggers that are on, or off.
+    /// Returns the readings of those triggers of a level that are on (`are_on`) or off.
     pub fn readings_of(
         &self,
         level: usize,
@@ -103,7 +103,7 @@
         readings
     }
 
-    /// A level's triggers with their thresholds to enter or to leave.
+    /// Returns the status of each trigger of a level, with the threshold to enter or to leave.
     pub fn statuses(
         &self,
         level: usize,
@@ -128,7 +128,7 @@
         statuses
     }
 
-    /// The latches of all levels, in order.
+    /// Returns the latches of all triggers, in the order of the levels.
     pub fn latches(&self) -> impl Iterator<Item = &Latch> {
         self.by_level.iter().flatten().map(|state| &state.latch)
     }
--- a/crates/service-levels/tests/codec.rs
+++ b/crates/service-levels/tests/codec.rs
@@ -1,5 +1,5 @@
-//! Messages between dispatchers: what is encoded is decoded, and messages and fingerprints of the version before the
-//! renames (commit 7790f50) are kept byte for byte.
+//! Messages between dispatchers: encoding and decoding, and compatibility with the messages and fingerprints recorded
+//! at commit 7790f50.
 
 use tansymux_service_levels::codec::{self, DecodeError, PeerReport, DEPTH_UNKNOWN};
 use tansymux_service_levels::{
@@ -41,8 +41,8 @@
     }
 }
 
-/// A level with all signals and settings, and values that are hard to print.
-fn level_with_everything() -> Level {
+/// A level with all signals and settings, and with values whose text needs escapes, exponents, NaN or infinity.
+fn level_with_all_settings() -> Level {
     let east = Some("east".to_owned());
     let accented = Some("a\u{e9}\\b".to_owned());
     let report = Some("report".to_owned());
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn encoded_messages_are_decoded_and_other_bytes_refused() {
+fn encoded_messages_are_decoded_and_invalid_ones_rejected() {
     let report = PeerReport {
         config_fingerprint: 0xBEEF,
         depth: 2,
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn messages_of_the_version_before_are_read_and_written_byte_for_byte() {
+fn recorded_messages_are_decoded_and_encoded_byte_for_byte() {
     let settled = PeerReport {
         config_fingerprint: 0xBEEF,
         depth: 2,
@@ -134,17 +134,17 @@
 }
 
 #[test]
-fn fingerprints_are_those_of_the_version_before() {
+fn fingerprints_equal_the_recorded_ones() {
     assert_eq!(Config::default().fingerprint(), 0x3f98);
     assert_eq!(three_levels().fingerprint(), 0x234e);
-    let everything = Config {
-        levels: vec![level_with_everything()],
+    let all_settings = Config {
+        levels: vec![level_with_all_settings()],
     };
-    assert_eq!(everything.fingerprint(), 0x95d0);
+    assert_eq!(all_settings.fingerprint(), 0x95d0);
 }
 
 #[test]
-fn messages_of_a_run_are_those_of_the_version_before() {
+fn messages_of_a_run_equal_the_recorded_ones() {
     let mut machine = LevelStateMachine::new(three_levels());
     let mut sent = Vec::new();
     let mut now_ms = 0.0;
@@ -153,8 +153,8 @@
         sent.extend(machine.poll_message(now_ms));
         now_ms += 100.0;
     }
-    let asking = (1..=4).map(|number| [2, 1, 0x23, 0x4e, DEPTH_UNKNOWN, 0, 0, number]);
-    let settled = (5..=11).map(|number| [2, 1, 0x23, 0x4e, 3, 3, 0, number]);
-    let expected: Vec<[u8; 8]> = asking.chain(settled).collect();
+    let startup_messages = (1..=4).map(|number| [2, 1, 0x23, 0x4e, DEPTH_UNKNOWN, 0, 0, number]);
+    let later_messages = (5..=11).map(|number| [2, 1, 0x23, 0x4e, 3, 3, 0, number]);
+    let expected: Vec<[u8; 8]> = startup_messages.chain(later_messages).collect();
     assert_eq!(sent, expected);
 }
--- a/crates/service-levels/tests/model.rs
+++ b/crates/service-levels/tests/model.rs
@@ -1,4 +1,5 @@
-//! Model checking: all that can happen to two dispatchers with three levels, in coarse steps of time.
+//! Model checking of two dispatchers with three levels, in steps of 20 s: every combination of readings, with and
+//! without messages between them.
 
 use stateright::{Checker, Model, Property};
 use std::hash::{Hash, Hasher};
@@ -6,12 +7,13 @@
     Condition, Config, Degradation, Level, LevelStateMachine, Signal, Trigger,
 };
 
-/// A step of the model (ms), and how often a machine evaluates in it.
+/// Length of a step of the model (ms).
 const STEP_MS: f64 = 20_000.0;
+/// Number of evaluations of each machine per step.
 const EVALUATIONS: u32 = 20;
 
 fn config() -> Config {
-    let level = |name: &str, enter: f64, leave: f64, bounds: f64| Level {
+    let level = |name: &str, enter: f64, leave: f64, factor: f64| Level {
         name: name.into(),
         enter: Condition {
             all: vec![Trigger {
@@ -25,7 +27,7 @@
         },
         min_stay_ms: 20_000.0,
         degradation: Degradation {
-            concurrency_factor: bounds,
+            concurrency_factor: factor,
             ..Degradation::default()
         },
     };
@@ -42,20 +44,20 @@
 struct State {
     machines: [LevelStateMachine; 2],
     now: f64,
-    /// For each machine and level: steps since it last changed, up to four.
-    since: [[u8; 3]; 2],
-    broken: bool,
-    /// Steps in a row for which all was clear.
-    clear: u8,
+    /// Steps since the last change of each level, by machine; at most four.
+    steps_since_change: [[u8; 3]; 2],
+    is_violated: bool,
+    /// Number of consecutive steps in which all readings were clear, at most [`RECOVERY_STEPS`].
+    clear_steps: u8,
 }
 
 impl State {
     fn key(&self) -> ([Vec<i64>; 2], [[u8; 3]; 2], bool, u8) {
         (
             self.machines.each_ref().map(LevelStateMachine::state_key),
-            self.since,
-            self.broken,
-            self.clear,
+            self.steps_since_change,
+            self.is_violated,
+            self.clear_steps,
         )
     }
 }
@@ -69,49 +71,50 @@
 impl Eq for State {}
 
 impl Hash for State {
-    fn hash<H: Hasher>(&self, state: &mut H) {
-        self.key().hash(state);
+    fn hash<H: Hasher>(&self, hasher: &mut H) {
+        self.key().hash(hasher);
     }
 }
 
-/// What each reads in a step, and whether they hear each other.
+/// The readings of both machines in a step, and whether they receive each other's messages.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct Action {
     readings: [f64; 2],
-    hear: bool,
+    is_connected: bool,
 }
 
-struct Levels;
+struct TwoDispatchers;
 
-/// Steps in which a machine that sees nothing bad is back at full service: a minute for each of three levels.
-const BACK: u8 = 12;
+/// Number of clear steps after which both machines must be at full service: one minute for each of three levels, and
+/// another minute as a margin.
+const RECOVERY_STEPS: u8 = 12;
 
-impl Model for Levels {
+impl Model for TwoDispatchers {
     type State = State;
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        let fresh = || {
+        let settled_machine = || {
             let mut machine = LevelStateMachine::new(config());
             (0..4).for_each(|n| drop(machine.evaluate(&[0.0], f64::from(n) * 1000.0).cloned()));
             machine
         };
         vec![State {
-            machines: [fresh(), fresh()],
+            machines: [settled_machine(), settled_machine()],
             now: 3000.0,
-            since: [[4; 3]; 2],
-            broken: false,
-            clear: 0,
+            steps_since_change: [[4; 3]; 2],
+            is_violated: false,
+            clear_steps: 0,
         }]
     }
 
     fn actions(&self, _: &State, actions: &mut Vec<Action>) {
         for a in [0.1, 0.55, 0.9] {
             for b in [0.1, 0.9] {
-                for hear in [true, false] {
+                for is_connected in [true, false] {
                     actions.push(Action {
                         readings: [a, b],
-                        hear,
+                        is_connected,
                     });
                 }
             }
@@ -121,31 +124,31 @@
     fn next_state(&self, last: &State, action: Action) -> Option<State> {
         let mut state = last.clone();
         state
-            .since
+            .steps_since_change
             .iter_mut()
             .flatten()
-            .for_each(|since| *since = (*since + 1).min(4));
+            .for_each(|steps| *steps = (*steps + 1).min(4));
         for evaluation in 1..=EVALUATIONS {
             let now = last.now + STEP_MS * f64::from(evaluation) / f64::from(EVALUATIONS);
             for n in 0..2 {
                 let machine = &mut state.machines[n];
                 if let Some(change) = machine.evaluate(&[action.readings[n]], now) {
                     let (from, to) = (change.from, change.to);
-                    state.broken |= from.abs_diff(to) != 1;
-                    // Three whole steps of 20 s between two changes: less than a minute apart.
-                    state.broken |= state.since[n][from.min(to)] < 3;
-                    state.since[n][from.min(to)] = 0;
+                    state.is_violated |= from.abs_diff(to) != 1;
+                    // Fewer than three steps of 20 s between two changes: less than a minute.
+                    state.is_violated |= state.steps_since_change[n][from.min(to)] < 3;
+                    state.steps_since_change[n][from.min(to)] = 0;
                 }
-                let told = state.machines[n].poll_message(now);
-                if let Some(message) = told.filter(|_| action.hear) {
+                let due_message = state.machines[n].poll_message(now);
+                if let Some(message) = due_message.filter(|_| action.is_connected) {
                     state.machines[1 - n].handle_peer_message(n as u32, &message, now);
                 }
             }
         }
         state.now = last.now + STEP_MS;
         let all_clear = action.readings == [0.1, 0.1];
-        state.clear = if all_clear {
-            (state.clear + 1).min(BACK)
+        state.clear_steps = if all_clear {
+            (state.clear_steps + 1).min(RECOVERY_STEPS)
         } else {
             0
         };
@@ -155,13 +158,14 @@
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always(
-                "one step at a time, and no level twice in a minute",
-                |_, s: &State| !s.broken,
+                "the depth changes by single steps, and no level changes twice in a minute",
+                |_, s: &State| !s.is_violated,
             ),
             Property::always(
-                "back at full service when all has been clear",
+                "full service is restored after clear readings",
                 |_, s: &State| {
-                    s.clear < BACK || s.machines.iter().all(|machine| machine.depth() == 0)
+                    s.clear_steps < RECOVERY_STEPS
+                        || s.machines.iter().all(|machine| machine.depth() == 0)
                 },
             ),
             Property::sometimes("the deepest level is reached", |_, s: &State| {
@@ -172,8 +176,8 @@
 }
 
 #[test]
-fn all_reachable_states_of_two_dispatchers_with_three_levels_keep_the_invariants() {
-    let checker = Levels
+fn breadth_first_search_of_states_keeps_the_invariants() {
+    let checker = TwoDispatchers
         .checker()
         .threads(4)
         .target_state_count(120_000)
@@ -188,8 +192,8 @@
 }
 
 #[test]
-fn long_chains_of_steps_keep_the_invariants() {
-    let checker = Levels
+fn depth_first_search_of_long_runs_keeps_the_invariants() {
+    let checker = TwoDispatchers
         .checker()
         .threads(4)
         .target_state_count(60_000)
--- a/crates/service-levels/tests/outcome_windows.rs
+++ b/crates/service-levels/tests/outcome_windows.rs
@@ -1,4 +1,4 @@
-//! Fractions of late and rejected queries in the last ten seconds.
+//! Fractions of late and rejected queries within the last ten seconds.
 
 use tansymux_service_levels::{OutcomeWindows, QueryOutcome};
 
--- a/crates/service-levels/tests/state_machine/fleet.rs
+++ b/crates/service-levels/tests/state_machine/fleet.rs
@@ -1,11 +1,11 @@
 //! Dispatchers that exchange messages over a lossy network, in virtual time.
 
-use crate::invariants::{three, Invariants, EVALUATION_MS};
+use crate::invariants::{three_levels, Invariants, EVALUATION_MS};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 use tansymux_service_levels::LevelStateMachine;
 
-/// So many machines that hear each other through `hears(from, to, rng)`.
+/// Dispatchers with the same configuration. Each change of level is checked against the invariants.
 pub struct Fleet {
     pub machines: Vec<LevelStateMachine>,
     pub invariants: Vec<Invariants>,
@@ -14,23 +14,27 @@
 }
 
 impl Fleet {
-    pub fn new(many: usize) -> Self {
+    pub fn new(machine_count: usize) -> Self {
         Fleet {
-            machines: (0..many).map(|_| LevelStateMachine::new(three())).collect(),
-            invariants: (0..many).map(|_| Invariants::new()).collect(),
+            machines: (0..machine_count)
+                .map(|_| LevelStateMachine::new(three_levels()))
+                .collect(),
+            invariants: (0..machine_count).map(|_| Invariants::new()).collect(),
             now: 0.0,
             rng: Pcg32::seed_from_u64(7),
         }
     }
 
+    /// Runs all machines for `duration_ms`. `load(machine, now_ms)` is the reading of a machine; a message arrives if
+    /// `is_connected(sender, receiver)`, except for a fraction `loss`.
     pub fn run(
         &mut self,
-        lasts: f64,
+        duration_ms: f64,
         load: impl Fn(usize, f64) -> f64,
-        hears: impl Fn(usize, usize) -> bool,
+        is_connected: impl Fn(usize, usize) -> bool,
         loss: f64,
     ) {
-        let end = self.now + lasts;
+        let end = self.now + duration_ms;
         while self.now < end {
             for n in 0..self.machines.len() {
                 let change = self.machines[n]
@@ -41,7 +45,7 @@
                     continue;
                 };
                 for to in (0..self.machines.len()).filter(|to| *to != n) {
-                    if hears(n, to) && !self.rng.random_bool(loss) {
+                    if is_connected(n, to) && !self.rng.random_bool(loss) {
                         self.machines[to].handle_peer_message(n as u32, &message, self.now);
                     }
                 }
--- a/crates/service-levels/tests/state_machine/invariants.rs
+++ b/crates/service-levels/tests/state_machine/invariants.rs
@@ -1,4 +1,4 @@
-//! Levels of the tests, and loads whose every change is checked against the invariants.
+//! Configurations of the tests, and the invariants that each change of level is checked against.
 
 use std::collections::HashMap;
 use tansymux_service_levels::{
@@ -19,7 +19,7 @@
     }
 }
 
-pub fn level(name: &str, enter: f64, leave: f64, bounds: f64) -> Level {
+pub fn level(name: &str, enter: f64, leave: f64, factor: f64) -> Level {
     Level {
         name: name.into(),
         enter: Condition {
@@ -28,14 +28,14 @@
         },
         min_stay_ms: 20_000.0,
         degradation: Degradation {
-            concurrency_factor: bounds,
+            concurrency_factor: factor,
             ..Degradation::default()
         },
     }
 }
 
 /// Three levels over one signal.
-pub fn three() -> Config {
+pub fn three_levels() -> Config {
     Config {
         levels: vec![
             level("spare", 0.4, 0.3, 0.8),
@@ -45,9 +45,10 @@
     }
 }
 
-/// Depths that a change may never pass over, and changes of a level within a minute.
+/// Checks that after the initial depth changes are single steps, and that no level changes twice within a minute.
 pub struct Invariants {
-    pub changed: HashMap<usize, f64>,
+    /// Time of the last change of each level (ms).
+    pub changed_at_ms: HashMap<usize, f64>,
     pub depth: usize,
     pub changes: usize,
 }
@@ -55,7 +56,7 @@
 impl Invariants {
     pub fn new() -> Self {
         Invariants {
-            changed: HashMap::new(),
+            changed_at_ms: HashMap::new(),
             depth: 0,
             changes: 0,
         }
@@ -64,14 +65,17 @@
     pub fn check(&mut self, change: Option<&LevelChange>) {
         let Some(change) = change else { return };
         assert_eq!(change.from, self.depth);
-        let begins = matches!(change.reason, Reason::Startup { .. });
-        assert!(begins || change.from.abs_diff(change.to) == 1, "{change:?}");
+        let is_initial = matches!(change.reason, Reason::Startup { .. });
+        assert!(
+            is_initial || change.from.abs_diff(change.to) == 1,
+            "{change:?}"
+        );
         for level in change.from.min(change.to)..change.from.max(change.to) {
-            if let Some(before) = self.changed.insert(level, change.at_ms) {
+            if let Some(previous_ms) = self.changed_at_ms.insert(level, change.at_ms) {
                 assert!(
-                    change.at_ms - before >= MINUTE_MS,
+                    change.at_ms - previous_ms >= MINUTE_MS,
                     "level {level} changed twice in {} ms",
-                    change.at_ms - before
+                    change.at_ms - previous_ms
                 );
             }
         }
@@ -80,30 +84,36 @@
     }
 }
 
-/// Ten minutes of a load; how often levels changed, and the deepest.
-pub fn swing(config: &Config, load: impl FnMut(f64) -> f64) -> (usize, usize) {
-    swing_for(config, 600_000.0, load)
+/// Runs one machine under a load for ten minutes; see [`run_load_for`].
+pub fn run_load(config: &Config, load: impl FnMut(f64) -> f64) -> (usize, usize) {
+    run_load_for(config, 600_000.0, load)
 }
 
-pub fn swing_for(config: &Config, lasts: f64, mut load: impl FnMut(f64) -> f64) -> (usize, usize) {
+/// Runs one machine under a load for `duration_ms`, then until it is back at full service. Returns the number of
+/// changes and the deepest depth.
+pub fn run_load_for(
+    config: &Config,
+    duration_ms: f64,
+    mut load: impl FnMut(f64) -> f64,
+) -> (usize, usize) {
     let (mut machine, mut invariants, mut deepest) =
         (LevelStateMachine::new(config.clone()), Invariants::new(), 0);
     let mut now = 0.0;
-    while now < lasts {
+    while now < duration_ms {
         let reading = load(now).clamp(0.0, 1.0);
         invariants.check(machine.evaluate(&[reading], now));
         assert_eq!(machine.depth(), invariants.depth);
         deepest = deepest.max(machine.depth());
         now += EVALUATION_MS;
     }
-    // When all is clear it comes back to full service, in order, in bounded time.
-    let from = now;
+    // Without load the machine returns to full service within a bounded time.
+    let load_ended_ms = now;
     while machine.depth() > 0 {
         invariants.check(machine.evaluate(&[0.0], now));
         now += EVALUATION_MS;
         assert!(
-            now - from < 4.0 * 61_000.0 + 60_000.0,
-            "stuck at {}",
+            now - load_ended_ms < 4.0 * 61_000.0 + 60_000.0,
+            "still at depth {}",
             machine.depth()
         );
     }
--- a/crates/service-levels/tests/state_machine/main.rs
+++ b/crates/service-levels/tests/state_machine/main.rs
@@ -1,18 +1,18 @@
-//! Levels in virtual time: loads that oscillate around thresholds, peers that come and go, clocks that jump,
-//! configurations that change. Every run is checked against the same invariants.
+//! Service levels in virtual time: loads that oscillate around thresholds, joining and lost peers, clock jumps and
+//! changes of configuration. Most runs check every change of level against the invariants.
 
 mod fleet;
 mod invariants;
 
 use fleet::Fleet;
-use invariants::{swing, three, Invariants, EVALUATION_MS};
+use invariants::{run_load, three_levels, Invariants, EVALUATION_MS};
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 use tansymux_service_levels::{Condition, Config, Degradation, LevelStateMachine, Reason, Signal};
 
 #[test]
 fn configuration_of_these_tests_is_valid() {
-    assert_eq!(three().validate(), []);
+    assert_eq!(three_levels().validate(), []);
 }
 
 #[test]
@@ -23,12 +23,14 @@
         ]
         .map(|s| s * 1000.0)
         {
-            for height in [0.02, 0.1, 0.4] {
+            for amplitude in [0.02, 0.1, 0.4] {
                 let phase = |t: f64| t / period * std::f64::consts::TAU;
-                swing(&three(), |t| threshold + height * phase(t).sin());
-                swing(&three(), |t| threshold + height * phase(t).sin().signum());
-                swing(&three(), |t| {
-                    threshold + height * (2.0 * (t / period).fract() - 1.0)
+                run_load(&three_levels(), |t| threshold + amplitude * phase(t).sin());
+                run_load(&three_levels(), |t| {
+                    threshold + amplitude * phase(t).sin().signum()
+                });
+                run_load(&three_levels(), |t| {
+                    threshold + amplitude * (2.0 * (t / period).fract() - 1.0)
                 });
             }
         }
@@ -36,38 +38,38 @@
 }
 
 #[test]
-fn noise_and_random_walks_of_a_thousand_seeds_keep_the_invariants() {
+fn noise_and_random_walks_keep_the_invariants() {
     for seed in 0..1000 {
         let mut rng = Pcg32::seed_from_u64(seed);
         if seed % 2 == 0 {
-            let (middle, width) = (rng.random_range(0.2..0.9), rng.random_range(0.01..0.5));
-            let mut held = (0.0, middle);
-            swing(&three(), |t| {
-                if t >= held.0 {
-                    held = (
+            let (mean, deviation) = (rng.random_range(0.2..0.9), rng.random_range(0.01..0.5));
+            let mut plateau = (0.0, mean);
+            run_load(&three_levels(), |t| {
+                if t >= plateau.0 {
+                    plateau = (
                         t + rng.random_range(0.0..20_000.0),
-                        middle + rng.random_range(-width..width),
+                        mean + rng.random_range(-deviation..deviation),
                     );
                 }
-                held.1
+                plateau.1
             });
         } else {
-            let mut at: f64 = 0.5;
-            swing(&three(), |_| {
-                at = (at + rng.random_range(-0.02..0.02)).clamp(0.0, 1.0);
-                at
+            let mut position: f64 = 0.5;
+            run_load(&three_levels(), |_| {
+                position = (position + rng.random_range(-0.02..0.02)).clamp(0.0, 1.0);
+                position
             });
         }
     }
 }
 
 #[test]
-fn periods_tuned_to_the_minimum_stay_and_to_the_minute_change_no_more_often() {
+fn periods_close_to_the_minimum_stay_and_change_interval_cause_no_extra_changes() {
     for period in [
         20_000.0, 23_000.0, 28_000.0, 60_000.0, 60_500.0, 60_600.0, 61_000.0, 66_000.0, 69_000.0,
     ] {
         for duty in [0.1, 0.3, 0.5, 0.9] {
-            let (changes, deepest) = swing(&three(), |t| {
+            let (changes, deepest) = run_load(&three_levels(), |t| {
                 if (t / period).fract() < duty {
                     0.95
                 } else {
@@ -81,9 +83,9 @@
 }
 
 #[test]
-fn steady_load_settles_at_its_level() {
+fn constant_load_leads_to_its_level_without_extra_changes() {
     for (load, depth) in [(0.2, 0), (0.45, 1), (0.65, 2), (0.95, 3)] {
-        let mut machine = LevelStateMachine::new(three());
+        let mut machine = LevelStateMachine::new(three_levels());
         let mut changes = 0;
         for n in 0..6000 {
             changes += usize::from(
@@ -98,12 +100,12 @@
 }
 
 #[test]
-fn level_is_entered_only_after_its_hold_without_a_break() {
-    let mut machine = LevelStateMachine::new(three());
+fn level_is_entered_only_after_an_uninterrupted_hold_time() {
+    let mut machine = LevelStateMachine::new(three_levels());
     let mut entered = None;
     for n in 0..200 {
         let now = f64::from(n) * EVALUATION_MS;
-        // From 5 s on, but for one look in between.
+        // High from 5 s on, except for one reading at 7 s.
         let load = if now < 5000.0 || now == 7000.0 {
             0.1
         } else {
@@ -118,28 +120,25 @@
 }
 
 #[test]
-fn one_noisy_engine_of_eight_changes_no_level() {
+fn one_engine_of_eight_with_fluctuating_pressure_changes_no_level() {
     let mut rng = Pcg32::seed_from_u64(1);
-    let (changes, _) = swing(
-        &three(),
-        |_| {
-            if rng.random_bool(0.5) {
-                1.0 / 8.0
-            } else {
-                0.0
-            }
-        },
-    );
+    let (changes, _) = run_load(&three_levels(), |_| {
+        if rng.random_bool(0.5) {
+            1.0 / 8.0
+        } else {
+            0.0
+        }
+    });
     assert_eq!(changes, 0);
 }
 
 #[test]
-fn levels_recede_in_order_while_engines_warm_up() {
-    let mut machine = LevelStateMachine::new(three());
+fn levels_are_left_in_order_while_engines_warm_up() {
+    let mut machine = LevelStateMachine::new(three_levels());
     let mut depths = vec![0];
     for n in 0..9000 {
         let now = f64::from(n) * EVALUATION_MS;
-        // All but one pressed for four minutes; then it returns cold, and pressure fades while it warms.
+        // High pressure for four minutes; then it decreases as an engine that has returned warms up.
         let load = if now < 5000.0 {
             0.1
         } else if now < 240_000.0 {
@@ -155,9 +154,9 @@
 }
 
 #[test]
-fn missing_signal_never_deepens_and_clears_after_its_timeout() {
+fn missing_signal_enters_no_level_and_clears_after_its_timeout() {
     let run = |missing: f64| {
-        let mut machine = LevelStateMachine::new(three());
+        let mut machine = LevelStateMachine::new(three_levels());
         let mut depths = vec![0];
         for n in 0..4000 {
             let now = f64::from(n) * EVALUATION_MS;
@@ -170,10 +169,10 @@
         depths
     };
     assert_eq!(run(f64::NAN), [0, 1, 0]);
-    // Infinite is far beyond any threshold, but it is told.
+    // An infinite reading is a reading: it exceeds all thresholds.
     assert_eq!(run(f64::INFINITY)[..3], [0, 1, 2]);
-    // All engines gone: a part of none is no number.
-    let mut machine = LevelStateMachine::new(three());
+    // Without any engine the fraction is NaN from the start on.
+    let mut machine = LevelStateMachine::new(three_levels());
     assert!((0..3000).all(|n| machine
         .evaluate(&[f64::NAN], f64::from(n) * EVALUATION_MS)
         .is_none()));
@@ -183,8 +182,11 @@
 fn clock_jumps_and_pauses_keep_the_invariants() {
     for seed in 0..200 {
         let mut rng = Pcg32::seed_from_u64(seed);
-        let (mut machine, mut invariants, mut now) =
-            (LevelStateMachine::new(three()), Invariants::new(), 1e9);
+        let (mut machine, mut invariants, mut now) = (
+            LevelStateMachine::new(three_levels()),
+            Invariants::new(),
+            1e9,
+        );
         for _ in 0..4000 {
             now += match rng.random_range(0..100) {
                 0 => rng.random_range(0.0..300_000.0),
@@ -195,8 +197,8 @@
             invariants.check(machine.evaluate(&[load], now));
         }
     }
-    // A pause does not count as held: after it the condition must hold anew.
-    let mut machine = LevelStateMachine::new(three());
+    // A pause does not count towards the hold time, which starts again after it.
+    let mut machine = LevelStateMachine::new(three_levels());
     (0..40).for_each(|n| {
         drop(
             machine
@@ -211,9 +213,9 @@
 }
 
 #[test]
-fn peers_agree_on_the_median_and_one_alone_moves_nobody() {
+fn peers_agree_on_the_median_so_that_one_alone_changes_no_level() {
     let mut fleet = Fleet::new(5);
-    // One sees the worst, four see nothing.
+    // One dispatcher reads a high load, four a low one.
     fleet.run(
         300_000.0,
         |n, _| if n == 0 { 0.95 } else { 0.1 },
@@ -221,7 +223,7 @@
         0.2,
     );
     assert_eq!(fleet.depths(), [0; 5]);
-    // Three of five do: all go.
+    // Three of five read a high load: all enter the level.
     fleet.run(
         300_000.0,
         |n, _| if n < 3 { 0.65 } else { 0.1 },
@@ -234,11 +236,11 @@
 }
 
 #[test]
-fn partitioned_peers_decide_among_those_they_hear() {
+fn dispatchers_agree_within_their_side_of_a_partition() {
     let mut fleet = Fleet::new(6);
     fleet.run(300_000.0, |_, _| 0.65, |_, _| true, 0.0);
     assert_eq!(fleet.depths(), [2; 6]);
-    // Cut in halves: each decides among those it hears, by what they see.
+    // A partition into halves: each half agrees by its own readings.
     let halves = |a: usize, b: usize| a / 3 == b / 3;
     fleet.run(
         400_000.0,
@@ -247,7 +249,7 @@
         0.0,
     );
     assert_eq!(fleet.depths(), [2, 2, 2, 0, 0, 0]);
-    // Nobody hears anybody: each decides alone.
+    // No messages arrive: each dispatcher decides by its own readings.
     fleet.run(
         400_000.0,
         |n, _| if n % 2 == 0 { 0.45 } else { 0.1 },
@@ -258,9 +260,9 @@
 }
 
 #[test]
-fn silence_of_peers_alone_ends_no_level() {
+fn loss_of_peers_alone_ends_no_level() {
     let mut fleet = Fleet::new(3);
-    // Two want a level, the third only follows them.
+    // Two dispatchers want a level, the third only follows them.
     fleet.run(
         200_000.0,
         |n, _| if n < 2 { 0.45 } else { 0.1 },
@@ -268,36 +270,38 @@
         0.0,
     );
     assert_eq!(fleet.depths(), [1, 1, 1]);
-    let silent_from = fleet.now;
-    // The two fall silent. The third sees nothing bad: it may step up, but only after what it sees has held anew.
-    let mut stepped = None;
-    while stepped.is_none() && fleet.now - silent_from < 200_000.0 {
+    let lost_at_ms = fleet.now;
+    // The messages of the two stop. The third reads a low load: it returns to full service, but only after the hold
+    // time has passed again since the loss of its peers.
+    let mut left_after_ms = None;
+    while left_after_ms.is_none() && fleet.now - lost_at_ms < 200_000.0 {
         fleet.run(
             EVALUATION_MS,
             |n, _| if n < 2 { 0.45 } else { 0.1 },
             |from, _| from == 2,
             0.0,
         );
-        stepped = (fleet.machines[2].depth() == 0).then_some(fleet.now - silent_from);
+        left_after_ms = (fleet.machines[2].depth() == 0).then_some(fleet.now - lost_at_ms);
     }
-    let stepped = stepped.expect("it is no prisoner of the silent");
-    // Their last words were up to 4 s old, and counted for 20 s.
-    assert!(stepped > 16_000.0 + 5000.0, "{stepped}");
-    // One that itself sees it bad stays, whoever is silent.
+    let left_after_ms =
+        left_after_ms.expect("the third dispatcher leaves the level after the loss of its peers");
+    // The last reports were up to 4 s old, and expired after 20 s; the hold time is 5 s.
+    assert!(left_after_ms > 16_000.0 + 5000.0, "{left_after_ms}");
+    // A dispatcher that reads a high load itself stays at the level.
     assert_eq!(fleet.machines[0].depth(), 1);
 }
 
 #[test]
-fn stale_repeated_and_foreign_messages_are_ignored() {
-    let mut machine = LevelStateMachine::new(three());
-    let mut other = LevelStateMachine::new(three());
+fn expired_repeated_foreign_and_malformed_messages_are_ignored() {
+    let mut machine = LevelStateMachine::new(three_levels());
+    let mut other = LevelStateMachine::new(three_levels());
     for n in 0..400 {
         machine.evaluate(&[0.1], f64::from(n) * EVALUATION_MS);
         other.evaluate(&[0.95], f64::from(n) * EVALUATION_MS);
-        // Always the same old message, and noise.
+        // One message fifty times, which expires; messages with another fingerprint; empty messages.
         if n == 60 {
-            let old = other.poll_message(6000.0).unwrap();
-            (0..50).for_each(|_| machine.handle_peer_message(1, &old, 6000.0));
+            let repeated = other.poll_message(6000.0).unwrap();
+            (0..50).for_each(|_| machine.handle_peer_message(1, &repeated, 6000.0));
         }
         machine.handle_peer_message(
             2,
@@ -310,11 +314,12 @@
 }
 
 #[test]
-fn new_instance_begins_at_the_depth_of_its_peers_or_of_its_own_signals() {
+fn new_instance_starts_at_the_depth_of_its_peers_or_of_its_own_signals() {
     let mut fleet = Fleet::new(4);
     fleet.run(300_000.0, |_, _| 0.65, |_, _| true, 0.0);
-    // One restarts at depth and sees nothing yet.
-    (fleet.machines[3], fleet.invariants[3]) = (LevelStateMachine::new(three()), Invariants::new());
+    // One dispatcher of a fleet at depth 2 restarts, without load at first.
+    (fleet.machines[3], fleet.invariants[3]) =
+        (LevelStateMachine::new(three_levels()), Invariants::new());
     fleet.run(
         9000.0,
         |n, _| if n == 3 { 0.0 } else { 0.65 },
@@ -322,7 +327,7 @@
         0.0,
     );
     assert_eq!(fleet.depths(), [2; 4]);
-    let mut alone = LevelStateMachine::new(three());
+    let mut alone = LevelStateMachine::new(three_levels());
     for n in 0..30 {
         alone.evaluate(&[0.65], f64::from(n) * EVALUATION_MS);
     }
@@ -334,9 +339,9 @@
 
 #[test]
 #[expect(clippy::too_many_lines, reason = "one scenario from start to end")]
-fn reconfiguring_removes_reorders_or_redefines_the_level_in_force() {
-    let at_depth = |load: f64| {
-        let mut machine = LevelStateMachine::new(three());
+fn reconfiguration_removes_reorders_or_redefines_the_level_in_force() {
+    let machine_under_load = |load: f64| {
+        let mut machine = LevelStateMachine::new(three_levels());
         (0..2000).for_each(|n| {
             drop(
                 machine
@@ -350,14 +355,17 @@
         config
             .levels
             .iter()
-            .map(|l| l.name.clone())
+            .map(|level| level.name.clone())
             .collect::<Vec<_>>()
     };
-    // The level in force is gone.
-    let mut machine = at_depth(0.65);
-    let mut without = three();
-    without.levels.remove(1);
-    let change = machine.reconfigure(without, 200_000.0).cloned().unwrap();
+    // The level in force is removed.
+    let mut machine = machine_under_load(0.65);
+    let mut without_second = three_levels();
+    without_second.levels.remove(1);
+    let change = machine
+        .reconfigure(without_second, 200_000.0)
+        .cloned()
+        .unwrap();
     assert_eq!(
         (
             change.from,
@@ -366,8 +374,8 @@
         ),
         (2, 1, "spare".to_owned())
     );
-    // All are gone.
-    let mut machine = at_depth(0.95);
+    // All levels are removed.
+    let mut machine = machine_under_load(0.95);
     machine.reconfigure(Config::default(), 200_000.0);
     assert_eq!(
         (
@@ -378,26 +386,29 @@
         (0, "full", Degradation::default())
     );
     assert!(machine.evaluate(&[], 300_000.0).is_none());
-    // Another order: what is on stays on.
-    let mut machine = at_depth(0.65);
-    let mut other = three();
-    other.levels.swap(0, 1);
-    machine.reconfigure(other.clone(), 200_000.0);
-    assert_eq!((machine.depth(), names(&other)[0].as_str()), (2, "short"));
-    // Other thresholds: it has to clear by them, and the minute still holds.
-    let mut machine = at_depth(0.45);
-    let mut lower = three();
-    lower.levels[0].enter.all[0].leave_threshold = 0.1;
-    assert!(machine.reconfigure(lower, 200_000.0).is_none());
+    // The order changes: the level in force stays in force.
+    let mut machine = machine_under_load(0.65);
+    let mut reordered = three_levels();
+    reordered.levels.swap(0, 1);
+    machine.reconfigure(reordered.clone(), 200_000.0);
+    assert_eq!(
+        (machine.depth(), names(&reordered)[0].as_str()),
+        (2, "short")
+    );
+    // The thresholds change: the level must clear by the new thresholds.
+    let mut machine = machine_under_load(0.45);
+    let mut lower_threshold = three_levels();
+    lower_threshold.levels[0].enter.all[0].leave_threshold = 0.1;
+    assert!(machine.reconfigure(lower_threshold, 200_000.0).is_none());
     for n in 0..1000 {
         machine.evaluate(&[0.2], 200_000.0 + f64::from(n) * EVALUATION_MS);
     }
     assert_eq!(machine.depth(), 1);
-    // Off and on again at once: a level that is new may not change for a minute.
+    // Levels are added: a new level must not change for a minute.
     let mut machine = LevelStateMachine::new(Config::default());
     machine.evaluate(&[], 0.0);
     machine.evaluate(&[], 3000.0);
-    machine.reconfigure(three(), 4000.0);
+    machine.reconfigure(three_levels(), 4000.0);
     let entered = (0..2000)
         .map(|n| 4000.0 + f64::from(n) * EVALUATION_MS)
         .find(|now| machine.evaluate(&[0.95], *now).is_some());
@@ -406,13 +417,13 @@
 
 #[test]
 fn pin_is_reached_step_by_step_and_ends_at_its_time() {
-    let mut machine = LevelStateMachine::new(three());
+    let mut machine = LevelStateMachine::new(three_levels());
     let mut invariants = Invariants::new();
     let mut depths = Vec::new();
     for n in 0..10_000 {
         let now = f64::from(n) * EVALUATION_MS;
         if n == 100 {
-            assert!(!machine.pin(Some("nobody"), 1e9));
+            assert!(!machine.pin(Some("unknown"), 1e9));
             assert!(machine.pin(Some("bare"), 300_000.0));
         }
         let change = machine.evaluate(&[0.1], now).cloned();
@@ -423,7 +434,7 @@
     assert_eq!(order, [1, 2, 3, 2, 1, 0]);
     assert!(depths[3].1 >= 300_000.0);
     // Full service can be pinned as well.
-    let mut machine = LevelStateMachine::new(three());
+    let mut machine = LevelStateMachine::new(three_levels());
     machine.pin(Some("full"), 1e9);
     assert!((0..3000).all(|n| machine
         .evaluate(&[0.95], f64::from(n) * EVALUATION_MS)
@@ -432,9 +443,9 @@
 }
 
 #[test]
-fn configurations_that_cannot_work_are_refused_with_the_reason() {
+fn invalid_configurations_are_rejected_with_the_reason() {
     let errors_of = |change: fn(&mut Config)| {
-        let mut config = three();
+        let mut config = three_levels();
         change(&mut config);
         let errors = config.validate();
         errors
@@ -448,7 +459,7 @@
             .collect::<Vec<_>>()
             .join("; ")
     };
-    for (says, change) in [
+    for (expected, change) in [
         (
             "would flap",
             (|d| d.levels[0].enter.all[0].leave_threshold = 0.39) as fn(&mut Config),
@@ -478,7 +489,7 @@
         ("0.act: nothing", |d| {
             d.levels[0].degradation.concurrency_factor = 1.0
         }),
-        ("held by deferrals alone", |d| {
+        ("held by rejections alone", |d| {
             d.levels[0].enter.all[0].signal = Signal::RejectedQueries(None)
         }),
         ("would flap", |d| {
@@ -486,8 +497,8 @@
         }),
     ] {
         assert!(
-            errors_of(change).contains(says),
-            "{says}: {}",
+            errors_of(change).contains(expected),
+            "{expected}: {}",
             errors_of(change)
         );
     }
