--- a/crates/service-levels/src/state_machine.rs
+++ b/crates/service-levels/src/state_machine.rs
@@ -30,8 +30,8 @@
 pub const MIN_CHANGE_INTERVAL_MS: f64 = 60_500.0;
 /// Time for which a new instance waits for reports of peers before it chooses its initial depth (ms).
 const STARTUP_LISTEN_MS: f64 = 2500.0;
-/// Time of an event that has not happened yet: earlier than any other (ms).
-const LONG_AGO_MS: f64 = -1e12;
+/// Time of an event that has not happened: earlier than any other time (ms).
+const DISTANT_PAST_MS: f64 = -1e12;
 
 /// A reading of a signal.
 #[derive(Debug, Clone, PartialEq)]
@@ -114,7 +114,7 @@
             peers: PeerReports::new(),
             messages: MessageSchedule::new(),
             pin: None,
-            now_ms: LONG_AGO_MS,
+            now_ms: DISTANT_PAST_MS,
             started_ms: None,
             is_settled: false,
             recovering_since_ms: None,
@@ -172,7 +172,7 @@
     /// Applies readings, and changes the level by at most one step. Call it several times per second. If the clock goes
     /// backwards, the time of the previous call is used.
     pub fn evaluate(&mut self, readings: &Readings, now_ms: f64) -> Option<&LevelChange> {
-        let elapsed_ms = if self.now_ms == LONG_AGO_MS {
+        let elapsed_ms = if self.now_ms == DISTANT_PAST_MS {
             0.0
         } else {
             (now_ms - self.now_ms).max(0.0)
--- a/crates/service-levels/src/state_machine/depth.rs
+++ b/crates/service-levels/src/state_machine/depth.rs
@@ -1,6 +1,6 @@
 //! The depth in force, and the history of its changes.
 
-use super::{LevelChange, Reason, LONG_AGO_MS, MIN_CHANGE_INTERVAL_MS};
+use super::{LevelChange, Reason, DISTANT_PAST_MS, MIN_CHANGE_INTERVAL_MS};
 use crate::config::Level;
 
 /// Maximum number of changes in the history.
@@ -25,7 +25,7 @@
         DepthRecord {
             depth: 0,
             since_ms: 0.0,
-            level_changed_ms: vec![LONG_AGO_MS; levels],
+            level_changed_ms: vec![DISTANT_PAST_MS; levels],
             time_at_depth_ms: vec![0.0; levels + 1],
             change_counts: vec![0; levels],
             version: 1,
--- a/crates/service-levels/src/state_machine/peers.rs
+++ b/crates/service-levels/src/state_machine/peers.rs
@@ -1,6 +1,6 @@
 //! Reports of peers, and the schedule of messages to them.
 
-use super::LONG_AGO_MS;
+use super::DISTANT_PAST_MS;
 use crate::codec::PeerReport;
 
 /// Time after which a peer's report expires (ms).
@@ -41,7 +41,7 @@
         PeerReports {
             peers: Vec::new(),
             previous_count: 0,
-            lost_ms: LONG_AGO_MS,
+            lost_ms: DISTANT_PAST_MS,
         }
     }
 
@@ -135,12 +135,12 @@
     /// Creates a schedule whose first message is due immediately.
     pub fn new() -> Self {
         MessageSchedule {
-            sent_ms: LONG_AGO_MS,
+            sent_ms: DISTANT_PAST_MS,
             sequence_number: 0,
         }
     }
 
-    /// Returns the time of the last message (ms); [`LONG_AGO_MS`] if a message is due immediately.
+    /// Returns the time of the last message (ms); [`DISTANT_PAST_MS`] if a message is due immediately.
     pub fn sent_ms(&self) -> f64 {
         self.sent_ms
     }
@@ -164,7 +164,7 @@
 
     /// Makes the next message due immediately.
     pub fn make_due(&mut self) {
-        self.sent_ms = LONG_AGO_MS;
+        self.sent_ms = DISTANT_PAST_MS;
     }
 
     /// Makes the next message due in reply to a new instance, unless the last message is younger than
