--- a/crates/sql-analysis/benches/analyze.rs
+++ b/crates/sql-analysis/benches/analyze.rs
@@ -1,4 +1,4 @@
-//! Time of an analysis with a cached shape and with a new one: `cargo bench -p tansymux-sql-analysis`.
+//! Benchmarks of an analysis with a cached shape and with a new one: `cargo bench -p tansymux-sql-analysis`.
 
 use tansymux_sql_analysis::{Config, StatementAnalyzer};
 
@@ -6,11 +6,11 @@
     divan::main();
 }
 
-fn statement(form: u64) -> String {
+fn statement(variant: u64) -> String {
     format!(
-        "select a.lane_id, a.rate_{form}, a.fuel, b.shipper_name, b.region, coalesce(a.note, 'none') as note from \
+        "select a.lane_id, a.rate_{variant}, a.fuel, b.shipper_name, b.region, coalesce(a.note, 'none') as note from \
          sales_17.lanes a join sales_17.shippers b on a.shipper_id = b.id where a.lane_id = 81 and a.valid_from <= \
-         date '2026-01-01' and a.status in (1, 2, 3) and b.region = 'NE' order by a.rate_{form} desc limit 20"
+         date '2026-01-01' and a.status in (1, 2, 3) and b.region = 'NE' order by a.rate_{variant} desc limit 20"
     )
 }
 
@@ -25,11 +25,11 @@
 #[divan::bench]
 fn miss(bencher: divan::Bencher) {
     let mut analyzer = StatementAnalyzer::new(Config::default(), [7; 16]);
-    let mut form = 0;
+    let mut variant = 0;
     bencher
         .with_inputs(|| {
-            form += 1;
-            statement(form)
+            variant += 1;
+            statement(variant)
         })
         .bench_local_values(|text| analyzer.analyze(divan::black_box(text.as_bytes())).shape_id);
 }
--- a/crates/sql-analysis/src/analyzer/dialect.rs
+++ b/crates/sql-analysis/src/analyzer/dialect.rs
@@ -1,4 +1,5 @@
-//! Parsing of a shape in a dialect. The parser gets the lexer's tokens instead of text, so that both have the same words.
+//! Parses a shape in an SQL dialect. The parser receives the lexer's tokens instead of text, so that both agree on
+//! where each token begins and ends.
 
 use super::reason::Reason;
 use crate::config::Dialect;
@@ -11,7 +12,7 @@
 /// Maximum depth of the parser's recursion.
 const MAX_RECURSION: usize = 48;
 
-/// Parses tokens in a dialect.
+/// Parses tokens as the statements of a dialect. Tokens without a statement are an error.
 pub(super) fn parse(tokens: &[TokenWithSpan], dialect: Dialect) -> Result<Vec<Statement>, Reason> {
     let dialect: &dyn sqlparser::dialect::Dialect = match dialect {
         Dialect::Generic => &GenericDialect {},
@@ -33,7 +34,8 @@
     }
 }
 
-/// The shape's tokens in the parser's form; `None` if a token belongs to no grammar. A token's location is its index.
+/// Converts the shape's tokens for the parser; `None` if the parser has no such token. A token's column is its index
+/// plus 1.
 pub(super) fn parser_tokens(shape: &Shape) -> Option<Vec<TokenWithSpan>> {
     let mut tokens = Vec::with_capacity(shape.tokens.len() + 1);
     for (index, token) in shape.tokens.iter().enumerate() {
@@ -57,7 +59,7 @@
     Some(tokens)
 }
 
-/// The parser's token for punctuation or an operator; `None` if it belongs to no grammar.
+/// The parser's token for punctuation or an operator; `None` if the parser has no such token.
 fn punctuation(text: &str) -> Option<Token> {
     separator(text).or_else(|| operator(text))
 }
--- a/crates/sql-analysis/src/analyzer/findings.rs
+++ b/crates/sql-analysis/src/analyzer/findings.rs
@@ -14,7 +14,8 @@
     pub tables_written: BTreeSet<String>,
     pub features: Features,
     pub statement_count: usize,
-    /// Aliases with columns, of tables and common table expressions. A bracket after an alias is not a call.
+    /// Aliases with a column list, of tables and common table expressions. A parenthesis after such an alias does not
+    /// begin a function call.
     pub column_aliases: BTreeSet<String>,
 }
 
@@ -32,7 +33,7 @@
         }
     }
 
-    /// Raises the effect to a worse one, with its reason. An effect that is not worse changes nothing.
+    /// Raises the effect to a more severe one and records its reason. Does nothing if `effect` is not more severe.
     pub fn raise(&mut self, effect: Effect, reason: Reason) {
         if effect > self.effect {
             self.effect = effect;
@@ -40,16 +41,18 @@
         }
     }
 
-    /// Combines the findings of two dialects: the worse effect, and the features of the first.
+    /// Combines the findings of two dialects: the more severe effect, the tables of both, the common aliases, and the
+    /// features of `self`.
     pub fn combine(mut self, other: Findings) -> Findings {
-        let differs_in_count = other.statement_count != self.statement_count;
-        if other.effect > self.effect || differs_in_count && self.effect == Effect::ReadOnly {
+        let statement_counts_differ = other.statement_count != self.statement_count;
+        if other.effect > self.effect || statement_counts_differ && self.effect == Effect::ReadOnly
+        {
             self.effect = other.effect.max(Effect::Unknown);
             self.reason = other.reason.or(Some(Reason::DialectsDisagree));
         }
         self.tables_read.extend(other.tables_read);
         self.tables_written.extend(other.tables_written);
-        // An alias in one dialect only may be a call in the other.
+        // An alias in one dialect may be a function call in the other.
         self.column_aliases
             .retain(|alias| other.column_aliases.contains(alias));
         self
--- a/crates/sql-analysis/src/analyzer/lexical_check.rs
+++ b/crates/sql-analysis/src/analyzer/lexical_check.rs
@@ -1,16 +1,21 @@
-//! The second part of a proof: a check of the shape's words that is independent of the grammar. The parser skips constructs
-//! that it does not model, and this check ignores structure, so it is unlikely that both miss the same effect.
+//! The second part of the read-only proof: a check of the shape's words that is independent of the grammar. The parser
+//! skips constructs that it does not model, and this check ignores structure, so both are unlikely to miss the same
+//! effect.
 
 use super::findings::Findings;
 use super::reason::Reason;
 use crate::config::Config;
 use crate::functions::effect_of_function;
-use crate::keywords::{precedes_bracket_without_call, starts_read_only_statement};
+use crate::keywords::{precedes_parenthesis_without_call, starts_read_only_statement};
 use crate::lexer::{Shape, Token, TokenKind};
 use crate::Effect;
 
-/// The reason why the words do not allow a proof that the statement is read-only, if there is one.
-pub(super) fn objection(shape: &Shape, findings: &Findings, config: &Config) -> Option<Reason> {
+/// The reason why the shape's words do not prove the statement read-only; `None` if they do.
+pub(super) fn unproven_reason(
+    shape: &Shape,
+    findings: &Findings,
+    config: &Config,
+) -> Option<Reason> {
     if shape.has_effect_keyword {
         return Some(Reason::EffectWord);
     }
@@ -30,14 +35,14 @@
         if is_share_lock(shape, index, token) {
             return Some(Reason::RowsLocked);
         }
-        if let Some(reason) = objection_to_call(shape, index, token, findings, config) {
+        if let Some(reason) = unproven_call_reason(shape, index, token, findings, config) {
             return Some(reason);
         }
     }
     None
 }
 
-/// Whether no item follows a comma: some grammars accept that, but not every engine does.
+/// Whether the token is a comma without a following item. Some dialects accept such a comma, but not every engine does.
 fn is_trailing_comma(shape: &Shape, index: usize, token: &Token) -> bool {
     if token.kind != TokenKind::Punctuation || shape.token_text(token) != "," {
         return false;
@@ -55,8 +60,8 @@
         && matches!(shape.text_at(index.checked_sub(1)), "for" | "key" | "in")
 }
 
-/// The reason why a name followed by a bracket may be a call with effects, if there is one.
-fn objection_to_call(
+/// The reason why the token may be the name in a call with effects; `None` if it is not.
+fn unproven_call_reason(
     shape: &Shape,
     index: usize,
     token: &Token,
@@ -70,20 +75,20 @@
     let is_qualified = shape.text_at(index.checked_sub(1)) == ".";
     if token.kind == TokenKind::Word && !is_qualified {
         let word = shape.token_text(token);
-        if precedes_bracket_without_call(word) {
+        if precedes_parenthesis_without_call(word) {
             return None;
         }
     }
     let name = qualified_name(shape, index);
     match effect_of_function(&name, config) {
         Effect::ReadOnly => None,
-        // An alias with columns may precede a bracket, unless it has the name of a function with effects.
+        // An alias with a column list may precede a parenthesis, unless it has the name of a function with effects.
         Effect::Unknown if findings.column_aliases.contains(&name) => None,
         Effect::Unknown | Effect::NonIdempotent => Some(Reason::UnknownFunction(name)),
     }
 }
 
-/// The name that ends with the token at `index`, with the qualifiers before it.
+/// The qualified name that ends with the token at `index`.
 fn qualified_name(shape: &Shape, index: usize) -> String {
     let mut name = unquoted(shape, index);
     let mut first = index;
--- a/crates/sql-analysis/src/analyzer/mod.rs
+++ b/crates/sql-analysis/src/analyzer/mod.rs
@@ -18,12 +18,12 @@
 use sqlparser::ast::Statement;
 use std::collections::BTreeSet;
 
-/// Maximum number of names of tables read, and of tables written.
+/// Maximum number of table names in an analysis, separately for tables read and tables written.
 const MAX_TABLES: usize = 64;
-/// Maximum length of a reason's text, in bytes.
+/// Maximum length of a reason's text (bytes).
 const MAX_REASON_BYTES: usize = 160;
 
-/// Analyzes a shape.
+/// Analyzes a shape: its effect, class, tables, features and base cost.
 pub(crate) fn analyze(shape: &Shape, config: &Config) -> Analysis {
     let parsed = parse_and_search(shape, config);
     let ProvenEffect { effect, reason } = proven_effect(shape, &parsed, config);
@@ -45,18 +45,22 @@
         tables_read: tables_read.into_iter().take(MAX_TABLES).collect(),
         tables_written: tables_written.into_iter().take(MAX_TABLES).collect(),
         features,
-        reason: reason.map(|reason| short_text(&reason)),
+        reason: reason.map(|reason| truncated_text(&reason)),
         cost_ms: base_cost.cost_ms,
         memory_mb: base_cost.memory_mb,
     }
 }
 
-/// The combined findings of the dialects that accept the shape, or the error of the first dialect if none does.
+/// The combined findings of the dialects that accept the shape, or the error of the first dialect if none does. The
+/// error is `None` if `shape.unproven` prevents parsing.
 fn parse_and_search(shape: &Shape, config: &Config) -> Result<Findings, Option<Reason>> {
     if shape.text.is_empty() {
         return Err(Some(Reason::Empty));
     }
-    if shape.unproven.is_some_and(|reason| reason.bars_parsing()) {
+    if shape
+        .unproven
+        .is_some_and(|reason| reason.prevents_parsing())
+    {
         return Err(None);
     }
     let tokens = dialect::parser_tokens(shape).ok_or(Some(Reason::UnknownToken))?;
@@ -86,7 +90,7 @@
     findings.ok_or(first_error)
 }
 
-/// The configured dialects, the permissive one last: it is tried only if no engine's own dialect accepts the shape.
+/// The configured dialects, with [`Dialect::Generic`] last, since it is tried only if no other one accepts the shape.
 fn dialects_in_order(config: &Config) -> impl Iterator<Item = Dialect> + '_ {
     let dialects = config.dialects.iter().copied();
     let specific = dialects
@@ -96,10 +100,10 @@
     specific.chain(generic)
 }
 
-/// The effect of a statement.
+/// The effect of a statement, as far as it is proven.
 struct ProvenEffect {
     effect: Effect,
-    /// The reason why the statement could not be parsed or proven read-only; none if its effect is known.
+    /// The reason why the statement could not be parsed or proven read-only, if there is one.
     reason: Option<Reason>,
 }
 
@@ -129,7 +133,7 @@
         },
         Effect::ReadOnly => {
             let reason =
-                lexical_reason.or_else(|| lexical_check::objection(shape, findings, config));
+                lexical_reason.or_else(|| lexical_check::unproven_reason(shape, findings, config));
             let effect = match reason {
                 Some(_) => Effect::Unknown,
                 None => Effect::ReadOnly,
@@ -151,8 +155,8 @@
     }
 }
 
-/// A reason's text, cut to `MAX_REASON_BYTES` at a character.
-fn short_text(reason: &Reason) -> String {
+/// A reason's text, truncated at a character boundary to at most `MAX_REASON_BYTES`.
+fn truncated_text(reason: &Reason) -> String {
     let mut text = reason.to_string();
     let mut end = MAX_REASON_BYTES.min(text.len());
     while !text.is_char_boundary(end) {
--- a/crates/sql-analysis/src/analyzer/point_lookup.rs
+++ b/crates/sql-analysis/src/analyzer/point_lookup.rs
@@ -13,7 +13,7 @@
     };
     let mut is_point_lookup = false;
     let mut remaining = select.selection.as_ref();
-    // Conditions are chained to the left: a AND b AND c is (a AND b) AND c.
+    // AND is left-associative: a AND b AND c is (a AND b) AND c.
     while let Some(condition) = remaining {
         match condition {
             Expr::BinaryOp {
--- a/crates/sql-analysis/src/analyzer/reason.rs
+++ b/crates/sql-analysis/src/analyzer/reason.rs
@@ -2,7 +2,7 @@
 
 use crate::lexer::Unproven;
 
-/// A reason. Its text may contain parts of the statement's shape, but none of its literals.
+/// The reason for an unproven effect. Its text may contain parts of the statement's shape, but none of its literals.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub(super) enum Reason {
     /// The text is ambiguous or too large.
@@ -11,23 +11,23 @@
     /// The text has no tokens or no statement.
     #[error("the statement is empty")]
     Empty,
-    /// A token belongs to no grammar.
-    #[error("a character belongs to no grammar")]
+    /// The parser has no such token.
+    #[error("a character is not valid in any dialect")]
     UnknownToken,
-    /// The parser's message, without its location, which would be one in the shape.
+    /// The parser's message, without its location, which refers to the shape and not to the statement.
     #[error("{0}")]
     Syntax(String),
     /// Dialects split the text into different statements.
-    #[error("the dialects read different statements")]
+    #[error("the dialects disagree on the statements of the text")]
     DialectsDisagree,
-    /// A word that occurs in no read-only statement.
-    #[error("a word occurs only in statements that change data")]
+    /// A keyword that occurs in no read-only statement.
+    #[error("a keyword occurs only in statements that change data")]
     EffectWord,
-    /// The first word is not one of a read-only statement.
+    /// No read-only statement begins with this word.
     #[error("a read-only statement does not begin with {0}")]
     FirstWord(String),
-    /// A comma before a clause or bracket.
-    #[error("a comma is followed by nothing")]
+    /// A comma before a clause or a closing parenthesis.
+    #[error("no item follows a comma")]
     TrailingComma,
     /// FOR UPDATE, FOR SHARE and the like.
     #[error("rows are locked")]
@@ -35,11 +35,11 @@
     /// A function with effects.
     #[error("function {0} has effects")]
     EffectFunction(String),
-    /// A function in no list.
+    /// A function that is in none of the lists.
     #[error("function {0} is not known to have no effects")]
     UnknownFunction(String),
-    /// A call with parameters of its own, or in ODBC syntax.
-    #[error("function {0} is called in an unknown way")]
+    /// A call with a second list of parameters, as ClickHouse has, or in ODBC syntax.
+    #[error("function {0} is called with a syntax that is not analyzed")]
     UnknownCall(String),
     /// A statement with effects.
     #[error("{0} changes data")]
@@ -50,10 +50,10 @@
     /// COPY to a file or program.
     #[error("COPY writes to a file or program")]
     CopyOut,
-    /// EXPLAIN of a statement that is no query.
+    /// EXPLAIN of a statement that is not a query.
     #[error("the explained statement is not a query")]
     ExplainsNoQuery,
-    /// Another kind of statement.
+    /// A statement of a kind that is not known to be read-only.
     #[error("{0} is not known to be read-only")]
     UnknownStatement(String),
     /// A clause that the analysis does not model.
@@ -65,10 +65,10 @@
     /// Table hints.
     #[error("table hints are not analyzed")]
     TableHints,
-    /// FROM something that is no table, subquery or known function.
+    /// FROM an item that is not a table, subquery or known function.
     #[error("the statement reads from something that is not a table")]
     NotATable,
-    /// An operator of one engine, or an assignment.
+    /// An operator specific to one engine, or an assignment.
     #[error("an operator is unknown")]
     UnknownOperator,
 }
--- a/crates/sql-analysis/src/analyzer/statement_effect.rs
+++ b/crates/sql-analysis/src/analyzer/statement_effect.rs
@@ -44,7 +44,8 @@
             .raise(Effect::NonIdempotent, Reason::ChangesData(statement));
     }
 
-    /// Checks an EXPLAIN. The explained statement runs only with ANALYZE, and is visited like any other statement.
+    /// Checks an EXPLAIN. The explained statement is executed only with ANALYZE; it is visited like any other
+    /// statement.
     fn check_explain(&mut self, explain: &Statement) {
         let Statement::Explain {
             analyze,
@@ -61,7 +62,7 @@
                 .flatten()
                 .any(|option| option.name.value.eq_ignore_ascii_case("analyze"));
         if !is_analyzed && !matches!(**statement, Statement::Query(_)) {
-            // Such an EXPLAIN has no effects, but its words are those of a statement with effects.
+            // Such an EXPLAIN has no effects, but contains the words of a statement with effects.
             self.findings
                 .raise(Effect::Unknown, Reason::ExplainsNoQuery);
         }
--- a/crates/sql-analysis/src/analyzer/visitor.rs
+++ b/crates/sql-analysis/src/analyzer/visitor.rs
@@ -14,7 +14,7 @@
 use std::collections::BTreeSet;
 use std::ops::ControlFlow;
 
-/// Findings of all statements of a text under one dialect.
+/// Findings in all statements of a text, parsed in one dialect.
 pub(super) fn search(statements: &[Statement], config: &Config) -> Findings {
     let mut search = SyntaxSearch {
         config,
@@ -31,7 +31,7 @@
     search.finish()
 }
 
-/// The name in the form of shapes, whose unquoted parts are already in lower case.
+/// The dotted name as in the shape, where unquoted parts are already in lower case.
 pub(super) fn name_of(name: &ObjectName) -> String {
     let mut parts = Vec::with_capacity(name.0.len());
     for part in &name.0 {
@@ -69,7 +69,7 @@
         self.findings.raise(Effect::Unknown, reason);
     }
 
-    /// Records the effect of a call of a function.
+    /// Records the effect of a function call.
     fn check_call(&mut self, name: String) {
         match effect_of_function(&name, self.config) {
             Effect::ReadOnly => {}
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Records an alias with columns: a bracket after such an alias is not a call.
+    /// Records an alias with a column list: a parenthesis after such an alias does not begin a function call.
     fn add_alias(&mut self, alias: Option<&TableAlias>) {
         if let Some(alias) = alias.filter(|alias| !alias.columns.is_empty()) {
             self.findings
--- a/crates/sql-analysis/src/config.rs
+++ b/crates/sql-analysis/src/config.rs
@@ -7,7 +7,7 @@
 /// accept it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Dialect {
-    /// A permissive mixture, tried only if no other configured dialect accepts a statement.
+    /// A permissive mixture of dialects, tried only if no other configured dialect accepts a statement.
     Generic,
     /// Standard SQL.
     Ansi,
@@ -17,7 +17,7 @@
     MySql,
 }
 
-/// Work and memory of a statement by its class and features alone.
+/// Estimated work and memory of a statement, by its class and features alone.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BaseCost {
     /// Work (ms on one core).
@@ -26,26 +26,26 @@
     pub memory_mb: f64,
 }
 
-/// Work and memory by class, in the order of [`Class::ALL`], and the factors of features.
+/// Work and memory of each class, in the order of [`Class::ALL`], and the factors by which features raise the work.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BaseCosts {
     /// Work (ms on one core) of each class.
     pub cost_ms: [f64; 4],
     /// Memory (MB) of each class.
     pub memory_mb: [f64; 4],
-    /// Factor of each join.
+    /// Factor for each join.
     pub join_factor: f64,
-    /// Factor of each window function.
+    /// Factor for each window function.
     pub window_factor: f64,
-    /// Factor of ORDER BY.
+    /// Factor for ORDER BY.
     pub order_factor: f64,
-    /// Factor of a statement that reads tables without a filter or limit.
+    /// Factor for reading tables without a filter or limit.
     pub unfiltered_factor: f64,
 }
 
 /// Maximum number of joins that raise the base cost, which bounds the error of the estimate.
 const MAX_COUNTED_JOINS: u32 = 6;
-/// Maximum number of window functions that raise the base cost.
+/// Maximum number of window functions that raise the base cost, for the same reason.
 const MAX_COUNTED_WINDOWS: u32 = 3;
 
 impl Default for BaseCosts {
@@ -85,11 +85,11 @@
 /// Configuration of the cost model.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CostModelConfig {
-    /// Samples with which the confidence of a shape without scatter is one half.
+    /// Number of samples at which the confidence in the cost of a shape without scatter is one half.
     pub half_confidence_samples: f64,
-    /// Time (ms) until a sample has half its weight.
+    /// Half-life of a sample's weight (ms).
     pub half_life_ms: f64,
-    /// Outliers in a row on one side after which the estimate moves to their mean.
+    /// Number of consecutive outliers on one side after which the estimate moves to their mean.
     pub shift_after: u32,
     /// Maximum factor by which one sample changes an estimate.
     pub max_step_factor: f64,
@@ -106,8 +106,8 @@
     }
 }
 
-/// Configuration of a [`StatementAnalyzer`](crate::StatementAnalyzer). Ranges are checked where it is read from the
-/// operators' file.
+/// Configuration of a [`StatementAnalyzer`](crate::StatementAnalyzer). Ranges are checked when the operators'
+/// file is parsed.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Config {
     /// The dialects of the engines.
@@ -115,15 +115,15 @@
     /// Rules for the class of a read-only statement: the first rule that matches applies. Without a match the class is
     /// [`Class::LookUp`].
     pub rules: Vec<Rule>,
-    /// Functions without effects, in lower case, with their schema where they are called with one.
+    /// Functions without effects, in lower case, qualified with their schema if calls qualify them.
     pub pure_functions: Vec<String>,
     /// Functions with effects, in the same form.
     pub effect_functions: Vec<String>,
     /// Costs of shapes without learned costs.
     pub base_costs: BaseCosts,
-    /// Maximum number of shapes in the cache.
+    /// Maximum number of shapes in the shape cache.
     pub max_shapes: usize,
-    /// Maximum size of the cache (bytes).
+    /// Maximum size of the shape cache (bytes).
     pub max_shape_bytes: usize,
     /// Maximum number of shapes with learned costs.
     pub max_learned_costs: usize,
--- a/crates/sql-analysis/src/cost_model/class_level.rs
+++ b/crates/sql-analysis/src/cost_model/class_level.rs
@@ -1,14 +1,14 @@
 //! The cost of a class relative to its base cost, learned from all shapes of the class.
 
-/// Highest confidence of an estimate by class alone.
+/// Maximum confidence in an estimate by class alone.
 const MAX_CLASS_CONFIDENCE: f64 = 0.15;
-/// Number of samples at which a class has half of that confidence.
+/// Number of samples at which a class has half of `MAX_CLASS_CONFIDENCE`.
 const HALF_CLASS_CONFIDENCE_SAMPLES: f64 = 50.0;
-/// Smallest fraction by which a class's level follows a sample.
+/// Minimum smoothing factor of a class's level.
 const MIN_CLASS_STEP: f64 = 0.02;
-/// Limit on a class's level (log ratio).
+/// Maximum absolute value of a class's level (log ratio).
 const MAX_CLASS_LEVEL: f64 = 5.0;
-/// Number of samples of a class above which further ones are not counted.
+/// Maximum of a class's sample count.
 const MAX_CLASS_SAMPLES: f64 = 1e6;
 
 /// The mean log ratio of a class's samples to their base costs.
--- a/crates/sql-analysis/src/cost_model/engine_slowdown.rs
+++ b/crates/sql-analysis/src/cost_model/engine_slowdown.rs
@@ -1,15 +1,15 @@
 //! The slowdown of each engine over all shapes. It distinguishes a slow engine from a shape that became more expensive,
-//! and is updated only by shapes whose cost is known well.
+//! and is updated only by shapes whose cost is known with high confidence.
 
-/// Fraction by which a slowdown follows a sample.
+/// Smoothing factor of a slowdown.
 const STEP: f64 = 0.15;
-/// Limit on the distance of a sample from the slowdown (log ratio).
+/// Maximum distance of a sample from the slowdown (log ratio). Larger distances are clamped.
 const MAX_SAMPLE_DISTANCE: f64 = 0.7;
-/// Limit on a slowdown (log ratio).
+/// Maximum absolute value of a slowdown (log ratio).
 const MAX_SLOWDOWN: f64 = 3.0;
 /// Time (ms) in which a slowdown without samples decays to 1/e.
 const DECAY_MS: f64 = 15_000.0;
-/// Maximum number of engines. Above it, the engine whose last sample is the oldest is removed.
+/// Maximum number of engines. Above it, the engine with the oldest last sample is removed.
 pub(super) const MAX_ENGINES: usize = 1024;
 
 /// The log ratio of an engine's run times to the shapes' costs.
@@ -26,12 +26,12 @@
     }
 }
 
-/// Slowdowns of all engines.
+/// The slowdowns of all engines that have samples.
 #[derive(Debug, Default)]
 pub(super) struct EngineSlowdowns {
-    /// Sorted by engine.
+    /// Sorted by engine id.
     slowdowns: Vec<Slowdown>,
-    /// A reused buffer to find the median.
+    /// Reused buffer for the calculation of the median.
     recent_levels: Vec<f64>,
 }
 
@@ -47,8 +47,8 @@
             .binary_search_by_key(&engine_id, |slowdown| slowdown.engine_id)
     }
 
-    /// The slowdown (log) of an engine, relative to the lower median of those with recent samples: if all became slower
-    /// together, or if there is only one, no engine is to blame. 0 if the engine is unknown.
+    /// The slowdown (log ratio) of an engine, relative to the lower median of the engines with recent samples: if all
+    /// engines became slower together, or if there is only one, no engine counts as slow. 0 if the engine is unknown.
     pub fn relative_slowdown(&mut self, engine_id: u64, now_ms: f64) -> f64 {
         let Ok(index) = self.find(engine_id) else {
             return 0.0;
--- a/crates/sql-analysis/src/cost_model/mod.rs
+++ b/crates/sql-analysis/src/cost_model/mod.rs
@@ -1,10 +1,10 @@
-//! The cost model: estimates the cost of shapes from the run times of their queries.
+//! The cost model: estimates the cost of shapes from the latencies of their attempts.
 //!
-//! A sample is latency times threads, corrected by the engine's slowdown (`engine_slowdown`) and compared with the shape's
-//! earlier samples (`shape_cost`). A single outlier changes an estimate little; after a lasting change of cost the estimate
-//! follows within a few queries. The latency of a query that waited, or ran on an engine that was warming up, is an upper
-//! bound on its cost: it lowers an estimate but hardly raises it. The latency of an interrupted query is a lower bound: it
-//! can only raise an estimate.
+//! A sample is latency times threads, corrected by the engine's slowdown (`engine_slowdown`) and compared with the
+//! shape's earlier samples (`shape_cost`). A single outlier changes an estimate little; after a lasting change of cost
+//! the estimate follows within a few queries. The latency of a query that waited, or ran on an engine that was warming
+//! up, is an upper bound on its cost: it lowers an estimate but hardly raises it. The latency of an interrupted query
+//! is a lower bound: it can only raise an estimate.
 
 mod class_level;
 mod engine_slowdown;
@@ -24,14 +24,14 @@
 const UPPER_BOUND_WEIGHT: f64 = 0.05;
 /// Weight of a sample that is a lower bound on the cost, if it is higher than expected.
 const LOWER_BOUND_WEIGHT: f64 = 0.5;
-/// Confidence in a shape's cost above which its samples update the slowdowns of engines.
+/// Minimum confidence in a shape's cost for its samples to update the slowdowns of engines.
 const MIN_SLOWDOWN_CONFIDENCE: f64 = 0.4;
-/// Weight of the estimate by base cost and class, relative to the weight of one sample of the shape.
+/// Weight of the prior estimate (by base cost and class), relative to the weight of one sample of the shape.
 const PRIOR_WEIGHT: f64 = 0.02;
 /// Costs below this (ms) are not distinguished.
 const MIN_COST_MS: f64 = 0.05;
 
-/// The end of an attempt, as far as it matters for the cost.
+/// How an attempt ended, as far as the cost model distinguishes it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExecutionEnd {
     /// The attempt completed.
@@ -40,10 +40,10 @@
     Interrupted,
 }
 
-/// An attempt that ran.
+/// An attempt that an engine executed.
 #[derive(Debug, Clone, Copy)]
 pub struct Execution {
-    /// Time of the end (ms).
+    /// Time of completion or interruption (ms).
     pub ended_at_ms: f64,
     /// The engine that ran the attempt.
     pub engine_id: u64,
@@ -51,7 +51,7 @@
     pub latency_ms: f64,
     /// Number of threads.
     pub threads: f64,
-    /// The kind of the end.
+    /// How the attempt ended.
     pub end: ExecutionEnd,
     /// Whether an unknown part of the latency was spent waiting for memory, for a load, or in a queue.
     pub waited: bool,
@@ -160,8 +160,8 @@
         }
     }
 
-    /// Adds a sample. `prior`: the estimate without samples at the start of the attempt. Values that are not finite are
-    /// ignored.
+    /// Adds a sample. `prior` is the estimate without samples at the start of the attempt. A sample with a negative or
+    /// non-finite value is ignored.
     pub fn record(&mut self, shape_id: u128, prior: PriorCost, execution: &Execution) {
         let now_ms = execution.ended_at_ms;
         let work_ms = execution.latency_ms * execution.threads;
@@ -172,8 +172,9 @@
         if !is_valid {
             return;
         }
-        let measured = work_ms.max(MIN_COST_MS).ln();
-        let log_cost = measured - self.engines.relative_slowdown(execution.engine_id, now_ms);
+        let measured_log_cost = work_ms.max(MIN_COST_MS).ln();
+        let log_cost =
+            measured_log_cost - self.engines.relative_slowdown(execution.engine_id, now_ms);
         let known = self.shapes.get(&shape_id).copied();
         let class_level = self.classes[prior.class as usize].level();
         let expected = known.map_or(prior.log_cost() + class_level, |shape| shape.level());
@@ -184,7 +185,7 @@
         if let Some(shape) =
             known.filter(|shape| is_exact && self.may_update_slowdown(shape, now_ms))
         {
-            let slowdown = measured - shape.level();
+            let slowdown = measured_log_cost - shape.level();
             self.engines.add(execution.engine_id, slowdown, now_ms);
         }
         let sample = Sample {
@@ -202,14 +203,14 @@
         }
     }
 
-    /// Whether a sample of this shape may update the slowdown of its engine: the shape's cost is known well, and is not
-    /// shifting at present.
+    /// Whether a sample of this shape may update the slowdown of its engine: the confidence in the shape's cost is
+    /// high, and its latest samples were not outliers.
     fn may_update_slowdown(&self, shape: &ShapeCost, now_ms: f64) -> bool {
         shape.confidence(now_ms, &self.config) > MIN_SLOWDOWN_CONFIDENCE && !shape.has_outliers()
     }
 }
 
-/// The weight of a sample, from 0 to 1; `None` for a sample without information.
+/// The weight of a sample, from 0 to 1; `None` for a lower bound that is not above the expected cost.
 fn sample_weight(execution: &Execution, is_higher_than_expected: bool) -> Option<f64> {
     let is_upper_bound = execution.waited || execution.warming_up;
     match execution.end {
--- a/crates/sql-analysis/src/cost_model/shape_cost.rs
+++ b/crates/sql-analysis/src/cost_model/shape_cost.rs
@@ -1,16 +1,18 @@
-//! The cost of one shape: a level (the log of the cost) that follows the shape's samples, and is robust against outliers.
+//! The cost of one shape: a level (the log of the cost) that follows the shape's samples, and is robust against
+//! outliers.
 //!
-//! An outlier moves the level by a small step only. `shift_after` outliers in a row on one side move it to their mean.
+//! A single outlier moves the level by a small step only. `shift_after` consecutive outliers on one side move the level
+//! to their mean.
 
 use crate::config::CostModelConfig;
 
-/// Maximum weight of all samples together, so that steps never become too small to follow a change.
+/// Maximum total weight of the samples, so that steps never become too small to follow a change.
 const MAX_WEIGHT: f64 = 30.0;
-/// Weight of all samples below which they are too old for a comparison.
+/// Minimum total weight of the samples. Below it they are too old for a comparison.
 const MIN_WEIGHT: f64 = 0.05;
 /// Distance of an outlier from the level, as a multiple of the scatter.
 const OUTLIER_SCATTERS: f64 = 3.0;
-/// Smallest distance of an outlier from the level (log ratio).
+/// Minimum distance of an outlier from the level (log ratio).
 const MIN_OUTLIER_DISTANCE: f64 = 0.7;
 /// Maximum fraction of its distance by which an outlier moves the level.
 const MAX_OUTLIER_STEP: f64 = 0.25;
@@ -24,7 +26,7 @@
     pub log_cost: f64,
     /// Weight, from 0 to 1.
     pub weight: f64,
-    /// Whether the sample is the cost itself, and not only a bound on it.
+    /// Whether the sample is the cost, and not only a bound on it.
     pub is_exact: bool,
     /// Time of the sample (ms).
     pub at_ms: f64,
@@ -36,24 +38,26 @@
     level: f64,
     /// Mean distance of samples from the level (log ratio).
     scatter: f64,
+    /// Total weight of the samples at `updated_at_ms`.
     weight: f64,
     updated_at_ms: f64,
     outliers: OutlierRun,
 }
 
-/// Outliers in a row on one side of the level.
+/// Consecutive outliers on one side of the level.
 #[derive(Debug, Clone, Copy, Default)]
 struct OutlierRun {
     /// Number of outliers, negative below the level.
     count: i32,
+    /// Sum of the outliers' log costs.
     sum: f64,
 }
 
 impl OutlierRun {
     fn add(&mut self, log_cost: f64, is_above: bool) {
         let side = if is_above { 1 } else { -1 };
-        let continues = self.count.signum() == side;
-        if continues {
+        let is_same_side = self.count.signum() == side;
+        if is_same_side {
             self.count += side;
             self.sum += log_cost;
         } else {
@@ -74,7 +78,7 @@
         self.outliers.count != 0
     }
 
-    /// The weight of all samples at `now_ms`.
+    /// The total weight of the samples at `now_ms`.
     pub fn weight_at(&self, now_ms: f64, config: &CostModelConfig) -> f64 {
         let age_ms = (now_ms - self.updated_at_ms).max(0.0);
         self.weight * (-age_ms / config.half_life_ms * std::f64::consts::LN_2).exp()
@@ -109,7 +113,7 @@
                 self.shift_to_outliers();
                 return;
             }
-            // The outlier may be the first of a run or a single one, so the step is small and the scatter unchanged.
+            // The outlier may be a single one or the first of a run, so the step is small and the scatter unchanged.
             self.level += step.min(MAX_OUTLIER_STEP) * distance.clamp(-max_step, max_step);
             return;
         }
--- a/crates/sql-analysis/src/cost_model/tests.rs
+++ b/crates/sql-analysis/src/cost_model/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of learned costs.
+//! Tests of the cost model.
 
 use super::engine_slowdown::MAX_ENGINES;
 use super::*;
@@ -26,17 +26,20 @@
     model.estimate(shape, PRIOR, 8.0, now).cost_ms
 }
 
-fn after(model: &mut CostModel, shape: u128, samples: usize, execution: Execution) -> f64 {
+fn estimate_after(model: &mut CostModel, shape: u128, samples: usize, execution: Execution) -> f64 {
     (0..samples).for_each(|_| model.record(shape, PRIOR, &execution));
     cost(model, shape, execution.ended_at_ms)
 }
 
 #[test]
-fn one_outlier_moves_an_estimate_little_and_a_changed_cost_is_followed() {
+fn single_outlier_moves_estimate_little_and_lasting_change_is_followed() {
     let mut model = cost_model();
-    let usual = after(&mut model, 1, 20, EXECUTION);
-    assert!((usual / 10.0 - 1.0).abs() < 0.05, "{usual}");
-    let once = after(
+    let before_outlier = estimate_after(&mut model, 1, 20, EXECUTION);
+    assert!(
+        (before_outlier / 10.0 - 1.0).abs() < 0.05,
+        "{before_outlier}"
+    );
+    let after_outlier = estimate_after(
         &mut model,
         1,
         1,
@@ -45,9 +48,9 @@
             ..EXECUTION
         },
     );
-    assert!(once < 11.0, "{once}");
-    after(&mut model, 1, 1, EXECUTION);
-    let changed = after(
+    assert!(after_outlier < 11.0, "{after_outlier}");
+    estimate_after(&mut model, 1, 1, EXECUTION);
+    let shifted = estimate_after(
         &mut model,
         1,
         3,
@@ -57,7 +60,7 @@
             ..EXECUTION
         },
     );
-    assert!((changed / 1000.0 - 1.0).abs() < 0.2, "{changed}");
+    assert!((shifted / 1000.0 - 1.0).abs() < 0.2, "{shifted}");
 }
 
 #[test]
@@ -65,16 +68,19 @@
     let mut model = cost_model();
     let confidence = |model: &mut CostModel, now| model.estimate(1, PRIOR, 8.0, now).confidence;
     assert!(confidence(&mut model, 0.0) < 0.01);
-    after(&mut model, 1, 1, EXECUTION);
-    let one = confidence(&mut model, 0.0);
-    after(&mut model, 1, 20, EXECUTION);
-    let many = confidence(&mut model, 0.0);
-    assert!(0.1 < one && one < 0.3 && many > 0.7, "{one} {many}");
+    estimate_after(&mut model, 1, 1, EXECUTION);
+    let one_sample = confidence(&mut model, 0.0);
+    estimate_after(&mut model, 1, 20, EXECUTION);
+    let many_samples = confidence(&mut model, 0.0);
+    assert!(
+        0.1 < one_sample && one_sample < 0.3 && many_samples > 0.7,
+        "{one_sample} {many_samples}"
+    );
     assert!(confidence(&mut model, 40.0 * 3_600_000.0) < 0.1);
-    let mut wild = cost_model();
+    let mut scattered = cost_model();
     for n in 0..40 {
-        after(
-            &mut wild,
+        estimate_after(
+            &mut scattered,
             1,
             1,
             Execution {
@@ -83,13 +89,13 @@
             },
         );
     }
-    assert!(confidence(&mut wild, 0.0) < many - 0.1);
+    assert!(confidence(&mut scattered, 0.0) < many_samples - 0.1);
 }
 
 #[test]
 #[expect(clippy::too_many_lines, reason = "one scenario from start to end")]
-fn waits_and_warming_engines_hardly_raise_an_estimate_and_interrupted_attempts_never_lower_it() {
-    for upper in [
+fn upper_bounds_hardly_raise_an_estimate_and_lower_bounds_never_lower_it() {
+    for upper_bound in [
         Execution {
             waited: true,
             ..EXECUTION
@@ -100,53 +106,53 @@
         },
     ] {
         let mut model = cost_model();
-        after(&mut model, 1, 10, EXECUTION);
-        let raised = after(
+        estimate_after(&mut model, 1, 10, EXECUTION);
+        let raised = estimate_after(
             &mut model,
             1,
             1,
             Execution {
                 latency_ms: 19.0,
-                ..upper
+                ..upper_bound
             },
         );
         assert!(raised < 10.2, "{raised}");
-        let lowered = after(
+        let lowered = estimate_after(
             &mut model,
             1,
             10,
             Execution {
                 latency_ms: 6.0,
-                ..upper
+                ..upper_bound
             },
         );
         assert!(lowered < 9.0, "{lowered}");
     }
     let mut model = cost_model();
-    after(&mut model, 1, 10, EXECUTION);
-    let cut = Execution {
+    estimate_after(&mut model, 1, 10, EXECUTION);
+    let interrupted = Execution {
         end: ExecutionEnd::Interrupted,
         ..EXECUTION
     };
     assert!(
-        after(
+        estimate_after(
             &mut model,
             1,
             10,
             Execution {
                 latency_ms: 1.0,
-                ..cut
+                ..interrupted
             }
         ) > 9.9
     );
     assert!(
-        after(
+        estimate_after(
             &mut model,
             1,
             10,
             Execution {
                 latency_ms: 500.0,
-                ..cut
+                ..interrupted
             }
         ) > 200.0
     );
@@ -157,7 +163,7 @@
     let mut model = cost_model();
     for n in 0..400 {
         let (shape, engine) = (u128::from(n % 8_u32), u64::from(n % 4));
-        after(
+        estimate_after(
             &mut model,
             shape,
             1,
@@ -169,11 +175,11 @@
             },
         );
     }
-    let mut slow = 0.0_f64;
+    let mut max_estimate = 0.0_f64;
     for n in 400..1200_u32 {
         let (shape, engine) = (u128::from(n / 4 % 8), u64::from(n % 4));
         let latency = if engine == 3 { 18.0 } else { 10.0 };
-        after(
+        estimate_after(
             &mut model,
             shape,
             1,
@@ -184,13 +190,13 @@
                 ..EXECUTION
             },
         );
-        slow = slow.max(cost(&mut model, shape, f64::from(n)));
+        max_estimate = max_estimate.max(cost(&mut model, shape, f64::from(n)));
     }
-    // Without slowdowns of engines it would be the mean of the logs: 11.6.
+    // Without slowdowns of engines the estimate would be the geometric mean of the latencies, 11.6 ms.
     let learned = cost(&mut model, 0, 1200.0);
     assert!(
-        (learned - 10.0).abs() < 0.4 && slow < 11.6,
-        "{learned} {slow}"
+        (learned - 10.0).abs() < 0.4 && max_estimate < 11.6,
+        "{learned} {max_estimate}"
     );
 }
 
@@ -198,7 +204,7 @@
 fn invalid_samples_are_ignored_and_memory_is_bounded() {
     let mut model = cost_model();
     for latency in [f64::NAN, f64::INFINITY, -1.0] {
-        after(
+        estimate_after(
             &mut model,
             1,
             1,
@@ -210,7 +216,7 @@
     }
     assert_eq!(model.len(), 0);
     for n in 0..20_000_u64 {
-        after(
+        estimate_after(
             &mut model,
             u128::from(n),
             1,
--- a/crates/sql-analysis/src/features.rs
+++ b/crates/sql-analysis/src/features.rs
@@ -1,15 +1,15 @@
-//! Features of a statement by the grammar.
+//! Syntactic features of a statement.
 
-/// Features of a statement with its subqueries.
+/// Syntactic features of a statement, including those of its subqueries.
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct Features {
-    /// Joined tables beyond the first of each FROM.
+    /// Number of joined tables beyond the first of each FROM.
     pub joins: u32,
-    /// Tables read or written.
+    /// Number of tables read or written.
     pub tables: u32,
-    /// Queries within the outermost query.
+    /// Number of queries within the outermost query.
     pub subqueries: u32,
-    /// Window functions.
+    /// Number of window function calls.
     pub windows: u32,
     /// Whether the statement has GROUP BY.
     pub grouped: bool,
@@ -25,7 +25,7 @@
     pub limited: bool,
     /// Whether the statement has WITH RECURSIVE.
     pub recursive: bool,
-    /// Whether a column must equal a literal, or one of a list of literals, for every row.
+    /// Whether WHERE requires a column to equal a literal, or one of a list of literals, for every row.
     pub point_lookup: bool,
     /// Whether the statement has WHERE.
     pub filtered: bool,
--- a/crates/sql-analysis/src/functions.rs
+++ b/crates/sql-analysis/src/functions.rs
@@ -1,4 +1,4 @@
-//! Functions that are known to have effects, and functions that are known to have none.
+//! Built-in lists of functions with effects and of functions without effects.
 
 use crate::config::Config;
 use crate::Effect;
@@ -6,7 +6,7 @@
 #[cfg(test)]
 mod tests;
 
-/// Functions without effects, by the names that the common engines share. Sorted for binary search.
+/// Functions without effects, under the names that common engines share. Sorted for binary search.
 pub(crate) const PURE_FUNCTIONS: &[&str] = &[
     "abs",
     "acos",
@@ -262,9 +262,9 @@
     )
 }
 
-/// The effect of a function by the name in the call. The effect of an unknown function is unknown.
+/// The effect of a function by the name in the call; [`Effect::Unknown`] if no list has the function.
 pub(crate) fn effect_of_function(name: &str, config: &Config) -> Effect {
-    // A function with effects keeps them if the call names its schema.
+    // A call qualified with a schema has the effects of the unqualified function.
     let unqualified = name.rsplit('.').next().unwrap_or(name);
     let is_listed = |list: &[String], name: &str| list.iter().any(|listed| listed == name);
     if is_listed(&config.effect_functions, name) || is_listed(&config.effect_functions, unqualified)
--- a/crates/sql-analysis/src/functions/tests.rs
+++ b/crates/sql-analysis/src/functions/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the lists of functions.
+//! Tests of the built-in lists of functions.
 
 use super::*;
 
--- a/crates/sql-analysis/src/keywords.rs
+++ b/crates/sql-analysis/src/keywords.rs
@@ -1,4 +1,4 @@
-//! The keywords that the analysis knows by their words alone, without the grammar.
+//! Keywords that the analysis recognizes independently of the grammar.
 
 #[cfg(test)]
 mod tests;
@@ -6,10 +6,10 @@
 /// The class of a word, for checks that are independent of the grammar.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum KeywordClass {
-    /// A keyword that, unquoted and not after a dot, occurs in no read-only statement. A construct that the parser takes
-    /// for harmless, or a name that it skips, is still detected by this word.
+    /// A keyword that, unquoted and not after a dot, occurs in no read-only statement. It reveals a change of data even
+    /// in a construct that the parser accepts as harmless or skips.
     Effect,
-    /// An operator that chains: each occurrence may push the operand before it one level down in the syntax tree.
+    /// A chaining operator: each occurrence may nest its left operand one level deeper in the syntax tree.
     Chaining,
     /// Any other word.
     Other,
@@ -45,12 +45,13 @@
     )
 }
 
-/// Whether an opening bracket after this word belongs to a keyword or to the size of a type, and is not a function call.
-pub(crate) fn precedes_bracket_without_call(word: &str) -> bool {
+/// Whether an opening parenthesis after this word belongs to a keyword or to the size of a type, and does not begin a
+/// function call.
+pub(crate) fn precedes_parenthesis_without_call(word: &str) -> bool {
     NON_FUNCTION_KEYWORDS.binary_search(&word).is_ok() || SIZED_TYPES.binary_search(&word).is_ok()
 }
 
-/// Keywords that may precede a bracket without a call. Sorted for binary search.
+/// Keywords that may precede a parenthesis without a call. Sorted for binary search.
 pub(crate) const NON_FUNCTION_KEYWORDS: &[&str] = &[
     "all",
     "analyze",
@@ -108,7 +109,7 @@
     "with",
 ];
 
-/// Types that take a size in brackets. Sorted for binary search.
+/// Types that take a size in parentheses. Sorted for binary search.
 pub(crate) const SIZED_TYPES: &[&str] = &[
     "bigint",
     "binary",
--- a/crates/sql-analysis/src/lexer/mod.rs
+++ b/crates/sql-analysis/src/lexer/mod.rs
@@ -1,8 +1,8 @@
-//! The lexer: turns a statement's bytes into a shape. In a shape, words are in lower case, literals are placeholders, a list
-//! of literals is a single literal, comments and white space are removed, and one blank separates tokens.
+//! The lexer: turns a statement's bytes into a shape. In a shape, words are in lower case, literals are placeholders, a
+//! list of literals is a single literal, comments and white space are removed, and one space separates tokens.
 //!
-//! Text that engines may interpret in two ways makes the shape [`Unproven`]: such a statement is never proven read-only.
-//! `scanner` reads the input, `shape_builder` writes the shape.
+//! Text that engines may interpret differently makes the shape [`Unproven`]: such a statement is never proven
+//! read-only. `scanner` reads the input, `shape_builder` writes the shape.
 
 mod characters;
 mod scanner;
@@ -24,9 +24,9 @@
 /// Maximum number of operators of a statement that is parsed. Each may add a level to a left-deep tree, which is walked
 /// and dropped recursively.
 pub(crate) const MAX_OPERATORS: usize = 400;
-/// Maximum depth of nested brackets of a statement that is parsed, which bounds the parser's stack.
-pub(crate) const MAX_BRACKET_DEPTH: usize = 40;
-/// The longest statement that is analyzed, in bytes.
+/// Maximum depth of nested parentheses of a statement that is parsed, which bounds the parser's stack.
+pub(crate) const MAX_PARENTHESIS_DEPTH: usize = 40;
+/// Maximum length of an analyzed statement (bytes).
 pub(crate) const MAX_BYTES: usize = 64 * 1024;
 
 /// The shape of a statement.
@@ -38,7 +38,7 @@
     pub unproven: Option<Unproven>,
     /// The tokens of `text`.
     pub tokens: &'a [Token],
-    /// Whether the shape has an unquoted keyword that occurs in no read-only statement.
+    /// Whether the shape contains an unquoted keyword that occurs in no read-only statement.
     pub has_effect_keyword: bool,
 }
 
@@ -48,14 +48,14 @@
         &self.text[token.start as usize..token.end as usize]
     }
 
-    /// The text of the token at `index`, empty before the first and after the last one.
+    /// The text of the token at `index`; empty for `None` and after the last token.
     pub(crate) fn text_at(&self, index: Option<usize>) -> &str {
         let token = index.and_then(|index| self.tokens.get(index));
         token.map_or("", |token| self.token_text(token))
     }
 }
 
-/// The lexer, with buffers that are reused.
+/// The lexer. It reuses its buffers.
 #[derive(Debug, Default)]
 pub struct Lexer {
     builder: ShapeBuilder,
@@ -71,7 +71,7 @@
         if is_too_long {
             scanner.set_unproven(Unproven::TooLong);
         }
-        // Cutting a long statement may split a character.
+        // Truncation of a long statement may split a character.
         let is_not_utf8 = !is_too_long && std::str::from_utf8(bytes).is_err();
         if is_not_utf8 || bytes.contains(&0) {
             scanner.set_unproven(Unproven::NotText);
--- a/crates/sql-analysis/src/lexer/scanner.rs
+++ b/crates/sql-analysis/src/lexer/scanner.rs
@@ -3,9 +3,10 @@
 use super::characters::{is_identifier_byte, is_operator_byte, is_sign, OPERATORS};
 use super::shape_builder::{ShapeBuilder, NUMBER_PLACEHOLDER, STRING_PLACEHOLDER};
 use super::unproven::Unproven;
-use super::{MAX_BRACKET_DEPTH, MAX_BYTES, MAX_OPERATORS, MAX_TOKENS};
+use super::{MAX_BYTES, MAX_OPERATORS, MAX_PARENTHESIS_DEPTH, MAX_TOKENS};
 
-/// Maximum length of a shape with too many tokens. Such a shape is never parsed, but must still be distinct from others.
+/// Maximum length of a shape with too many tokens. Such a shape is never parsed, but must still be distinct from
+/// others.
 const MAX_UNPARSED_SHAPE_BYTES: usize = MAX_BYTES / 4;
 /// The form feed character, which counts as white space.
 const FORM_FEED: u8 = 12;
@@ -34,7 +35,7 @@
         self.unproven.get_or_insert(reason);
     }
 
-    /// The byte `ahead` of the current one, 0 after the end.
+    /// The byte at `ahead` bytes after the current one; 0 after the end.
     fn peek(&self, ahead: usize) -> u8 {
         self.bytes.get(self.offset + ahead).copied().unwrap_or(0)
     }
@@ -50,7 +51,7 @@
             let has_too_many_tokens = self.shape.tokens.len() > MAX_TOKENS;
             if has_too_many_tokens
                 || self.shape.operator_count > MAX_OPERATORS
-                || self.shape.bracket_depth > MAX_BRACKET_DEPTH
+                || self.shape.parenthesis_depth > MAX_PARENTHESIS_DEPTH
             {
                 self.set_unproven(Unproven::TooComplex);
             }
@@ -92,7 +93,7 @@
         }
     }
 
-    /// Scans a character that is not a token for all engines.
+    /// Scans a character that engines interpret differently.
     fn scan_ambiguous(&mut self, character: u8) {
         self.set_unproven(match character {
             b'#' => Unproven::HashMark,
@@ -113,7 +114,7 @@
         let unread = self.unread();
         let line_end = unread.iter().position(|byte| *byte == b'\n');
         let comment = &unread[..line_end.unwrap_or(unread.len())];
-        // A carriage return before the line's end is part of the line end.
+        // A carriage return before the newline is part of the line end.
         let content = comment.strip_suffix(b"\r").unwrap_or(comment);
         if content.contains(&b'\r') {
             self.set_unproven(Unproven::BareLineEnd);
@@ -137,7 +138,8 @@
         self.offset += 2 + length + 2;
     }
 
-    /// Skips a quoted text from its opening quote on, and returns its content. A doubled quote does not end it.
+    /// Skips a quoted text that begins at the current byte, and returns its content. A doubled quote does not end the
+    /// text.
     fn skip_quoted(&mut self, quote: u8) -> &'a [u8] {
         let start = self.offset + 1;
         let mut end = start;
@@ -185,8 +187,8 @@
         }
     }
 
-    fn skip_while(&mut self, belongs: fn(&u8) -> bool) {
-        while self.bytes.get(self.offset).is_some_and(belongs) {
+    fn skip_while(&mut self, predicate: fn(&u8) -> bool) {
+        while self.bytes.get(self.offset).is_some_and(predicate) {
             self.offset += 1;
         }
     }
@@ -222,7 +224,7 @@
         }
     }
 
-    /// Scans a numbered parameter, or a possible dollar-quoted string.
+    /// Scans a numbered parameter, a possible dollar-quoted string or a dollar sign.
     fn scan_dollar(&mut self) {
         if self.peek(1).is_ascii_digit() {
             self.offset += 1;
@@ -287,8 +289,8 @@
         self.shape.push_identifier(word);
     }
 
-    /// Scans a string after its prefix, which marks bits, hexadecimal digits, national characters or escapes. Returns false,
-    /// and scans nothing, for any other prefix.
+    /// Scans a string after its prefix, which marks bits, hexadecimal digits, national characters or escapes. Returns
+    /// false, and scans nothing, for any other prefix.
     fn scan_prefixed_string(&mut self, prefix: &[u8]) -> bool {
         match prefix {
             b"b" | b"B" | b"x" | b"X" | b"n" | b"N" => {
@@ -316,7 +318,7 @@
         let operator = self.take_operator_bytes();
         self.shape.operator_count += 1;
         if self.is_number_sign(operator) && !self.shape.last_ends_value() {
-            // The sign belongs to the literal, as in `(-1` or `= -1`.
+            // The sign predicate to the literal, as in `(-1` or `= -1`.
             return;
         }
         if !OPERATORS.contains(&operator) {
@@ -351,8 +353,8 @@
         is_sign(operator) && self.peek(0).is_ascii_digit()
     }
 
-    /// Appends a run such as `<-` as an operator and a sign. Returns false, and appends nothing, if engines would split the
-    /// run differently.
+    /// Appends a run such as `<-` as an operator and a sign. Returns false, and appends nothing, if engines would split
+    /// the run differently.
     fn push_operator_and_sign(&mut self, run: &[u8]) -> bool {
         let (operator, sign) = run.split_at(run.len() - 1);
         let has_only_common_characters = operator
--- a/crates/sql-analysis/src/lexer/shape_builder.rs
+++ b/crates/sql-analysis/src/lexer/shape_builder.rs
@@ -1,4 +1,4 @@
-//! Builds the shape: appends tokens, and folds a list of literals to one literal and rows of literals to one row.
+//! The shape builder: appends tokens, and folds a list of literals to one literal and rows of literals to one row.
 
 use super::token::{Token, TokenKind};
 use crate::keywords::KeywordClass;
@@ -26,7 +26,7 @@
     Comma(Position),
 }
 
-/// An open bracket that contains only literals so far.
+/// An open parenthesis that contains only literals so far.
 #[derive(Debug, Clone, Copy)]
 struct LiteralList {
     /// The end of the first literal, if there is one.
@@ -40,7 +40,7 @@
 pub(super) struct ShapeBuilder {
     pub text: Vec<u8>,
     pub tokens: Vec<Token>,
-    pub bracket_depth: usize,
+    pub parenthesis_depth: usize,
     pub operator_count: usize,
     pub has_effect_keyword: bool,
     row_state: RowState,
@@ -48,11 +48,11 @@
 }
 
 impl ShapeBuilder {
-    /// Clears the shape, and keeps its buffers.
+    /// Clears the shape, but keeps the allocated buffers.
     pub fn reset(&mut self) {
         self.text.clear();
         self.tokens.clear();
-        self.bracket_depth = 0;
+        self.parenthesis_depth = 0;
         self.operator_count = 0;
         self.has_effect_keyword = false;
         self.end_list();
@@ -100,7 +100,7 @@
         let start = self.push(word, TokenKind::Word);
         self.text[start..].make_ascii_lowercase();
         let word = &self.text[start..];
-        // Within a list these keywords are values, and count as literals.
+        // Within a list these keywords count as literals.
         let is_listed_value = self.list.is_some() && matches!(word, b"null" | b"true" | b"false");
         match KeywordClass::of(word) {
             KeywordClass::Effect => self.has_effect_keyword |= !follows_dot,
@@ -118,8 +118,8 @@
     /// Appends a punctuation character.
     pub fn push_punctuation(&mut self, character: u8) {
         match character {
-            b'(' => self.open_bracket(),
-            b')' => self.close_bracket(),
+            b'(' => self.open_parenthesis(),
+            b')' => self.close_parenthesis(),
             b',' => {
                 self.row_state = match self.row_state {
                     RowState::Closed(end) => RowState::Comma(end),
@@ -134,8 +134,8 @@
         }
     }
 
-    fn open_bracket(&mut self) {
-        self.bracket_depth += 1;
+    fn open_parenthesis(&mut self) {
+        self.parenthesis_depth += 1;
         let previous_row_end = match self.row_state {
             RowState::Comma(end) => Some(end),
             _ => None,
@@ -150,8 +150,8 @@
         });
     }
 
-    fn close_bracket(&mut self) {
-        self.bracket_depth = self.bracket_depth.saturating_sub(1);
+    fn close_parenthesis(&mut self) {
+        self.parenthesis_depth = self.parenthesis_depth.saturating_sub(1);
         let list = self.list.take();
         self.push(b")", TokenKind::Punctuation);
         let Some(list) = list.filter(|list| list.first_literal_end.is_some()) else {
@@ -164,7 +164,7 @@
         self.row_state = RowState::Closed(self.position());
     }
 
-    /// Keeps only the first literal of a list: removes the literal that was just appended, with the comma before it.
+    /// Keeps only the first literal of a list: removes the last appended literal and the comma before it.
     fn fold_literal(&mut self, follows_comma: bool) {
         let position = self.position();
         let Some(list) = &mut self.list else { return };
@@ -175,7 +175,7 @@
         }
     }
 
-    /// Ends a list of literals. Any token except a literal or a comma does.
+    /// Ends a list of literals. Called for every token that is neither a literal nor a comma.
     fn end_list(&mut self) {
         self.row_state = RowState::None;
         self.list = None;
@@ -186,8 +186,8 @@
         self.text.push(quote);
     }
 
-    /// Truncates the text to `max_bytes` and appends a hash of the unread input, so that statements that differ only there
-    /// have different shapes.
+    /// Truncates the text to `max_bytes` and appends a hash of the unread input, so that statements that differ only
+    /// there have different shapes.
     pub fn finish_with_hash(&mut self, max_bytes: usize, unread: &[u8]) {
         self.text.truncate(max_bytes);
         let last_ascii = self.text.iter().rposition(u8::is_ascii);
--- a/crates/sql-analysis/src/lexer/tests.rs
+++ b/crates/sql-analysis/src/lexer/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of shapes and of ambiguous texts.
+//! Tests of shapes and of text that engines interpret differently.
 
 use super::*;
 
@@ -8,10 +8,10 @@
 
 #[test]
 fn shape_keeps_names_and_drops_literals_case_white_space_and_comments() {
-    let one =
+    let expected =
         shape("SELECT a, b FROM sales_17.orders WHERE tag = '3f9c' AND n > 17 -- why\n LIMIT 10");
     assert_eq!(
-        one,
+        expected,
         "select a , b from sales_17 . orders where tag = '?' and n > 0 limit 0"
     );
     for same in [
@@ -19,7 +19,7 @@
         "select a/* x */, b\nfrom sales_17 .orders where tag = N'q' and n > .5 limit 0x1F",
         "select a,b from sales_17.orders where tag = '' and n >-5 limit 1",
     ] {
-        assert_eq!(shape(same), one, "{same}");
+        assert_eq!(shape(same), expected, "{same}");
     }
     for other in [
         "select a, b from sales_18.orders where tag = 'x' and n > 1 limit 2",
@@ -28,22 +28,22 @@
         "select a, b from sales_17.orders where tag = 'x' and n >= 1 limit 2",
         "select a, \"B\" from sales_17.orders where tag = 'x' and n > 1 limit 2",
     ] {
-        assert_ne!(shape(other), one, "{other}");
+        assert_ne!(shape(other), expected, "{other}");
     }
 }
 
 #[test]
 fn lists_of_literals_fold_to_one_literal_but_arguments_of_calls_do_not() {
-    let one = shape("select * from t where a in (1)");
-    assert_eq!(one, "select * from t where a in ( 0 )");
-    assert_eq!(shape("select * from t where a in (1, -2,null , 3)"), one);
+    let short = shape("select * from t where a in (1)");
+    assert_eq!(short, "select * from t where a in ( 0 )");
+    assert_eq!(shape("select * from t where a in (1, -2,null , 3)"), short);
     let long: Vec<String> = (0..10_000).map(|n| n.to_string()).collect();
     let long = format!("select * from t where a in ({})", long.join(","));
     let mut lexer = Lexer::default();
     let lexed = lexer.lex(long.as_bytes());
-    assert_eq!((lexed.text, lexed.unproven), (one.as_str(), None));
+    assert_eq!((lexed.text, lexed.unproven), (short.as_str(), None));
     assert_ne!(shape("select f(1)"), shape("select f(1, 2)"));
-    assert_ne!(shape("select * from t where a in (1, b)"), one);
+    assert_ne!(shape("select * from t where a in (1, b)"), short);
     assert_eq!(
         shape("insert into t values (1, 'a'), (2, 'b')"),
         shape("insert into t values (3, 'c')")
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn text_that_engines_read_differently_is_unproven() {
+fn text_that_engines_interpret_differently_is_unproven() {
     let cases = [
         ("select '\\' or 1", Unproven::Backslash),
         ("select 'a\\'' ", Unproven::Unterminated),
--- a/crates/sql-analysis/src/lexer/unproven.rs
+++ b/crates/sql-analysis/src/lexer/unproven.rs
@@ -1,7 +1,7 @@
 //! Lexical reasons why a statement cannot be proven read-only.
 
-/// The reason why the text of a statement does not allow a proof: engines interpret it in different ways, or the analysis
-/// does not support it. Only the first reason in a statement is recorded.
+/// The reason why the text of a statement does not allow a proof: engines interpret it in different ways, or the
+/// analysis does not support it. Only the first reason in a statement is recorded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum Unproven {
     /// Not UTF-8, or with a NUL byte.
@@ -10,62 +10,62 @@
     /// Longer than 64 KiB.
     #[error("the statement is too long")]
     TooLong,
-    /// Above one of the limits on tokens, operators and brackets.
-    #[error("the statement has too many tokens, operators or nested brackets")]
+    /// Above one of the limits on tokens, operators and nested parentheses.
+    #[error("the statement has too many tokens, operators or nested parentheses")]
     TooComplex,
-    /// A string, quoted name or comment has no end.
+    /// A string, quoted name or comment is not terminated.
     #[error("a string, name or comment is not terminated")]
     Unterminated,
     /// `/*!` and `/*M!` are executed by MySQL and MariaDB.
     #[error("a comment may be executed")]
     ExecutableComment,
-    /// Nested comments end in different places.
+    /// Engines disagree on where a nested comment ends.
     #[error("a comment contains the start of another")]
     NestedComment,
     /// Some engines end a line comment at a lone carriage return.
     #[error("a line comment contains a lone carriage return")]
     BareLineEnd,
-    /// `--x` is a comment or two minus signs.
-    #[error("two dashes without a following blank may start a comment or not")]
+    /// `--x` is a comment or two minus signs, depending on the engine.
+    #[error("two dashes without a following space may be a comment or two minus signs")]
     Dashes,
-    /// `#` starts a comment or is an operator.
-    #[error("a hash sign may start a comment or not")]
+    /// `#` starts a comment or is an operator, depending on the engine.
+    #[error("a hash sign may start a comment or be an operator")]
     HashMark,
-    /// A backslash escapes the next character or not.
-    #[error("a backslash may be an escape or not")]
+    /// A backslash is an escape or a literal character, depending on the engine.
+    #[error("a backslash may be an escape or a literal character")]
     Backslash,
-    /// `$tag$` quotes or not.
-    #[error("dollar signs may quote or not")]
+    /// `$tag$` quotes a string in some engines only.
+    #[error("dollar signs may or may not quote a string")]
     DollarQuote,
-    /// Letters that may fold to ASCII.
+    /// A letter that some engines may fold to an ASCII letter.
     #[error("a letter outside quotes is not ASCII")]
     NotAscii,
     /// A control byte that is not white space.
     #[error("a control byte is outside quotes")]
     ControlByte,
-    /// `@name`.
+    /// `@name` is a variable, which an expression may assign.
     #[error("a variable may be set")]
     Variable,
-    /// `:=`.
+    /// `:=` assigns a variable.
     #[error("a variable is assigned")]
     Assignment,
-    /// ODBC escapes.
+    /// Braces enclose ODBC escapes.
     #[error("a brace is outside quotes")]
     Brace,
-    /// An operator that is not in the list.
+    /// An operator that is not in the list of common operators.
     #[error("an operator is unknown")]
     Operator,
-    /// `1a` is one token or two.
+    /// `1a` is one token or two, depending on the engine.
     #[error("a number is followed by a letter")]
     NumberAndWord,
-    /// `u&'...'` and `_charset'...'`.
-    #[error("a quoted text has escapes of its own")]
+    /// `u&'...'` and `_charset'...'` change the interpretation of the text.
+    #[error("a quoted text has Unicode escapes or a character set")]
     UnicodeEscape,
 }
 
 impl Unproven {
-    /// Whether the shape is not parsed at all.
-    pub(crate) fn bars_parsing(self) -> bool {
+    /// Whether a shape with this reason is not parsed.
+    pub(crate) fn prevents_parsing(self) -> bool {
         matches!(
             self,
             Unproven::NotText | Unproven::TooLong | Unproven::TooComplex | Unproven::Unterminated
--- a/crates/sql-analysis/src/lib.rs
+++ b/crates/sql-analysis/src/lib.rs
@@ -1,15 +1,15 @@
 //! Classification of SQL statements by their shape.
 //!
-//! Owns: the shape of a statement's text (`lexer`), its analysis (`analyzer`), its class by rules (`rules`), its estimated
-//! cost (`cost_model`), and a bounded cache of analyses (`shape_cache`). It does no I/O, reads no clock and draws no random
-//! numbers: its inputs are bytes and times, its outputs analyses and estimates. It never decides where a query runs:
-//! class, effect and estimate are inputs of the decisions, which own all rules.
+//! Owns: the shape of a statement's text (`lexer`), its analysis (`analyzer`), its class by rules (`rules`), its
+//! estimated cost (`cost_model`), and a bounded cache of analyses (`shape_cache`). It does no I/O, reads no clock and
+//! draws no random numbers: its inputs are bytes and times, its outputs analyses and estimates. It never decides where
+//! a query runs: class, effect and estimate are inputs of the admission controller, which owns all rules.
 //!
-//! Invariants, tested by name in `tests/hard_cases/`:
-//! - a statement is read-only only if that is proven: each ambiguity, each unknown function and each word that could
-//!   begin a change makes its effect unknown or non-idempotent;
-//! - what was proven for a shape holds for every statement of that shape, because the parser is given the shape and
-//!   not the statement;
+//! Invariants, tested in `tests/hard_cases/`:
+//! - a statement is read-only only if that is proven: any ambiguity, any unknown function and any word that could begin
+//!   a change of data makes its effect unknown or non-idempotent;
+//! - a proof for a shape holds for every statement of that shape, because the parser receives the shape and not the
+//!   statement;
 //! - time and stack are bounded for any input.
 //!
 //! Start reading at [`StatementAnalyzer::analyze`].
@@ -48,7 +48,7 @@
     Report,
     /// Changes data or locks rows.
     Load,
-    /// Not proven to be of any other class.
+    /// Neither proven read-only nor known to change data.
     Unknown,
 }
 
@@ -56,7 +56,7 @@
     /// All classes, in the order of [`BaseCosts`]' arrays.
     pub const ALL: [Class; 4] = [Class::LookUp, Class::Report, Class::Load, Class::Unknown];
 
-    /// The name that is printed.
+    /// The printed name of the class.
     pub fn name(self) -> &'static str {
         match self {
             Class::LookUp => "look-up",
@@ -67,19 +67,20 @@
     }
 }
 
-/// Whether a statement may change anything. Ordered by severity: the greatest of several effects applies.
+/// Whether a statement changes data or other state, such as sequences, locks or sessions. Ordered by severity: the most
+/// severe of several effects applies.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Effect {
-    /// Proven to change nothing, in each configured dialect, by its words as well as by the grammar.
+    /// Proven to change nothing, in each configured dialect, by the words as well as by the grammar.
     ReadOnly,
     /// Not proven. The rules for non-idempotent statements apply.
     Unknown,
-    /// The statement changes something.
+    /// Known to change data or other state.
     NonIdempotent,
 }
 
 impl Effect {
-    /// The name that is printed.
+    /// The printed name of the effect.
     pub fn name(self) -> &'static str {
         match self {
             Effect::ReadOnly => "read-only",
@@ -96,11 +97,11 @@
     pub class: Class,
     /// The effect.
     pub effect: Effect,
-    /// Names of the tables read, in lower case unless quoted.
+    /// Names of the tables read, in lower case except for quoted parts.
     pub tables_read: Vec<String>,
     /// Names of the tables written, in the same form.
     pub tables_written: Vec<String>,
-    /// The features by the grammar.
+    /// The syntactic features.
     pub features: Features,
     /// The reason why the statement could not be parsed or proven read-only.
     pub reason: Option<String>,
@@ -131,8 +132,8 @@
 }
 
 impl StatementAnalyzer {
-    /// An analyzer without shapes. `hash_key` is a random secret of this process, so that nobody can construct shapes with
-    /// equal hashes.
+    /// An analyzer with an empty cache. `hash_key` is a random secret of this process, so that nobody can construct
+    /// shapes with equal hashes.
     pub fn new(config: Config, hash_key: [u8; 16]) -> Self {
         StatementAnalyzer {
             lexer: Lexer::default(),
@@ -143,8 +144,8 @@
         }
     }
 
-    /// Replaces the configuration. Cached analyses are dropped. Learned costs are kept, since they depend on the shape and
-    /// not on the rules. Analyses that callers hold are not changed.
+    /// Replaces the configuration. Cached analyses are dropped. Learned costs are kept, since they depend on the shape
+    /// and not on the rules. Analyses that callers still hold do not change.
     pub fn reconfigure(&mut self, config: Config) {
         self.cache.reset(config.max_shapes, config.max_shape_bytes);
         self.cost_model
@@ -157,8 +158,8 @@
         &self.config
     }
 
-    /// Analyzes a statement; any bytes are accepted. Takes time in proportion to its length, plus a bounded time if its
-    /// shape is not cached.
+    /// Analyzes a statement; any bytes are accepted. Takes time proportional to the statement's length, plus a bounded
+    /// time if its shape is not cached.
     pub fn analyze(&mut self, statement: &[u8]) -> AnalyzedStatement {
         let shape = self.lexer.lex(statement);
         let shape_id = shape_id(&shape, &self.hash_key);
@@ -189,8 +190,8 @@
             .estimate(statement.shape_id, prior, analysis.memory_mb, now_ms)
     }
 
-    /// Records the end of an attempt in the cost model. `shape_id`, `class` and `cost_ms` are those of the analysis at the
-    /// start of the attempt, even if the rules have changed since.
+    /// Records a completed or interrupted attempt in the cost model. `shape_id`, `class` and `cost_ms` are those of the
+    /// analysis at the start of the attempt, even if the rules have changed since.
     pub fn record_execution(
         &mut self,
         shape_id: u128,
@@ -211,7 +212,8 @@
     }
 }
 
-/// The keyed hash of a shape. It includes the reason why the shape is unproven, which its text may not show.
+/// The keyed hash of a shape. It includes the reason why the shape is unproven, since shapes with the same text may
+/// differ in it.
 fn shape_id(shape: &Shape, hash_key: &[u8; 16]) -> u128 {
     let mut hasher = SipHasher13::new_with_key(hash_key);
     hasher.write(shape.text.as_bytes());
--- a/crates/sql-analysis/src/rules.rs
+++ b/crates/sql-analysis/src/rules.rs
@@ -2,7 +2,8 @@
 
 use crate::{Class, Features};
 
-/// A rule: a statement matches if it meets every condition.
+/// A rule: a statement matches if it meets every condition. `Some(true)` requires a feature, `Some(false)` excludes it,
+/// and `None` ignores it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Rule {
     /// The class of statements that match.
@@ -29,11 +30,11 @@
     pub limited: Option<bool>,
     /// With or without WITH RECURSIVE.
     pub recursive: Option<bool>,
-    /// Selects rows by a column's value, or does not.
+    /// With or without a condition that a column equals a literal for every row.
     pub point_lookup: Option<bool>,
     /// With or without WHERE.
     pub filtered: Option<bool>,
-    /// Reads tables, or reads none.
+    /// With or without a table.
     pub reads_tables: Option<bool>,
 }
 
@@ -77,7 +78,7 @@
             && meets(self.reads_tables, features.tables > 0)
     }
 
-    /// The rules if none are configured.
+    /// The default rules, used if none are configured.
     pub fn defaults() -> Vec<Rule> {
         vec![
             Rule::with(Class::LookUp, |rule| rule.reads_tables = Some(false)),
--- a/crates/sql-analysis/src/shape_cache.rs
+++ b/crates/sql-analysis/src/shape_cache.rs
@@ -1,6 +1,6 @@
-//! A cache of analyses by shape, bounded in number and bytes. Its admission policy (a frequency sketch in front of an LRU
-//! list, TinyLFU) keeps shapes that occur once from evicting frequent ones. An entry is found by the shape's hash and
-//! compared by its text, so that two shapes with the same hash don't share an analysis.
+//! A cache of analyses by shape, bounded in entries and bytes. Its admission policy (a frequency sketch in front of an
+//! LRU list, TinyLFU) keeps shapes that occur once from evicting frequent ones. An entry is found by the shape's hash
+//! and verified by its text, so that two shapes with the same hash do not share an analysis.
 
 use crate::lexer::{Shape, Unproven};
 use crate::Analysis;
@@ -10,11 +10,11 @@
 #[cfg(test)]
 mod tests;
 
-/// Bytes of an entry without its texts: a rounded-up estimate of the cache's own overhead.
+/// Bytes of an entry without its texts: an estimate of the cache's overhead, rounded up.
 const ENTRY_BYTES: usize = 320;
-/// Bytes of a name without its text.
+/// Bytes of a table name or reason without its text.
 const NAME_BYTES: usize = 32;
-/// Entries for which memory is reserved at the start; more is allocated with use.
+/// Number of entries for which a new cache reserves memory.
 const INITIAL_CAPACITY: usize = 64;
 /// A shape longer than the cache's size divided by this is not cached.
 const MAX_SHAPE_DIVISOR: usize = 16;
@@ -27,7 +27,7 @@
 }
 
 impl Entry {
-    /// Size of the entry in the cache.
+    /// Size of the entry in the cache (bytes).
     fn bytes(&self) -> usize {
         let names = self
             .analysis
@@ -43,29 +43,29 @@
 /// Cache hits and misses, and the sizes of the cache and of the cost model.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct CacheCounts {
-    /// Statements whose shape was cached.
+    /// Number of statements whose shape was cached.
     pub hits: u64,
-    /// Statements whose shape was not cached.
+    /// Number of statements whose shape was not cached.
     pub misses: u64,
-    /// Misses because another shape had the same hash.
+    /// Number of misses because another shape had the same hash.
     pub collisions: u64,
-    /// Shapes in the cache.
+    /// Number of shapes in the cache.
     pub shapes: usize,
-    /// Bytes of the cache.
+    /// Size of the cache (bytes).
     pub bytes: u64,
-    /// Shapes whose cost is known.
+    /// Number of shapes with a learned cost.
     pub learned_costs: usize,
 }
 
-/// The cache.
+/// The cache of analyses by shape.
 pub(crate) struct ShapeCache {
     entries: Cache<u128, Entry>,
     max_bytes: usize,
     counts: CacheCounts,
 }
 
-/// An empty cache. Each entry counts at least `max_bytes / max_shapes` bytes, so that the limit on bytes also limits the
-/// number of entries.
+/// An empty cache. Each entry counts at least `max_bytes / max_shapes` bytes, so that the limit on bytes also limits
+/// the number of entries.
 fn empty_cache(max_shapes: usize, max_bytes: usize) -> Cache<u128, Entry> {
     let min_weight = u32::try_from(max_bytes / max_shapes.max(1)).unwrap_or(u32::MAX);
     Cache::builder()
@@ -79,7 +79,7 @@
 }
 
 impl ShapeCache {
-    /// An empty cache of at most `max_shapes` and `max_bytes`.
+    /// An empty cache of at most `max_shapes` entries and `max_bytes` bytes.
     pub fn new(max_shapes: usize, max_bytes: usize) -> Self {
         ShapeCache {
             entries: empty_cache(max_shapes, max_bytes),
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Drops all analyses and sets the bounds; hits and misses go on.
+    /// Drops all analyses and sets the bounds; the counts of hits, misses and collisions are kept.
     pub fn reset(&mut self, max_shapes: usize, max_bytes: usize) {
         self.entries = empty_cache(max_shapes, max_bytes);
         self.max_bytes = max_bytes;
@@ -110,7 +110,7 @@
         Some(entry.analysis.clone())
     }
 
-    /// Caches an analysis, unless the shape is too long or another one with the same hash is cached.
+    /// Caches an analysis, unless the shape is too long or a shape with the same hash is cached.
     pub fn insert(&mut self, shape_id: u128, shape: &Shape, analysis: &Rc<Analysis>) {
         let is_too_long = shape.text.len() > self.max_bytes / MAX_SHAPE_DIVISOR;
         if is_too_long || self.entries.contains_key(&shape_id) {
--- a/crates/sql-analysis/src/shape_cache/tests.rs
+++ b/crates/sql-analysis/src/shape_cache/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the cache of shapes.
+//! Tests of the shape cache.
 
 use super::*;
 use crate::{Config, Lexer};
--- a/crates/sql-analysis/src/table_group.rs
+++ b/crates/sql-analysis/src/table_group.rs
@@ -1,11 +1,11 @@
 //! The table group of a statement: the number after the last underscore in the name of the schema that the statement
-//! reads or writes. It is determined without the grammar, so that it is known even if no parser accepts the statement.
+//! reads or writes. It is determined without the grammar, so that it is known even if the parser rejects the statement.
 //! Strings, comments and the schema `staging` are ignored.
 
 #[cfg(test)]
 mod tests;
 
-/// Keywords that a table follows.
+/// Keywords that precede a table.
 const KEYWORDS_BEFORE_TABLE: [&str; 8] = [
     "from", "join", "into", "update", "table", "only", "copy", "using",
 ];
@@ -32,9 +32,9 @@
 }
 
 impl<'a> Tokens<'a> {
-    /// Skips a comment that begins with `opening` bytes and ends with `terminator`.
-    fn skip_comment(&mut self, opening: usize, terminator: &[u8]) {
-        let content = &self.unread[opening.min(self.unread.len())..];
+    /// Skips a comment whose opening has `opening_bytes` bytes and that ends with `terminator`.
+    fn skip_comment(&mut self, opening_bytes: usize, terminator: &[u8]) {
+        let content = &self.unread[opening_bytes.min(self.unread.len())..];
         let end = content
             .windows(terminator.len())
             .position(|window| window == terminator);
@@ -134,7 +134,7 @@
     let mut tokens = Tokens { unread: statement }.peekable();
     let mut expects_table = false;
     let mut in_table_list = false;
-    let mut first_elsewhere = None;
+    let mut first_other_group = None;
     while let Some(token) = tokens.next() {
         match token {
             Token::Punctuation(b',') if in_table_list => expects_table = true,
@@ -146,16 +146,16 @@
                 if expects_table && group.is_some() {
                     return group;
                 }
-                first_elsewhere = first_elsewhere.or(group);
+                first_other_group = first_other_group.or(group);
                 expects_table = false;
             }
             Token::Name(name) => {
                 expects_table = is_keyword(name, &KEYWORDS_BEFORE_TABLE);
-                // After a table's alias a comma is followed by the next table, until another clause begins.
+                // Within a list of tables, a table follows each comma until another clause begins.
                 in_table_list =
                     expects_table || in_table_list && !is_keyword(name, &KEYWORDS_AFTER_TABLES);
             }
         }
     }
-    first_elsewhere
+    first_other_group
 }
--- a/crates/sql-analysis/tests/hard_cases/bounds.rs
+++ b/crates/sql-analysis/tests/hard_cases/bounds.rs
@@ -1,11 +1,11 @@
-//! Bounds of time, stack and memory for any input.
+//! Bounds on time, stack and memory for any input.
 
 use crate::{analyze, analyzer};
 use std::time::{Duration, Instant};
 use tansymux_sql_analysis::{Config, Effect, StatementAnalyzer};
 
-/// A statement is analyzed within this time, also by a build without optimization.
-const BOUNDED: Duration = Duration::from_millis(1500);
+/// Maximum time of an analysis, also in a build without optimization.
+const MAX_ANALYSIS_TIME: Duration = Duration::from_millis(1500);
 
 #[test]
 fn very_long_statements_take_bounded_time_and_stack() {
@@ -13,8 +13,8 @@
         .map(|n| format!(" join t{n} on a{n} = 1"))
         .collect();
     let unions = "select 1 union ".repeat(4000) + "select 1";
-    let not = format!("select {} 1", "not ".repeat(15_000));
-    let cases: Vec<String> = vec![
+    let negations = format!("select {} 1", "not ".repeat(15_000));
+    let statements: Vec<String> = vec![
         "(".repeat(65_536),
         format!("select {}1{}", "(".repeat(30_000), ")".repeat(30_000)),
         format!("select {}1", "-".repeat(60_000)),
@@ -26,7 +26,7 @@
             .take(65_536)
             .collect(),
         unions.chars().take(65_536).collect(),
-        not,
+        negations,
         format!("select {}", "case when ".repeat(6000)),
         format!("select a{}", "[1]".repeat(20_000)),
         format!("select a{}", "::int".repeat(12_000)),
@@ -44,16 +44,16 @@
         "select 1;".repeat(7000),
         "z".repeat(200_000),
     ];
-    for case in cases {
-        let from = Instant::now();
-        let read = analyze(&case).analysis;
+    for statement in statements {
+        let started_at = Instant::now();
+        let analysis = analyze(&statement).analysis;
         assert!(
-            from.elapsed() < BOUNDED,
+            started_at.elapsed() < MAX_ANALYSIS_TIME,
             "{:?} for {}",
-            from.elapsed(),
-            &case[..40]
+            started_at.elapsed(),
+            &statement[..40]
         );
-        assert_ne!(read.effect, Effect::ReadOnly, "{}", &case[..40]);
+        assert_ne!(analysis.effect, Effect::ReadOnly, "{}", &statement[..40]);
     }
 }
 
@@ -69,14 +69,14 @@
     let common: Vec<String> = (0..200)
         .map(|n| format!("select a{n} from t where b = 1"))
         .collect();
-    let (mut asked, mut hits) = (0, 0);
+    let (mut lookups, mut hits) = (0, 0);
     for n in 0..100_000_u32 {
         analyzer.analyze(format!("select x{n} from flood").as_bytes());
         if n % 4 == 0 {
-            let read = analyzer.analyze(common[(n / 4) as usize % common.len()].as_bytes());
+            let analyzed = analyzer.analyze(common[(n / 4) as usize % common.len()].as_bytes());
             if n >= 8000 {
-                asked += 1;
-                hits += u32::from(read.is_cache_hit);
+                lookups += 1;
+                hits += u32::from(analyzed.is_cache_hit);
             }
         }
     }
@@ -86,8 +86,8 @@
         "{counts:?}"
     );
     assert!(
-        f64::from(hits) > 0.9 * f64::from(asked),
-        "{hits} of {asked}"
+        f64::from(hits) > 0.9 * f64::from(lookups),
+        "{hits} of {lookups}"
     );
 }
 
@@ -96,8 +96,8 @@
     fn arbitrary_bytes_never_panic_and_give_the_same_analysis_twice(
         bytes in proptest::collection::vec(proptest::prelude::any::<u8>(), 0..300),
     ) {
-        let (one, other) = (analyzer().analyze(&bytes), analyzer().analyze(&bytes));
-        assert_eq!((one.shape_id, &one.analysis), (other.shape_id, &other.analysis));
+        let (first, second) = (analyzer().analyze(&bytes), analyzer().analyze(&bytes));
+        assert_eq!((first.shape_id, &first.analysis), (second.shape_id, &second.analysis));
     }
 
     #[test]
@@ -105,7 +105,7 @@
         text in "(select|from|where|delete|insert into|t|a\\.b|'x'|1|,|\\(|\\)|;|--|/\\*|\\*/|\\$\\$|\"| |\n){0,40}",
     ) {
         let analysis = analyzer().analyze(text.as_bytes()).analysis;
-        let shown = !text.contains(['\'', '"', '$', '-', '/', '*']) && text.contains("delete");
-        assert!(!(shown && analysis.effect == Effect::ReadOnly), "{text}");
+        let has_plain_delete = !text.contains(['\'', '"', '$', '-', '/', '*']) && text.contains("delete");
+        assert!(!(has_plain_delete && analysis.effect == Effect::ReadOnly), "{text}");
     }
 }
--- a/crates/sql-analysis/tests/hard_cases/costs_and_rules.rs
+++ b/crates/sql-analysis/tests/hard_cases/costs_and_rules.rs
@@ -24,11 +24,11 @@
     let mut analyzer = StatementAnalyzer::new(config.clone(), [7; 16]);
     let query = b"select a from t where b = 1";
     for _ in 0..10 {
-        let read = analyzer.analyze(query);
+        let analyzed = analyzer.analyze(query);
         analyzer.record_execution(
-            read.shape_id,
-            read.analysis.class,
-            read.analysis.cost_ms,
+            analyzed.shape_id,
+            analyzed.analysis.class,
+            analyzed.analysis.cost_ms,
             &EXECUTION,
         );
     }
@@ -36,10 +36,12 @@
         analyzer.analyze(format!("select x{n} from flood").as_bytes());
     }
     analyzer.reconfigure(config);
-    let read = analyzer.analyze(query);
-    let estimate = analyzer.estimate(&read, 0.0);
+    let analyzed = analyzer.analyze(query);
+    let estimate = analyzer.estimate(&analyzed, 0.0);
     assert!(
-        !read.is_cache_hit && (estimate.cost_ms - 10.0).abs() < 1.0 && estimate.confidence > 0.5,
+        !analyzed.is_cache_hit
+            && (estimate.cost_ms - 10.0).abs() < 1.0
+            && estimate.confidence > 0.5,
         "{estimate:?}"
     );
 }
@@ -47,26 +49,26 @@
 #[test]
 fn hundredfold_change_of_cost_is_followed() {
     let mut analyzer = analyzer();
-    let read = analyzer.analyze(b"select a from t where b = 1");
-    let mut cost_after = |samples: usize, latency: f64| {
+    let analyzed = analyzer.analyze(b"select a from t where b = 1");
+    let mut cost_after_samples = |samples: usize, latency: f64| {
         for _ in 0..samples {
             let execution = Execution {
                 latency_ms: latency,
                 ..EXECUTION
             };
             analyzer.record_execution(
-                read.shape_id,
-                read.analysis.class,
-                read.analysis.cost_ms,
+                analyzed.shape_id,
+                analyzed.analysis.class,
+                analyzed.analysis.cost_ms,
                 &execution,
             );
         }
-        analyzer.estimate(&read, 0.0).cost_ms
+        analyzer.estimate(&analyzed, 0.0).cost_ms
     };
-    assert!((cost_after(50, 10.0) - 10.0).abs() < 0.5);
-    assert!((cost_after(3, 1000.0) / 1000.0 - 1.0).abs() < 0.2);
-    assert!((cost_after(50, 1000.0) / 1000.0 - 1.0).abs() < 0.05);
-    assert!((cost_after(4, 10.0) / 10.0 - 1.0).abs() < 0.2);
+    assert!((cost_after_samples(50, 10.0) - 10.0).abs() < 0.5);
+    assert!((cost_after_samples(3, 1000.0) / 1000.0 - 1.0).abs() < 0.2);
+    assert!((cost_after_samples(50, 1000.0) / 1000.0 - 1.0).abs() < 0.05);
+    assert!((cost_after_samples(4, 10.0) / 10.0 - 1.0).abs() < 0.2);
 }
 
 #[test]
@@ -91,7 +93,7 @@
         (Class::Report, Class::LookUp)
     );
     assert_eq!(before.shape_id, after.shape_id);
-    // One that was started under the old rules ends under the new ones: its cost is learned all the same.
+    // The cost of an attempt that started under the old rules and ends under the new ones is learned.
     analyzer.record_execution(
         before.shape_id,
         before.analysis.class,
@@ -103,7 +105,7 @@
 
 #[test]
 fn classes_follow_the_default_rules() {
-    for (case, class) in [
+    for (statement, class) in [
         ("select 1", Class::LookUp),
         ("select a, b from t where id = 1", Class::LookUp),
         ("select count(*) from t where id = 1", Class::LookUp),
@@ -139,10 +141,10 @@
         ("nonsense", Class::Unknown),
     ] {
         assert_eq!(
-            analyze(case).analysis.class,
+            analyze(statement).analysis.class,
             class,
-            "{case}: {:?}",
-            analyze(case).analysis
+            "{statement}: {:?}",
+            analyze(statement).analysis
         );
     }
 }
--- a/crates/sql-analysis/tests/hard_cases/effects.rs
+++ b/crates/sql-analysis/tests/hard_cases/effects.rs
@@ -1,11 +1,11 @@
-//! The effect of a statement by its grammar: what is proven read-only, and what is not.
+//! The effects of statements: which are proven read-only, and which are not.
 
-use crate::{all_are, analyze, none_is_read_only};
+use crate::{analyze, assert_effects, assert_none_read_only};
 use tansymux_sql_analysis::{Config, Effect, StatementAnalyzer};
 
 #[test]
 fn plain_queries_are_proven_read_only() {
-    all_are(
+    assert_effects(
         Effect::ReadOnly,
         &[
             "SELECT 1",
@@ -36,8 +36,8 @@
 }
 
 #[test]
-fn common_table_expressions_that_change_data() {
-    all_are(
+fn data_changing_common_table_expressions_are_non_idempotent() {
+    assert_effects(
         Effect::NonIdempotent,
         &[
             "with x as (insert into t values (1) returning a) select * from x",
@@ -50,8 +50,8 @@
 }
 
 #[test]
-fn select_into_and_create_table_as() {
-    all_are(
+fn select_into_and_create_table_as_are_not_read_only() {
+    assert_effects(
         Effect::NonIdempotent,
         &[
             "select * into t2 from t",
@@ -59,7 +59,7 @@
             "create table t2 as select * from t",
         ],
     );
-    none_is_read_only(&[
+    assert_none_read_only(&[
         "select a into outfile '/tmp/x' from t",
         "select a from t into @x",
         "select a from t into dumpfile 'x'",
@@ -69,8 +69,8 @@
 }
 
 #[test]
-fn rows_locked_for_update_or_share() {
-    all_are(
+fn row_locks_for_update_or_share_are_not_read_only() {
+    assert_effects(
         Effect::NonIdempotent,
         &[
             "select * from t for update",
@@ -80,7 +80,7 @@
             "with x as (select * from t for share) select * from x",
         ],
     );
-    none_is_read_only(&[
+    assert_none_read_only(&[
         "select * from t for no key update",
         "select * from t for key share",
         "select * from t lock in share mode",
@@ -89,8 +89,8 @@
 }
 
 #[test]
-fn functions_with_effects_and_unknown_ones() {
-    all_are(
+fn calls_of_effect_functions_and_unknown_functions_are_not_read_only() {
+    assert_effects(
         Effect::NonIdempotent,
         &[
             "select nextval('s')",
@@ -104,7 +104,7 @@
             "select NEXTVAL ('s')",
         ],
     );
-    all_are(
+    assert_effects(
         Effect::Unknown,
         &[
             "select do_it(1)",
@@ -116,7 +116,7 @@
             "with nextval (a) as (select 1) select do_it(1), nextval.a from nextval",
         ],
     );
-    none_is_read_only(&[
+    assert_none_read_only(&[
         "select \"nextval\"('s')",
         "with nextval (a) as (select 1) select nextval('s') from nextval",
     ]);
@@ -126,7 +126,7 @@
         ..Config::default()
     };
     let mut analyzer = StatementAnalyzer::new(config, [7; 16]);
-    for (case, effect) in [
+    for (statement, effect) in [
         (
             "select do_it(1), geo.distance(a, b) from t",
             Effect::ReadOnly,
@@ -135,31 +135,31 @@
         ("select upper(a) from t", Effect::NonIdempotent),
     ] {
         assert_eq!(
-            analyzer.analyze(case.as_bytes()).analysis.effect,
+            analyzer.analyze(statement.as_bytes()).analysis.effect,
             effect,
-            "{case}"
+            "{statement}"
         );
     }
 }
 
 #[test]
-fn explain_analyze_of_a_write() {
-    all_are(
+fn explain_analyze_of_a_write_is_not_read_only() {
+    assert_effects(
         Effect::NonIdempotent,
         &[
             "explain analyze delete from t",
             "explain (analyze) update t set a = 1",
         ],
     );
-    none_is_read_only(&[
+    assert_none_read_only(&[
         "explain analyze insert into t values (1)",
         "explain (analyze true) delete from t",
     ]);
 }
 
 #[test]
-fn statements_that_are_not_queries() {
-    all_are(
+fn statements_that_are_not_queries_are_not_read_only() {
+    assert_effects(
         Effect::NonIdempotent,
         &[
             "insert into t values (1)",
@@ -172,7 +172,7 @@
             "copy t from stdin",
         ],
     );
-    none_is_read_only(&[
+    assert_none_read_only(&[
         "call refresh()",
         "do $$ begin delete from t; end $$",
         "execute p",
@@ -208,8 +208,8 @@
 }
 
 #[test]
-fn several_statements_in_one_text() {
-    all_are(
+fn text_with_a_write_among_its_statements_is_not_read_only() {
+    assert_effects(
         Effect::NonIdempotent,
         &[
             "select 1; delete from t",
@@ -219,7 +219,7 @@
             "select 1 /* ; */ ; -- ;\n delete from t",
         ],
     );
-    none_is_read_only(&[
+    assert_none_read_only(&[
         "select 1; call f()",
         "select 1; garbage (",
         "select 1;; set x = 1",
@@ -228,13 +228,13 @@
 
 #[test]
 fn tables_read_and_written_are_named() {
-    let read = analyze(
+    let analyzed = analyze(
         "with x as (select a from sales_17.orders) insert into Staging.\"Day One\" select * from x join \
          sales_17.lanes l on x.a = l.a",
     );
     assert_eq!(
-        read.analysis.tables_read,
+        analyzed.analysis.tables_read,
         ["sales_17.lanes", "sales_17.orders"]
     );
-    assert_eq!(read.analysis.tables_written, ["staging.Day One"]);
+    assert_eq!(analyzed.analysis.tables_written, ["staging.Day One"]);
 }
--- a/crates/sql-analysis/tests/hard_cases/main.rs
+++ b/crates/sql-analysis/tests/hard_cases/main.rs
@@ -1,4 +1,4 @@
-//! Hard cases: statements that must never be proven read-only, bounds of time and stack, floods of new shapes.
+//! Hard cases: statements that must never be proven read-only, bounds on time and stack, floods of new shapes.
 
 mod bounds;
 mod costs_and_rules;
@@ -16,27 +16,28 @@
     analyzer().analyze(statement.as_bytes())
 }
 
-/// Each statement has this effect, and a class that goes with it.
-fn all_are(effect: Effect, cases: &[&str]) {
-    for case in cases {
-        let read = analyze(case).analysis;
-        assert_eq!(read.effect, effect, "{case}: {read:?}");
-        let class = match effect {
-            Effect::ReadOnly => read.class == Class::LookUp || read.class == Class::Report,
-            Effect::NonIdempotent => read.class == Class::Load,
-            Effect::Unknown => read.class == Class::Unknown,
+/// Asserts that each statement has this effect and a class that matches the effect.
+fn assert_effects(effect: Effect, statements: &[&str]) {
+    for statement in statements {
+        let analysis = analyze(statement).analysis;
+        assert_eq!(analysis.effect, effect, "{statement}: {analysis:?}");
+        let is_class_consistent = match effect {
+            Effect::ReadOnly => analysis.class == Class::LookUp || analysis.class == Class::Report,
+            Effect::NonIdempotent => analysis.class == Class::Load,
+            Effect::Unknown => analysis.class == Class::Unknown,
         };
-        assert!(class, "{case}: {read:?}");
+        assert!(is_class_consistent, "{statement}: {analysis:?}");
     }
 }
 
-fn none_is_read_only(cases: &[&str]) {
-    for case in cases {
-        let read = analyze(case).analysis;
-        assert_ne!(read.effect, Effect::ReadOnly, "{case}");
+/// Asserts that no statement has a read-only effect or class.
+fn assert_none_read_only(statements: &[&str]) {
+    for statement in statements {
+        let analysis = analyze(statement).analysis;
+        assert_ne!(analysis.effect, Effect::ReadOnly, "{statement}");
         assert!(
-            matches!(read.class, Class::Load | Class::Unknown),
-            "{case}: {read:?}"
+            matches!(analysis.class, Class::Load | Class::Unknown),
+            "{statement}: {analysis:?}"
         );
     }
 }
--- a/crates/sql-analysis/tests/hard_cases/shapes.rs
+++ b/crates/sql-analysis/tests/hard_cases/shapes.rs
@@ -20,10 +20,10 @@
 fn statements_that_differ_in_literals_only_share_a_shape() {
     let mut analyzer = analyzer();
     let mut shape = |statement: &str| analyzer.analyze(statement.as_bytes()).shape_id;
-    let one = shape("select a from t where b = 1 and c = 'x'");
+    let shape_id = shape("select a from t where b = 1 and c = 'x'");
     assert_eq!(
         shape("SELECT a\nFROM t -- c\n WHERE b=22 AND c='y''z'"),
-        one
+        shape_id
     );
     for other in [
         "select a from t where b = 1 or c = 'x'",
@@ -34,11 +34,11 @@
         "select a from \"T\" where b = 1 and c = 'x'",
         "select a from t where b = 1 and c = 'x' # y",
     ] {
-        assert_ne!(shape(other), one, "{other}");
+        assert_ne!(shape(other), shape_id, "{other}");
     }
-    // Another process draws another key: nobody can construct shapes with equal hashes.
-    let other = StatementAnalyzer::new(Config::default(), [8; 16])
+    // Another process has another hash key, so nobody can construct shapes with equal hashes.
+    let other_key_shape_id = StatementAnalyzer::new(Config::default(), [8; 16])
         .analyze(b"select a from t where b = 1 and c = 'x'")
         .shape_id;
-    assert_ne!(other, one);
+    assert_ne!(other_key_shape_id, shape_id);
 }
--- a/crates/sql-analysis/tests/hard_cases/text.rs
+++ b/crates/sql-analysis/tests/hard_cases/text.rs
@@ -1,11 +1,11 @@
-//! Text that engines interpret in different ways: comments, quotes, control bytes and characters beyond ASCII.
+//! Text that engines interpret differently: comments, quotes, control bytes and characters beyond ASCII.
 
-use crate::{all_are, analyzer, none_is_read_only};
+use crate::{analyzer, assert_effects, assert_none_read_only};
 use tansymux_sql_analysis::Effect;
 
 #[test]
-fn writes_hidden_behind_comments_and_quotes() {
-    none_is_read_only(&[
+fn writes_hidden_behind_comments_and_quotes_are_not_read_only() {
+    assert_none_read_only(&[
         "select 1 -- x\n; delete from t",
         "select 1 --x\n; delete from t",
         "select 1 -- x\r; delete from t",
@@ -28,7 +28,7 @@
 
 #[test]
 fn unterminated_statements_are_not_proven_read_only() {
-    none_is_read_only(&[
+    assert_none_read_only(&[
         "select 'a",
         "select \"a",
         "select `a",
@@ -47,8 +47,8 @@
 }
 
 #[test]
-fn nul_bytes_byte_order_marks_invalid_utf8_and_look_alike_letters() {
-    none_is_read_only(&[
+fn nul_bytes_byte_order_marks_invalid_utf8_and_look_alike_letters_are_not_read_only() {
+    assert_none_read_only(&[
         "",
         " ",
         ";",
@@ -82,7 +82,7 @@
 
 #[test]
 fn quoted_keywords_and_non_ascii_literals_are_proven_read_only() {
-    all_are(
+    assert_effects(
         Effect::ReadOnly,
         &[
             "select \"delete\", \"into\" from \"update\"",
