--- a/crates/operator-config/build.rs
+++ b/crates/operator-config/build.rs
@@ -1,4 +1,4 @@
-//! Compiles the schema with protox, which is written in Rust: protoc is not needed.
+//! Compiles the schema with protox, a compiler written in Rust, so that protoc is not needed.
 
 use prost::Message;
 
@@ -6,7 +6,7 @@
     println!("cargo:rerun-if-changed=proto/operator.proto");
     let descriptors = protox::compile(["proto/operator.proto"], ["proto"])?;
     let out_directory = std::path::PathBuf::from(std::env::var("OUT_DIR")?);
-    // The program needs names and types only: comments are left out.
+    // The program needs only names and types, so comments are removed.
     let mut without_comments = descriptors.clone();
     for file in &mut without_comments.file {
         file.source_code_info = None;
--- a/crates/operator-config/src/error.rs
+++ b/crates/operator-config/src/error.rs
@@ -24,7 +24,7 @@
     /// The file is longer than [`MAX_BYTES`].
     #[error("the file is longer than {MAX_BYTES} bytes")]
     FileTooLong,
-    /// Messages are nested more deeply than any schema of tansymux.
+    /// Messages are nested more deeply than any file of this schema needs.
     #[error("messages are nested too deeply")]
     NestedTooDeeply,
     /// The text does not match the schema: an unknown name, a wrong type, a repeated field, a missing bracket.
@@ -33,7 +33,7 @@
         /// The text-format parser's message.
         message: String,
     },
-    /// The compiled schema is unusable: a defect of the program, not of the file.
+    /// The compiled schema is unusable: a bug in the program, not an error in the file.
     #[error("{message}")]
     Schema {
         /// The library's message.
@@ -125,7 +125,7 @@
 }
 
 impl fmt::Display for ConfigErrors {
-    /// The errors, separated by semicolons.
+    /// Writes the errors, separated by semicolons.
     fn fmt(&self, formatter: &mut fmt::Formatter) -> fmt::Result {
         for (index, error) in self.iter().enumerate() {
             let separator = if index == 0 { "" } else { "; " };
--- a/crates/operator-config/src/error_collector.rs
+++ b/crates/operator-config/src/error_collector.rs
@@ -1,4 +1,4 @@
-//! Collects the errors of checks, and adds the location of each key.
+//! Collects the errors found by checks, and adds the location of each key.
 
 use crate::error::{ConfigError, ConfigErrorKind};
 use crate::source_location::SourceMap;
@@ -10,7 +10,7 @@
 }
 
 impl<'a> ErrorCollector<'a> {
-    /// Without errors.
+    /// A collector without errors.
     pub fn new(source_map: &'a SourceMap) -> Self {
         ErrorCollector {
             source_map,
--- a/crates/operator-config/src/fleet.rs
+++ b/crates/operator-config/src/fleet.rs
@@ -10,22 +10,23 @@
 use tansymux_rollout::canary_analysis::AnalysisConfig;
 use tansymux_rollout::{FleetConfig, RolloutConfig, RolloutPlan, ZoneEvacuation};
 
-/// Number of retransmits of a quorum record within the leader's lease.
+/// Number of retransmissions of a quorum record within the leader's lease.
 const RETRANSMITS_PER_LEASE: f64 = 10.0;
-/// The highest number of ramp steps: a step is one byte in messages.
+/// Maximum number of ramp steps: a step is one byte in messages.
 const MAX_RAMP_STEPS: u32 = 255;
-/// Length of a key that signs datagrams.
+/// Length of a key that signs datagrams (bytes).
 const KEY_BYTES: usize = 16;
-/// The number of a zone that no name has: the file does not say in which zone the member is, the program does.
+/// Placeholder for the local zone, which no name hashes to: the file does not contain the member's zone, the program
+/// sets it.
 const UNKNOWN_ZONE: u32 = 0;
 
-/// The number of a zone, version or engine in messages: the 32-bit FNV-1a hash of its name, never 0.
+/// The id of a zone, version or engine in messages: the 32-bit FNV-1a hash of its name, or 1 if the hash is 0.
 pub fn name_hash(name: &str) -> u32 {
     tansymux_codec::fnv1a_32(name.as_bytes()).max(1)
 }
 
-/// The fleet's configuration; `None` if a required field is missing or malformed, which [`parse`](crate::parse) rejects.
-/// `grant_id`: the restart lease under which the program was started, 0 without one.
+/// The fleet's configuration; `None` if a required field is missing or malformed, which [`parse`](crate::parse)
+/// rejects. `grant_id` is the restart lease under which the program was started, or 0 without a lease.
 pub fn fleet_config(fleet: &schema::Fleet, grant_id: u64) -> Option<FleetConfig> {
     let timing = fleet.timing.unwrap_or_default();
     let rollout = rollout_config(fleet, &timing);
@@ -56,7 +57,7 @@
     text.parse().ok().filter(SocketAddr::is_ipv4)
 }
 
-/// A key of 32 hexadecimal digits.
+/// Parses a key of 32 hexadecimal digits.
 pub(crate) fn parse_key(hex: &str) -> Option<[u8; KEY_BYTES]> {
     if hex.len() != 2 * KEY_BYTES || !hex.bytes().all(|byte| byte.is_ascii_hexdigit()) {
         return None;
--- a/crates/operator-config/src/levels.rs
+++ b/crates/operator-config/src/levels.rs
@@ -6,8 +6,8 @@
     ClassFraction, Condition, Config, Degradation, Level, Signal, Trigger,
 };
 
-/// The configuration of service levels. [`parse`](crate::parse) checks its values, this conversion does not. A missing
-/// threshold is NaN.
+/// The configuration of service levels. [`parse`](crate::parse) checks the values, this conversion does not. A missing
+/// threshold becomes NaN.
 pub fn service_level_config(levels: &schema::Levels) -> Config {
     Config {
         levels: levels.level.iter().map(level).collect(),
--- a/crates/operator-config/src/lib.rs
+++ b/crates/operator-config/src/lib.rs
@@ -1,9 +1,9 @@
-//! The operators' file: protobuf text format, parsed and checked.
+//! Parser and validator of the operators' file, which is in protobuf text format.
 //!
 //! Owns: the schema (`proto/operator.proto`) with the defaults of its fields, every check that needs the file alone
 //! (`validate`), and the conversion of the schema's messages into the types of the packages that use them
-//! ([`fleet_config`], [`zone_routing_config`], [`service_level_config`]). It never opens a file, reads the environment or
-//! applies a configuration: [`parse`] takes a text and returns either the configuration or all errors of the text.
+//! ([`fleet_config`], [`zone_routing_config`], [`service_level_config`]). It never opens a file, reads the environment
+//! or applies a configuration: [`parse`] takes a text and returns either the configuration or all errors of the text.
 //!
 //! Start reading at [`parse`].
 
@@ -27,7 +27,7 @@
 use prost_reflect::{DescriptorPool, DynamicMessage};
 use source_location::SourceMap;
 
-/// The schema's messages, generated when the package is built. Their fields have the names of the file's keys.
+/// The schema's messages, generated at build time. Their fields are named like the file's keys.
 #[allow(clippy::all, clippy::pedantic, missing_docs)]
 pub mod schema {
     include!(concat!(env!("OUT_DIR"), "/tansymux.operator.rs"));
@@ -38,7 +38,7 @@
 /// The schema's message for the entire file.
 const ROOT_MESSAGE: &str = "tansymux.operator.Operator";
 
-/// The longest file that is parsed, in bytes.
+/// Maximum length of the file (bytes).
 pub const MAX_BYTES: usize = 1 << 20;
 
 /// Parses and checks the text of a file.
@@ -51,7 +51,7 @@
         return Err(ConfigErrors::of_file(ConfigErrorKind::FileTooLong));
     }
     // The parser recurses into messages, so their depth is checked first.
-    if let Some(location) = source_location::first_too_deep(text) {
+    if let Some(location) = source_location::first_excessive_nesting(text) {
         let kind = ConfigErrorKind::NestedTooDeeply;
         return Err(ConfigErrors::at(location, String::new(), kind));
     }
--- a/crates/operator-config/src/source_location.rs
+++ b/crates/operator-config/src/source_location.rs
@@ -1,5 +1,5 @@
-//! Locations of the keys of a text-format file, by a scan over its tokens. They are used in error messages only; the
-//! parser interprets the file.
+//! Locations of the keys in a text-format file, found by a scan of its tokens. They are used in error messages only:
+//! the parser interprets the file independently.
 
 use crate::error::SourceLocation;
 use crate::tokens::{tokens, TokenKind};
@@ -11,7 +11,7 @@
 /// Maximum depth of nested messages. The schema needs less than half of it.
 const MAX_DEPTH: usize = 32;
 
-/// The location of a byte.
+/// The line and column of the byte at `offset`.
 pub(crate) fn location_of(text: &str, offset: usize) -> SourceLocation {
     let mut offset = offset.min(text.len());
     while !text.is_char_boundary(offset) {
@@ -25,8 +25,8 @@
     }
 }
 
-/// The location where messages are first nested more deeply than `MAX_DEPTH`.
-pub(crate) fn first_too_deep(text: &str) -> Option<SourceLocation> {
+/// The first location where messages are nested more deeply than `MAX_DEPTH`.
+pub(crate) fn first_excessive_nesting(text: &str) -> Option<SourceLocation> {
     let mut depth = 0_usize;
     for token in tokens(text) {
         match token.kind {
@@ -41,12 +41,12 @@
     None
 }
 
-/// The locations of all keys by their paths. A path has an occurrence number (from 0) after each name; the first
-/// occurrence of a path is also found without its number.
+/// The locations of all keys by their paths. A path has an occurrence number (from 0) after each name. The first
+/// occurrence of a path is also stored without its last number.
 #[derive(Debug, Default)]
 pub(crate) struct SourceMap {
     by_path: HashMap<String, SourceLocation>,
-    /// Every key in the order of the text.
+    /// All keys in the order of the text.
     in_order: Vec<Key>,
 }
 
@@ -102,7 +102,7 @@
             .map_or_else(String::new, |key| key.path.clone())
     }
 
-    /// The location of a key as checks name it: with numbers only after repeated fields.
+    /// The location of a key in the form used by checks, with numbers only after repeated fields.
     pub fn location(&self, key: &str) -> Option<SourceLocation> {
         let numbered = self.by_path.get(&number_all_names(key));
         numbered.or_else(|| self.by_path.get(key)).copied()
@@ -120,7 +120,7 @@
         None
     }
 
-    /// The key at a byte, or the last one before it.
+    /// The key at `offset`, or the last key before it.
     pub fn key_at(&self, offset: usize) -> Option<String> {
         let after = self.in_order.partition_point(|key| key.offset <= offset);
         let key = self.in_order.get(after.checked_sub(1)?)?;
--- a/crates/operator-config/src/source_location/tests.rs
+++ b/crates/operator-config/src/source_location/tests.rs
@@ -7,7 +7,7 @@
 }
 
 #[test]
-fn location_of_a_key_is_that_of_its_name_in_the_text() {
+fn location_of_a_key_is_the_position_of_its_name_in_the_text() {
     let text = "log { # level: x\n  level: WARN format: JSON }\nstatements {\n rule { class: LOAD }\n rule {\n  \
                 class: REPORT least_joins: 2 }\n path: \"a: b { c\" }";
     let source_map = SourceMap::scan(text);
--- a/crates/operator-config/src/tokens.rs
+++ b/crates/operator-config/src/tokens.rs
@@ -20,7 +20,7 @@
     pub kind: TokenKind<'a>,
 }
 
-/// The tokens of a text, without comments and blanks. Any text is accepted.
+/// An iterator over the tokens of a text, without comments and white space. Any text is accepted.
 pub(crate) struct Tokens<'a> {
     text: &'a str,
     offset: usize,
@@ -41,7 +41,7 @@
         }
     }
 
-    /// Skips a string after its opening quote, up to the closing quote or the end of the line.
+    /// Skips the rest of a string after its opening quote, through the closing quote or the end of the line.
     fn skip_string(&mut self, quote: u8) {
         while let Some(byte) = self.peek() {
             if byte == quote || byte == b'\n' {
--- a/crates/operator-config/src/validate/fleet.rs
+++ b/crates/operator-config/src/validate/fleet.rs
@@ -7,15 +7,15 @@
 use std::collections::HashSet;
 use std::net::SocketAddr;
 
-/// Maximum number of voters. More voters would tolerate more failures than is useful, and slow each round down.
+/// Maximum number of voters. More voters would tolerate more failures than is useful, and slow down each round.
 const MAX_VOTERS: usize = 9;
-/// Longest name, in bytes: the limit of a datagram's field.
+/// Maximum length of a name (bytes), the limit of a field in a datagram.
 const MAX_NAME_BYTES: usize = 64;
-/// The allowed names, for error texts.
+/// Description of the allowed names in error texts.
 const ALLOWED_NAME: &str = "a name of 1 to 64 bytes without blanks";
-/// The allowed addresses, for error texts.
-const ALLOWED_ADDRESS: &str = "an address and port of IPv4, as in 127.0.0.1:7946";
-/// The allowed keys, for error texts.
+/// Description of the allowed addresses in error texts.
+const ALLOWED_ADDRESS: &str = "an IPv4 address and port, as in 127.0.0.1:7946";
+/// Description of the allowed keys in error texts.
 const ALLOWED_KEY: &str = "32 hex digits";
 
 pub(super) fn validate(fleet: &Fleet, errors: &mut ErrorCollector) {
--- a/crates/operator-config/src/validate/levels.rs
+++ b/crates/operator-config/src/validate/levels.rs
@@ -11,7 +11,7 @@
     for (index, level) in levels.level.iter().enumerate() {
         validate_level(&format!("levels.level.{index}"), level, errors);
     }
-    // `Config::validate` requires values within their ranges.
+    // `Config::validate` assumes values within their ranges.
     if errors.is_empty() {
         for error in service_level_config(levels).validate() {
             let key = format!("levels.level.{}.{}", error.level, error.key);
@@ -73,7 +73,7 @@
 }
 
 fn validate_act(key: &str, act: &Act, errors: &mut ErrorCollector) {
-    // The lower bound of demotion is high, or ordinary queries would leave the fast lane.
+    // With a demotion factor below 0.5 ordinary queries would leave the fast lane.
     errors.check_range(&format!("{key}.bounds"), act.bounds, 0.05, 1.0);
     errors.check_range(&format!("{key}.demotion"), act.demotion, 0.5, 1.0);
     errors.check_range(&format!("{key}.grants"), act.grants, 0.05, 1.0);
--- a/crates/operator-config/src/validate/mod.rs
+++ b/crates/operator-config/src/validate/mod.rs
@@ -1,5 +1,5 @@
-//! Checks that the schema's types cannot express: ranges, references and duplicates. Each block of the file has its own
-//! module, independent of the others.
+//! Checks that the schema's types cannot express: ranges, references and duplicates. Each block of the file has a
+//! module, which is independent of the others.
 
 mod fleet;
 mod levels;
@@ -34,7 +34,7 @@
             errors.add(
                 "fleet.zones",
                 "without halls",
-                "a block halls beside it, which judges what one dispatcher sees",
+                "a file with a block halls, which configures how a dispatcher detects a failed zone",
             );
         }
     }
--- a/crates/operator-config/src/validate/rules.rs
+++ b/crates/operator-config/src/validate/rules.rs
@@ -1,4 +1,4 @@
-//! Checks of `statements.rule`: each rule needs a class of read-only statements, and must be reachable.
+//! Checks of `statements.rule`: each rule must have a class of read-only statements and must be reachable.
 
 use crate::error_collector::ErrorCollector;
 use crate::schema::{Class, Rule};
@@ -14,10 +14,10 @@
         ] {
             errors.check_range(&format!("{key}.{name}"), min_count, 1.0, 1000.0);
         }
-        let shadowing = rules[..index]
+        let shadowed_by = rules[..index]
             .iter()
             .position(|earlier| includes(earlier, rule));
-        if let Some(earlier) = shadowing {
+        if let Some(earlier) = shadowed_by {
             let found = format!("shadowed by statements.rule.{earlier}");
             errors.add(&key, found, "a rule that can be reached");
         }
@@ -28,14 +28,14 @@
     match rule.class.map(Class::try_from) {
         None => errors.add_missing(&format!("{key}.class"), "LOOK_UP or REPORT"),
         Some(Ok(Class::Load)) => {
-            let allowed = "LOOK_UP or REPORT, as a rule speaks of what only reads";
+            let allowed = "LOOK_UP or REPORT, since rules apply to read-only statements";
             errors.add(&format!("{key}.class"), "LOAD", allowed);
         }
         Some(_) => {}
     }
 }
 
-/// Whether every statement that satisfies `later` satisfies `earlier`, so that `later` is never reached.
+/// Whether every statement that matches `later` also matches `earlier`, so that `later` is never reached.
 fn includes(earlier: &Rule, later: &Rule) -> bool {
     includes_min(earlier.least_joins, later.least_joins)
         && includes_min(earlier.least_tables, later.least_tables)
--- a/crates/operator-config/src/validate/statements.rs
+++ b/crates/operator-config/src/validate/statements.rs
@@ -5,9 +5,9 @@
 use crate::schema::{Cache, Estimate, Groups, Learning, Statements};
 use std::collections::HashSet;
 
-/// Prefixes of the dispatcher's own paths, and of paths that name a class.
+/// Prefixes of the dispatcher's status paths and of paths that name a class.
 const RESERVED_PATHS: [&str; 3] = ["/_", "/invoke/", "/query/"];
-/// Longest path or name of a function, in bytes.
+/// Maximum length of a path or function name (bytes).
 const MAX_NAME_BYTES: usize = 128;
 
 pub(super) fn validate(statements: &Statements, errors: &mut ErrorCollector) {
@@ -41,7 +41,7 @@
             .iter()
             .any(|reserved| path.starts_with(reserved));
     if !is_well_formed || is_reserved {
-        let allowed = "a path of letters, digits and / _ - . that no other call uses";
+        let allowed = "a path of letters, digits and / _ - . that is not reserved";
         errors.add("statements.path", format!("{path:?}"), allowed);
     }
 }
@@ -55,7 +55,7 @@
         if group.unwrap_or_default().is_empty() {
             errors.add_missing(
                 &format!("statements.groups.{class}"),
-                "the name of a resource group, as statements.path is given",
+                "the name of a resource group, since statements.path is set",
             );
         }
     }
@@ -86,7 +86,7 @@
                 let allowed = "a name, or schema.name, of letters, digits and _";
                 errors.add(&key, format!("{name:?}"), allowed);
             } else if !earlier.insert(name.to_ascii_lowercase()) {
-                let allowed = "each function once in both lists";
+                let allowed = "each function once in the two lists together";
                 errors.add(&key, format!("{name:?} a second time"), allowed);
             }
         }
--- a/crates/operator-config/src/validate/zone_routing.rs
+++ b/crates/operator-config/src/validate/zone_routing.rs
@@ -10,7 +10,7 @@
         let key = format!("halls.spill.{index}.most");
         match spill.most {
             None => errors.add_missing(&key, "0 to 4"),
-            max_fraction => errors.check_range(&key, max_fraction, 0.0, 4.0),
+            max_threads_per_core => errors.check_range(&key, max_threads_per_core, 0.0, 4.0),
         }
     }
     if let Some(cut) = &halls.cut {
--- a/crates/operator-config/src/zone_routing.rs
+++ b/crates/operator-config/src/zone_routing.rs
@@ -4,7 +4,7 @@
 use crate::units::MS_PER_S;
 use tansymux_zone_routing::{Config, CutDetection, RecoveryRamp, Route, SpillLimit, Tier};
 
-/// The configuration of zone routing. [`parse`](crate::parse) checks its values, this conversion does not.
+/// The configuration of zone routing. [`parse`](crate::parse) checks the values, this conversion does not.
 pub fn zone_routing_config(halls: &schema::Halls) -> Config {
     let cut = halls.cut.unwrap_or_default();
     let ramp = halls.climb.unwrap_or_default();
--- a/crates/operator-config/tests/parse.rs
+++ b/crates/operator-config/tests/parse.rs
@@ -1,4 +1,5 @@
-//! A file with errors is rejected as a whole; each error names its location and key.
+//! Parsing of the operators' file: a file with errors is rejected as a whole, and each error names its location and
+//! key.
 
 use proptest::prelude::*;
 use tansymux_operator_config::{parse, schema};
@@ -60,7 +61,7 @@
         ("halls { spill { most: 5 } }", "halls.spill.0.most is 5, allowed is 0 to 4"),
         ("halls { route { tier { hall: \"a\" }\n tier { hall: [\"b\", \"a\"] } } }", "2:9: halls.route.0.tier.1.hall.1 is \"a\" a second"),
         ("halls { climb { over_s: 0 } }", "halls.climb.over_s is 0"),
-        // Syntax errors: the library's message with our location and key.
+        // Syntax errors: the text-format parser's message, with a location and key.
         ("log {\n levle: WARN\n}", "2:2: log.levle: "),
         ("log { level: LOUD }", "log.level: "),
         ("log { level: WARN level: INFO }", "log.level"),
@@ -68,30 +69,32 @@
         ("log {", "1:6: "),
     ];
     for (text, expected) in cases {
-        let all = errors(text);
+        let messages = errors(text);
         assert!(
-            all.iter().any(|error| error.contains(expected)),
-            "{expected} in {all:?}"
+            messages.iter().any(|error| error.contains(expected)),
+            "{expected} in {messages:?}"
         );
     }
 }
 
 #[test]
-fn all_errors_of_meaning_are_reported_in_the_order_of_their_lines() {
-    let all = errors(
+fn all_semantic_errors_are_reported_in_the_order_of_their_lines() {
+    let messages = errors(
         "statements { cache { shapes: 3 }\n learning { half_sure: 0 } }\nlog { lines_at_once: 0 }",
     );
-    assert_eq!(all.len(), 3);
+    assert_eq!(messages.len(), 3);
     assert!(
-        all[0].starts_with("1:") && all[1].starts_with("2:") && all[2].starts_with("3:"),
-        "{all:?}"
+        messages[0].starts_with("1:")
+            && messages[1].starts_with("2:")
+            && messages[2].starts_with("3:"),
+        "{messages:?}"
     );
 }
 
 #[test]
 fn excessive_nesting_is_rejected_without_recursion() {
-    let deep = "statements { ".repeat(20_000);
-    assert!(errors(&deep)[0].contains("nested too deeply"));
+    let nested = "statements { ".repeat(20_000);
+    assert!(errors(&nested)[0].contains("nested too deeply"));
 }
 
 proptest! {
@@ -101,11 +104,13 @@
     }
 
     #[test]
-    fn parsing_a_truncated_or_altered_example_never_panics(cut in 0usize..4000, at in 0usize..4000, with in any::<char>()) {
+    fn parsing_a_truncated_or_altered_example_never_panics(
+        length in 0usize..4000, position in 0usize..4000, replacement in any::<char>(),
+    ) {
         let text = include_str!("../../../deploy/operator.textproto");
-        let mut chars: Vec<char> = text.chars().take(cut).collect();
-        if let Some(place) = chars.get_mut(at) {
-            *place = with;
+        let mut chars: Vec<char> = text.chars().take(length).collect();
+        if let Some(character) = chars.get_mut(position) {
+            *character = replacement;
         }
         let _ = parse(&chars.into_iter().collect::<String>());
     }
