--- a/crates/dispatcher/tests/fault_injection/attempt_ends.rs
+++ b/crates/dispatcher/tests/fault_injection/attempt_ends.rs
@@ -1,4 +1,5 @@
-//! What ends an attempt: replies that come late, twice or for another attempt, and ends of connections that prove nothing.
+//! Completion of attempts: late, duplicate and misdirected replies do not complete a retry, and a half-closed connection
+//! does not prove that its attempt has ended.
 
 use super::support::*;
 use std::io::{BufReader, Read};
@@ -11,16 +12,16 @@
 use tansymux_testbed::engine::{scripted, write_result_of, ReceivedFrame};
 use tansymux_testbed::wire::{read_response, write_frame};
 
-/// How long an engine's pages of one result are lost apart from each other.
-const BETWEEN_REPLIES: Duration = Duration::from_millis(4);
-/// How long a retry runs.
+/// Interval between the error replies of an engine to requests for pages that it has lost.
+const REPLY_INTERVAL: Duration = Duration::from_millis(4);
+/// Run time of a retry.
 const RUN_TIME: Duration = Duration::from_millis(80);
-/// How long a command of the program is awaited.
+/// Timeout for a command from the program to an engine.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(2);
-/// How long clients wait for an answer (ms).
+/// Wait time that clients send with a query (ms).
 const WAIT_MS: f64 = 6000.0;
 
-/// When an engine received each attempt and ended it.
+/// Arrival and end times of the attempts that an engine received.
 #[derive(Debug, Clone, Default)]
 struct AttemptLog(Arc<Mutex<Vec<AttemptTimes>>>);
 
@@ -31,8 +32,8 @@
 }
 
 impl AttemptLog {
-    /// Records an attempt and returns its number.
-    fn arrive(&self) -> usize {
+    /// Records the arrival of an attempt and returns the attempt's number.
+    fn record_arrival(&self) -> usize {
         let mut attempts = self.0.lock().unwrap();
         attempts.push(AttemptTimes {
             arrived: Instant::now(),
@@ -41,7 +42,7 @@
         attempts.len() - 1
     }
 
-    fn end(&self, number: usize) {
+    fn record_end(&self, number: usize) {
         self.0.lock().unwrap()[number].ended = Some(Instant::now());
     }
 
@@ -53,45 +54,45 @@
         self.0.lock().unwrap().len()
     }
 
-    /// Fails if an attempt arrived before the one ahead of it had ended.
-    fn assert_one_at_a_time(&self) {
+    /// Fails if an attempt arrived before the preceding attempt had ended.
+    fn assert_no_overlap(&self) {
         let attempts = self.0.lock().unwrap();
         for pair in attempts.windows(2) {
             let ended = pair[0].ended;
             let is_after = ended.is_some_and(|ended| ended <= pair[1].arrived);
-            assert!(is_after, "two attempts at once: {attempts:?}");
+            assert!(is_after, "attempts overlap: {attempts:?}");
         }
     }
 }
 
-/// Completes an attempt after its run time, with one row.
+/// Completes an attempt with one row after [`RUN_TIME`], on a separate thread.
 fn run_and_complete(log: &AttemptLog, number: usize, id: &str, to: &TcpStream) {
     let mut to = to.try_clone().unwrap();
     let (log, id) = (log.clone(), id.to_owned());
     thread::spawn(move || {
         thread::sleep(RUN_TIME);
-        log.end(number);
+        log.record_end(number);
         write_result_of(&mut to, &id, "x\ty\tz\n");
     });
 }
 
-/// An engine that ends the first attempt with the first of three pages and loses the two others. It completes all later
-/// attempts.
+/// Starts an engine that answers the first attempt with the first of three pages and replies with an error to requests for
+/// the other two. It completes all later attempts.
 fn engine_that_loses_pages(log: &AttemptLog) -> (SocketAddr, Receiver<ReceivedFrame>) {
     let log = log.clone();
     let answer = move |parts: &[String], to: &mut TcpStream| {
         let id = &parts[1];
         match parts[0].as_str() {
             "fetch" => {
-                let number = log.arrive();
+                let number = log.record_arrival();
                 if number > 0 {
                     return run_and_complete(&log, number, id, to);
                 }
-                log.end(number);
+                log.record_end(number);
                 write_frame(to, &[id, "DONE", "batches=3", "a\tb\tc\n"]);
             }
             "more" => {
-                thread::sleep(BETWEEN_REPLIES);
+                thread::sleep(REPLY_INTERVAL);
                 write_frame(to, &[id, "BROKE", "-", ""]);
             }
             _ => {}
@@ -100,16 +101,16 @@
     scripted(answer)
 }
 
-/// The status and the body of the answer to a query on a connection of its own.
-fn ask_for_rows(to: SocketAddr, group: &str, id: u64) -> Option<(u16, String)> {
+/// Sends a query on a new connection, and returns the status and body of the answer.
+fn query_rows(to: SocketAddr, group: &str, id: u64) -> Option<(u16, String)> {
     let mut stream = connect(to);
     send(&mut stream, &query(group, id, WAIT_MS));
     let response = read_response(&mut BufReader::new(stream))?;
     Some((response.status, response.body))
 }
 
-/// The answer with the one row of [`run_and_complete`].
-fn retried_row() -> Option<(u16, String)> {
+/// Returns the expected answer of a retry: the row that [`run_and_complete`] writes.
+fn retry_answer() -> Option<(u16, String)> {
     Some((200, r#"{"data":[["x","y","z"]]}"#.to_owned()))
 }
 
@@ -118,71 +119,72 @@
     let log = AttemptLog::default();
     let (engine, _received) = engine_that_loses_pages(&log);
     let program = start(&two_group_config(&[engine]));
-    assert_eq!(ask_for_rows(program.listen, "look", 1), retried_row());
+    assert_eq!(query_rows(program.listen, "look", 1), retry_answer());
     assert_eq!(log.count(), 2);
-    log.assert_one_at_a_time();
+    log.assert_no_overlap();
 }
 
-/// A reply that comes a second time, or behind the final one.
+/// A reply of an engine to an attempt.
 #[derive(Debug, Clone, Copy)]
-struct LateReply {
-    word: &'static str,
+struct EngineReply {
+    kind: &'static str,
     fields: &'static str,
     rows: &'static str,
 }
 
-const LATE_REPLIES: [LateReply; 6] = [
-    LateReply {
-        word: "BROKE",
+/// Replies that an engine sends to an attempt after the final reply.
+const LATE_REPLIES: [EngineReply; 6] = [
+    EngineReply {
+        kind: "BROKE",
         fields: "-",
         rows: "",
     },
-    LateReply {
-        word: "WAIT",
+    EngineReply {
+        kind: "WAIT",
         fields: "-",
         rows: "",
     },
-    LateReply {
-        word: "PAST",
+    EngineReply {
+        kind: "PAST",
         fields: "-",
         rows: "",
     },
-    LateReply {
-        word: "DONE",
+    EngineReply {
+        kind: "DONE",
         fields: "batches=1",
         rows: "a\tb\tc\n",
     },
-    LateReply {
-        word: "MORE",
+    EngineReply {
+        kind: "MORE",
         fields: "batch=1",
         rows: "a\tb\tc\n",
     },
-    LateReply {
-        word: "TELL",
+    EngineReply {
+        kind: "TELL",
         fields: "tell=frac,num=0.99",
         rows: "",
     },
 ];
 
-/// An engine that fails the first attempt and sends another reply to it a moment later. It completes all later attempts.
-fn engine_with_late_reply(log: &AttemptLog, late: LateReply) -> SocketAddr {
+/// Starts an engine that fails the first attempt and sends another reply to it 20 ms later. It completes all later attempts.
+fn engine_with_late_reply(log: &AttemptLog, late: EngineReply) -> SocketAddr {
     let log = log.clone();
-    let is_first = Arc::new(AtomicUsize::new(0));
+    let fetch_count = Arc::new(AtomicUsize::new(0));
     let answer = move |parts: &[String], to: &mut TcpStream| {
         if parts[0] != "fetch" {
             return;
         }
         let id = parts[1].clone();
-        let number = log.arrive();
-        if is_first.fetch_add(1, Ordering::SeqCst) > 0 {
+        let number = log.record_arrival();
+        if fetch_count.fetch_add(1, Ordering::SeqCst) > 0 {
             return run_and_complete(&log, number, &id, to);
         }
-        log.end(number);
+        log.record_end(number);
         write_frame(to, &[&id, "BROKE", "-", ""]);
         let mut to = to.try_clone().unwrap();
         thread::spawn(move || {
-            thread::sleep(5 * BETWEEN_REPLIES);
-            write_frame(&mut to, &[&id, late.word, late.fields, late.rows]);
+            thread::sleep(5 * REPLY_INTERVAL);
+            write_frame(&mut to, &[&id, late.kind, late.fields, late.rows]);
         });
     };
     scripted(answer).0
@@ -193,27 +195,27 @@
     for late in LATE_REPLIES {
         let log = AttemptLog::default();
         let program = start(&two_group_config(&[engine_with_late_reply(&log, late)]));
-        let answer = ask_for_rows(program.listen, "look", 1);
-        assert_eq!(answer, retried_row(), "{late:?}");
+        let answer = query_rows(program.listen, "look", 1);
+        assert_eq!(answer, retry_answer(), "{late:?}");
         assert_eq!(log.count(), 2, "{late:?}");
-        log.assert_one_at_a_time();
-        // The late reply did not cost the connection either.
+        log.assert_no_overlap();
+        // The program did not close the connection because of the late reply.
         assert_eq!(program.counter("connections_spoilt"), Some(0), "{late:?}");
     }
 }
 
-/// How late an engine reads the end of a connection that it has half-closed.
+/// Delay until an engine reads from a connection that it has half-closed.
 const CLOSE_READ_DELAY: Duration = Duration::from_millis(30);
 
-/// An engine that half-closes the connection of the first attempt and runs it until it has read that the other side
-/// closed as well. It completes all later attempts.
+/// Starts an engine that half-closes the connection of the first attempt and runs this attempt until the program has closed
+/// its side as well. It completes all later attempts.
 fn engine_that_half_closes(log: &AttemptLog) -> SocketAddr {
     let log = log.clone();
     let answer = move |parts: &[String], to: &mut TcpStream| {
         if parts[0] != "fetch" {
             return;
         }
-        let number = log.arrive();
+        let number = log.record_arrival();
         if number > 0 {
             return run_and_complete(&log, number, &parts[1], to);
         }
@@ -221,24 +223,24 @@
         thread::sleep(CLOSE_READ_DELAY);
         let mut rest = Vec::new();
         let _ = to.read_to_end(&mut rest);
-        log.end(number);
+        log.record_end(number);
     };
     scripted(answer).0
 }
 
 #[test]
-fn half_closed_connection_does_not_prove_the_end_of_its_attempt() {
+fn half_closed_connection_does_not_complete_its_attempt() {
     let log = AttemptLog::default();
     let program = start(&two_group_config(&[engine_that_half_closes(&log)]));
-    assert_eq!(ask_for_rows(program.listen, "look", 1), retried_row());
+    assert_eq!(query_rows(program.listen, "look", 1), retry_answer());
     assert_eq!(log.count(), 2);
-    log.assert_one_at_a_time();
+    log.assert_no_overlap();
 }
 
-/// Waits until an engine has received a command, and returns when it did.
+/// Waits for a command from the program to an engine, and returns the time of its arrival.
 fn command_received(received: &Receiver<ReceivedFrame>, command: &str) -> Option<Instant> {
-    let from = Instant::now();
-    while from.elapsed() < COMMAND_TIMEOUT {
+    let started = Instant::now();
+    while started.elapsed() < COMMAND_TIMEOUT {
         match received.recv_timeout(COMMAND_TIMEOUT) {
             Ok((parts, at)) if parts[0] == command => return Some(at),
             Ok(_) => {}
@@ -249,24 +251,30 @@
 }
 
 #[test]
-fn engine_is_told_to_free_a_result_whose_pages_are_lost() {
+fn result_whose_pages_are_lost_is_freed_on_the_engine() {
     let log = AttemptLog::default();
     let (engine, received) = engine_that_loses_pages(&log);
     let program = start(&two_group_config(&[engine]));
-    assert_eq!(ask_for_rows(program.listen, "look", 1), retried_row());
+    assert_eq!(query_rows(program.listen, "look", 1), retry_answer());
     let freed = command_received(&received, "done");
     assert!(freed.is_some());
-    // The retry does not overtake it.
+    // The engine receives the command before the retry.
     assert!(freed.is_some_and(|freed| freed < log.arrived(1)));
 }
 
-/// An engine that answers an attempt with a first page or a progress note, and then says that the attempt never ran.
-fn engine_that_denies_its_run(begins: LateReply, denies: &'static str) -> SocketAddr {
+/// Starts an engine that answers an attempt with a first page or a progress note, and then replies that the attempt never ran.
+fn engine_that_reports_a_started_attempt_as_never_run(
+    first_reply: EngineReply,
+    denial: &'static str,
+) -> SocketAddr {
     let answer = move |parts: &[String], to: &mut TcpStream| {
         if parts[0] == "fetch" {
             let id = &parts[1];
-            write_frame(to, &[id, begins.word, begins.fields, begins.rows]);
-            write_frame(to, &[id, denies, "-", ""]);
+            write_frame(
+                to,
+                &[id, first_reply.kind, first_reply.fields, first_reply.rows],
+            );
+            write_frame(to, &[id, denial, "-", ""]);
         }
     };
     scripted(answer).0
@@ -274,22 +282,22 @@
 
 #[test]
 fn write_that_has_begun_is_not_rejected_as_never_run() {
-    let first_page = LateReply {
-        word: "DONE",
+    let first_page = EngineReply {
+        kind: "DONE",
         fields: "batches=2",
         rows: "a\tb\tc\n",
     };
-    let progress = LateReply {
-        word: "TELL",
+    let progress = EngineReply {
+        kind: "TELL",
         fields: "tell=frac,num=0.5",
         rows: "",
     };
-    for begins in [first_page, progress] {
-        for denies in ["WAIT", "PAST"] {
-            let engine = engine_that_denies_its_run(begins, denies);
+    for first_reply in [first_page, progress] {
+        for denial in ["WAIT", "PAST"] {
+            let engine = engine_that_reports_a_started_attempt_as_never_run(first_reply, denial);
             let program = start(&two_group_config(&[engine]));
-            let status = ask(program.listen, &query("load", 1, WAIT_MS));
-            assert_eq!(status, Some(500), "{begins:?}, {denies}");
+            let status = query_status(program.listen, &query("load", 1, WAIT_MS));
+            assert_eq!(status, Some(500), "{first_reply:?}, {denial}");
         }
     }
 }
--- a/crates/dispatcher/tests/fault_injection/engine_deadline.rs
+++ b/crates/dispatcher/tests/fault_injection/engine_deadline.rs
@@ -1,4 +1,4 @@
-//! The time limit that a request to an engine carries: the client's remaining time when the request's first byte is sent.
+//! The time limit in a request to an engine: the client's remaining time when the first byte of the request is sent.
 
 use super::support::*;
 use std::io::BufReader;
@@ -11,9 +11,9 @@
 use tansymux_testbed::program::{Program, TIMEOUT};
 use tansymux_testbed::wire::{list_value, read_frame};
 
-/// How much more than the client's remaining time an engine may be given (ms; operators' page).
+/// Most by which a time limit may exceed the client's remaining time (ms; operators' page).
 const SLACK_MS: f64 = 150.0;
-/// How long clients wait for an answer (ms).
+/// Wait time that clients send with a query (ms).
 const WAIT_MS: f64 = 6000.0;
 
 /// The time limit of a query, as an engine received it.
@@ -23,7 +23,7 @@
     arrived: Instant,
 }
 
-/// Reads requests from a connection, and sends the time limit of each.
+/// Reads requests from a connection until it closes, and sends the time limit of each query to `limits`.
 fn read_limits(stream: &TcpStream, limits: &Sender<ReceivedLimit>) {
     let mut reader = BufReader::with_capacity(512, stream);
     while let Some(parts) = read_frame(&mut reader) {
@@ -41,32 +41,32 @@
     }
 }
 
-fn assert_within_slack(received: &ReceivedLimit, asked: Instant) {
-    let waited_ms = received.arrived.duration_since(asked).as_secs_f64() * 1000.0;
-    let left_ms = WAIT_MS - waited_ms;
+fn assert_within_slack(received: &ReceivedLimit, sent_at: Instant) {
+    let waited_ms = received.arrived.duration_since(sent_at).as_secs_f64() * 1000.0;
+    let remaining_ms = WAIT_MS - waited_ms;
     assert!(
-        received.limit_ms <= left_ms + SLACK_MS,
-        "query {} was given {} ms with {left_ms:.0} ms left",
+        received.limit_ms <= remaining_ms + SLACK_MS,
+        "query {} has a time limit of {} ms with {remaining_ms:.0} ms remaining",
         received.id,
         received.limit_ms
     );
 }
 
 #[test]
-fn deadline_sent_to_an_engine_is_what_is_left_when_its_first_byte_goes_out() {
-    // Nobody accepts, and the backlog is full: the connection is established once there is room, a second or more later.
+fn deadline_sent_to_an_engine_is_the_remaining_time_at_the_first_byte() {
+    // The accept backlog is full: the connection is established once the backlog has room, a second or more later.
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let full = refuse_silently(&listener);
+    let backlog = refuse_silently(&listener);
     let config = two_group_config(&[address])
         .with_setting(keys::CONNECT_TIMEOUT_US, 30_000_000)
         .with_setting(keys::CANCELLATION, false);
     let program = start(&config);
-    let asked = Instant::now();
+    let sent_at = Instant::now();
     let mut client = connect(program.listen);
     send(&mut client, &query("look", 1, WAIT_MS));
     thread::sleep(Duration::from_millis(600));
-    drop(full);
+    drop(backlog);
     let (sender, limits) = channel();
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
@@ -74,11 +74,11 @@
         }
     });
     let received = limits.recv_timeout(TIMEOUT).unwrap();
-    assert!(received.arrived.duration_since(asked) > Duration::from_millis(500));
-    assert_within_slack(&received, asked);
+    assert!(received.arrived.duration_since(sent_at) > Duration::from_millis(500));
+    assert_within_slack(&received, sent_at);
 }
 
-/// Sends a query whose statement fills buffers.
+/// Sends a query with a statement of 60 KB, which fills socket buffers. Returns the connection and the time of sending.
 fn send_long_query(program: &Program, id: u64) -> (TcpStream, Instant) {
     let mut long = query("look", id, WAIT_MS);
     let note = "x".repeat(60_000);
@@ -88,7 +88,7 @@
     (stream, Instant::now())
 }
 
-/// A listener with a small receive buffer, from whose connections nothing is read until the test does so.
+/// Binds a listener with a receive buffer of 4 KB. Nothing is read from its connections until the test reads from them.
 fn engine_that_does_not_read() -> (SocketAddr, TcpListener) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let socket = socket2::SockRef::from(&listener);
@@ -97,11 +97,11 @@
 }
 
 #[test]
-fn deadline_of_a_request_behind_unread_bytes_is_what_is_left_when_it_goes_out() {
+fn deadline_of_a_request_behind_unread_bytes_is_the_remaining_time_when_it_is_sent() {
     let (address, listener) = engine_that_does_not_read();
     let config = two_group_config(&[address])
         .with_setting(keys::CANCELLATION, false)
-        // All share one connection.
+        // All queries share one connection.
         .with(
             "limits",
             serde_json::json!({"sockets": 64, "memory_mb": 64}),
@@ -122,21 +122,21 @@
         }
     });
     let mut checked = 0;
-    let mut began_unread = 0;
+    let mut over_limit = 0;
     while let Ok(received) = limits.recv_timeout(Duration::from_millis(800)) {
-        let asked = clients[received.id as usize - 1].1;
-        let waited = received.arrived.duration_since(asked);
-        let left_ms = WAIT_MS - waited.as_secs_f64() * 1000.0;
-        // The first requests of a connection were sent at once, into buffers of the system.
-        if received.limit_ms > left_ms + SLACK_MS {
-            began_unread += 1;
+        let sent_at = clients[received.id as usize - 1].1;
+        let waited = received.arrived.duration_since(sent_at);
+        let remaining_ms = WAIT_MS - waited.as_secs_f64() * 1000.0;
+        // The first requests of a connection went into socket buffers at once, long before the engine read them.
+        if received.limit_ms > remaining_ms + SLACK_MS {
+            over_limit += 1;
         }
         checked += 1;
     }
-    assert!(checked > 12, "only {checked} came");
+    assert!(checked > 12, "only {checked} requests arrived");
     assert!(
-        began_unread <= 12,
-        "{began_unread} of {checked} were given too much"
+        over_limit <= 12,
+        "{over_limit} of {checked} time limits exceed the remaining time"
     );
     drop(clients);
 }
--- a/crates/dispatcher/tests/fault_injection/interrupted_calls.rs
+++ b/crates/dispatcher/tests/fault_injection/interrupted_calls.rs
@@ -1,25 +1,26 @@
-//! System calls that are interrupted by a signal, transfer fewer bytes than requested, or lack a resource for a moment.
+//! System calls that are interrupted by a signal, transfer fewer bytes than requested, or temporarily lack a resource.
 
 use super::support::*;
 use std::thread;
 use tansymux_fault_table::Call;
 use tansymux_testbed::program::free_udp_address;
 
-/// Clients that send queries at the same time.
+/// Number of concurrent clients.
 const CLIENTS: u64 = 10;
-/// Queries of each client.
-const QUERIES: u64 = 30;
-/// Rate of failing calls (of 10,000): one in twenty.
-const RATE: u32 = 500;
+/// Number of queries per client.
+const QUERIES_PER_CLIENT: u64 = 30;
+/// Failing calls per 10,000: one in twenty.
+const FAILURE_RATE: u32 = 500;
 
-/// Sends queries from many clients, each on one connection as long as it lasts. Returns the status of each query.
-fn ask_in_parallel(to: std::net::SocketAddr) -> Vec<Option<u16>> {
+/// Sends queries from [`CLIENTS`] concurrent clients. Each uses one connection, and a new one if it closes without an
+/// answer. Returns the status of each query.
+fn query_in_parallel(to: std::net::SocketAddr) -> Vec<Option<u16>> {
     let client = move |number: u64| {
         let mut stream = connect(to);
         let mut statuses = Vec::new();
-        for turn in 0..QUERIES {
-            let group = if turn % 4 == 0 { "load" } else { "look" };
-            send(&mut stream, &query(group, number * 1000 + turn, 9000.0));
+        for nth in 0..QUERIES_PER_CLIENT {
+            let group = if nth % 4 == 0 { "load" } else { "look" };
+            send(&mut stream, &query(group, number * 1000 + nth, 9000.0));
             statuses.push(answer_status(&stream));
             if statuses.last() == Some(&None) {
                 stream = connect(to);
@@ -36,8 +37,8 @@
         .collect()
 }
 
-/// Asserts that all queries are answered with a result while these calls fail.
-fn assert_nothing_is_lost(errno: i32, calls: &[Call]) {
+/// Asserts that each query is answered with a result while some of these calls fail with `errno`.
+fn assert_no_query_is_lost(errno: i32, calls: &[Call]) {
     let shim = fault_shim();
     let peer = free_udp_address().to_string();
     let config = two_group_config(&[instant_engine(), instant_engine()])
@@ -45,9 +46,9 @@
         .with("peers", serde_json::json!([peer]));
     let program = start_under(&shim, &config);
     for call in calls {
-        shim.table().fail(*call, errno, RATE, None);
+        shim.table().fail(*call, errno, FAILURE_RATE, None);
     }
-    let statuses = ask_in_parallel(program.listen);
+    let statuses = query_in_parallel(program.listen);
     for call in calls {
         assert!(shim.table().injected(*call) > 0, "{call:?} never failed");
     }
@@ -59,12 +60,12 @@
 
 #[test]
 fn interrupted_system_calls_lose_no_query() {
-    assert_nothing_is_lost(libc::EINTR, &[Call::Recv, Call::Writev]);
+    assert_no_query_is_lost(libc::EINTR, &[Call::Recv, Call::Writev]);
 }
 
 #[test]
-fn calls_without_a_buffer_for_a_moment_lose_no_query() {
-    assert_nothing_is_lost(libc::ENOBUFS, &[Call::Recv, Call::Writev]);
+fn temporary_buffer_shortages_lose_no_query() {
+    assert_no_query_is_lost(libc::ENOBUFS, &[Call::Recv, Call::Writev]);
 }
 
 #[test]
@@ -73,7 +74,7 @@
     let program = start_under(&shim, &two_group_config(&[instant_engine()]));
     shim.table().shorten(Call::Recv, 5000);
     shim.table().shorten(Call::Writev, 5000);
-    let statuses = ask_in_parallel(program.listen);
+    let statuses = query_in_parallel(program.listen);
     assert!(shim.table().injected(Call::Recv) > 0);
     assert!(shim.table().injected(Call::Writev) > 0);
     assert!(
@@ -83,21 +84,24 @@
 }
 
 #[test]
-fn failing_signal_pipe_ends_nothing() {
+fn failed_read_of_the_signal_pipe_does_not_stop_the_program() {
     let shim = fault_shim();
     let mut program = start_under(&shim, &two_group_config(&[instant_engine()]));
-    // One: the next read is that of the configuration.
+    // A single failure, because the next read is that of the configuration file.
     shim.table().fail(Call::Read, libc::EIO, 10_000, Some(1));
     program.signal("-HUP");
     program.wait_for_count("configurations_read 1\n");
     assert_eq!(shim.table().injected(Call::Read), 1);
-    assert_eq!(ask(program.listen, &query("look", 1, 9000.0)), Some(200));
+    assert_eq!(
+        query_status(program.listen, &query("look", 1, 9000.0)),
+        Some(200)
+    );
     program.terminate();
     program.end();
 }
 
 #[test]
-fn interrupted_signal_pipe_still_ends_and_reloads_the_program() {
+fn interrupted_reads_of_the_signal_pipe_lose_no_signal() {
     let shim = fault_shim();
     let mut program = start_under(&shim, &two_group_config(&[instant_engine()]));
     shim.table().fail(Call::Read, libc::EINTR, 10_000, Some(3));
--- a/crates/dispatcher/tests/fault_injection/local_faults.rs
+++ b/crates/dispatcher/tests/fault_injection/local_faults.rs
@@ -1,4 +1,4 @@
-//! Faults of the dispatcher's own machine while it connects to engines, which must not count as faults of the engines.
+//! Local failures while the dispatcher connects to engines. They must not count as failures of the engines.
 
 use super::support::*;
 use serde_json::json;
@@ -8,26 +8,26 @@
 use std::time::Duration;
 use tansymux_testbed::program::Program;
 
-/// Sets how many descriptors the process may have open, and returns the limit before.
+/// Sets the limit of open descriptors of the process, and returns the previous limit.
 fn set_descriptor_limit(program: &Program, limit: u64) -> u64 {
     let pid = program.child.id() as libc::pid_t;
-    let mut before = libc::rlimit {
+    let mut previous = libc::rlimit {
         rlim_cur: 0,
         rlim_max: 0,
     };
-    // SAFETY: valid places for both limits.
+    // SAFETY: each pointer is null or refers to a valid `rlimit`.
     unsafe {
-        libc::prlimit(pid, libc::RLIMIT_NOFILE, std::ptr::null(), &mut before);
-        let now = libc::rlimit {
+        libc::prlimit(pid, libc::RLIMIT_NOFILE, std::ptr::null(), &mut previous);
+        let new = libc::rlimit {
             rlim_cur: limit,
-            rlim_max: before.rlim_max,
+            rlim_max: previous.rlim_max,
         };
         assert_eq!(
-            libc::prlimit(pid, libc::RLIMIT_NOFILE, &now, std::ptr::null_mut()),
+            libc::prlimit(pid, libc::RLIMIT_NOFILE, &new, std::ptr::null_mut()),
             0
         );
     }
-    before.rlim_cur
+    previous.rlim_cur
 }
 
 fn open_descriptors(program: &Program) -> u64 {
@@ -51,7 +51,7 @@
         statuses.iter().all(|status| *status == Some(200)),
         "{statuses:?}"
     );
-    // No engine refused anything.
+    // No connection to an engine was refused.
     assert_eq!(program.counter("submissions_no_connection"), Some(0));
 }
 
@@ -59,24 +59,27 @@
 fn local_faults_at_connect_do_not_eject_an_engine() {
     let (engine, _requests) = engine_answering_after(Duration::ZERO);
     let program = start(&two_group_config(&[engine]));
-    // The clients are connected, and no further descriptor can be opened: no connection to the engine is established.
+    // The clients are connected and the program can open no further descriptor, so it cannot connect to the engine.
     let mut clients: Vec<TcpStream> = (0..8).map(|_| connect(program.listen)).collect();
     for client in &mut clients {
         client.write_all(b"GET /_health HTTP/1.1\r\n\r\n").unwrap();
         assert_eq!(answer_status(client), Some(200));
     }
-    let before = set_descriptor_limit(&program, open_descriptors(&program));
+    let previous = set_descriptor_limit(&program, open_descriptors(&program));
     for (id, client) in (1..).zip(&mut clients) {
         send(client, &query("look", id, 9000.0));
     }
     thread::sleep(Duration::from_millis(600));
-    set_descriptor_limit(&program, before);
+    set_descriptor_limit(&program, previous);
     let statuses: Vec<_> = clients.iter().map(answer_status).collect();
     assert!(
         statuses.iter().all(|status| *status == Some(200)),
         "{statuses:?}"
     );
     assert_eq!(program.counter("submissions_no_connection"), Some(0));
-    // The engine is not ejected: a write, which no ejected engine gets, is served.
-    assert_eq!(ask(program.listen, &query("load", 99, 9000.0)), Some(200));
+    // The engine is not ejected: it completes a write, and ejected engines are sent no writes.
+    assert_eq!(
+        query_status(program.listen, &query("load", 99, 9000.0)),
+        Some(200)
+    );
 }
--- a/crates/dispatcher/tests/fault_injection/logging.rs
+++ b/crates/dispatcher/tests/fault_injection/logging.rs
@@ -9,9 +9,15 @@
 #[test]
 fn sigusr1_writes_the_last_events_of_queries_to_the_log() {
     let mut program = start(&two_group_config(&[instant_engine()]));
-    assert_eq!(ask(program.listen, &query("look", 1, 9000.0)), Some(200));
+    assert_eq!(
+        query_status(program.listen, &query("look", 1, 9000.0)),
+        Some(200)
+    );
     program.signal("-USR1");
-    assert_eq!(ask(program.listen, &query("look", 2, 9000.0)), Some(200));
+    assert_eq!(
+        query_status(program.listen, &query("look", 2, 9000.0)),
+        Some(200)
+    );
     program.terminate();
     let log = program.end();
     let events = [
@@ -24,19 +30,19 @@
     let mut rest = log.as_str();
     for event in events {
         let found = rest.find(event);
-        assert!(
-            found.is_some(),
-            "{event} is not there, or not in its place: {log}"
-        );
+        assert!(found.is_some(), "{event} is missing or out of order: {log}");
         rest = &rest[found.unwrap_or_default()..];
     }
 }
 
 #[test]
-fn ends_and_closes_are_counted_by_reason() {
-    // Without any engine a query is rejected, with a reason.
+fn rejections_and_closed_connections_are_counted_by_reason() {
+    // Without an engine, a query is rejected, and the rejection is counted by its reason.
     let program = start(&two_group_config(&[]));
-    assert_eq!(ask(program.listen, &query("look", 1, 9000.0)), Some(429));
+    assert_eq!(
+        query_status(program.listen, &query("look", 1, 9000.0)),
+        Some(429)
+    );
     program.wait_for_count("ended_no_engine 1\n");
     assert!(program.counter("client_closed_by_client") > Some(0));
     for rule in [1, 2, 3, 6, 7] {
@@ -47,7 +53,7 @@
 
 #[test]
 fn retry_and_ignored_reply_are_logged_with_the_ids_that_clients_and_engines_know() {
-    // The first attempt fails, twice; the second one completes.
+    // The first attempt fails. The second completes, and a failure reply follows its result.
     let fetches = AtomicUsize::new(0);
     let fetches = Arc::new(fetches);
     let (engine, _received) = scripted(move |parts, to| {
@@ -63,7 +69,10 @@
         write_frame(to, &[id, "BROKE", "-", ""]);
     });
     let mut program = start(&two_group_config(&[engine]));
-    assert_eq!(ask(program.listen, &query("look", 1, 9000.0)), Some(200));
+    assert_eq!(
+        query_status(program.listen, &query("look", 1, 9000.0)),
+        Some(200)
+    );
     program.wait_for_count("replies_ignored_not_in_flight 1\n");
     program.wait_for_count("attempts_ended_final_reply 2\n");
     program.wait_for_count("retries_after_final_reply 1\n");
@@ -97,7 +106,7 @@
     ] {
         let line = line_with(message).unwrap_or_default();
         for field in fields.iter().chain([&id]) {
-            assert!(line.contains(field), "{field} is not in {line:?}");
+            assert!(line.contains(field), "{field} is missing in {line:?}");
         }
     }
 }
--- a/crates/dispatcher/tests/fault_injection/main.rs
+++ b/crates/dispatcher/tests/fault_injection/main.rs
@@ -1,10 +1,7 @@
-//! Fault injection around the real program: failing and interrupted system calls, steps of the wall clock, deadlines
-//! that pass while an attempt is queued, connections that engines drop without a reset, and transient start failures.
+//! Fault injection on the real program: failing and interrupted system calls, steps of the wall clock, deadlines that pass
+//! while an attempt is queued, connections that engines drop without a reset, and transient failures at startup.
 
-#![allow(
-    clippy::unwrap_used,
-    reason = "a test ends at the first thing that is not as it should be"
-)]
+#![allow(clippy::unwrap_used, reason = "a panic fails the test")]
 
 mod attempt_ends;
 mod engine_deadline;
--- a/crates/dispatcher/tests/fault_injection/start.rs
+++ b/crates/dispatcher/tests/fault_injection/start.rs
@@ -1,12 +1,12 @@
-//! Starts while system calls fail for a moment, and starts that cannot succeed.
+//! Startup while system calls fail temporarily, and startup that cannot succeed.
 
 use super::support::*;
 use std::time::{Duration, Instant};
 use tansymux_fault_table::Call;
 use tansymux_testbed::program::{free_udp_address, Config};
 
-/// The longest time from a start to being ready (operators' page).
-const READY_WITHIN: Duration = Duration::from_secs(10);
+/// Longest time from the start of the process until it is ready (operators' page).
+const MAX_STARTUP_TIME: Duration = Duration::from_secs(10);
 
 fn config_with_peers() -> Config {
     let peer = free_udp_address().to_string();
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn start_survives_failures_of_the_system_that_pass() {
+fn startup_retries_system_calls_that_fail_temporarily() {
     let cases = [
         (Call::Socket, libc::ENOBUFS, 1),
         (Call::Socket, libc::ENFILE, 4),
@@ -32,12 +32,16 @@
     for (call, errno, count) in cases {
         let shim = fault_shim();
         shim.table().fail(call, errno, 10_000, Some(count));
-        let from = Instant::now();
+        let started = Instant::now();
         let mut program = start_under(&shim, &config_with_peers());
-        assert!(from.elapsed() < READY_WITHIN, "{:?}", from.elapsed());
+        assert!(
+            started.elapsed() < MAX_STARTUP_TIME,
+            "{:?}",
+            started.elapsed()
+        );
         assert_eq!(shim.table().injected(call), u64::from(count), "{call:?}");
-        let served = ask(program.listen, &query("look", 1, 9000.0));
-        assert_eq!(served, Some(200), "{call:?} {errno}");
+        let status = query_status(program.listen, &query("look", 1, 9000.0));
+        assert_eq!(status, Some(200), "{call:?} {errno}");
         program.terminate();
         let log = program.end();
         assert!(log.contains("address not bound"), "{log}");
@@ -45,11 +49,14 @@
 }
 
 #[test]
-fn start_ends_at_once_with_the_key_where_a_failure_cannot_pass() {
-    // The address of another machine (documentation range), and one that may not be used.
-    let foreign = config_with_peers().with("listen", "192.0.2.1:10080");
-    let foreign_peer = config_with_peers().with("peer_listen", "192.0.2.1:7946");
-    for (config, key) in [(foreign, "listen"), (foreign_peer, "peer_listen")] {
+fn startup_fails_at_once_and_names_the_key_on_a_permanent_error() {
+    // Permanent errors: an address of another machine (documentation range), and a bind without permission.
+    let remote_listen = config_with_peers().with("listen", "192.0.2.1:10080");
+    let remote_peer_listen = config_with_peers().with("peer_listen", "192.0.2.1:7946");
+    for (config, key) in [
+        (remote_listen, "listen"),
+        (remote_peer_listen, "peer_listen"),
+    ] {
         let shim = fault_shim();
         assert_start_fails(&shim, &config, &format!("{key} 192.0.2.1"));
     }
@@ -58,19 +65,19 @@
     assert_start_fails(&shim, &config_with_peers(), "listen 127.0.0.1");
 }
 
-/// Asserts that the program ends with code 1 within a second, and logs the reason.
+/// Asserts that the program exits with code 1 within a second and logs the reason.
 fn assert_start_fails(
     shim: &tansymux_testbed::fault_shim::FaultShim,
     config: &Config,
     reason: &str,
 ) {
-    let from = Instant::now();
+    let started = Instant::now();
     let mut program = launch_under(shim, config);
     let status = program.child.wait().unwrap();
     assert!(
-        from.elapsed() < Duration::from_secs(1),
+        started.elapsed() < Duration::from_secs(1),
         "{:?}",
-        from.elapsed()
+        started.elapsed()
     );
     let mut log = String::new();
     let mut stderr = program.child.stderr.take().unwrap();
--- a/crates/dispatcher/tests/fault_injection/support.rs
+++ b/crates/dispatcher/tests/fault_injection/support.rs
@@ -1,4 +1,4 @@
-//! Support of the fault injection tests: the program under the fault shim, and clients on connections of their own.
+//! Helpers of the fault injection tests: the program under the fault shim, engines, and clients.
 
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -15,17 +15,17 @@
 /// The program under test.
 pub const EXE: &str = env!("CARGO_BIN_EXE_tansymux");
 
-/// A configuration with these engines and two resource groups of 9 s each: `look` only reads, `load` writes.
+/// Returns a configuration with these engines and two resource groups with a deadline of 9 s: `look` reads, `load` writes.
 pub fn two_group_config(engines: &[SocketAddr]) -> Config {
     Config::with_two_classes(engines)
 }
 
-/// The fault shim, with an empty table.
+/// Returns the fault shim with an empty fault table.
 pub fn fault_shim() -> FaultShim {
     FaultShim::new(locate_library().expect("the shim can be built"))
 }
 
-/// Starts the program under the shim, and does not wait for it.
+/// Starts the program under the shim without waiting until it is healthy.
 pub fn launch_under(shim: &FaultShim, config: &Config) -> Program {
     Program::prepared(Path::new(EXE), config, &[], Stdio::piped(), |command| {
         shim.apply(command);
@@ -39,7 +39,7 @@
     program
 }
 
-/// An engine that answers at once.
+/// Starts an engine that completes each query at once, and returns its address.
 pub fn instant_engine() -> SocketAddr {
     let answers = |parts: &[String], to: &mut TcpStream| {
         if parts[0] == "fetch" {
@@ -49,13 +49,13 @@
     scripted(answers).0
 }
 
-/// A query of a group, with how long its client waits.
+/// Returns a query of a resource group whose client waits for `wait_ms`.
 pub fn query(group: &str, id: u64, wait_ms: f64) -> ClientQuery {
     let path = format!("/invoke/{group}");
     ClientQuery::new(id, &path, group, "SELECT a FROM sales_17.orders", wait_ms)
 }
 
-/// A client's connection, with a limit on every wait.
+/// Connects a client whose reads time out after [`TIMEOUT`].
 pub fn connect(to: SocketAddr) -> TcpStream {
     let stream = TcpStream::connect(to).unwrap();
     stream.set_read_timeout(Some(TIMEOUT)).unwrap();
@@ -68,7 +68,7 @@
     stream.write_all(&query.bytes()).unwrap();
 }
 
-/// The status of the next answer on a connection; `None` if it ends without one.
+/// Reads the next answer on a connection and returns its status, or `None` if the connection closes without an answer.
 pub fn answer_status(stream: &TcpStream) -> Option<u16> {
     read_response(&mut BufReader::new(stream)).map(|response| response.status)
 }
@@ -78,8 +78,8 @@
     Program::start(Path::new(EXE), config, &[])
 }
 
-/// The status of the answer to a query on a connection of its own.
-pub fn ask(to: SocketAddr, query: &ClientQuery) -> Option<u16> {
+/// Sends a query on a new connection and returns the status of its answer.
+pub fn query_status(to: SocketAddr, query: &ClientQuery) -> Option<u16> {
     let mut stream = connect(to);
     send(&mut stream, query);
     answer_status(&stream)
--- a/crates/dispatcher/tests/fault_injection/wall_clock.rs
+++ b/crates/dispatcher/tests/fault_injection/wall_clock.rs
@@ -1,4 +1,5 @@
-//! Steps of the machine's wall clock: the endpoint list has engines' starts in Unix time, and slow start counts real time.
+//! Steps of the machine's wall clock: the endpoint list gives engines' start times in Unix time, but slow start must follow
+//! elapsed time.
 
 use super::support::*;
 use serde_json::json;
@@ -14,14 +15,16 @@
 use tansymux_testbed::program::{Config, Program};
 use tansymux_testbed::record::{Record, Status};
 
-/// How long after its start an engine is warm (ms).
+/// Time from the start of an engine until it is warm (ms).
 const WARM_AFTER_MS: u64 = 4000;
-/// The span of the slow-start limit (ms).
+/// Span over which the slow-start limit applies (ms).
 const SPAN_MS: u64 = 1000;
-/// The most queries of a test that a warming engine may be sent within a span: 0.8 * 3 * 0.05 * 0.85 * 1000 ms / 20 ms is 5.1.
+/// Most queries of a test that an engine in slow start may receive. The limit within a span is
+/// 0.8 * 3 * 0.05 * 0.85 * 1000 ms / 20 ms = 5.1.
 const MAX_IN_SLOW_START: usize = 12;
 
-/// Slow start over 4 s: an engine of one core sustains three times 0.05 of it in a span of 1 s.
+/// Returns a configuration with slow start over 4 s: a new engine has one core, an initial capacity of 0.05, and a limit of
+/// three times this capacity in a span of 1 s.
 fn slow_start_config(engine: SocketAddr, names: &NameService) -> Config {
     two_group_config(&[engine])
         .with("resolver", names.address.to_string())
@@ -32,10 +35,10 @@
         .with_setting(keys::WARM_UP_SPAN_US, SPAN_MS * 1000)
 }
 
-/// The wall clock of the program's machine (Unix ms).
-fn wall_ms(step_s: i64) -> f64 {
+/// Returns the time of a wall clock that is off by `offset_s` (Unix ms).
+fn unix_ms(offset_s: i64) -> f64 {
     let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap();
-    now.as_secs_f64() * 1000.0 + step_s as f64 * 1000.0
+    now.as_secs_f64() * 1000.0 + offset_s as f64 * 1000.0
 }
 
 fn list_engine(names: &NameService, id: &str, address: SocketAddr, started: f64) {
@@ -50,20 +53,20 @@
     });
 }
 
-/// Sends one query after the other for a time, with ids from `first_id`. Returns how many of them the engine received.
-fn share_of_engine(
+/// Sends one query after the other for `duration`, with ids from `first_id`. Returns the number that the engine received.
+fn count_queries_to_engine(
     program: &Program,
     requests: &Receiver<ReceivedFrame>,
     first_id: u64,
-    time: Duration,
+    duration: Duration,
 ) -> usize {
-    let from = Instant::now();
+    let started = Instant::now();
     let mut id = first_id;
     requests.try_iter().count();
-    while from.elapsed() < time {
+    while started.elapsed() < duration {
         let mut query = query("look", id, 2000.0);
         query.cost = Some(20.0);
-        assert_eq!(ask(program.listen, &query), Some(200));
+        assert_eq!(query_status(program.listen, &query), Some(200));
         id += 1;
         thread::sleep(Duration::from_millis(8));
     }
@@ -73,23 +76,23 @@
 
 fn step_wall_clock(shim: &FaultShim, step_s: i64) {
     shim.table().set_wall_offset_ns(step_s * 1_000_000_000);
-    // Long enough to be noticed: the name service is polled four times a second.
+    // The program notices the step when it polls the name service, four times per second.
     thread::sleep(Duration::from_millis(600));
 }
 
-/// The program under the shim with a warm engine, and an engine that is not listed yet.
+/// The program under the fault shim, a warm engine, and an engine that is not listed yet.
 struct SlowStartRun {
     shim: FaultShim,
     names: NameService,
     program: Program,
     old_engine: SocketAddr,
     new_engine: SocketAddr,
-    /// What the new engine receives.
+    /// Requests that the new engine receives.
     requests: Receiver<ReceivedFrame>,
 }
 
 impl SlowStartRun {
-    /// Starts the program on a machine whose wall clock is wrong by `offset_s`, and waits until it has the endpoint list.
+    /// Starts the program with a wall clock that is off by `offset_s`, and waits until it has the endpoint list.
     fn start(offset_s: i64) -> Self {
         let shim = fault_shim();
         shim.table().set_wall_offset_ns(offset_s * 1_000_000_000);
@@ -109,15 +112,15 @@
         }
     }
 
-    /// Lists the new engine with its start (Unix ms), and waits until the program has the list.
+    /// Lists the new engine with its start time (Unix ms), and waits until the program has the list.
     fn list_new_engine(&self, started_ms: f64) {
         list_engine(&self.names, "s-9", self.new_engine, started_ms);
         self.program.wait_for_count("lists 2\n");
     }
 
-    /// Sends queries for a time. Returns how many of them the new engine received.
-    fn share_of_new_engine(&self, first_id: u64, time: Duration) -> usize {
-        share_of_engine(&self.program, &self.requests, first_id, time)
+    /// Sends queries for `duration`. Returns the number that the new engine received.
+    fn count_queries_to_new_engine(&self, first_id: u64, duration: Duration) -> usize {
+        count_queries_to_engine(&self.program, &self.requests, first_id, duration)
     }
 
     /// Waits until an engine that started at `started` is warm.
@@ -127,22 +130,22 @@
     }
 }
 
-/// Asserts that an engine that starts after the step gets its slow start, and no more than that.
+/// Asserts that an engine that starts after a step of the wall clock is in slow start at first, and later is not.
 fn assert_slow_start_after_step(step_s: i64) {
     let run = SlowStartRun::start(0);
     step_wall_clock(&run.shim, step_s);
     let started = Instant::now();
-    run.list_new_engine(wall_ms(step_s));
-    let early = run.share_of_new_engine(1, Duration::from_millis(1500));
+    run.list_new_engine(unix_ms(step_s));
+    let early = run.count_queries_to_new_engine(1, Duration::from_millis(1500));
     assert!(
         early <= MAX_IN_SLOW_START,
-        "step {step_s} s: {early} queries to an engine that warms up"
+        "step {step_s} s: {early} queries to an engine that is warming up"
     );
     SlowStartRun::wait_until_warm(started);
-    let late = run.share_of_new_engine(1000, Duration::from_millis(1000));
+    let late = run.count_queries_to_new_engine(1000, Duration::from_millis(1000));
     assert!(
         late > MAX_IN_SLOW_START,
-        "step {step_s} s: {late} queries to an engine that is warm"
+        "step {step_s} s: {late} queries to a warm engine"
     );
 }
 
@@ -160,18 +163,18 @@
     let threads = [-3600, 3600].map(|step_s| {
         thread::spawn(move || {
             let run = SlowStartRun::start(0);
-            // The engine starts, the clock is stepped, and only then the engine is listed.
-            let started_ms = wall_ms(0);
+            // The engine starts before the step and is listed after it.
+            let started_ms = unix_ms(0);
             step_wall_clock(&run.shim, step_s);
             run.list_new_engine(started_ms);
-            let early = run.share_of_new_engine(1, Duration::from_millis(1200));
+            let early = run.count_queries_to_new_engine(1, Duration::from_millis(1200));
             assert!(early <= MAX_IN_SLOW_START, "step {step_s} s: {early}");
-            // A step while the engine warms up changes nothing either, nor does a repetition of the list.
+            // Neither a step during slow start nor a repeated list changes the slow start.
             step_wall_clock(&run.shim, -step_s);
             list_engine(&run.names, "s-0", run.old_engine, 0.0);
             run.program.wait_for_count("lists 3\n");
             thread::sleep(Duration::from_millis(WARM_AFTER_MS));
-            let late = run.share_of_new_engine(1000, Duration::from_millis(1000));
+            let late = run.count_queries_to_new_engine(1000, Duration::from_millis(1000));
             assert!(late > MAX_IN_SLOW_START, "step {step_s} s: {late}");
         })
     });
@@ -181,37 +184,37 @@
 }
 
 #[test]
-fn engine_replaced_under_its_address_after_a_step_back_takes_the_place_of_the_old_one() {
+fn engine_replaced_at_its_address_after_a_step_back_gets_its_slow_start() {
     let shim = fault_shim();
     let (address, requests) = engine_answering_after(Duration::ZERO);
     let names = NameService::start(Vec::new(), Arc::new(Record::default()));
     let (other, _) = engine_answering_after(Duration::ZERO);
-    list_engine(&names, "s-0", address, wall_ms(0) - 60_000.0);
+    list_engine(&names, "s-0", address, unix_ms(0) - 60_000.0);
     list_engine(&names, "s-1", other, 0.0);
     let program = start_under(&shim, &slow_start_config(address, &names));
     program.wait_for_count("lists 1\n");
     step_wall_clock(&shim, -3600);
-    // The later engine has the smaller Unix time, and the address of one that is still listed.
-    list_engine(&names, "s-9", address, wall_ms(-3600));
+    // The newer engine has the earlier start in Unix time, and the address of an engine that is still listed.
+    list_engine(&names, "s-9", address, unix_ms(-3600));
     program.wait_for_count("lists 2\n");
-    let share = share_of_engine(&program, &requests, 1, Duration::from_millis(500));
-    assert!(share <= MAX_IN_SLOW_START, "{share}");
+    let received = count_queries_to_engine(&program, &requests, 1, Duration::from_millis(500));
+    assert!(received <= MAX_IN_SLOW_START, "{received}");
 }
 
 #[test]
-fn engine_that_starts_gets_its_slow_start_from_a_dispatcher_whose_clock_is_wrong() {
-    // The dispatcher's machine is an hour off from the beginning; the machines of engines and name service are right.
-    let threads = [-3600, 3600].map(|off_s| {
+fn new_engine_gets_its_slow_start_from_a_dispatcher_with_a_wrong_clock() {
+    // The dispatcher's wall clock is an hour off from the start; those of the engines and of the name service are correct.
+    let threads = [-3600, 3600].map(|offset_s| {
         thread::spawn(move || {
-            let run = SlowStartRun::start(off_s);
+            let run = SlowStartRun::start(offset_s);
             thread::sleep(Duration::from_millis(600));
             let started = Instant::now();
-            run.list_new_engine(wall_ms(0));
-            let early = run.share_of_new_engine(1, Duration::from_millis(1500));
-            assert!(early <= MAX_IN_SLOW_START, "off by {off_s} s: {early}");
+            run.list_new_engine(unix_ms(0));
+            let early = run.count_queries_to_new_engine(1, Duration::from_millis(1500));
+            assert!(early <= MAX_IN_SLOW_START, "off by {offset_s} s: {early}");
             SlowStartRun::wait_until_warm(started);
-            let late = run.share_of_new_engine(1000, Duration::from_millis(1000));
-            assert!(late > MAX_IN_SLOW_START, "off by {off_s} s: {late}");
+            let late = run.count_queries_to_new_engine(1000, Duration::from_millis(1000));
+            assert!(late > MAX_IN_SLOW_START, "off by {offset_s} s: {late}");
         })
     });
     for thread in threads {
