--- a/crates/dispatcher/tests/fault_injection/attempt_ends.rs
+++ b/crates/dispatcher/tests/fault_injection/attempt_ends.rs
@@ -1,5 +1,5 @@
-//! Completion of attempts: late, duplicate and misdirected replies do not complete a retry, and a half-closed connection
-//! does not prove that its attempt has ended.
+//! Completion of attempts: late, duplicate and misdirected replies do not complete a retry, and a half-closed
+//! connection does not prove that its attempt has ended.
 
 use super::support::*;
 use std::io::{BufReader, Read};
@@ -76,8 +76,8 @@
     });
 }
 
-/// Starts an engine that answers the first attempt with the first of three pages and replies with an error to requests for
-/// the other two. It completes all later attempts.
+/// Starts an engine that answers the first attempt with the first of three pages and replies with an error to
+/// requests for the other two. It completes all later attempts.
 fn engine_that_loses_pages(log: &AttemptLog) -> (SocketAddr, Receiver<ReceivedFrame>) {
     let log = log.clone();
     let answer = move |parts: &[String], to: &mut TcpStream| {
@@ -166,7 +166,8 @@
     },
 ];
 
-/// Starts an engine that fails the first attempt and sends another reply to it 20 ms later. It completes all later attempts.
+/// Starts an engine that fails the first attempt and sends another reply to it 20 ms later. It completes all later
+/// attempts.
 fn engine_with_late_reply(log: &AttemptLog, late: EngineReply) -> SocketAddr {
     let log = log.clone();
     let fetch_count = Arc::new(AtomicUsize::new(0));
@@ -207,8 +208,8 @@
 /// Delay until an engine reads from a connection that it has half-closed.
 const CLOSE_READ_DELAY: Duration = Duration::from_millis(30);
 
-/// Starts an engine that half-closes the connection of the first attempt and runs this attempt until the program has closed
-/// its side as well. It completes all later attempts.
+/// Starts an engine that half-closes the connection of the first attempt and runs this attempt until the program has
+/// closed its side as well. It completes all later attempts.
 fn engine_that_half_closes(log: &AttemptLog) -> SocketAddr {
     let log = log.clone();
     let answer = move |parts: &[String], to: &mut TcpStream| {
@@ -262,7 +263,8 @@
     assert!(freed.is_some_and(|freed| freed < log.arrived(1)));
 }
 
-/// Starts an engine that answers an attempt with a first page or a progress note, and then replies that the attempt never ran.
+/// Starts an engine that answers an attempt with a first page or a progress note, and then replies that the attempt
+/// never ran.
 fn engine_that_reports_a_started_attempt_as_never_run(
     first_reply: EngineReply,
     denial: &'static str,
--- a/crates/dispatcher/tests/fault_injection/forgotten_connections.rs
+++ b/crates/dispatcher/tests/fault_injection/forgotten_connections.rs
@@ -1,5 +1,5 @@
-//! Engines or middleboxes that silently drop idle connections: a request on such a connection gets neither an answer nor a
-//! reset.
+//! Engines or middleboxes that silently drop idle connections: a request on such a connection gets neither an answer
+//! nor a reset.
 
 use super::support::*;
 use std::net::{SocketAddr, TcpStream};
@@ -41,8 +41,8 @@
     start(&two_group_config(engines))
 }
 
-/// Sends look-ups one after the other, with pauses during which the engines drop their connections. Returns the status and
-/// latency (ms) of each.
+/// Sends look-ups one after the other, with pauses during which the engines drop their connections. Returns the
+/// status and latency (ms) of each.
 fn look_up_with_pauses(program: &Program, ids: std::ops::Range<u64>) -> Vec<(Option<u16>, f64)> {
     ids.map(|id| {
         thread::sleep(IDLE_LIMIT + Duration::from_millis(100));
--- a/crates/dispatcher/tests/fault_injection/main.rs
+++ b/crates/dispatcher/tests/fault_injection/main.rs
@@ -1,5 +1,5 @@
-//! Fault injection on the real program: failing and interrupted system calls, steps of the wall clock, deadlines that pass
-//! while an attempt is queued, connections that engines drop without a reset, and transient failures at startup.
+//! Fault injection on the real program: failing and interrupted system calls, steps of the wall clock, deadlines that
+//! pass while an attempt is queued, connections that engines drop without a reset, and transient failures at startup.
 
 #![allow(clippy::unwrap_used, reason = "a panic fails the test")]
 
--- a/crates/dispatcher/tests/fault_injection/support.rs
+++ b/crates/dispatcher/tests/fault_injection/support.rs
@@ -15,7 +15,8 @@
 /// The program under test.
 pub const EXE: &str = env!("CARGO_BIN_EXE_tansymux");
 
-/// Returns a configuration with these engines and two resource groups with a deadline of 9 s: `look` reads, `load` writes.
+/// Returns a configuration with these engines and two resource groups with a deadline of 9 s: `look` reads, `load`
+/// writes.
 pub fn two_group_config(engines: &[SocketAddr]) -> Config {
     Config::with_two_classes(engines)
 }
--- a/crates/dispatcher/tests/fault_injection/wall_clock.rs
+++ b/crates/dispatcher/tests/fault_injection/wall_clock.rs
@@ -1,5 +1,5 @@
-//! Steps of the machine's wall clock: the endpoint list gives engines' start times in Unix time, but slow start must follow
-//! elapsed time.
+//! Steps of the machine's wall clock: the endpoint list gives engines' start times in Unix time, but slow start must
+//! follow elapsed time.
 
 use super::support::*;
 use serde_json::json;
@@ -23,8 +23,8 @@
 /// 0.8 * 3 * 0.05 * 0.85 * 1000 ms / 20 ms = 5.1.
 const MAX_IN_SLOW_START: usize = 12;
 
-/// Returns a configuration with slow start over 4 s: a new engine has one core, an initial capacity of 0.05, and a limit of
-/// three times this capacity in a span of 1 s.
+/// Returns a configuration with slow start over 4 s: a new engine has one core, an initial capacity of 0.05, and a
+/// limit of three times this capacity in a span of 1 s.
 fn slow_start_config(engine: SocketAddr, names: &NameService) -> Config {
     two_group_config(&[engine])
         .with("resolver", names.address.to_string())
@@ -53,7 +53,8 @@
     });
 }
 
-/// Sends one query after the other for `duration`, with ids from `first_id`. Returns the number that the engine received.
+/// Sends one query after the other for `duration`, with ids from `first_id`. Returns the number that the engine
+/// received.
 fn count_queries_to_engine(
     program: &Program,
     requests: &Receiver<ReceivedFrame>,
@@ -203,7 +204,8 @@
 
 #[test]
 fn new_engine_gets_its_slow_start_from_a_dispatcher_with_a_wrong_clock() {
-    // The dispatcher's wall clock is an hour off from the start; those of the engines and of the name service are correct.
+    // The dispatcher's wall clock is an hour off from the start; those of the engines and of the name service are
+    // correct.
     let threads = [-3600, 3600].map(|offset_s| {
         thread::spawn(move || {
             let run = SlowStartRun::start(offset_s);
--- a/crates/dispatcher/tests/fleet.rs
+++ b/crates/dispatcher/tests/fleet.rs
@@ -1,10 +1,7 @@
-//! Fleets of several processes of the program, with a relay on every link between them and to their engines, under
-//! faults; and the commands of `tansymux fleet`.
+//! Fleets of several dispatcher processes under faults, with a relay on each link between them and to their engines,
+//! and the commands of `tansymux fleet`.
 
-#![allow(
-    clippy::unwrap_used,
-    reason = "a test ends at the first thing that is not as it should be"
-)]
+#![allow(clippy::unwrap_used, reason = "a panic fails the test")]
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -25,23 +22,23 @@
 
 /// The program under test.
 const EXE: &str = env!("CARGO_BIN_EXE_tansymux");
-/// Scenarios that run now. Each has several processes; too many at once would make the machine busy enough for a fleet to
-/// miss its deadlines.
-static RUNNING: Mutex<usize> = Mutex::new(0);
-/// The most scenarios that run at a time.
-const MAX_RUNNING: usize = 4;
-/// The id of the next query of any test.
+/// Number of scenarios that are running. Each has several processes; too many scenarios at once would load the
+/// machine so much that a fleet misses its deadlines.
+static RUNNING_SCENARIOS: Mutex<usize> = Mutex::new(0);
+/// Most scenarios that run at a time.
+const MAX_RUNNING_SCENARIOS: usize = 4;
+/// Id of the next query, shared by all tests.
 static NEXT_QUERY_ID: AtomicU64 = AtomicU64::new(1);
 
-/// The permission to run a scenario, until it is dropped.
+/// A permit to run one scenario, released on drop.
 struct ScenarioPermit;
 
 impl ScenarioPermit {
-    /// Waits until fewer than [`MAX_RUNNING`] scenarios run.
+    /// Waits until fewer than [`MAX_RUNNING_SCENARIOS`] scenarios run.
     fn acquire() -> Self {
         loop {
-            if let Ok(mut running) = RUNNING.lock() {
-                if *running < MAX_RUNNING {
+            if let Ok(mut running) = RUNNING_SCENARIOS.lock() {
+                if *running < MAX_RUNNING_SCENARIOS {
                     *running += 1;
                     return ScenarioPermit;
                 }
@@ -53,23 +50,23 @@
 
 impl Drop for ScenarioPermit {
     fn drop(&mut self) {
-        if let Ok(mut running) = RUNNING.lock() {
+        if let Ok(mut running) = RUNNING_SCENARIOS.lock() {
             *running -= 1;
         }
     }
 }
 
-/// Runs a scenario: never more members or engines out than the limit, no query lost, and the release completes in the
-/// stated time.
+/// Runs a scenario and asserts that no more members or engines are out at a time than the limit allows, no query is
+/// lost, and the release completes in the stated time.
 fn assert_scenario_passes(name: &str) {
     let _permit = ScenarioPermit::acquire();
     let scenario = Scenario::named(name, 1)
-        .expect("a case by this name")
+        .expect("a scenario by this name")
         .on_processes();
     let result = run(Path::new(EXE), &scenario, &ProcessOptions::default());
     assert!(
         result.violations.is_empty(),
-        "{}\n  again: tansymux-testbed fleet --name {name} --first 1",
+        "{}\n  rerun: tansymux-testbed fleet --name {name} --first 1",
         result.line()
     );
     println!("{}", result.line());
@@ -81,7 +78,7 @@
 }
 
 #[test]
-fn leader_with_a_one_way_link_gives_way() {
+fn leader_with_a_one_way_link_steps_down() {
     assert_scenario_passes("leader-one-way");
 }
 
@@ -96,7 +93,7 @@
 }
 
 #[test]
-fn nothing_goes_out_while_all_voters_of_a_zone_are_lost() {
+fn nothing_is_taken_out_while_all_voters_of_a_zone_are_lost() {
     assert_scenario_passes("hall-of-voters-lost");
 }
 
@@ -116,17 +113,17 @@
 }
 
 #[test]
-fn halt_that_races_restart_turns_stops_them_until_resume() {
+fn halt_that_races_restart_leases_blocks_them_until_resume() {
     assert_scenario_passes("halt-races");
 }
 
 // ---- The command line, and drained engines ----
 
-/// Queries by the index of the engine that received them.
-type Counts = Arc<Mutex<HashMap<usize, u64>>>;
+/// Number of queries received, by the index of the engine.
+type QueryCounts = Arc<Mutex<HashMap<usize, u64>>>;
 
-/// An engine that answers at once and counts.
-fn engine(index: usize, counts: &Counts) -> SocketAddr {
+/// Starts an engine that completes each query at once and counts it.
+fn counting_engine(index: usize, counts: &QueryCounts) -> SocketAddr {
     let counts = counts.clone();
     let answers = move |parts: &[String], to: &mut std::net::TcpStream| {
         if parts[0] == "fetch" {
@@ -137,22 +134,23 @@
     scripted(answers).0
 }
 
-/// Two dispatchers with their operators' files, and the queries that their engines received.
+/// Two dispatchers with their operators' files, and the number of queries that each of their engines received.
 struct SmallFleet {
     programs: Vec<Program>,
-    files: Vec<TempFile>,
-    counts: Counts,
-    texts: Vec<String>,
+    operator_files: Vec<TempFile>,
+    counts: QueryCounts,
+    operator_texts: Vec<String>,
 }
 
-/// Two dispatchers, one of them the voter, with three engines.
+/// Starts two dispatchers, the first of them the only voter, with three engines. `extra` is added to the `fleet`
+/// block of each operators' file.
 fn start_small_fleet(extra: &str) -> SmallFleet {
-    let counts = Counts::default();
+    let counts = QueryCounts::default();
     let engines: Vec<_> = (0..3)
-        .map(|index| (format!("s-{index}"), engine(index, &counts)))
+        .map(|index| (format!("s-{index}"), counting_engine(index, &counts)))
         .collect();
     let addresses: Vec<SocketAddr> = (0..2).map(|_| free_udp_address()).collect();
-    let texts: Vec<String> = (0..2)
+    let operator_texts: Vec<String> = (0..2)
         .map(|member| {
             format!(
                 "fleet {{ name: \"n{member}\" listen: \"{}\" seed: \"{}\" voter: \"n0\" key: \"{}\" fresh: true
@@ -163,12 +161,12 @@
             )
         })
         .collect();
-    let files: Vec<TempFile> = texts
+    let operator_files: Vec<TempFile> = operator_texts
         .iter()
         .map(|text| TempFile::new("fleet.textproto", text))
         .collect();
     let classes = [class("look", 300.0, 2000.0, keys::effect::READ_ONLY)];
-    let programs = files
+    let programs = operator_files
         .iter()
         .map(|file| {
             let config = Config::new(free_address(), &engines, &classes, &[1]);
@@ -181,19 +179,20 @@
         .collect();
     SmallFleet {
         programs,
-        files,
+        operator_files,
         counts,
-        texts,
+        operator_texts,
     }
 }
 
 impl SmallFleet {
+    /// Runs a `tansymux fleet` command, and returns its exit code and output.
     fn run_command(&self, member: usize, arguments: &[&str]) -> (Option<i32>, String) {
         let output = Command::new(EXE)
             .arg("fleet")
             .args(arguments)
             .arg("--operator")
-            .arg(&self.files[member].0)
+            .arg(&self.operator_files[member].0)
             .output()
             .unwrap();
         let text = [output.stdout, output.stderr].concat();
@@ -203,23 +202,23 @@
         )
     }
 
-    /// Runs a command until it ends with this exit code, and returns its output.
+    /// Repeats a command until it exits with `code`, and returns its output.
     fn run_until_exit_code(&self, member: usize, arguments: &[&str], code: i32) -> String {
-        let from = Instant::now();
+        let started = Instant::now();
         loop {
-            let (got, text) = self.run_command(member, arguments);
-            if got == Some(code) {
+            let (actual, text) = self.run_command(member, arguments);
+            if actual == Some(code) {
                 return text;
             }
             assert!(
-                from.elapsed() < 2 * TIMEOUT,
-                "{arguments:?} ended with {got:?}, not {code}: {text}"
+                started.elapsed() < 2 * TIMEOUT,
+                "{arguments:?} exited with {actual:?}, not {code}: {text}"
             );
             std::thread::sleep(Duration::from_millis(100));
         }
     }
 
-    /// Sends queries to one dispatcher. Returns how many of them each engine received.
+    /// Sends queries to one dispatcher. Returns the number that each engine received.
     fn send_queries(&self, member: usize, count: u64) -> [u64; 3] {
         self.counts.lock().unwrap().clear();
         let record = Record::default();
@@ -228,7 +227,8 @@
             let mut query = ClientQuery::new(id, "/invoke/look", "look", "select 1", 2000.0);
             query.cost = Some(5.0);
             assert_eq!(
-                send_query(self.programs[member].listen, &query, &record).map(|got| got.status),
+                send_query(self.programs[member].listen, &query, &record)
+                    .map(|response| response.status),
                 Some(200)
             );
         }
@@ -250,14 +250,17 @@
         "{status}"
     );
     assert!(fleet.send_queries(0, 30)[1] > 0);
-    // Drained by a command to one dispatcher, out for both.
+    // A drain by a command to one dispatcher applies to both.
     fleet.run_until_exit_code(1, &["drain", "s-1"], 0);
     for member in 0..2 {
         fleet.wait_for_counter(member, "fleet_engines_out 1\n");
-        // The driver follows at its next tick.
+        // Each dispatcher applies the drain at the next tick of its driver.
         std::thread::sleep(Duration::from_millis(400));
-        let got = fleet.send_queries(member, 30);
-        assert!(got[1] == 0 && got[0] > 0 && got[2] > 0, "{member}: {got:?}");
+        let received = fleet.send_queries(member, 30);
+        assert!(
+            received[1] == 0 && received[0] > 0 && received[2] > 0,
+            "{member}: {received:?}"
+        );
     }
     let (code, text) = fleet.run_command(0, &["drain", "s-2"]);
     assert!(
@@ -273,7 +276,7 @@
 }
 
 #[test]
-fn turn_command_tells_by_exit_codes_whether_the_turn_was_granted() {
+fn exit_code_of_the_turn_command_shows_whether_the_restart_lease_was_granted() {
     let fleet = start_small_fleet("dispatchers { most: 1 carry: 1 } turns { turn_s: 3 }");
     fleet.run_until_exit_code(0, &["status"], 0);
     let granted = fleet.run_until_exit_code(1, &["turn", "--wait-s", "5"], 0);
@@ -286,22 +289,22 @@
                 .is_ok_and(|seconds| seconds > 1.0),
         "{granted}"
     );
-    // The other one waits for --wait-s, and no longer.
-    let from = Instant::now();
+    // The command at the other dispatcher waits no longer than --wait-s.
+    let started = Instant::now();
     let (code, text) = fleet.run_command(0, &["turn", "--wait-s", "1"]);
     assert!(
         code == Some(4)
             && text.contains("no turn in time")
-            && from.elapsed() < Duration::from_secs(5),
+            && started.elapsed() < Duration::from_secs(5),
         "{text}"
     );
-    // The first never restarted: its turn expires.
+    // The holder did not restart: its restart lease expires.
     let (code, text) = fleet.run_command(0, &["turn", "--wait-s", "9"]);
     assert_eq!(code, Some(0), "{text}");
     assert_eq!(fleet.run_command(1, &["halt"]).0, Some(0));
     assert_eq!(fleet.run_command(0, &["turn", "--wait-s", "5"]).0, Some(3));
     assert_eq!(fleet.run_command(0, &["resume"]).0, Some(0));
-    // No release goes there.
+    // No release has this version as its target.
     assert_eq!(
         fleet
             .run_command(0, &["turn", "--to", "v9", "--wait-s", "2"])
@@ -313,7 +316,7 @@
         code == Some(1) && text.contains("there is no release"),
         "{text}"
     );
-    // Nobody is there under this address.
+    // No dispatcher listens at this address.
     let unused = free_udp_address().to_string();
     assert_eq!(
         fleet.run_command(0, &["status", "--member", &unused]).0,
@@ -322,13 +325,14 @@
 }
 
 #[test]
-fn limit_lowered_below_what_is_out_lets_no_more_out() {
+fn lowered_limit_blocks_drains_until_enough_engines_are_undrained() {
     let fleet = start_small_fleet("engines { most: 2 carry: 1 }");
     fleet.run_until_exit_code(0, &["status"], 0);
     fleet.run_until_exit_code(0, &["drain", "s-0"], 0);
     fleet.run_until_exit_code(0, &["drain", "s-1"], 0);
     for member in 0..2 {
-        fleet.files[member].write(&fleet.texts[member].replace("most: 2", "most: 1"));
+        fleet.operator_files[member]
+            .write(&fleet.operator_texts[member].replace("most: 2", "most: 1"));
         fleet.programs[member].signal("-HUP");
         fleet.wait_for_counter(member, "operator_files_read 1\n");
     }
@@ -339,7 +343,7 @@
         code == Some(1) && text.contains("1 are out of at most 1"),
         "{text}"
     );
-    // Engines that were out stay out until they are undrained.
+    // Drained engines stay out until they are undrained.
     fleet.wait_for_counter(1, "fleet_engines_out 1\n");
 }
 
@@ -347,9 +351,16 @@
 fn command_signed_with_another_key_is_ignored() {
     let fleet = start_small_fleet("");
     fleet.run_until_exit_code(0, &["status"], 0);
-    fleet.files[1].write(&fleet.texts[1].replace(&"ab".repeat(16), &"cd".repeat(16)));
-    let (code, text) =
-        fleet.run_command(1, &["halt", "--member", &listen_address(&fleet.texts[0])]);
+    fleet.operator_files[1]
+        .write(&fleet.operator_texts[1].replace(&"ab".repeat(16), &"cd".repeat(16)));
+    let (code, text) = fleet.run_command(
+        1,
+        &[
+            "halt",
+            "--member",
+            &listen_address(&fleet.operator_texts[0]),
+        ],
+    );
     assert!(
         code == Some(4) && text.contains("nobody leads"),
         "{code:?} {text}"
@@ -359,6 +370,7 @@
         .contains("halted no"));
 }
 
+/// Returns the address after `listen:` in the text of an operators' file.
 fn listen_address(text: &str) -> String {
     text.split("listen: \"")
         .nth(1)
--- a/crates/dispatcher/tests/levels.rs
+++ b/crates/dispatcher/tests/levels.rs
@@ -1,9 +1,7 @@
-//! Service levels on the real program: they are entered by its own signals, reported at once, and applied by its decisions.
+//! Service levels of a running dispatcher: its own signals change them, it reports changes at once, and its admission
+//! controller applies them.
 
-#![allow(
-    clippy::unwrap_used,
-    reason = "a test ends at the first thing that is not as it should be"
-)]
+#![allow(clippy::unwrap_used, reason = "a panic fails the test")]
 
 use serde_json::Value;
 use std::io::{BufReader, Write};
@@ -23,7 +21,7 @@
 /// The program under test.
 const EXE: &str = env!("CARGO_BIN_EXE_tansymux");
 
-/// Reports are rejected while half of the engines are under pressure.
+/// Defines a level that rejects reports while half of the engines are under pressure.
 const LEVELS: &str = r#"levels {
   level {
     name: "short"
@@ -48,6 +46,7 @@
         .with_setting(keys::MAX_RETRY_AFTER_US, 5_000_000)
 }
 
+/// Starts the program with `levels` as its operators' file, and returns both.
 fn start(config: &Config, levels: &str) -> (Program, TempFile) {
     let operator = TempFile::new("operator.textproto", levels);
     let path = operator.0.display().to_string();
@@ -57,21 +56,22 @@
     )
 }
 
-/// An engine that refuses every report as being full, and runs the rest.
+/// Starts an engine that refuses each report as full and completes all other queries.
 fn engine_full_for_reports() -> SocketAddr {
-    let react = |parts: &[String], to: &mut TcpStream| {
+    let answer = |parts: &[String], to: &mut TcpStream| {
         if parts[0] == "fetch" {
-            let word = if parts[2].starts_with("cls=report") {
+            let reply = if parts[2].starts_with("cls=report") {
                 "WAIT"
             } else {
                 "DONE"
             };
-            write_frame(to, &[&parts[1], word, "batches=1", ""]);
+            write_frame(to, &[&parts[1], reply, "batches=1", ""]);
         }
     };
-    scripted(react).0
+    scripted(answer).0
 }
 
+/// Sends a query on a new connection. Returns the status of its answer and the retry time (ms), if there is one.
 fn send_query(program: &Program, group: &str, id: u64) -> (u16, Option<f64>) {
     let mut query = ClientQuery::new(id, &format!("/invoke/{group}"), group, "select 1", 9000.0);
     query.cost = Some(10.0);
@@ -89,16 +89,16 @@
     serde_json::from_str(&get(program.listen, path).unwrap().body).unwrap()
 }
 
-/// Sends reports that the engine refuses until the level is in force.
+/// Sends reports, which the engine refuses as full, until the level is in force.
 fn enter_level_by_pressure(program: &Program) {
-    let from = Instant::now();
+    let started = Instant::now();
     let mut id = 1000;
     while get_json(program, "/_levels")["depth"] != 1 {
         send_query(program, "report", id);
         id += 1;
         assert!(
-            from.elapsed() < TIMEOUT,
-            "{}",
+            started.elapsed() < TIMEOUT,
+            "level not entered: {}",
             get_json(program, "/_levels")
         );
         thread::sleep(Duration::from_millis(50));
@@ -107,7 +107,7 @@
 
 #[test]
 #[expect(clippy::too_many_lines, reason = "one scenario from start to end")]
-fn level_is_entered_by_its_signal_shown_at_once_and_rejects_only_what_it_names() {
+fn level_is_entered_by_its_signal_reported_at_once_and_rejects_only_its_classes() {
     let (mut program, _operator) = start(&config(&[engine_full_for_reports()]), LEVELS);
     thread::sleep(Duration::from_millis(3800));
     let before = get_json(&program, "/_levels");
@@ -115,9 +115,9 @@
         (before["level"].as_str(), before["defined"].as_bool()),
         (Some("full"), Some(true))
     );
-    // A client that waits for the next change is answered as it happens.
+    // A client that waits for the next change is answered when it happens.
     let (listen, version) = (program.listen, before["version"].as_u64().unwrap());
-    let waits = thread::spawn(move || {
+    let change_waiter = thread::spawn(move || {
         (
             get(listen, &format!("/_levels?after={version}"))
                 .unwrap()
@@ -127,7 +127,7 @@
     });
     enter_level_by_pressure(&program);
     let entered = Instant::now();
-    let (body, received_at) = waits.join().unwrap();
+    let (body, received_at) = change_waiter.join().unwrap();
     let change: Value = serde_json::from_str(&body).unwrap();
     assert_eq!(change["level"], "short");
     assert!(
@@ -138,24 +138,28 @@
         "{change}"
     );
     assert!(received_at.saturating_duration_since(entered) < Duration::from_millis(300));
-    // Reports are rejected at once, each with a retry time of its own; look-ups and loads run.
-    let from = Instant::now();
-    let waits: Vec<f64> = (1..20)
+    // Reports are rejected at once with different retry times; look-ups and loads complete.
+    let started = Instant::now();
+    let retry_times_ms: Vec<f64> = (1..20)
         .map(|id| send_query(&program, "report", id))
-        .map(|(status, wait)| wait.filter(|_| status == 429).unwrap())
+        .map(|(status, retry_time_ms)| retry_time_ms.filter(|_| status == 429).unwrap())
         .collect();
     assert!(
-        from.elapsed() < Duration::from_secs(1),
+        started.elapsed() < Duration::from_secs(1),
         "{:?}",
-        from.elapsed()
+        started.elapsed()
     );
     assert!(
-        waits.iter().all(|wait| (1200.0..=1561.0).contains(wait)),
-        "{waits:?}"
+        retry_times_ms
+            .iter()
+            .all(|ms| (1200.0..=1561.0).contains(ms)),
+        "{retry_times_ms:?}"
     );
     assert!(
-        waits.iter().any(|wait| (wait - waits[0]).abs() > 20.0),
-        "{waits:?}"
+        retry_times_ms
+            .iter()
+            .any(|ms| (ms - retry_times_ms[0]).abs() > 20.0),
+        "{retry_times_ms:?}"
     );
     assert_eq!(
         (
@@ -169,7 +173,7 @@
         counters.contains("level_depth 1\n") && counters.contains("level_short_changes 1\n"),
         "{counters}"
     );
-    // Pressure is over, but the level stays: it changes once a minute at most.
+    // The pressure is over, but the level stays in force: it changes at most once per minute.
     thread::sleep(Duration::from_millis(4000));
     assert_eq!(get_json(&program, "/_levels")["depth"], 1);
     program.terminate();
@@ -190,7 +194,7 @@
     program.wait_for_count("level_depth 1\n");
     assert_eq!(send_query(&program, "report", 1).0, 429);
     assert!(get_json(&program, "/_levels")["pinned_until"].is_number());
-    // A definition with a fault changes nothing.
+    // An invalid definition changes nothing.
     operator.write(&LEVELS.replace("leave: 0.1", "leave: 0.49"));
     program.signal("-HUP");
     thread::sleep(Duration::from_millis(300));
@@ -210,36 +214,36 @@
         (levels["depth"].as_u64(), levels["defined"].as_bool()),
         (Some(0), Some(false))
     );
-    let (status, wait) = send_query(&program, "report", 3);
-    assert_eq!((status, wait), (429, Some(1000.0)));
+    let (status, retry_time_ms) = send_query(&program, "report", 3);
+    assert_eq!((status, retry_time_ms), (429, Some(1000.0)));
 }
 
 #[test]
-fn restarted_dispatcher_starts_at_its_peers_level_and_sigterm_answers_all() {
+fn restarted_dispatcher_starts_at_its_peers_level_and_answers_all_queries_at_sigterm() {
     let engine = engine_full_for_reports();
     let peers = [free_udp_address(), free_udp_address()];
     let config_of = |index: usize| {
-        let each = serde_json::json!([peers[0].to_string(), peers[1].to_string()]);
+        let peer_list = serde_json::json!([peers[0].to_string(), peers[1].to_string()]);
         config(&[engine])
             .with("peer_listen", peers[index].to_string())
-            .with("peers", each)
+            .with("peers", peer_list)
             .with("peers_all", peers[1 - index].to_string())
             .with_setting(keys::DISPATCHERS, 2)
             .with_setting(keys::DISPATCHER_INDEX, index as u64)
             .with_setting(keys::PEER_MESSAGES, true)
     };
-    let (first, _a) = start(&config_of(0), LEVELS);
+    let (first, _first_file) = start(&config_of(0), LEVELS);
     thread::sleep(Duration::from_millis(3800));
     enter_level_by_pressure(&first);
-    // The second one has just started and sees no pressure itself: it starts at its peer's level.
-    let (mut second, _b) = start(&config_of(1), LEVELS);
+    // The second dispatcher has observed no pressure itself: it starts at its peer's level.
+    let (mut second, _second_file) = start(&config_of(1), LEVELS);
     second.wait_for_count("level_depth 1\n");
     let why = get_json(&second, "/_levels")["why"]["why"]
         .as_str()
         .unwrap_or("")
         .to_owned();
     assert_eq!(why, "1 peers told of it at the start");
-    let open: Vec<_> = (0..8)
+    let clients: Vec<_> = (0..8)
         .map(|index| {
             let listen = second.listen;
             thread::spawn(move || {
@@ -259,6 +263,8 @@
         .collect();
     thread::sleep(Duration::from_millis(20));
     second.terminate();
-    assert!(open.into_iter().all(|open| open.join().unwrap().is_some()));
+    assert!(clients
+        .into_iter()
+        .all(|client| client.join().unwrap().is_some()));
     assert!(second.end().contains("unanswered 0\n"));
 }
--- a/crates/dispatcher/tests/life_cycle/engines.rs
+++ b/crates/dispatcher/tests/life_cycle/engines.rs
@@ -1,4 +1,4 @@
-//! Connections to engines that end, are established late or never stop sending.
+//! Engine connections that close, are established late, or never stop sending.
 
 use super::support::*;
 use std::io::{BufReader, Write};
@@ -12,10 +12,10 @@
 use tansymux_testbed::program::{get, TIMEOUT};
 use tansymux_testbed::wire::{self, read_response, write_frame, HttpResponse};
 
-/// The estimated cost of a query (ms).
+/// Estimated cost of a query (ms).
 const ESTIMATE_MS: f64 = 50.0;
 
-/// An engine that answers nothing itself, and sends each accepted connection to the test.
+/// Starts an engine that sends each accepted connection to the test, which answers requests in its place.
 fn engine_with_held_connections() -> (SocketAddr, Receiver<TcpStream>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -29,19 +29,19 @@
     (address, connections)
 }
 
-/// Command and query id of the next request on a connection.
+/// Reads the next request on a connection, and returns its command and query id.
 fn next_request(stream: &TcpStream) -> Option<(String, String)> {
     let parts = wire::read_frame(&mut BufReader::with_capacity(1, stream))?;
     Some((parts[0].clone(), parts[1].clone()))
 }
 
-/// The request of the query with this id.
+/// Returns the command and query id of the request that starts this query.
 fn fetch_request(id: &str) -> Option<(String, String)> {
     Some(("fetch".into(), id.into()))
 }
 
 #[test]
-fn query_crossing_the_close_of_an_idle_engine_connection_goes_out_on_a_new_one() {
+fn query_crossing_the_close_of_an_idle_engine_connection_is_sent_on_a_new_one() {
     let (address, connections) = engine_with_held_connections();
     let program = start(&two_group_config(&[address]));
     let first = send_query(&program, "look", 1);
@@ -52,19 +52,20 @@
     );
     write_result(&mut idle_connection, "0000000000000001");
     assert_eq!(answer_status(&first), Some(200));
-    // At one instant: the engine closes, after half a frame with an unknown id, and the next query comes.
-    let stopped = PausedProgram::new(&program);
+    // The program sees both at once: the engine closes the connection after half a frame with an unknown id, and the
+    // next query arrives.
+    let paused = PausedProgram::new(&program);
     idle_connection
         .write_all(b"*4\r\n$16\r\n00000000000000ff\r\n$4\r\nDO")
         .unwrap();
     idle_connection.shutdown(Shutdown::Both).unwrap();
     let second = send_query(&program, "look", 2);
-    drop(stopped);
+    drop(paused);
     let mut next = connections.recv_timeout(TIMEOUT).unwrap();
     assert_eq!(next_request(&next), fetch_request("0000000000000002"));
     write_result(&mut next, "0000000000000002");
     assert_eq!(answer_status(&second), Some(200));
-    // The close was known before the query was sent: nothing counts as lost.
+    // The program saw the close before it sent the query, so neither the attempt nor the connection counts as lost.
     assert_eq!(program.counter("submissions_reset"), Some(0));
     assert_eq!(program.counter("connections_lost_idle"), Some(0));
 }
@@ -77,7 +78,7 @@
         let client = send_query(&program, group, id[15..].parse().unwrap());
         let mut stream = connections.recv_timeout(TIMEOUT).unwrap();
         assert_eq!(next_request(&stream), fetch_request(id));
-        // The first of two pages, half of the second.
+        // The first of two pages, and half of the second.
         write_frame(&mut stream, &[id, "DONE", "batches=2", "a\tb\tc\n"]);
         assert_eq!(next_request(&stream), Some(("more".into(), id.into())));
         stream
@@ -85,12 +86,12 @@
             .unwrap();
         stream.shutdown(Shutdown::Both).unwrap();
         if group == "look" {
-            let mut again = connections.recv_timeout(TIMEOUT).unwrap();
-            assert_eq!(next_request(&again), fetch_request(id));
-            write_result_of(&mut again, id, "x\ty\tz\n");
+            let mut retry_stream = connections.recv_timeout(TIMEOUT).unwrap();
+            assert_eq!(next_request(&retry_stream), fetch_request(id));
+            write_result_of(&mut retry_stream, id, "x\ty\tz\n");
             let HttpResponse { status, body, .. } =
                 read_response(&mut BufReader::new(client)).unwrap();
-            // No rows of the first result are left in it.
+            // The answer has no rows of the first attempt.
             assert_eq!(
                 (status, body.as_str()),
                 (200, r#"{"data":[["x","y","z"]]}"#)
@@ -103,27 +104,27 @@
 
 #[test]
 fn connection_established_after_its_attempt_was_withdrawn_does_not_send_it() {
-    // Nobody accepts, and the backlog is full: connections come up once there is room, a second or more later.
+    // The accept backlog is full: connections are established once the backlog has room, a second or more later.
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let full = refuse_silently(&listener);
+    let backlog = refuse_silently(&listener);
     let config = two_group_config(&[address]).with_setting(keys::CONNECT_TIMEOUT_US, 30_000_000);
     let program = start(&config.with_setting(keys::CANCELLATION, false));
     let leaving_client = send_query(&program, "look", 1);
     program.wait_for_count("submissions 1\n");
     drop(leaving_client);
     program.wait_for_count("vanished 1\n");
-    // Withdrawn at once, and not at its deadline in 9 s.
-    let from = Instant::now();
+    // The attempt is withdrawn at once, not at its deadline after 9 s.
+    let started = Instant::now();
     program.wait_for_count("submissions_out 0\n");
     assert!(
-        from.elapsed() < Duration::from_secs(3),
+        started.elapsed() < Duration::from_secs(3),
         "{:?}",
-        from.elapsed()
+        started.elapsed()
     );
     let staying_client = send_query(&program, "look", 2);
-    drop(full);
-    // The first request on any connection is of the client that stayed.
+    drop(backlog);
+    // The first request on any connection belongs to the client that stayed connected.
     listener.set_nonblocking(false).unwrap();
     let mut first = None;
     while first.is_none() {
@@ -138,16 +139,16 @@
 }
 
 #[test]
-fn late_connection_is_used_for_the_next_query() {
-    // Nobody accepts, and the backlog is full: waiting attempts time out after 250 ms, by the settings.
+fn connection_established_late_is_used_for_the_next_query() {
+    // The accept backlog is full: attempts that wait for a connection time out after 250 ms, by the settings.
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let full = refuse_silently(&listener);
+    let backlog = refuse_silently(&listener);
     let program = start(&two_group_config(&[address]));
     assert_eq!(answer_status(&send_query(&program, "load", 1)), Some(429));
     let opened = program.counter("connections_to_engines").unwrap();
-    // Now there is room, and the connection comes up when the system tries again, a second after it began.
-    drop(full);
+    // The backlog has room, and the connection is established when the system retries, a second after its first try.
+    drop(backlog);
     let (sender, received) = channel();
     thread::spawn(move || {
         for mut stream in listener.incoming().flatten() {
@@ -161,60 +162,60 @@
             });
         }
     });
-    wait_until("one has come up", || {
+    wait_until("a connection is established", || {
         program
             .counter("connections_late_up")
-            .is_some_and(|up| up > 0)
+            .is_some_and(|count| count > 0)
     });
     assert_eq!(answer_status(&send_query(&program, "load", 2)), Some(200));
     assert_eq!(received.recv_timeout(TIMEOUT).unwrap(), "0000000000000002");
     assert_eq!(program.counter("connections_to_engines"), Some(opened));
 }
 
-/// Sends notes on nothing in flight until the connection ends.
+/// Sends progress notes for an unknown query until the connection closes.
 fn flood(mut stream: TcpStream) {
-    let many =
+    let batch =
         b"*4\r\n$16\r\n00000000000000ff\r\n$4\r\nTELL\r\n$15\r\ntell=frac,num=0\r\n$0\r\n\r\n"
             .repeat(500);
-    while stream.write_all(&many).is_ok() {}
+    while stream.write_all(&batch).is_ok() {}
 }
 
 #[test]
 fn engine_that_floods_does_not_starve_other_engines() {
     let (flooding_engine, connections) = engine_with_held_connections();
-    let (serves, _requests) = engine_answering_after(0);
-    let program = start(&two_group_config(&[flooding_engine, serves]));
+    let (serving_engine, _requests) = engine_answering_after(0);
+    let program = start(&two_group_config(&[flooding_engine, serving_engine]));
     thread::spawn(move || {
         while let Ok(stream) = connections.recv_timeout(TIMEOUT) {
             thread::spawn(move || flood(stream));
         }
     });
-    // Some go to the engine that floods, and are migrated; none waits for it without end.
+    // Queries that are sent to the flooding engine are migrated; none waits for it indefinitely.
     let clients: Vec<TcpStream> = (1..9).map(|id| send_query(&program, "look", id)).collect();
-    let from = Instant::now();
+    let started = Instant::now();
     clients
         .iter()
         .for_each(|client| assert_eq!(answer_status(client), Some(200)));
     assert!(
-        from.elapsed() < Duration::from_secs(6),
+        started.elapsed() < Duration::from_secs(6),
         "{:?}",
-        from.elapsed()
+        started.elapsed()
     );
     assert_eq!(get(program.listen, "/_health").unwrap().status, 200);
 }
 
 #[test]
-fn forty_connections_that_flood_are_closed_and_leave_other_engines_their_turns() {
+fn forty_flooding_connections_are_closed_and_do_not_starve_other_engines() {
     let (flooding_engine, connections) = engine_with_held_connections();
-    let (serves, _requests) = engine_answering_after(0);
-    let program = start(&two_group_config(&[flooding_engine, serves]));
+    let (serving_engine, _requests) = engine_answering_after(0);
+    let program = start(&two_group_config(&[flooding_engine, serving_engine]));
     thread::spawn(move || {
         while let Ok(stream) = connections.recv_timeout(TIMEOUT) {
             thread::spawn(move || flood(stream));
         }
     });
-    // With an estimate, as a guess of the run time that is learned beside a flood may be far off.
-    let estimated = |id| {
+    // The queries carry a cost estimate, because a run time that is learned during a flood may be far off.
+    let send_estimated_query = |id| {
         let statement = "SELECT a FROM sales_17.orders";
         let mut query = ClientQuery::new(id, "/invoke/look", "look", statement, 9000.0);
         query.cost = Some(ESTIMATE_MS);
@@ -222,12 +223,12 @@
         client.write_all(&query.bytes()).unwrap();
         client
     };
-    let clients: Vec<TcpStream> = (1..81).map(estimated).collect();
-    let from = Instant::now();
+    let clients: Vec<TcpStream> = (1..81).map(send_estimated_query).collect();
+    let started = Instant::now();
     for client in &clients {
         assert_eq!(answer_status(client), Some(200));
     }
-    let elapsed = from.elapsed();
+    let elapsed = started.elapsed();
     assert!(elapsed < Duration::from_secs(6), "{elapsed:?}");
     assert!(program.counter("engine_closed_flood") > Some(0));
 }
--- a/crates/dispatcher/tests/life_cycle/process.rs
+++ b/crates/dispatcher/tests/life_cycle/process.rs
@@ -1,4 +1,4 @@
-//! Signals, shutdown, and requests that arrive meanwhile.
+//! Signals, and requests that arrive during shutdown.
 
 use super::support::*;
 use serde_json::json;
@@ -16,7 +16,7 @@
 
 #[test]
 fn signals_sent_before_the_configuration_is_read_take_effect_afterwards() {
-    // The configuration is a pipe: the program blocks at its first read until the test writes.
+    // The configuration is a named pipe: the program blocks at its first read until the test writes to the pipe.
     let text = two_group_config(&[]).0.to_string();
     let pipe = TempFile::new("config.fifo", "");
     std::fs::remove_file(&pipe.0).unwrap();
@@ -29,33 +29,36 @@
         .stderr(Stdio::piped())
         .spawn()
         .unwrap();
-    // Opening for writing waits until the program has opened for reading.
+    // Opening the pipe for writing blocks until the program has opened it for reading.
     let mut writer = std::fs::OpenOptions::new()
         .write(true)
         .open(&pipe.0)
         .unwrap();
     send_signal("-HUP", child.id());
     send_signal("-TERM", child.id());
-    // Both are delivered before the process runs on: it is blocked in a system call.
+    // Both signals are delivered before the process continues, because it is blocked in a system call.
     let pending = || {
         let status =
             std::fs::read_to_string(format!("/proc/{}/status", child.id())).unwrap_or_default();
-        let of = |name: &str| {
+        let mask_of = |name: &str| {
             let line = status
                 .lines()
                 .find_map(|line| line.strip_prefix(name))
                 .unwrap_or("0");
             u64::from_str_radix(line.trim(), 16).unwrap_or(0)
         };
-        of("SigPnd:") | of("ShdPnd:")
+        mask_of("SigPnd:") | mask_of("ShdPnd:")
     };
     wait_until("signals are delivered", || pending() == 0);
-    assert!(child.try_wait().unwrap().is_none(), "it ended by a signal");
+    assert!(
+        child.try_wait().unwrap().is_none(),
+        "a signal ended the program"
+    );
     writer.write_all(text.as_bytes()).unwrap();
     drop(writer);
-    let from = Instant::now();
+    let started = Instant::now();
     let status = child.wait().unwrap();
-    assert!(status.success() && from.elapsed() < TIMEOUT, "{status}");
+    assert!(status.success() && started.elapsed() < TIMEOUT, "{status}");
 }
 
 #[test]
@@ -64,13 +67,14 @@
     let mut program = start(&two_group_config(&[address]));
     let mut idle_client = send_query(&program, "look", 1);
     assert_eq!(answer_status(&idle_client), Some(200));
-    // At one instant: a request on the idle connection, SIGTERM (twice), three connections in the backlog.
-    let stopped = PausedProgram::new(&program);
+    // The program sees these events at once: a request on the idle connection, two SIGTERMs, three connections in the
+    // backlog.
+    let paused = PausedProgram::new(&program);
     idle_client.write_all(&query_bytes("look", 2)).unwrap();
     program.terminate();
     let backlog: Vec<TcpStream> = (3..6).map(|id| send_query(&program, "look", id)).collect();
     program.terminate();
-    drop(stopped);
+    drop(paused);
     assert_eq!(answer_status(&idle_client), Some(200));
     backlog
         .iter()
@@ -87,16 +91,16 @@
 fn connections_in_the_backlog_when_the_listener_closes_are_answered() {
     let (address, _requests) = engine_answering_after(20);
     let mut program = start(&two_group_config(&[address]));
-    let from = Instant::now();
+    let started = Instant::now();
     program.terminate();
     wait_until("health checks fail", || {
         get(program.listen, "/_health").is_some_and(|response| response.status == 503)
     });
-    // Three connect while the time for new connections runs out, and the program sees both at once.
-    let stopped = PausedProgram::new(&program);
+    // Three clients connect while the accept grace ends, and the program sees both events at once.
+    let paused = PausedProgram::new(&program);
     let backlog: Vec<TcpStream> = (1..4).map(|id| send_query(&program, "look", id)).collect();
-    thread::sleep((ACCEPT_GRACE + Duration::from_millis(50)).saturating_sub(from.elapsed()));
-    drop(stopped);
+    thread::sleep((ACCEPT_GRACE + Duration::from_millis(50)).saturating_sub(started.elapsed()));
+    drop(paused);
     backlog
         .iter()
         .for_each(|stream| assert_eq!(answer_status(stream), Some(200)));
@@ -109,7 +113,7 @@
     let config =
         two_group_config(&[address]).with("limits", json!({"sockets": 64, "memory_mb": 32}));
     let mut program = start(&config);
-    // Clients have half of the descriptors, and each a query in flight past the time for new connections.
+    // Clients have half of the descriptors, and each client has a query in flight beyond the end of the accept grace.
     let clients: Vec<TcpStream> = (0..40)
         .map(|id| send_query(&program, "look", id + 1))
         .collect();
@@ -133,12 +137,12 @@
     let mut program = start(&two_group_config(&[address]));
     let mut idle_client = send_query(&program, "look", 1);
     assert_eq!(answer_status(&idle_client), Some(200));
-    let from = Instant::now();
+    let started = Instant::now();
     program.terminate();
-    // It may send requests for as long as new connections are accepted, and then sees the half-close.
+    // The client may send requests as long as new connections are accepted, and then sees the half-close.
     assert_eq!(idle_client.read(&mut [0; 64]).unwrap(), 0);
-    assert!(from.elapsed() >= ACCEPT_GRACE, "{:?}", from.elapsed());
-    // A request that crosses it is read, so that nothing is reset, and discarded.
+    assert!(started.elapsed() >= ACCEPT_GRACE, "{:?}", started.elapsed());
+    // A request that crosses the half-close is read, so that the connection is not reset, and discarded.
     idle_client.write_all(&query_bytes("look", 2)).unwrap();
     assert!(program.end().contains("taken 1\n"));
     assert_eq!(idle_client.read(&mut [0; 64]).unwrap(), 0);
@@ -149,23 +153,23 @@
 fn partial_and_imminent_requests_at_sigterm_are_served() {
     let (address, _requests) = engine_answering_after(20);
     let mut program = start(&two_group_config(&[address]));
-    let whole = query_bytes("look", 1);
+    let request = query_bytes("look", 1);
     let (mut partial_client, mut imminent_client) =
         (connect_client(&program), connect_client(&program));
-    partial_client.write_all(&whole[..50]).unwrap();
-    wait_until("both are taken", || {
+    partial_client.write_all(&request[..50]).unwrap();
+    wait_until("both connections are accepted", || {
         program.counters().contains("connections_from_clients")
     });
-    let from = Instant::now();
+    let started = Instant::now();
     program.terminate();
     wait_until("health checks fail", || {
         get(program.listen, "/_health").is_some_and(|response| response.status == 503)
     });
     imminent_client.write_all(&query_bytes("look", 2)).unwrap();
     assert_eq!(answer_status(&imminent_client), Some(200));
-    // Its last bytes come after the listener was closed.
-    thread::sleep((ACCEPT_GRACE + Duration::from_millis(100)).saturating_sub(from.elapsed()));
-    partial_client.write_all(&whole[50..]).unwrap();
+    // The last bytes of the partial request arrive after the listener is closed.
+    thread::sleep((ACCEPT_GRACE + Duration::from_millis(100)).saturating_sub(started.elapsed()));
+    partial_client.write_all(&request[50..]).unwrap();
     assert_eq!(answer_status(&partial_client), Some(200));
     assert!(program.end().contains("finished 2\n"));
 }
@@ -184,7 +188,7 @@
         &[1, 1],
     );
     let mut program = start(&config);
-    // A client that waits for longer than the settings allow, at a stalled engine.
+    // The client waits for longer than the settings allow, and the engine is stalled.
     let mut client = connect_client(&program);
     client
         .write_all(
@@ -199,15 +203,15 @@
         )
         .unwrap();
     assert_eq!(requests.recv_timeout(TIMEOUT).unwrap().0[0], "fetch");
-    let from = Instant::now();
+    let started = Instant::now();
     program.terminate();
     assert_eq!(answer_status(&client), Some(500));
     drop(client);
     program.end();
-    // The longest deadline and 0.7 s.
+    // The longest deadline plus the accept grace of 0.7 s.
     assert!(
-        from.elapsed() < Duration::from_millis(1700),
+        started.elapsed() < Duration::from_millis(1700),
         "{:?}",
-        from.elapsed()
+        started.elapsed()
     );
 }
--- a/crates/dispatcher/tests/life_cycle/support.rs
+++ b/crates/dispatcher/tests/life_cycle/support.rs
@@ -1,5 +1,4 @@
-//! Support of the life cycle tests: the program with two resource groups, queries, and a way to stop the program for a
-//! moment.
+//! Helpers of the life cycle tests: the program with two resource groups, queries, and pausing of the program.
 
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -16,10 +15,11 @@
 /// The program under test.
 pub const EXE: &str = env!("CARGO_BIN_EXE_tansymux");
 
-/// How long after SIGTERM the program still accepts new connections.
+/// Time after SIGTERM during which the program still accepts new connections.
 pub const ACCEPT_GRACE: Duration = Duration::from_millis(700);
 
-/// A configuration with these engines and two resource groups of 9 s each: `look` only reads, `load` writes.
+/// Returns a configuration with these engines and two resource groups with a deadline of 9 s: `look` reads, `load`
+/// writes.
 pub fn two_group_config(engines: &[SocketAddr]) -> Config {
     Config::with_two_classes(engines)
 }
@@ -29,12 +29,12 @@
     Program::start(Path::new(EXE), config, &[])
 }
 
-/// An engine that answers each query after `delay_ms`, and the frames that it receives.
+/// Starts an engine that answers each query after `delay_ms`. Returns its address and the frames that it receives.
 pub fn engine_answering_after(delay_ms: u64) -> (SocketAddr, Receiver<ReceivedFrame>) {
     engine::engine_answering_after(Duration::from_millis(delay_ms))
 }
 
-/// A client's connection to the program, with a limit on every wait.
+/// Connects a client whose reads time out after [`TIMEOUT`].
 pub fn connect_client(program: &Program) -> TcpStream {
     let stream = TcpStream::connect(program.listen).unwrap();
     stream.set_read_timeout(Some(TIMEOUT)).unwrap();
@@ -42,7 +42,7 @@
     stream
 }
 
-/// The request of a query.
+/// Returns the HTTP request of a query.
 pub fn query_bytes(group: &str, id: u64) -> Vec<u8> {
     ClientQuery::new(
         id,
@@ -54,19 +54,19 @@
     .bytes()
 }
 
-/// Sends a query on a connection of its own.
+/// Sends a query on a new connection, and returns the connection.
 pub fn send_query(program: &Program, group: &str, id: u64) -> TcpStream {
     let mut stream = connect_client(program);
     stream.write_all(&query_bytes(group, id)).unwrap();
     stream
 }
 
-/// The status of the next answer on a connection; `None` if it ends without one.
+/// Reads the next answer on a connection and returns its status, or `None` if the connection closes without an answer.
 pub fn answer_status(stream: &TcpStream) -> Option<u16> {
     read_response(&mut BufReader::new(stream)).map(|response| response.status)
 }
 
-/// Ids of the queries that an engine received.
+/// Returns the ids of the queries that an engine received.
 pub fn fetched_ids(requests: &Receiver<ReceivedFrame>) -> Vec<String> {
     requests
         .try_iter()
@@ -75,11 +75,11 @@
         .collect()
 }
 
-/// Stops the program until this is dropped: for the program, everything in between happens at one instant.
+/// Pauses the program until dropped. The program then sees all events of the pause at once.
 pub struct PausedProgram(u32);
 
 impl PausedProgram {
-    /// Stops the program, and waits until it is stopped.
+    /// Sends SIGSTOP to the program, and waits until it is stopped.
     pub fn new(program: &Program) -> Self {
         let pid = program.child.id();
         send_signal("-STOP", pid);
@@ -99,14 +99,17 @@
 
 /// Waits until a condition holds.
 pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
-    let from = Instant::now();
+    let started = Instant::now();
     while !condition() {
-        assert!(from.elapsed() < TIMEOUT, "not in time: {what}");
+        assert!(
+            started.elapsed() < TIMEOUT,
+            "timed out waiting until {what}"
+        );
         thread::sleep(Duration::from_millis(2));
     }
 }
 
-/// Sends a signal by its name, as in `-TERM`.
+/// Sends a signal, given as an option of `kill` such as `-TERM`.
 pub fn send_signal(signal: &str, pid: u32) {
     assert!(Command::new("kill")
         .args([signal, &pid.to_string()])
--- a/crates/dispatcher/tests/platform_limits/clocks.rs
+++ b/crates/dispatcher/tests/platform_limits/clocks.rs
@@ -12,13 +12,13 @@
 use tansymux_testbed::program::{used, Config, Program, TempFile};
 use tansymux_testbed::wire::read_response;
 
-/// The library that replaces the C library's clocks, and the file with the adjustments of their readings.
+/// The library that replaces the C library's clocks, and the file with the adjustments that it applies.
 struct ClockShim {
     library: PathBuf,
     adjustments: TempFile,
 }
 
-/// An adjustment in the shim's file, by its position.
+/// Position of an adjustment in the shim's file, in units of 8 bytes.
 #[derive(Clone, Copy)]
 enum Adjustment {
     MonotonicOffset = 0,
@@ -26,7 +26,6 @@
     MonotonicStop = 2,
 }
 
-/// Nanoseconds in a second.
 const NANOS_PER_SECOND: i64 = 1_000_000_000;
 
 impl ClockShim {
@@ -43,12 +42,12 @@
             .status();
         assert!(
             built.is_ok_and(|status| status.success()),
-            "the clock library can't be built"
+            "the clock shim can't be built"
         );
-        let own = std::env::current_exe().unwrap();
-        let target = own.parent().and_then(Path::parent).unwrap();
+        let executable = std::env::current_exe().unwrap();
+        let target = executable.parent().and_then(Path::parent).unwrap();
         let library = target.join("examples").join("libclock_shim.so");
-        assert!(library.exists(), "{} is not there", library.display());
+        assert!(library.exists(), "{} does not exist", library.display());
         ClockShim {
             library,
             adjustments: TempFile::new("clock_shim", &"\0".repeat(32)),
@@ -75,22 +74,22 @@
     }
 }
 
-/// Nanoseconds on the machine's own monotonic clock.
+/// Returns the machine's monotonic time, without the shim (ns).
 fn monotonic_ns() -> i64 {
     let mut now = libc::timespec {
         tv_sec: 0,
         tv_nsec: 0,
     };
-    // SAFETY: a clock that is there, and room for its reading.
+    // SAFETY: the clock exists, and `now` is a valid `timespec`.
     unsafe { libc::clock_gettime(libc::CLOCK_MONOTONIC, &mut now) };
     now.tv_sec * NANOS_PER_SECOND + now.tv_nsec
 }
 
 #[test]
-fn a_stopped_or_jumping_clock_ends_no_query_early() {
+fn stopped_or_jumping_clock_ends_no_query_early() {
     let shim = ClockShim::new();
-    let (mute, _requests) = scripted(|_, _| ());
-    let mut program = shim.start(&config(&[mute]));
+    let (silent_engine, _requests) = scripted(|_, _| ());
+    let mut program = shim.start(&config(&[silent_engine]));
     // The wall clock jumps an hour ahead and back: nothing depends on it after the start.
     for hours in [1, -1, 0] {
         shim.set(Adjustment::WallOffset, hours * 3600 * NANOS_PER_SECOND);
@@ -108,8 +107,9 @@
         query.cost = Some(20.0);
         send_query_in_two_writes(program.listen, &query, 40, Duration::from_millis(1))
     };
-    // The monotonic clock stops for twice a query's time: the query goes on, the program answers and does not spin.
-    let waiting = send_query(1, 600.0);
+    // The monotonic clock stops for twice a query's wait time: the query stays in flight, and the program serves
+    // requests and does not spin.
+    let client = send_query(1, 600.0);
     program.wait_for_count("submissions 1\n");
     shim.set(Adjustment::MonotonicStop, monotonic_ns());
     let (_, before) = used(program.child.id()).unwrap();
@@ -123,24 +123,25 @@
         "{new_rounds} rounds, {} ms",
         after - before
     );
-    // It runs again, past the query's deadline: the query ends. Then it jumps over the next one's.
+    // The clock continues past the query's deadline, and the query fails. Then it jumps past the deadline of the next
+    // query.
     shim.set(Adjustment::MonotonicStop, 0);
     assert_eq!(
-        read_response(&mut BufReader::new(waiting)).map(|got| got.status),
+        read_response(&mut BufReader::new(client)).map(|response| response.status),
         Some(500)
     );
-    let waiting = send_query(2, 8000.0);
+    let client = send_query(2, 8000.0);
     program.wait_for_count("submissions 2\n");
-    let from = Instant::now();
+    let started = Instant::now();
     shim.set(Adjustment::MonotonicOffset, 10 * NANOS_PER_SECOND);
     assert_eq!(
-        read_response(&mut BufReader::new(waiting)).map(|got| got.status),
+        read_response(&mut BufReader::new(client)).map(|response| response.status),
         Some(500)
     );
     assert!(
-        from.elapsed() < Duration::from_secs(3),
+        started.elapsed() < Duration::from_secs(3),
         "{:?}",
-        from.elapsed()
+        started.elapsed()
     );
     program.terminate();
     program.end();
--- a/crates/dispatcher/tests/platform_limits/main.rs
+++ b/crates/dispatcher/tests/platform_limits/main.rs
@@ -1,10 +1,7 @@
-//! The operators' requirements on the program at full size: which system calls it makes, what it links, how few resources
-//! it needs, and how it works with clocks that stop or jump. A test that cannot run on a machine fails with that message.
+//! The operators' requirements on the program at full size: its system calls, its dynamic linking, its use of
+//! resources, and its behaviour with clocks that stop or jump. A test that cannot run on a machine fails and says so.
 
-#![allow(
-    clippy::unwrap_used,
-    reason = "a test ends at the first thing that is not as it should be"
-)]
+#![allow(clippy::unwrap_used, reason = "a panic fails the test")]
 
 mod clocks;
 mod resources;
--- a/crates/dispatcher/tests/platform_limits/resources.rs
+++ b/crates/dispatcher/tests/platform_limits/resources.rs
@@ -1,4 +1,4 @@
-//! The program's use of descriptors, memory and processor time.
+//! The program's use of descriptors, memory and CPU time.
 
 use crate::support::{answer_status, config, instant_engine, start_limited, EXE};
 use serde_json::json;
@@ -16,7 +16,7 @@
 use tansymux_testbed::record::{Record, Status};
 use tansymux_testbed::wire::read_response;
 
-/// Sends a query and does not wait for its answer.
+/// Sends a query on a new connection without waiting for its answer.
 fn send_query(program: &Program, id: u64) -> TcpStream {
     let mut query = ClientQuery::new(
         id,
@@ -31,7 +31,7 @@
 
 #[test]
 fn clients_that_use_up_descriptors_block_neither_discovery_nor_reload() {
-    // The configured engines never answer, each holds a connection for each query, and the name service is silent.
+    // The configured engines never answer and hold one connection per query, and the name service is silent.
     let silent_engines: Vec<SocketAddr> = (0..4).map(|_| scripted(|_, _| {}).0).collect();
     let names = NameService::start(Vec::new(), Arc::new(Record::default()));
     names.silent(true);
@@ -40,11 +40,11 @@
         .with("resolver", names.address.to_string())
         .with_setting(keys::STREAMS_PER_CONNECTION, 1);
     let mut program = start_limited(&config);
-    // Clients connect as soon as the program listens, many more of them than it can accept.
+    // Clients connect as soon as the program listens, many more than it can accept.
     let started = Instant::now();
     let mut idle = Vec::new();
     while idle.len() < 120 {
-        assert!(started.elapsed() < TIMEOUT, "nobody listens");
+        assert!(started.elapsed() < TIMEOUT, "the program does not listen");
         match TcpStream::connect(program.listen) {
             Ok(stream) => idle.push(stream),
             Err(_) => thread::sleep(Duration::from_millis(1)),
@@ -52,7 +52,8 @@
     }
     let waiting: Vec<_> = (1..60).map(|id| send_query(&program, id)).collect();
     program.wait_until_healthy();
-    // Both of these need a descriptor while clients use theirs: a list from another socket, and the file at SIGHUP.
+    // An endpoint list over another socket and the configuration file at SIGHUP each need a descriptor while clients
+    // hold theirs.
     program.wait_for_count("lists 0\n");
     names.add(Endpoint {
         id: "s-9".into(),
@@ -94,15 +95,15 @@
 }
 
 #[test]
-fn three_hundred_peers_cost_little_time_and_memory_at_the_start() {
-    let own = free_udp_address().to_string();
+fn three_hundred_peers_cost_little_time_and_memory_at_startup() {
+    let own_address = free_udp_address().to_string();
     let address_of = |peer: u32| match peer {
-        7 => own.clone(),
+        7 => own_address.clone(),
         _ => format!("127.9.{}.1:7946", peer % 250),
     };
     let peers: Vec<String> = (0..300).map(address_of).collect();
     let config = config(&[instant_engine()])
-        .with("peer_listen", own.clone())
+        .with("peer_listen", own_address.clone())
         .with("peers", json!(peers));
     let config = config
         .with_setting(keys::DISPATCHERS, 300)
--- a/crates/dispatcher/tests/platform_limits/support.rs
+++ b/crates/dispatcher/tests/platform_limits/support.rs
@@ -1,4 +1,4 @@
-//! Support of the tests of platform limits: engines that answer at once, and resource limits of the program.
+//! Helpers of the platform limit tests: engines that answer at once, and a program with resource limits.
 
 use std::io::BufReader;
 use std::net::SocketAddr;
@@ -14,12 +14,12 @@
 /// The program under test.
 pub const EXE: &str = env!("CARGO_BIN_EXE_tansymux");
 
-/// A configuration with these engines and two resource groups.
+/// Returns a configuration with these engines and two resource groups.
 pub fn config(engines: &[SocketAddr]) -> Config {
     Config::with_two_classes(engines)
 }
 
-/// An engine that answers at once.
+/// Starts an engine that completes each query at once, and returns its address.
 pub fn instant_engine() -> SocketAddr {
     let answers = |parts: &[String], to: &mut std::net::TcpStream| {
         write_result(to, &parts[1]);
@@ -27,7 +27,7 @@
     scripted(answers).0
 }
 
-/// Sends a query, and returns the status of its answer.
+/// Sends a query on a new connection, and returns the status of its answer.
 pub fn answer_status(program: &Program, id: u64, wait_ms: f64) -> Option<u16> {
     let mut query = ClientQuery::new(
         id,
@@ -38,27 +38,27 @@
     );
     query.cost = Some(20.0);
     let stream = send_query_in_two_writes(program.listen, &query, 40, Duration::from_millis(1));
-    read_response(&mut BufReader::new(stream)).map(|got| got.status)
+    read_response(&mut BufReader::new(stream)).map(|response| response.status)
 }
 
-/// Starts the program with no more than 64 descriptors and 64 MB of address space.
+/// Starts the program with at most 64 descriptors and 64 MB of address space, without waiting until it is healthy.
 pub fn start_limited(config: &Config) -> Program {
     let limits = [(libc::RLIMIT_NOFILE, 64), (libc::RLIMIT_AS, 64 << 20)];
     Program::prepared(Path::new(EXE), config, &[], Stdio::piped(), |command| {
         let set_limits = move || {
             limits.iter().try_for_each(|&(resource, limit)| {
-                let both = libc::rlimit {
+                let new = libc::rlimit {
                     rlim_cur: limit,
                     rlim_max: limit,
                 };
-                // SAFETY: a valid limit.
-                match unsafe { libc::setrlimit(resource, &both) } {
+                // SAFETY: the pointer refers to a valid `rlimit`.
+                match unsafe { libc::setrlimit(resource, &new) } {
                     0 => Ok(()),
                     _ => Err(std::io::Error::last_os_error()),
                 }
             })
         };
-        // SAFETY: one system call for each limit.
+        // SAFETY: the closure makes one system call per limit.
         unsafe { command.pre_exec(set_limits) };
     })
 }
--- a/crates/dispatcher/tests/platform_limits/system_calls.rs
+++ b/crates/dispatcher/tests/platform_limits/system_calls.rs
@@ -1,4 +1,4 @@
-//! The program does not need the system calls that the platform refuses, and is linked as the platform requires.
+//! The program runs without the system calls that the platform refuses, and is linked as the platform requires.
 
 use crate::support::{answer_status, config, instant_engine, EXE};
 use object::{Object, ObjectSegment, ObjectSymbol};
@@ -14,48 +14,46 @@
 use std::process::{Command, Stdio};
 use tansymux_testbed::program::{free_udp_address, Program};
 
-/// A filter that answers the calls of these rules with an error.
+/// Returns a filter that fails the calls of these rules with `error`.
 fn filter_of(rules: BTreeMap<i64, Vec<SeccompRule>>, error: i32) -> BpfProgram {
     let arch = std::env::consts::ARCH
         .try_into()
-        .expect("seccomp is known on this machine");
+        .expect("an architecture that seccomp supports");
     let filter = SeccompFilter::new(
         rules,
         SeccompAction::Allow,
         SeccompAction::Errno(error as u32),
         arch,
     );
-    filter
-        .and_then(BpfProgram::try_from)
-        .expect("a filter of plain rules")
+    filter.and_then(BpfProgram::try_from).expect("valid rules")
 }
 
-/// A call is refused only where an argument compares so.
-fn only(argument: u8, comparison: seccompiler::SeccompCmpOp, value: u64) -> Vec<SeccompRule> {
+/// Returns rules that refuse a call only if the comparison of its argument with `value` holds.
+fn refused_if(argument: u8, comparison: seccompiler::SeccompCmpOp, value: u64) -> Vec<SeccompRule> {
     let condition =
         SeccompCondition::new(argument, Dword, comparison, value).expect("an argument from 0 to 5");
     vec![SeccompRule::new(vec![condition]).expect("one condition")]
 }
 
-/// Filters of the system calls that the platform refuses, and of sockets other than IPv4's. The program's own start by
-/// exec must pass them.
+/// Returns filters for the system calls that the platform refuses and for sockets other than IPv4. They allow the
+/// exec that starts the program.
 fn platform_filters() -> [BpfProgram; 2] {
-    let all = Vec::new;
-    let processes = MaskedEq(libc::CLONE_THREAD as u64);
-    let not_there = [
-        (libc::SYS_fork, all()),
-        (libc::SYS_vfork, all()),
-        (libc::SYS_clone, only(0, processes, 0)),
-        (libc::SYS_clone3, all()),
-        (libc::SYS_execveat, all()),
-        (libc::SYS_io_uring_setup, all()),
-        (libc::SYS_sendfile, all()),
-        (libc::SYS_socketpair, all()),
-        (libc::SYS_socket, only(0, Ne, libc::AF_INET as u64)),
+    let always = Vec::new;
+    let without_thread_flag = MaskedEq(libc::CLONE_THREAD as u64);
+    let refused = [
+        (libc::SYS_fork, always()),
+        (libc::SYS_vfork, always()),
+        (libc::SYS_clone, refused_if(0, without_thread_flag, 0)),
+        (libc::SYS_clone3, always()),
+        (libc::SYS_execveat, always()),
+        (libc::SYS_io_uring_setup, always()),
+        (libc::SYS_sendfile, always()),
+        (libc::SYS_socketpair, always()),
+        (libc::SYS_socket, refused_if(0, Ne, libc::AF_INET as u64)),
     ];
     [
-        filter_of(BTreeMap::from(not_there), libc::ENOSYS),
-        filter_of(BTreeMap::from([(libc::SYS_splice, all())]), libc::EINVAL),
+        filter_of(BTreeMap::from(refused), libc::ENOSYS),
+        filter_of(BTreeMap::from([(libc::SYS_splice, always())]), libc::EINVAL),
     ]
 }
 
@@ -67,11 +65,11 @@
     Ok(())
 }
 
-/// How many processes have this one as their parent.
+/// Returns the number of processes whose parent is `pid`.
 fn child_processes(pid: u32) -> usize {
     let parent = format!("PPid:\t{pid}");
     let processes = std::fs::read_dir("/proc")
-        .expect("processes are shown")
+        .expect("/proc is readable")
         .flatten();
     let status =
         |entry: std::fs::DirEntry| std::fs::read_to_string(entry.path().join("status")).ok();
@@ -89,7 +87,7 @@
         .with("peer_listen", peer.clone())
         .with("peers", json!([peer]));
     let mut program = Program::prepared(Path::new(EXE), &config, &[], Stdio::piped(), |command| {
-        // SAFETY: two system calls each, on memory that was filled before the fork.
+        // SAFETY: two system calls per filter, on memory that was filled before the fork.
         unsafe { command.pre_exec(move || apply(&filters)) };
     });
     program.wait_until_healthy();
@@ -107,8 +105,8 @@
 }
 
 #[test]
-fn the_system_call_filter_keeps_a_shell_from_starting_a_process() {
-    // A shell under the filters cannot start a program; otherwise the test above would prove nothing.
+fn system_call_filter_keeps_a_shell_from_starting_a_process() {
+    // If a shell under the filters could start a program, the test above would prove nothing.
     let filters = platform_filters();
     let mut shell = Command::new("/bin/sh");
     shell
@@ -116,10 +114,10 @@
         .stderr(Stdio::null());
     // SAFETY: as above.
     unsafe { shell.pre_exec(move || apply(&filters)) };
-    let ended = shell
+    let status = shell
         .status()
         .expect("this machine can't filter system calls: the test can't be run here");
-    assert!(!ended.success() && ended.code() != Some(7), "{ended}");
+    assert!(!status.success() && status.code() != Some(7), "{status}");
 }
 
 #[test]
@@ -130,20 +128,23 @@
         let data = |segment: object::Segment| segment.data().is_ok_and(|data| contains(data, name));
         file.segments().any(data)
     };
-    assert!(has(b"/ld-linux") || has(b"/ld-musl"), "no loader is named");
+    assert!(
+        has(b"/ld-linux") || has(b"/ld-musl"),
+        "the binary names no dynamic loader"
+    );
     assert!(
         has(b"libc.so.6\0") || has(b"libc.musl"),
-        "the C library is not asked for"
+        "the binary does not link the C library dynamically"
     );
-    let calls = file
+    let symbols = file
         .dynamic_symbols()
         .filter_map(|symbol| symbol.name().ok())
         .collect::<Vec<_>>();
     // A platform that provides its own clock and sockets must be able to replace these calls.
     for call in ["clock_gettime", "accept4", "sendto", "pthread_create"] {
         assert!(
-            calls.contains(&call),
-            "{call} is not taken from the C library: {calls:?}"
+            symbols.contains(&call),
+            "{call} is not taken from the C library: {symbols:?}"
         );
     }
 }
--- a/crates/dispatcher/tests/sockets/clients.rs
+++ b/crates/dispatcher/tests/sockets/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that are idle, send malformed requests, or send without end.
+//! Clients that are idle, send malformed requests, or never stop sending.
 
 use super::support::*;
 use serde_json::json;
@@ -9,7 +9,7 @@
 use tansymux_testbed::program::{Config, TIMEOUT};
 use tansymux_testbed::wire::read_response;
 
-/// Sets the smallest limits that are accepted, which allow 32 connections of clients.
+/// Sets the smallest limits that are accepted, which allow 32 client connections.
 fn with_smallest_limits(config: Config) -> Config {
     config.with("limits", json!({"sockets": 64, "memory_mb": 32}))
 }
@@ -18,10 +18,10 @@
 fn idle_and_silent_clients_are_evicted_for_clients_with_queries() {
     let (address, _requests) = instant_engine();
     let program = start_with(&[address], with_smallest_limits);
-    let mute: Vec<TcpStream> = (0..40)
+    let silent_clients: Vec<TcpStream> = (0..40)
         .map(|_| TcpStream::connect(program.listen).unwrap())
         .collect();
-    let from = Instant::now();
+    let started = Instant::now();
     let served_clients: Vec<TcpStream> = (1..80)
         .map(|id| {
             let client = post_query(program.listen, "look", id);
@@ -35,25 +35,26 @@
         })
         .collect();
     assert!(
-        from.elapsed() < Duration::from_millis(2500),
+        started.elapsed() < Duration::from_millis(2500),
         "{:?}",
-        from.elapsed()
+        started.elapsed()
     );
-    // Clients that never sent a request see a close; one that sends it too slowly gets an error.
+    // Clients that never sent a request see their connection close. A client that sends its request too slowly gets
+    // an error.
     let mut slow_client = TcpStream::connect(program.listen).unwrap();
     slow_client.set_read_timeout(Some(TIMEOUT)).unwrap();
-    let from = Instant::now();
-    while from.elapsed() < Duration::from_secs(3) && slow_client.write_all(b"POST /x").is_ok() {
+    let started = Instant::now();
+    while started.elapsed() < Duration::from_secs(3) && slow_client.write_all(b"POST /x").is_ok() {
         thread::sleep(Duration::from_millis(100));
     }
-    for mut client in mute {
+    for mut client in silent_clients {
         client.set_read_timeout(Some(TIMEOUT)).unwrap();
         assert!(!matches!(client.read(&mut [0]), Ok(1..)));
     }
     assert!(
-        from.elapsed() < Duration::from_millis(3500),
+        started.elapsed() < Duration::from_millis(3500),
         "{:?}",
-        from.elapsed()
+        started.elapsed()
     );
     assert!(read_response(&mut BufReader::new(slow_client))
         .is_none_or(|response| response.status == 408));
@@ -61,10 +62,10 @@
 }
 
 #[test]
-fn unusable_requests_are_refused_and_bytes_behind_them_are_never_parsed() {
+fn invalid_requests_are_rejected_and_bytes_after_them_are_never_parsed() {
     let (address, requests) = instant_engine();
     let program = start_with(&[address], with_smallest_limits);
-    let behind =
+    let next_request =
         "POST /invoke/look HTTP/1.1\r\nReq-Id: 00000000000000ab\r\nReq-Wait-Ms: 9000\r\nReq-Owner: acme\r\n\
          Content-Length: 8\r\n\r\nSELECT 1";
     let head = "POST /invoke/look HTTP/1.1\r\nReq-Id: 00000000000000aa\r\n";
@@ -84,7 +85,7 @@
         let mut client = TcpStream::connect(program.listen).unwrap();
         client.set_read_timeout(Some(TIMEOUT)).unwrap();
         client
-            .write_all(format!("{head}{rest}{behind}").as_bytes())
+            .write_all(format!("{head}{rest}{next_request}").as_bytes())
             .unwrap();
         let mut reader = BufReader::new(client);
         assert_eq!(read_response(&mut reader).unwrap().status, status, "{rest}");
@@ -118,10 +119,10 @@
     let program = start_with(&[address], |config| {
         with_smallest_limits(config).with("limits.memory_mb", 16)
     });
-    // Incomplete requests fill the bound on read buffers, a tenth of 16 MB, but for a few bytes.
+    // Incomplete requests fill all but a few bytes of the bound on read buffers, a tenth of 16 MB.
     let head = "POST /invoke/look HTTP/1.1\r\nContent-Length: 65000\r\n\r\n";
     let sent = [head.as_bytes(), &vec![b'x'; 59_915 - head.len()]].concat();
-    let hoarding_clients: Vec<TcpStream> = (0..28)
+    let buffering_clients: Vec<TcpStream> = (0..28)
         .map(|_| {
             let mut client = TcpStream::connect(program.listen).unwrap();
             client.write_all(&sent).unwrap();
@@ -132,5 +133,5 @@
     for id in 1..5 {
         assert_eq!(answer_status(post_query(program.listen, "look", id)), 200);
     }
-    drop(hoarding_clients);
+    drop(buffering_clients);
 }
--- a/crates/dispatcher/tests/sockets/endpoint_list.rs
+++ b/crates/dispatcher/tests/sockets/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list of the name service, and its change by a reload.
+//! Endpoint lists from the name service, and a change of the name service by a reload.
 
 use super::support::*;
 use std::net::{SocketAddr, UdpSocket};
@@ -10,7 +10,7 @@
 use tansymux_testbed::program::{free_address, TIMEOUT};
 use tansymux_testbed::record::{Record, Status};
 
-/// A name service that lists one engine, `s-9`, as event 2.
+/// Starts a name service that lists one engine, `s-9`, as event 2, and returns its address.
 fn name_service_with_engine(engine: SocketAddr) -> SocketAddr {
     let listed = Endpoint {
         id: "s-9".into(),
@@ -34,7 +34,7 @@
         config.with("resolver", resolver.to_string())
     });
     program.wait_for_count("lists 1\n");
-    // The engine of the configuration is no longer listed: all queries go to the new one.
+    // The engine of the configuration is no longer listed: all queries are sent to the new engine.
     for id in 1..9 {
         assert_eq!(answer_status(post_query(program.listen, "load", id)), 200);
     }
@@ -46,17 +46,19 @@
         thread::sleep(Duration::from_millis(300));
         write_result(to, &parts[1]);
     });
-    let (mute, resolver) = (
+    let (silent_socket, resolver) = (
         UdpSocket::bind("127.0.0.1:0").unwrap(),
         name_service_with_engine(address),
     );
-    let silent = mute.local_addr().unwrap().to_string();
-    let old = format!(r#""resolver":"{silent}""#);
-    let mut program = start_with(&[address], |config| config.with("resolver", silent.clone()));
+    let silent_address = silent_socket.local_addr().unwrap().to_string();
+    let old = format!(r#""resolver":"{silent_address}""#);
+    let mut program = start_with(&[address], |config| {
+        config.with("resolver", silent_address.clone())
+    });
     let text = std::fs::read_to_string(&program.config.0).unwrap();
-    let open = post_query(program.listen, "look", 1);
+    let open_query = post_query(program.listen, "look", 1);
     assert_eq!(requests.recv_timeout(TIMEOUT).unwrap().0[0], "fetch");
-    // First an unusable configuration, then a usable one with a key that needs a restart.
+    // First an invalid configuration, then a valid configuration with a changed key that needs a restart.
     program.config.write(&text.replace(&old, r#""resolver":7"#));
     program.signal("-HUP");
     thread::sleep(Duration::from_millis(100));
@@ -64,7 +66,7 @@
     program.config.write(&text.replace(&old, &new));
     (0..3).for_each(|_| program.signal("-HUP"));
     program.wait_for_count("lists 1\n");
-    assert_eq!(answer_status(open), 200);
+    assert_eq!(answer_status(open_query), 200);
     program.terminate();
     program.signal("-HUP");
     let log = program.end();
--- a/crates/dispatcher/tests/sockets/engine_connections.rs
+++ b/crates/dispatcher/tests/sockets/engine_connections.rs
@@ -1,4 +1,4 @@
-//! Connections to engines: which are reused, and which are closed.
+//! Reuse and closing of connections to engines.
 
 use super::support::*;
 use std::io::{BufReader, Write};
@@ -15,48 +15,48 @@
 use tansymux_testbed::program::{Program, TIMEOUT};
 use tansymux_testbed::wire::{self, read_response};
 
-/// Pause between the two parts of a request.
+/// Pause between the two writes of a request.
 const WRITE_PAUSE: Duration = Duration::from_millis(1);
 
 #[test]
 fn silent_engine_connection_is_not_reused() {
-    let first = std::sync::Arc::new(std::sync::Mutex::new(None));
+    let first_peer = std::sync::Arc::new(std::sync::Mutex::new(None));
     let (address, requests) = engine(move |parts, to| {
-        let from = to.peer_addr().unwrap();
-        if *first.lock().unwrap().get_or_insert(from) != from {
+        let peer = to.peer_addr().unwrap();
+        if *first_peer.lock().unwrap().get_or_insert(peer) != peer {
             write_result(to, &parts[1]);
         }
     });
     let program = start(&[address]);
-    // The stalled attempt is migrated to the only engine that there is, on a new connection.
+    // The stalled attempt is migrated to a new connection of the same engine, as there is no other engine.
     let served = read_response(&mut BufReader::new(post_query(program.listen, "look", 1))).unwrap();
     assert_eq!(
         (served.status, served.body.as_str()),
         (200, r#"{"data":[["a","b","c"]]}"#)
     );
     // The first attempt was cancelled before its connection was closed, and well before the second was sent.
-    let words: Vec<(String, Instant)> = requests
+    let commands: Vec<(String, Instant)> = requests
         .try_iter()
         .map(|(parts, at)| (parts[0].clone(), at))
         .collect();
     assert_eq!(
-        words
+        commands
             .iter()
-            .map(|(word, _)| word.as_str())
+            .map(|(command, _)| command.as_str())
             .collect::<Vec<_>>(),
         ["fetch", "abort", "fetch"]
     );
     assert!(
-        words[2].1 - words[1].1 > Duration::from_millis(30),
-        "{words:?}"
+        commands[2].1 - commands[1].1 > Duration::from_millis(30),
+        "{commands:?}"
     );
     assert_eq!(answer_status(post_query(program.listen, "look", 2)), 200);
 }
 
 #[test]
 fn malformed_or_truncated_engine_answer_fails_only_its_own_query() {
-    // Query 1 gets noise, query 2 half an answer, query 3 a page with a column too few, query 4 a good answer
-    // between frames that are not its own.
+    // Query 1 gets malformed bytes, query 2 half an answer, query 3 a page without its last column, and query 4 a valid
+    // answer between a frame for an unknown query and a duplicate.
     let (address, requests) = engine(|parts, to| {
         let id = parts[1].as_str();
         if parts[0] != "fetch" {
@@ -75,7 +75,7 @@
         }
     });
     let program = start(&[address]);
-    let from = Instant::now();
+    let started = Instant::now();
     let clients: Vec<TcpStream> = [4, 1, 2, 3]
         .map(|id| {
             let client = post_query(program.listen, "load", id);
@@ -92,20 +92,21 @@
         })
         .collect();
     assert_eq!(answers[0], (200, r#"{"data":[["a","b","c"]]}"#.into()));
-    // A write may have run: it is not retried.
+    // The writes may have run, so they are not retried.
     assert!(
         answers[1..].iter().all(|(status, _)| *status == 500),
         "{answers:?}"
     );
     assert!(
-        from.elapsed() < Duration::from_secs(2),
+        started.elapsed() < Duration::from_secs(2),
         "{:?}",
-        from.elapsed()
+        started.elapsed()
     );
     program.wait_for_count("connections_spoilt 3\n");
 }
 
-/// An engine that completes every request, but ends a connection when a request comes on it after a pause.
+/// Starts an engine that completes each request, but closes a connection on which a request arrives after a pause of
+/// more than 100 ms.
 fn engine_closing_idle_connections() -> SocketAddr {
     let last = std::cell::Cell::new(None::<Instant>);
     let (address, _requests) = engine(move |parts, to| {
@@ -133,12 +134,16 @@
     }
 }
 
-/// Sends queries one after the other with pauses of `pause` ms, and asserts that each is answered with a result.
-fn assert_all_complete(program: &Program, group: &str, ids: std::ops::Range<u64>, pause: u64) {
+/// Sends queries one after the other with pauses of `pause_ms`, and asserts that each is answered with a result.
+fn assert_all_complete(program: &Program, group: &str, ids: std::ops::Range<u64>, pause_ms: u64) {
     for id in ids {
-        let got = read_response(&mut BufReader::new(post_query(program.listen, group, id)));
-        assert_eq!(got.map(|got| got.status), Some(200), "{group} {id}");
-        thread::sleep(Duration::from_millis(pause));
+        let response = read_response(&mut BufReader::new(post_query(program.listen, group, id)));
+        assert_eq!(
+            response.map(|response| response.status),
+            Some(200),
+            "{group} {id}"
+        );
+        thread::sleep(Duration::from_millis(pause_ms));
     }
 }
 
@@ -150,13 +155,13 @@
     assert_eq!(program.counter("connections_to_engines"), Some(1));
     assert_all_complete(&program, "load", 15..20, 70);
     assert_eq!(program.counter("connections_to_engines"), Some(6));
-    // Concurrent queries have several connections; one of them is kept once they are idle.
+    // Concurrent queries use several connections. One of these is kept once all are idle.
     let concurrent: Vec<TcpStream> = (20..24)
         .map(|id| post_query(program.listen, "look", id))
         .collect();
     concurrent
         .into_iter()
-        .for_each(|one| assert_eq!(answer_status(one), 200));
+        .for_each(|client| assert_eq!(answer_status(client), 200));
     thread::sleep(Duration::from_millis(1200));
     let before = program.counter("connections_to_engines");
     assert_all_complete(&program, "look", 24..26, 70);
@@ -169,25 +174,26 @@
     assert_all_complete(&program, "look", 1..20, 130);
     let lost = program.counter("connections_lost_idle").unwrap();
     assert!((1..=2).contains(&lost), "{lost}");
-    // A lost idle connection is no sign of a fault of the engine: no attempt counts as reset there.
+    // The loss of an idle connection does not indicate a fault of the engine: no attempt counts as reset.
     assert_eq!(program.counter("submissions_reset"), Some(0));
 }
 
 #[test]
 fn engine_that_accepts_requests_but_stays_silent_is_checked_by_a_new_connection() {
-    // It answers, then vanishes: its connection stays open and silent, and no new one comes up.
+    // The engine answers at first and then becomes unreachable: its connection stays open and silent, and no new
+    // connection is established.
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    let (address, same) = (
+    let (address, listener_clone) = (
         listener.local_addr().unwrap(),
         listener.try_clone().unwrap(),
     );
-    let vanished = Arc::new(AtomicBool::new(false));
-    let vanished_flag = vanished.clone();
+    let unreachable = Arc::new(AtomicBool::new(false));
+    let unreachable_flag = unreachable.clone();
     thread::spawn(move || {
         let (stream, _) = listener.accept().unwrap();
         let (mut reader, mut writer) = (BufReader::new(stream.try_clone().unwrap()), stream);
         while let Some(parts) = wire::read_frame(&mut reader) {
-            if !vanished_flag.load(Ordering::Relaxed) {
+            if !unreachable_flag.load(Ordering::Relaxed) {
                 thread::sleep(Duration::from_millis(90));
                 write_result(&mut writer, &parts[1]);
             }
@@ -198,42 +204,42 @@
         write_result(to, &parts[1]);
     });
     let program = start(&[address, other]);
-    let ask = |id| {
-        let mut ask = ClientQuery::new(
+    let run_query = |id| {
+        let mut query = ClientQuery::new(
             id,
             "/invoke/look",
             "look",
             "SELECT a FROM sales_17.orders",
             9000.0,
         );
-        ask.cost = Some(100.0);
-        let from = Instant::now();
+        query.cost = Some(100.0);
+        let started = Instant::now();
         let mut reader = BufReader::new(post_in_two(
             program.listen,
-            &ask,
+            &query,
             50,
             Duration::from_millis(1),
         ));
         assert_eq!(
-            read_response(&mut reader).map(|got| got.status),
+            read_response(&mut reader).map(|response| response.status),
             Some(200),
             "{id}"
         );
-        from.elapsed()
+        started.elapsed()
     };
-    (1..9).for_each(|id| assert!(ask(id) < TIMEOUT));
+    (1..9).for_each(|id| assert!(run_query(id) < TIMEOUT));
     thread::sleep(Duration::from_millis(150));
-    let _full = refuse_silently(&same);
-    vanished.store(true, Ordering::Relaxed);
-    // Without the check each query there waits for 900 ms: 400 ms and five times its run time.
-    let longest = (9..25).map(ask).max().unwrap();
+    let _backlog = refuse_silently(&listener_clone);
+    unreachable.store(true, Ordering::Relaxed);
+    // Without the check, each query at that engine waits for 900 ms: 400 ms plus five times its run time.
+    let longest = (9..25).map(run_query).max().unwrap();
     assert!((500..800).contains(&longest.as_millis()), "{longest:?}");
     assert_eq!(program.counter("submissions_reset"), Some(1));
 }
 
 #[test]
 fn cancelled_attempt_without_progress_notes_does_not_discredit_its_connection() {
-    // Query 1 is never answered; its client leaves after 400 ms, where the latency objective is 5 s.
+    // Query 1 is never answered. Its client disconnects after 400 ms, with a latency objective of 5 s.
     let (address, requests) = engine(|parts, to| {
         if parts[0] == "fetch" && !parts[1].ends_with('1') {
             write_result(to, &parts[1]);
@@ -244,7 +250,7 @@
             .with_group_setting(0, keys::group::OBJECTIVE_US, 5_000_000)
             .with_group_setting(1, keys::group::OBJECTIVE_US, 5_000_000)
     });
-    let ask = |id| {
+    let send_query = |id| {
         post_in_two(
             program.listen,
             &ClientQuery::new(id, "/invoke/look", "look", "SELECT 1", 9000.0),
@@ -252,12 +258,12 @@
             WRITE_PAUSE,
         )
     };
-    let leaving_client = ask(1);
+    let leaving_client = send_query(1);
     assert_eq!(requests.recv_timeout(TIMEOUT).unwrap().0[0], "fetch");
-    assert_eq!(answer_status(ask(2)), 200);
+    assert_eq!(answer_status(send_query(2)), 200);
     thread::sleep(Duration::from_millis(400));
     drop(leaving_client);
     program.wait_for_count("vanished 1\n");
-    assert_eq!(answer_status(ask(3)), 200);
+    assert_eq!(answer_status(send_query(3)), 200);
     assert_eq!(program.counter("connections_to_engines"), Some(2));
 }
--- a/crates/dispatcher/tests/sockets/main.rs
+++ b/crates/dispatcher/tests/sockets/main.rs
@@ -1,4 +1,5 @@
-//! The program on sockets, between clients and engines that stand in by the published protocol (crates/testbed).
+//! The program on real sockets, between stand-ins for clients and engines that speak the published protocol
+//! (crates/testbed).
 
 mod clients;
 mod endpoint_list;
--- a/crates/dispatcher/tests/sockets/queries.rs
+++ b/crates/dispatcher/tests/sockets/queries.rs
@@ -1,4 +1,4 @@
-//! Queries from their request to their answer.
+//! Queries from request to answer.
 
 use super::support::*;
 use serde_json::json;
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn sigterm_keeps_accepting_for_a_while_and_answers_everything() {
+fn sigterm_keeps_accepting_during_the_accept_grace_and_answers_all_queries() {
     let (address, requests) = engine(|_, _| {});
     let mut program = start(&[address]);
     let mut clients = vec![
@@ -75,28 +75,28 @@
         post_query(program.listen, "load", 2),
     ];
     (0..2).for_each(|_| drop(requests.recv_timeout(TIMEOUT).unwrap()));
-    // Hundreds of silent clients and a reload under way do not delay the shutdown.
+    // Hundreds of silent clients and a reload in progress do not delay the shutdown.
     let _silent_clients: Vec<TcpStream> = (0..300)
         .map(|_| TcpStream::connect(program.listen).unwrap())
         .collect();
-    let from = Instant::now();
+    let started = Instant::now();
     program.signal("-HUP");
     program.terminate();
     while get(program.listen, "/_health").is_some_and(|response| response.status == 200) {
-        assert!(from.elapsed() < TIMEOUT);
+        assert!(started.elapsed() < TIMEOUT);
     }
     clients.push(post_query(program.listen, "look", 3));
     let statuses: Vec<u16> = clients
         .iter()
         .map(|client| read_response(&mut BufReader::new(client)).unwrap().status)
         .collect();
-    // The engine is silent: queries that only read are rejected, one that may have changed tables fails.
+    // The engine is silent: read-only queries are rejected, and the query that may have changed tables fails.
     assert_eq!(statuses, [429, 500, 429]);
     let report = program.end();
     assert!(
-        from.elapsed() < Duration::from_millis(4200),
+        started.elapsed() < Duration::from_millis(4200),
         "{:?}",
-        from.elapsed()
+        started.elapsed()
     );
     assert!(
         report.contains("taken 3\n") && report.contains("unanswered 0\n"),
@@ -114,7 +114,7 @@
 
 #[test]
 fn write_that_never_ran_is_rejected() {
-    // Nobody listens at the engine's address.
+    // No process listens at the engine's address.
     let program = start(&[free_address()]);
     let rejected =
         read_response(&mut BufReader::new(post_query(program.listen, "load", 1))).unwrap();
@@ -131,7 +131,7 @@
 
 #[test]
 fn write_that_may_have_run_is_not_retried() {
-    // The engine closes a connection when a request has come.
+    // The engine closes each connection on which a request arrives.
     let (address, requests) = engine(|_, to| drop(to.shutdown(std::net::Shutdown::Both)));
     let program = start(&[address]);
     assert_eq!(answer_status(post_query(program.listen, "load", 1)), 500);
@@ -167,7 +167,7 @@
 }
 
 #[test]
-fn unknown_resource_group_is_refused() {
+fn unknown_resource_group_is_rejected() {
     let (address, _requests) = instant_engine();
     let program = start(&[address]);
     let unknown = read_response(&mut BufReader::new(post_query(
@@ -191,9 +191,9 @@
         .map(String::as_bytes)
         .chain([b"\xff\xff\xff\xff\r\n\r\n".as_slice()])
     {
-        let mut hostile = TcpStream::connect(program.listen).unwrap();
-        hostile.write_all(bytes).unwrap();
-        assert_eq!(answer_status(hostile), 400);
+        let mut client = TcpStream::connect(program.listen).unwrap();
+        client.write_all(bytes).unwrap();
+        assert_eq!(answer_status(client), 400);
     }
     assert_eq!(get(program.listen, "/_health").unwrap().status, 200);
 }
@@ -262,7 +262,7 @@
             200
         )
     });
-    // A key that would break the list of fields is refused, as is a repeated field.
+    // A key that would corrupt the list of fields is rejected, and so is a repeated field.
     for malformed in [
         "Req-Token: a,mb=9\r\n",
         "Req-Key: \r\n",
--- a/crates/dispatcher/tests/sockets/support.rs
+++ b/crates/dispatcher/tests/sockets/support.rs
@@ -1,4 +1,4 @@
-//! Support of the tests on sockets: the program with two resource groups, an engine, and clients that send a query.
+//! Helpers of the socket tests: the program with two resource groups, an engine, and clients that send a query.
 
 use std::io::BufReader;
 use std::net::{SocketAddr, TcpStream};
@@ -10,15 +10,15 @@
 use tansymux_testbed::program::{Config, Program};
 use tansymux_testbed::wire::{self, read_response};
 
-/// Length of a request's first part (bytes): the cut lies within a header field.
-const CUT_WITHIN_HEADER: usize = 50;
+/// Length of the first part of a request (bytes), which ends within a header field.
+const FIRST_PART_BYTES: usize = 50;
 
 /// Starts the program with these engines, and waits until it is healthy.
 pub fn start(engines: &[SocketAddr]) -> Program {
     start_with(engines, |config| config)
 }
 
-/// The same with a configuration that `change` has completed.
+/// Starts the program as [`start`] does, with a configuration that `change` has modified.
 pub fn start_with(engines: &[SocketAddr], change: impl Fn(Config) -> Config) -> Program {
     let config = Config::with_two_classes(engines);
     Program::start(
@@ -28,29 +28,29 @@
     )
 }
 
-/// An engine that completes every request at once, and the frames that it receives.
+/// Starts an engine that completes each request at once. Returns its address and the frames that it receives.
 pub fn instant_engine() -> (SocketAddr, Receiver<ReceivedFrame>) {
     scripted(|parts, to| write_result(to, &parts[1]))
 }
 
-/// The status of the next answer on a client's connection.
+/// Reads the next answer on a client's connection, and returns its status.
 pub fn answer_status(client: TcpStream) -> u16 {
     read_response(&mut BufReader::new(client))
         .expect("the program answers")
         .status
 }
 
-/// Writes an engine's answer.
+/// Writes a reply of an engine.
 pub fn write_frame(to: &mut TcpStream, parts: &[&str]) {
     wire::write_frame(to, parts);
 }
 
-/// Sends a query on a connection of its own.
+/// Sends a query on a new connection, and returns the connection.
 pub fn post_query(to: SocketAddr, group: &str, id: u64) -> TcpStream {
     post_query_slowly(to, group, id, 9000, Duration::from_millis(5))
 }
 
-/// Sends a query in two parts with a pause between them, as a client that waits for `wait_ms`.
+/// Sends a query on a new connection in two parts with a pause between them, as a client that waits for `wait_ms`.
 pub fn post_query_slowly(
     to: SocketAddr,
     group: &str,
@@ -62,5 +62,5 @@
     let path = format!("/invoke/{group}");
     let mut query = ClientQuery::new(id, &path, group, statement, wait_ms as f64);
     query.cost = Some(20.0);
-    post_in_two(to, &query, CUT_WITHIN_HEADER, pause)
+    post_in_two(to, &query, FIRST_PART_BYTES, pause)
 }
--- a/crates/dispatcher/tests/statements.rs
+++ b/crates/dispatcher/tests/statements.rs
@@ -1,9 +1,7 @@
-//! Statement classification on the real program (queries without a group, checks of those with one), and its command line.
+//! Statement classification by the program: queries without a group, checks of queries with a group, and the command
+//! line.
 
-#![allow(
-    clippy::unwrap_used,
-    reason = "a test ends at the first thing that is not as it should be"
-)]
+#![allow(clippy::unwrap_used, reason = "a panic fails the test")]
 
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -27,6 +25,7 @@
 const CLASSIFY_ALL: &str =
     "path: \"/statement\" groups { look_up: \"look\" report: \"look\" load: \"load\" }";
 
+/// Starts the program with this `statements` block in its operators' file, and returns both.
 fn start(engines: &[SocketAddr], statements: &str) -> (Program, TempFile) {
     let operator = TempFile::new(
         "operator.textproto",
@@ -54,10 +53,11 @@
     read_response(&mut BufReader::new(stream)).unwrap().status
 }
 
-fn unclassed_query(id: u64, statement: &str) -> ClientQuery {
+fn unclassified_query(id: u64, statement: &str) -> ClientQuery {
     ClientQuery::new(id, "/statement", "bare", statement, 9000.0)
 }
 
+/// Runs the program with `input` on its standard input. Returns its exit code, standard output and standard error.
 fn run_program(arguments: &[&str], input: &str) -> (i32, String, String) {
     let mut child = Command::new(EXE)
         .args(arguments)
@@ -89,7 +89,7 @@
         (3, "nonsense of some kind", "cls=load,"),
     ] {
         assert_eq!(
-            status(post(program.listen, &unclassed_query(id, statement))),
+            status(post(program.listen, &unclassified_query(id, statement))),
             200
         );
         let fetch = requests.recv_timeout(TIMEOUT).unwrap().0;
@@ -102,14 +102,15 @@
     assert_eq!(program.counter("statements_unknown"), Some(1));
     let (program, _operator) = start(&[address], "check: LOG");
     assert_eq!(
-        status(post(program.listen, &unclassed_query(4, "select 1"))),
+        status(post(program.listen, &unclassified_query(4, "select 1"))),
         404
     );
 }
 
 #[test]
 fn statement_that_may_write_is_not_retried_whatever_its_class_promises() {
-    // Each connection is reset once a request came: what ran is unknown, and only a read-only query may be retried.
+    // The engine closes each connection on which a request arrives: whether the query ran is unknown, and only a
+    // read-only query may be retried.
     let (address, requests) = scripted(|_, to| drop(to.shutdown(std::net::Shutdown::Both)));
     let hidden = "select 1 -- x\n; delete from sales_17.orders";
     let send_and_count_attempts = |program: &Program, query: &ClientQuery| {
@@ -122,21 +123,22 @@
     };
     let (program, _operator) = start(&[address], CLASSIFY_ALL);
     assert_eq!(
-        send_and_count_attempts(&program, &unclassed_query(1, hidden)),
+        send_and_count_attempts(&program, &unclassified_query(1, hidden)),
         (500, 1)
     );
     assert!(
         send_and_count_attempts(
             &program,
-            &unclassed_query(2, "select a from sales_17.orders where id = 1")
+            &unclassified_query(2, "select a from sales_17.orders where id = 1")
         )
         .1 > 1
     );
     assert_eq!(
-        send_and_count_attempts(&program, &unclassed_query(3, "select local_function(1)")),
+        send_and_count_attempts(&program, &unclassified_query(3, "select local_function(1)")),
         (500, 1)
     );
-    // A class that promises read-only: logged and run as promised, or held to its text.
+    // The class promises read-only, but the statement is not: with LOG the program logs this and treats the query as
+    // read-only, and with ENFORCE it treats the query as the statement requires.
     let named = |id| ClientQuery::new(id, "/invoke/look", "look", hidden, 9000.0);
     let (mut program, _operator) = start(&[address], "check: LOG");
     assert!(send_and_count_attempts(&program, &named(4)).1 > 1);
@@ -160,10 +162,10 @@
     let (program, operator) = start(&[address], CLASSIFY_ALL);
     let in_flight = post(
         program.listen,
-        &unclassed_query(1, "select a from sales_17.orders where id = 1"),
+        &unclassified_query(1, "select a from sales_17.orders where id = 1"),
     );
     assert!(requests.recv_timeout(TIMEOUT).unwrap().0[2].starts_with("cls=look,"));
-    // A file with a fault changes nothing, and its fault is logged.
+    // An invalid file changes nothing, and its error is logged.
     operator.write("statements { path: \"/statement\"\n groups { look_up: \"nobody\" report: \"look\" load: \"load\" } }");
     program.signal("-HUP");
     thread::sleep(Duration::from_millis(50));
@@ -177,16 +179,16 @@
     program.wait_for_count("operator_files_read 1\n");
     let later = post(
         program.listen,
-        &unclassed_query(2, "select a from sales_17.orders where id = 2"),
+        &unclassified_query(2, "select a from sales_17.orders where id = 2"),
     );
     assert!(requests.recv_timeout(TIMEOUT).unwrap().0[2].starts_with("cls=load,"));
     assert_eq!((status(in_flight), status(later)), (200, 200));
-    // Classification is off again: its path is unknown.
+    // Classification is disabled: its path is unknown.
     operator.write("");
     program.signal("-HUP");
     program.wait_for_count("operator_files_read 2\n");
     assert_eq!(
-        status(post(program.listen, &unclassed_query(3, "select 1"))),
+        status(post(program.listen, &unclassified_query(3, "select 1"))),
         404
     );
     let mut program = program;
@@ -215,7 +217,7 @@
     let (mut program, _operator) = start(&addresses, CLASSIFY_ALL);
     let mut rng = rand_pcg::Pcg64::seed_from_u64(7);
     let all = corpus(1, 4, 7);
-    let mut waiting = Vec::new();
+    let mut clients = Vec::new();
     for (index, labelled) in all.iter().enumerate() {
         let other = &all[(index * 7 + 3) % all.len()].statement;
         let is_mutated = index % 3 == 0;
@@ -224,11 +226,11 @@
         } else {
             labelled.statement.clone()
         };
-        // A mutated statement may be anything: only that it gets one answer is checked.
-        let class = if is_mutated { "spoilt" } else { labelled.class };
+        // The effect of a mutated statement is unknown: the test checks only that it gets exactly one answer.
+        let class = if is_mutated { "fuzzed" } else { labelled.class };
         let query = ClientQuery {
             class: class.into(),
-            ..unclassed_query(index as u64 + 1, &text)
+            ..unclassified_query(index as u64 + 1, &text)
         };
         let work = QueryWork {
             result: ResultShape::OneRow,
@@ -239,27 +241,27 @@
         };
         context.works.lock().unwrap().insert(query.id(), work);
         let (context, listen) = (context.clone(), program.listen);
-        waiting.push(thread::spawn(move || {
+        clients.push(thread::spawn(move || {
             send_query(listen, &query, &context.record).is_some()
         }));
-        if waiting.len() % 24 == 0 {
+        if clients.len() % 24 == 0 {
             thread::sleep(Duration::from_millis(20));
         }
     }
-    let answered = waiting
+    let answered = clients
         .into_iter()
         .map(|thread| thread.join().unwrap())
-        .filter(|got| *got)
+        .filter(|is_answered| *is_answered)
         .count();
     assert_eq!(answered, all.len());
     program.terminate();
     let report = program.end();
     assert!(report.contains("unanswered 0\n"), "{report}");
     let effect = |class: &str| match class {
-        "look-up" | "report" | "spoilt" => Effect::ReadOnly,
+        "look-up" | "report" | "fuzzed" => Effect::ReadOnly,
         _ => Effect::NonIdempotent,
     };
-    let classes = ["look-up", "report", "load", "unknown", "spoilt"];
+    let classes = ["look-up", "report", "load", "unknown", "fuzzed"];
     let classes = classes.map(|class| (class.to_owned(), ClassRules::of(effect(class))));
     let rules = Rules::of_classes(classes);
     let violations = find_violations(&context.record.entries(), &rules);
@@ -268,7 +270,7 @@
 
 #[test]
 #[expect(clippy::too_many_lines, reason = "one scenario from start to end")]
-fn exit_codes_tell_success_from_faults_and_wrong_usage() {
+fn exit_codes_distinguish_success_errors_and_wrong_usage() {
     assert_eq!(run_program(&["--version"], "").0, 0);
     assert_eq!(run_program(&["--help"], "").0, 0);
     assert_eq!(run_program(&["nonsense"], "").0, 2);
@@ -305,8 +307,11 @@
     ] {
         assert!(out.contains(expected), "{expected} in {out}");
     }
-    let fits = TempFile::new("f", &format!("statements {{ {CLASSIFY_ALL} }}"));
-    assert_eq!(run_program(&["check", &path(&good), &path(&fits)], "").0, 0);
+    let matching = TempFile::new("f", &format!("statements {{ {CLASSIFY_ALL} }}"));
+    assert_eq!(
+        run_program(&["check", &path(&good), &path(&matching)], "").0,
+        0
+    );
     let mismatched = TempFile::new(
         "u",
         &format!(
@@ -358,9 +363,11 @@
         let log = program.end();
         assert!(log.contains(expected) && log.contains("query"), "{log}");
         if arguments[1] == "json" {
-            let json = |line: &str| serde_json::from_str::<serde_json::Value>(line).is_ok();
+            let is_json = |line: &str| serde_json::from_str::<serde_json::Value>(line).is_ok();
             assert!(
-                log.lines().filter(|line| line.starts_with('{')).all(json),
+                log.lines()
+                    .filter(|line| line.starts_with('{'))
+                    .all(is_json),
                 "{log}"
             );
         }
--- a/crates/dispatcher/tests/zone_routing.rs
+++ b/crates/dispatcher/tests/zone_routing.rs
@@ -1,9 +1,6 @@
-//! Two zones on the real program: one stops answering and recovers.
+//! Routing by the program between two zones, one of which stops answering and recovers.
 
-#![allow(
-    clippy::unwrap_used,
-    reason = "a test ends at the first thing that is not as it should be"
-)]
+#![allow(clippy::unwrap_used, reason = "a panic fails the test")]
 
 use serde_json::Value;
 use std::path::Path;
@@ -27,7 +24,7 @@
 }"#;
 
 /// The program and four engines in two zones.
-struct Site {
+struct TestSetup {
     context: Arc<RunContext>,
     engines: Vec<Engine>,
     program: Program,
@@ -35,7 +32,8 @@
     _operator: TempFile,
 }
 
-fn start(zones: &str) -> Site {
+/// Starts four engines and the program with `zones` as its operators' file.
+fn start(zones: &str) -> TestSetup {
     let context = Arc::new(RunContext::default());
     let engines: Vec<Engine> = (0..4)
         .map(|index| {
@@ -73,7 +71,7 @@
         &config,
         &["--operator", &path],
     );
-    Site {
+    TestSetup {
         context,
         engines,
         program,
@@ -82,15 +80,17 @@
     }
 }
 
-impl Site {
+impl TestSetup {
+    /// Sends a query of a resource group with `work` ms of work on one core. Returns its answer, if there is one.
     fn send_query(&self, group: &str, work: f64) -> Option<ClientResponse> {
         let id = self.next_query_id.fetch_add(1, Ordering::Relaxed);
-        let wait = if group == "look" || group == "bound" {
+        let wait_ms = if group == "look" || group == "bound" {
             2000.0
         } else {
             3000.0
         };
-        let mut query = ClientQuery::new(id, &format!("/invoke/{group}"), group, "select 1", wait);
+        let mut query =
+            ClientQuery::new(id, &format!("/invoke/{group}"), group, "select 1", wait_ms);
         query.cost = Some(work);
         let threads = if group == "report" { 4.0 } else { 1.0 };
         let query_work = QueryWork {
@@ -108,18 +108,20 @@
         send_query(self.program.listen, &query, &self.context.record)
     }
 
+    /// Returns the zone states as the program reports them.
     fn zones(&self) -> Value {
         serde_json::from_str(&get(self.program.listen, "/_halls").unwrap().body).unwrap()
     }
 
     fn state(&self, zone: &str) -> String {
         let zones = self.zones();
-        let of = zones["halls"]
+        let entry = zones["halls"]
             .as_array()
             .unwrap()
             .iter()
             .find(|entry| entry["hall"] == zone);
-        of.map_or("", |entry| entry["state"].as_str().unwrap())
+        entry
+            .map_or("", |entry| entry["state"].as_str().unwrap())
             .to_owned()
     }
 
@@ -130,23 +132,23 @@
             .for_each(|engine| engine.fault(fault));
     }
 
-    /// Sends look-ups until a zone is in a state. Returns the time that it took.
+    /// Sends look-ups until a zone is in this state. Returns the elapsed time.
     fn send_until_state(&self, zone: &str, state: &str) -> Duration {
-        let from = Instant::now();
+        let started = Instant::now();
         while self.state(zone) != state {
             thread::scope(|scope| {
                 (0..6).for_each(|_| drop(scope.spawn(|| self.send_query("look", 5.0))))
             });
             assert!(
-                from.elapsed() < Duration::from_secs(15),
+                started.elapsed() < Duration::from_secs(15),
                 "{state}: {}",
                 self.zones()
             );
         }
-        from.elapsed()
+        started.elapsed()
     }
 
-    /// Attempts by zone since an entry of the record.
+    /// Returns the number of attempts in the east zone and in the west zone since an entry of the record.
     fn attempts_by_zone(&self, since: usize) -> (usize, usize) {
         let entries = self.context.record.entries();
         let to = |east: bool| {
@@ -167,63 +169,77 @@
 #[test]
 #[expect(clippy::too_many_lines, reason = "one scenario from start to end")]
 fn lost_zone_spills_within_its_limit_recovers_gradually_and_all_rules_hold() {
-    let mut site = start(ZONES);
-    (0..20).for_each(|_| assert_eq!(site.send_query("look", 5.0).unwrap().status, 200));
-    assert_eq!(site.attempts_by_zone(0).1, 0, "the local zone is preferred");
-    site.inject_into_east(Fault::Silent);
-    site.send_until_state("east", "cut");
-    // Look-ups run in the other zone; of reports as many as may spill, the rest is rejected at once.
-    let record_length = site.record_length();
-    (0..10).for_each(|_| assert_eq!(site.send_query("look", 5.0).unwrap().status, 200));
-    assert!(site.attempts_by_zone(record_length).1 >= 10);
-    let got: Vec<Option<ClientResponse>> = thread::scope(|scope| {
-        let asked: Vec<_> = (0..8)
+    let mut setup = start(ZONES);
+    (0..20).for_each(|_| assert_eq!(setup.send_query("look", 5.0).unwrap().status, 200));
+    assert_eq!(
+        setup.attempts_by_zone(0).1,
+        0,
+        "the local zone is preferred"
+    );
+    setup.inject_into_east(Fault::Silent);
+    setup.send_until_state("east", "cut");
+    // Look-ups run in the other zone. Reports run there up to the spill limit; the rest are rejected at once.
+    let record_length = setup.record_length();
+    (0..10).for_each(|_| assert_eq!(setup.send_query("look", 5.0).unwrap().status, 200));
+    assert!(setup.attempts_by_zone(record_length).1 >= 10);
+    let responses: Vec<Option<ClientResponse>> = thread::scope(|scope| {
+        let clients: Vec<_> = (0..8)
             .map(|_| {
                 thread::sleep(Duration::from_millis(10));
-                scope.spawn(|| site.send_query("report", 1600.0))
+                scope.spawn(|| setup.send_query("report", 1600.0))
             })
             .collect();
-        asked
+        clients
             .into_iter()
-            .map(|asked| asked.join().unwrap())
+            .map(|client| client.join().unwrap())
             .collect()
     });
-    let served = got.iter().flatten().filter(|got| got.status == 200).count();
-    let rejected: Vec<&ClientResponse> = got
+    let served = responses
+        .iter()
+        .flatten()
+        .filter(|response| response.status == 200)
+        .count();
+    let rejected: Vec<&ClientResponse> = responses
         .iter()
         .flatten()
-        .filter(|got| got.status == 429)
+        .filter(|response| response.status == 429)
         .collect();
-    // 0.3 of 16 cores are 4.8 threads: one report of four at a time.
-    assert_eq!((served, rejected.len()), (1, 7), "{got:?} {}", site.zones());
+    // 0.3 of 16 cores is 4.8 threads: one report of four threads at a time.
+    assert_eq!(
+        (served, rejected.len()),
+        (1, 7),
+        "{responses:?} {}",
+        setup.zones()
+    );
     assert!(
         rejected
             .iter()
-            .all(|got| got.latency_ms < 200.0 && got.retry_after_ms.is_some()),
+            .all(|response| response.latency_ms < 200.0 && response.retry_after_ms.is_some()),
         "{rejected:?}"
     );
     // A group that is confined to the lost zone is never sent elsewhere.
-    let record_length = site.record_length();
-    let bound = site.send_query("bound", 5.0).unwrap();
-    assert!(bound.status == 429, "{bound:?}");
-    assert_eq!(site.attempts_by_zone(record_length).1, 0);
-    // The zone recovers: a fraction first, all after the ramp, and then the local zone is preferred again.
-    site.inject_into_east(Fault::None);
-    site.send_until_state("east", "climbing");
-    let recovery = site.send_until_state("east", "well");
+    let record_length = setup.record_length();
+    let confined = setup.send_query("bound", 5.0).unwrap();
+    assert!(confined.status == 429, "{confined:?}");
+    assert_eq!(setup.attempts_by_zone(record_length).1, 0);
+    // The zone recovers: it gets a fraction of the queries during the recovery ramp, and is the preferred zone after
+    // it.
+    setup.inject_into_east(Fault::None);
+    setup.send_until_state("east", "climbing");
+    let recovery = setup.send_until_state("east", "well");
     assert!(recovery > Duration::from_secs(3), "{recovery:?}");
-    let record_length = site.record_length();
-    (0..20).for_each(|_| assert_eq!(site.send_query("look", 5.0).unwrap().status, 200));
-    assert_eq!(site.attempts_by_zone(record_length), (20, 0));
-    site.program.terminate();
-    let log = site.program.end();
-    for says in [
+    let record_length = setup.record_length();
+    (0..20).for_each(|_| assert_eq!(setup.send_query("look", 5.0).unwrap().status, 200));
+    assert_eq!(setup.attempts_by_zone(record_length), (20, 0));
+    setup.program.terminate();
+    let log = setup.program.end();
+    for expected in [
         "state=cut",
         "state=climbing",
         "state=well",
         "unanswered 0\n",
     ] {
-        assert!(log.contains(says), "{says} in {log}");
+        assert!(log.contains(expected), "{expected} in {log}");
     }
     let effect = |group: &str| {
         if group == "load" {
@@ -235,28 +251,28 @@
     let classes = ["look", "report", "load", "bound"]
         .map(|group| (group.to_owned(), ClassRules::of(effect(group))));
     let rules = Rules::of_classes(classes);
-    let violations = find_violations(&site.context.record.entries(), &rules);
+    let violations = find_violations(&setup.context.record.entries(), &rules);
     assert!(violations.is_empty(), "{violations:?}");
 }
 
 #[test]
 fn mutating_queries_in_flight_when_their_zone_is_lost_are_not_sent_to_another_zone() {
-    let site = start(ZONES);
-    let got: Vec<Option<ClientResponse>> = thread::scope(|scope| {
-        let asked: Vec<_> = (0..6)
-            .map(|_| scope.spawn(|| site.send_query("load", 400.0)))
+    let setup = start(ZONES);
+    let responses: Vec<Option<ClientResponse>> = thread::scope(|scope| {
+        let clients: Vec<_> = (0..6)
+            .map(|_| scope.spawn(|| setup.send_query("load", 400.0)))
             .collect();
         thread::sleep(Duration::from_millis(60));
-        site.inject_into_east(Fault::Silent);
-        (0..4).for_each(|_| drop(scope.spawn(|| site.send_query("look", 5.0))));
-        asked
+        setup.inject_into_east(Fault::Silent);
+        (0..4).for_each(|_| drop(scope.spawn(|| setup.send_query("look", 5.0))));
+        clients
             .into_iter()
-            .map(|asked| asked.join().unwrap())
+            .map(|client| client.join().unwrap())
             .collect()
     });
-    // Engines finish what they began; whatever came, each has one answer and ran at most once.
-    assert!(got.iter().all(Option::is_some));
-    let entries = site.context.record.entries();
+    // Engines finish the attempts that they began. Each query has an answer and ran at most once.
+    assert!(responses.iter().all(Option::is_some));
+    let entries = setup.context.record.entries();
     let loads: Vec<&str> = entries
         .iter()
         .filter_map(|entry| match &entry.event {
@@ -265,8 +281,7 @@
         })
         .collect();
     for id in loads {
-        let is_attempt =
-            |event: &EventKind| matches!(event, EventKind::Arrived { id: of, .. } if of == id);
+        let is_attempt = |event: &EventKind| matches!(event, EventKind::Arrived { id: arrived, .. } if arrived == id);
         assert!(
             entries
                 .iter()
@@ -280,23 +295,28 @@
 
 #[test]
 fn isolated_dispatcher_declares_no_zone_unreachable() {
-    let site = start(ZONES);
-    (0..10).for_each(|_| assert_eq!(site.send_query("look", 5.0).unwrap().status, 200));
-    site.engines
+    let setup = start(ZONES);
+    (0..10).for_each(|_| assert_eq!(setup.send_query("look", 5.0).unwrap().status, 200));
+    setup
+        .engines
         .iter()
         .for_each(|engine| engine.fault(Fault::Silent));
-    let from = Instant::now();
-    while site.zones()["alone"] != true {
+    let started = Instant::now();
+    while setup.zones()["alone"] != true {
         thread::scope(|scope| {
-            (0..8).for_each(|_| drop(scope.spawn(|| site.send_query("look", 5.0))))
+            (0..8).for_each(|_| drop(scope.spawn(|| setup.send_query("look", 5.0))))
         });
-        assert!(from.elapsed() < Duration::from_secs(15), "{}", site.zones());
+        assert!(
+            started.elapsed() < Duration::from_secs(15),
+            "{}",
+            setup.zones()
+        );
     }
     assert_eq!(
-        (site.state("east"), site.state("west")),
+        (setup.state("east"), setup.state("west")),
         ("well".into(), "well".into())
     );
-    let report = site.send_query("report", 100.0).unwrap();
+    let report = setup.send_query("report", 100.0).unwrap();
     assert!(
         report.status == 429 && report.latency_ms < 500.0,
         "{report:?}"
