--- a/crates/testbed/src/invariants/arrivals.rs
+++ b/crates/testbed/src/invariants/arrivals.rs
@@ -1,31 +1,31 @@
-//! The checks when an attempt arrives at an engine.
+//! The checks of an attempt's arrival at an engine.
 
 use super::history::{Arrival, Attempt};
 use super::{Checker, ClassRules, DedupScope, Effect};
 
-/// Factor by which the retry budget is wider, in addition to one retry: on sockets, delays shift retries between spans.
-const BUDGET_TOLERANCE: f64 = 1.15;
+/// Factor on the retry budget, in addition to one retry: delays of sockets move retries from one span to the next.
+const RETRY_BUDGET_TOLERANCE: f64 = 1.15;
 
-/// What the violation of two attempts at once says, before the engine of the other attempt.
-pub const ANOTHER_ATTEMPT: &str = "while another attempt was out";
+/// The part of the description of two concurrent attempts that precedes the engine of the other attempt.
+pub const CONCURRENT_ATTEMPT: &str = "while another attempt was in flight";
 
-/// How long after its client left an attempt may still begin (ms; operators' page).
-const AFTER_LEAVING_MS: f64 = 100.0;
-/// How much more than the client's remaining time an engine may be given (ms; operators' page).
+/// Time after a client's disconnection within which an attempt may still begin (ms; operators' page).
+const DISCONNECT_GRACE_MS: f64 = 100.0;
+/// Upper bound of an engine's time limit beyond the client's remaining time (ms; operators' page).
 const DEADLINE_SLACK_MS: f64 = 150.0;
 
 impl Checker<'_> {
     /// Records an attempt's arrival and checks all rules that apply to it.
     pub(super) fn on_arrival(&mut self, engine: &str, id: &str, work_ms: f64, at_ms: f64) {
-        let known = self.engines.entry(engine.to_owned()).or_default();
-        known.arrivals.push(Arrival { at_ms, work_ms });
+        let engine_history = self.engines.entry(engine.to_owned()).or_default();
+        engine_history.arrivals.push(Arrival { at_ms, work_ms });
         self.check_closed(engine, id, at_ms);
         self.check_warm_up(engine, at_ms);
         let Some(query) = self.queries.get(id) else {
-            let description = format!("{engine} was sent {id}, which nobody asked");
+            let description = format!("{engine} was sent {id}, which no client sent");
             return self.add_violation(1, at_ms, description);
         };
-        let left_ms = query.left_ms;
+        let disconnected_ms = query.disconnected_ms;
         let first_answer_ms = query.answered_ms.first().copied();
         let is_retry = !query.attempts.is_empty();
         let key = query.key.clone();
@@ -42,7 +42,7 @@
             let description = format!("{id} was sent to {engine} after its answer");
             self.add_violation(1, at_ms, description);
         }
-        self.check_client_present(engine, id, left_ms, at_ms);
+        self.check_client_connected(engine, id, disconnected_ms, at_ms);
         if is_retry {
             self.retries_ms.push(at_ms);
             self.check_retry_budget(at_ms);
@@ -56,39 +56,45 @@
         }
     }
 
-    /// Rule 1: no attempt begins after the query's client left.
-    fn check_client_present(&mut self, engine: &str, id: &str, left_ms: Option<f64>, at_ms: f64) {
-        if left_ms.is_some_and(|left_ms| at_ms > left_ms + AFTER_LEAVING_MS + self.rules.slack_ms) {
-            let since_ms = at_ms - left_ms.unwrap_or(at_ms);
-            let description =
-                format!("{id} was sent to {engine} {since_ms:.0} ms after its client left");
-            self.add_violation(1, at_ms, description);
-        }
-    }
-
-    /// Rule 1: the limit that an engine is given is at most the client's remaining time.
-    pub(super) fn check_passed_deadline(
+    /// Rule 1: no attempt begins after the query's client disconnected.
+    fn check_client_connected(
         &mut self,
         engine: &str,
         id: &str,
-        limit_ms: f64,
+        disconnected_ms: Option<f64>,
         at_ms: f64,
     ) {
+        if disconnected_ms.is_some_and(|disconnected_ms| {
+            at_ms > disconnected_ms + DISCONNECT_GRACE_MS + self.rules.slack_ms
+        }) {
+            let since_ms = at_ms - disconnected_ms.unwrap_or(at_ms);
+            let description =
+                format!("{id} was sent to {engine} {since_ms:.0} ms after its client disconnected");
+            self.add_violation(1, at_ms, description);
+        }
+    }
+
+    /// Rule 1: an engine's time limit for a query is at most the client's remaining time.
+    pub(super) fn check_time_limit(&mut self, engine: &str, id: &str, limit_ms: f64, at_ms: f64) {
         let Some(query) = self.queries.get(id) else {
             return;
         };
-        let left_ms = query.asked_ms + query.max_wait_ms - at_ms;
-        if limit_ms > left_ms.max(0.0) + DEADLINE_SLACK_MS + self.rules.slack_ms {
-            let description =
-                format!("{engine} was told {limit_ms:.0} ms for {id} with {left_ms:.0} ms left");
+        let remaining_ms = query.asked_ms + query.max_wait_ms - at_ms;
+        if limit_ms > remaining_ms.max(0.0) + DEADLINE_SLACK_MS + self.rules.slack_ms {
+            let description = format!(
+                "{engine} was given {limit_ms:.0} ms for {id} with {remaining_ms:.0} ms left"
+            );
             self.add_violation(1, at_ms, description);
         }
     }
 
-    /// Rule 3: nothing to a closed engine past the grace.
+    /// Rule 3: no attempt is sent to an engine later than the grace period after it was listed as draining or gone.
     fn check_closed(&mut self, engine: &str, id: &str, at_ms: f64) {
         let rules = self.rules;
-        let closed_ms = self.engines.get(engine).and_then(|known| known.closed_ms);
+        let closed_ms = self
+            .engines
+            .get(engine)
+            .and_then(|engine_history| engine_history.closed_ms);
         if let Some(closed_ms) =
             closed_ms.filter(|closed_ms| at_ms > closed_ms + rules.grace_ms + rules.slack_ms)
         {
@@ -99,20 +105,21 @@
         }
     }
 
-    /// Rule 4: what all dispatchers together send to an engine that warms up, in any span. A single query never breaks it,
-    /// however large its work is.
+    /// Rule 4: the work that all dispatchers together send to an engine that is warming up is bounded in every span. A
+    /// single query in a span never violates the rule, however large its work is.
     fn check_warm_up(&mut self, engine: &str, at_ms: f64) {
-        let (Some(rule), Some(known)) = (self.rules.warm_up, self.engines.get(engine)) else {
+        let (Some(rule), Some(engine_history)) = (self.rules.warm_up, self.engines.get(engine))
+        else {
             return;
         };
-        let Some(start) = known
+        let Some(start) = engine_history
             .start
             .filter(|start| at_ms - start.at_ms < rule.warm_after_ms)
         else {
             return;
         };
         let in_span = || {
-            known
+            engine_history
                 .arrivals
                 .iter()
                 .filter(|arrival| arrival.at_ms > at_ms - rule.span_ms)
@@ -122,19 +129,19 @@
             .map(|arrival| arrival.work_ms)
             .sum();
         let is_single = in_span().count() < 2;
-        let bearable_ms = rule.multiple * rule.initial_fraction * start.cores * rule.span_ms;
-        if sent_ms > bearable_ms && !is_single {
+        let sustainable_ms = rule.multiple * rule.initial_fraction * start.cores * rule.span_ms;
+        if sent_ms > sustainable_ms && !is_single {
             self.add_violation(
                 4,
                 at_ms,
-                format!("{engine} is warming up and was sent {sent_ms:.0} ms of work in a span that bears {bearable_ms:.0}"),
+                format!("{engine} is warming up and was sent {sent_ms:.0} ms of work in a span in which it sustains {sustainable_ms:.0}"),
             );
         }
     }
 
-    /// Rule 6: the class may run in this zone and on this kind of engine.
+    /// Rule 6: the query's class may run in the engine's zone and on its kind.
     fn check_placement(&mut self, engine: &str, id: &str, class: &ClassRules, at_ms: f64) {
-        let Some(known) = self.engines.get(engine) else {
+        let Some(engine_history) = self.engines.get(engine) else {
             return;
         };
         let allows = |allowed: &Option<Vec<String>>, value: &String| {
@@ -142,46 +149,49 @@
                 .as_ref()
                 .is_none_or(|allowed| allowed.contains(value))
         };
-        if !allows(&class.zones, &known.zone) || !allows(&class.kinds, &known.kind) {
+        if !allows(&class.zones, &engine_history.zone)
+            || !allows(&class.kinds, &engine_history.kind)
+        {
             let class_name = self.queries.get(id).map_or("", |query| &query.class);
             let description = format!(
                 "{id} of {class_name} was sent to {engine} in {}, a {}",
-                known.zone, known.kind
+                engine_history.zone, engine_history.kind
             );
             self.add_violation(6, at_ms, description);
         }
     }
 
-    /// Rule 2: a retry must be harmless.
+    /// Rule 2: a retry cannot apply an effect twice, and no two attempts of a query are in flight at once.
     fn check_retry(&mut self, id: &str, engine: &str, class: &ClassRules, at_ms: f64) {
         let Some(query) = self.queries.get(id) else {
             return;
         };
         let mut descriptions = Vec::new();
-        if let Some(first) = query.first_that_may_have_run() {
+        if let Some(first) = query.first_possible_execution() {
             match class.effect {
                 Effect::ReadOnly => {}
                 Effect::NonIdempotent => descriptions.push(format!(
-                    "{id} was sent to {engine} again though it may have run"
+                    "{id} was sent to {engine} again although it may have run"
                 )),
                 Effect::IdempotencyKey => {
                     if !self.is_in_dedup_scope(class.dedup_scope, &first.engine, engine) {
                         descriptions.push(format!(
-                            "{id} was sent to {engine} again, outside its dedup group"
+                            "{id} was sent to {engine} again, outside its dedup scope"
                         ));
                     }
                     if at_ms - first.arrived_ms > class.dedup_window_ms + self.rules.slack_ms {
-                        descriptions
-                            .push(format!("{id} was sent to {engine} again, past its window"));
+                        descriptions.push(format!(
+                            "{id} was sent to {engine} again, after its dedup window"
+                        ));
                     }
                 }
             }
         }
-        // Two attempts out at once are two effects at worst, whatever their ends say later; without an effect, they are a
-        // copy that nobody allowed.
-        if let Some(other) = query.open_attempt() {
+        // Two concurrent attempts may apply two effects, whatever they report later. A read-only query has no effect, but
+        // the second attempt is an extra copy, which the rules forbid.
+        if let Some(other) = query.attempt_in_flight() {
             descriptions.push(format!(
-                "{id} was sent to {engine} {ANOTHER_ATTEMPT} at {}",
+                "{id} was sent to {engine} {CONCURRENT_ATTEMPT} at {}",
                 other.engine
             ));
         }
@@ -190,18 +200,25 @@
         }
     }
 
-    /// Whether a retry at `engine` is recognised by its key as a repeat of what `first` was sent.
+    /// Whether `engine` recognises by the idempotency key that the query was sent to `first` before.
     fn is_in_dedup_scope(&self, scope: DedupScope, first: &str, engine: &str) -> bool {
         let first = self.engines.get(first);
         let engine = self.engines.get(engine);
         match scope {
             DedupScope::All => true,
-            DedupScope::Zone => first.map(|known| &known.zone) == engine.map(|known| &known.zone),
-            DedupScope::Cell => first.map(|known| known.cell) == engine.map(|known| known.cell),
+            DedupScope::Zone => {
+                first.map(|engine_history| &engine_history.zone)
+                    == engine.map(|engine_history| &engine_history.zone)
+            }
+            DedupScope::Cell => {
+                first.map(|engine_history| engine_history.cell)
+                    == engine.map(|engine_history| engine_history.cell)
+            }
         }
     }
 
-    /// Rule 5: only the first query of a key that is not over is sent, and a later one not before the key has rested.
+    /// Rule 5: of the unfinished queries of an ordering key only the first is sent. A later query's first attempt
+    /// additionally waits for the key's cooldown.
     fn check_order(&mut self, key: &str, id: &str, is_retry: bool, at_ms: f64) {
         let Some(ids) = self.queries_by_key.get(key) else {
             return;
@@ -211,19 +228,19 @@
             let Some(earlier) = self.queries.get(earlier_id) else {
                 continue;
             };
-            let rested_ms = earlier
+            let cooled_down_ms = earlier
                 .attempts
                 .iter()
                 .filter_map(|attempt| attempt.end.filter(|end| end.is_uncertain))
                 .map(|end| end.at_ms + self.rules.cooldown_ms)
                 .fold(f64::NEG_INFINITY, f64::max);
-            if !earlier.is_over() || earlier.has_open_attempt() {
+            if !earlier.is_finished() || earlier.has_attempt_in_flight() {
                 description = Some(format!(
-                    "{id} was sent before {earlier_id} of its key was over"
+                    "{id} was sent before {earlier_id} of the same key had finished"
                 ));
-            } else if !is_retry && at_ms + self.rules.slack_ms < rested_ms {
+            } else if !is_retry && at_ms + self.rules.slack_ms < cooled_down_ms {
                 description = Some(format!(
-                    "{id} was sent before its key had rested after {earlier_id}"
+                    "{id} was sent before its key had cooled down after {earlier_id}"
                 ));
             }
         }
@@ -232,7 +249,7 @@
         }
     }
 
-    /// Rule 7: retries in the span that ends now.
+    /// Rule 7: the retries in the span that ends at `at_ms` stay within the budget.
     fn check_retry_budget(&mut self, at_ms: f64) {
         let Some(budget) = self.rules.retry_budget else {
             return;
@@ -246,7 +263,7 @@
         };
         let retries = count_in_span(&self.retries_ms);
         let asked = count_in_span(&self.asked_ms);
-        let allowed = BUDGET_TOLERANCE * (budget.free + budget.query_fraction * asked) + 1.0;
+        let allowed = RETRY_BUDGET_TOLERANCE * (budget.free + budget.query_fraction * asked) + 1.0;
         if retries > allowed {
             let description = format!("{retries} retries in a span that allows {allowed:.1}");
             self.add_violation(7, at_ms, description);
--- a/crates/testbed/src/invariants/history.rs
+++ b/crates/testbed/src/invariants/history.rs
@@ -7,35 +7,35 @@
     pub asked_ms: f64,
     pub max_wait_ms: f64,
     pub key: Option<String>,
-    /// When answers were received.
+    /// The times at which the client received answers.
     pub answered_ms: Vec<f64>,
-    /// Whether no answer is expected any more: the client left, or its query is excluded or lost.
+    /// Whether no answer is expected any more: the client disconnected, or the query is excluded or lost.
     pub abandoned: bool,
-    /// When the client left.
-    pub left_ms: Option<f64>,
+    /// The time at which the client disconnected.
+    pub disconnected_ms: Option<f64>,
     pub attempts: Vec<Attempt>,
-    /// How often its effect was applied.
+    /// The number of times that the query's effect was applied.
     pub effects_applied: usize,
 }
 
 impl QueryHistory {
     /// Whether the client has an answer or expects none.
-    pub fn is_over(&self) -> bool {
+    pub fn is_finished(&self) -> bool {
         self.abandoned || !self.answered_ms.is_empty()
     }
 
-    /// Whether an attempt has not ended yet.
-    pub fn has_open_attempt(&self) -> bool {
-        self.open_attempt().is_some()
+    /// Whether an attempt is in flight.
+    pub fn has_attempt_in_flight(&self) -> bool {
+        self.attempt_in_flight().is_some()
     }
 
-    /// An attempt that has not ended yet.
-    pub fn open_attempt(&self) -> Option<&Attempt> {
+    /// The earliest attempt in flight.
+    pub fn attempt_in_flight(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|attempt| attempt.end.is_none())
     }
 
-    /// The first attempt that may have run, or may still run.
-    pub fn first_that_may_have_run(&self) -> Option<&Attempt> {
+    /// The first attempt that may have run or may still run.
+    pub fn first_possible_execution(&self) -> Option<&Attempt> {
         self.attempts.iter().find(|attempt| attempt.may_have_run())
     }
 }
@@ -49,23 +49,23 @@
 }
 
 impl Attempt {
-    /// Whether its statement may have run, which is also assumed while its end is not known.
+    /// Whether the statement may have run. An attempt in flight counts as one that may.
     pub fn may_have_run(&self) -> bool {
         self.end.is_none_or(|end| end.may_have_run)
     }
 }
 
-/// How an attempt ended.
+/// The end of an attempt.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct AttemptEnd {
     pub at_ms: f64,
     pub may_have_run: bool,
-    /// Whether it is unknown if the attempt ran.
+    /// Whether it is unknown if the statement ran.
     pub is_uncertain: bool,
 }
 
 impl AttemptEnd {
-    /// An end that the engine reported.
+    /// A completion or failure that the engine reported.
     pub fn certain(at_ms: f64, may_have_run: bool) -> Self {
         AttemptEnd {
             at_ms,
@@ -74,7 +74,7 @@
         }
     }
 
-    /// An end by cancellation or with the connection.
+    /// A cancellation, or the loss of the connection.
     pub fn uncertain(at_ms: f64) -> Self {
         AttemptEnd {
             at_ms,
@@ -84,19 +84,19 @@
     }
 }
 
-/// An engine as it was listed, and what reached it.
+/// An engine's entry in the endpoint list, its last start and the attempts that reached it.
 #[derive(Debug, Default)]
 pub(super) struct EngineHistory {
     pub zone: String,
     pub kind: String,
     pub cell: u32,
-    /// Since when it is listed as draining or gone.
+    /// The time since which it is listed as draining or gone.
     pub closed_ms: Option<f64>,
     pub start: Option<EngineStart>,
     pub arrivals: Vec<Arrival>,
 }
 
-/// A start of an engine, from which on it warms up.
+/// A start of an engine, after which it warms up.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct EngineStart {
     pub at_ms: f64,
@@ -107,6 +107,6 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Arrival {
     pub at_ms: f64,
-    /// Work on one core (ms).
+    /// The query's work on one core (ms).
     pub work_ms: f64,
 }
--- a/crates/testbed/src/invariants/mod.rs
+++ b/crates/testbed/src/invariants/mod.rs
@@ -1,11 +1,11 @@
 //! Checks a run's record against the seven rules. The checker uses only the rules' parameters and the record, and is
-//! independent of how a dispatcher decides.
+//! independent of the dispatcher's implementation.
 //!
-//! 1. One final answer to each query, in time, and no attempt after it.
-//! 2. No effect applied twice, and no answer that invites a retry of what may have run.
-//! 3. Nothing is sent to an engine that is draining or gone, past a grace.
-//! 4. An engine that warms up is not sent more than it sustains.
-//! 5. Queries of one key run in their order, and a key cools down after an attempt whose end is unknown.
+//! 1. Each query gets one final answer, in time, and no attempt begins after it.
+//! 2. No effect is applied twice, and no query that may have run is answered by a rejection, which invites a retry.
+//! 3. No attempt is sent to an engine that is draining or gone, except within a grace period.
+//! 4. An engine that is warming up is not sent more than it sustains.
+//! 5. Queries of one ordering key run in their order, and a key cools down after an attempt whose end is unknown.
 //! 6. Each attempt runs in a zone and on a kind of engine that its class allows.
 //! 7. Retries stay within their budget.
 //!
@@ -18,16 +18,16 @@
 #[cfg(test)]
 mod tests;
 
-pub use arrivals::ANOTHER_ATTEMPT;
+pub use arrivals::CONCURRENT_ATTEMPT;
 pub use rules::{ClassRules, DedupScope, Effect, RetryBudget, Rules, Violation, WarmUpRule};
-pub use slow_start::{bearable_requests, find_slow_start_violations};
+pub use slow_start::{find_slow_start_violations, sustainable_requests};
 
 use crate::record::{Entry, EventKind, Status};
 use history::{AttemptEnd, EngineHistory, EngineStart, QueryHistory};
 use std::collections::BTreeMap;
 
-/// All violations in a record, by time. Entries must be in the order of their times. What a truncated record does not
-/// contain any more is no violation.
+/// Returns all violations in a record, by time. Entries must be ordered by time. A query whose deadline is after the
+/// record's end needs no answer in it.
 pub fn find_violations(entries: &[Entry], rules: &Rules) -> Vec<Violation> {
     let mut checker = Checker::new(rules);
     for entry in entries {
@@ -44,9 +44,9 @@
     rules: &'a Rules,
     queries: BTreeMap<String, QueryHistory>,
     engines: BTreeMap<String, EngineHistory>,
-    /// When queries were sent.
+    /// The times at which clients sent queries.
     asked_ms: Vec<f64>,
-    /// When retries arrived at engines.
+    /// The times at which retries arrived at engines.
     retries_ms: Vec<f64>,
     /// For each ordering key, its queries in the order in which they were sent.
     queries_by_key: BTreeMap<String, Vec<String>>,
@@ -90,7 +90,7 @@
             | EventKind::WrongRows { .. }
             | EventKind::Told { .. }
             | EventKind::DispatcherFailed { .. }
-            | EventKind::Stalled { .. } => self.observe_service(entry),
+            | EventKind::Stalled { .. } => self.observe_queries_and_dispatchers(entry),
             EventKind::Arrived {
                 engine,
                 id,
@@ -125,14 +125,15 @@
         query.key = key.map(str::to_owned);
     }
 
-    /// Records how queries end without an answer, and how dispatchers fail as processes.
-    fn observe_service(&mut self, entry: &Entry) {
+    /// Records disconnected clients and excluded queries, and reports lost queries, wrong results, time limits that are
+    /// too long and failures of dispatcher processes.
+    fn observe_queries_and_dispatchers(&mut self, entry: &Entry) {
         let at_ms = entry.at_ms;
         match &entry.event {
             EventKind::Left { id } => {
                 if let Some(query) = self.queries.get_mut(id) {
                     query.abandoned = true;
-                    query.left_ms = query.left_ms.or(Some(at_ms));
+                    query.disconnected_ms = query.disconnected_ms.or(Some(at_ms));
                 }
             }
             EventKind::Excluded { id } => {
@@ -148,14 +149,14 @@
             }
             EventKind::WrongRows { id, rows } => {
                 let description =
-                    format!("the answer to {id} has other rows than its result: {rows}");
+                    format!("the rows of the answer to {id} differ from its result: {rows}");
                 self.add_violation(1, at_ms, description);
             }
             EventKind::Told {
                 engine,
                 id,
                 limit_ms,
-            } => self.check_passed_deadline(engine, id, *limit_ms, at_ms),
+            } => self.check_time_limit(engine, id, *limit_ms, at_ms),
             EventKind::DispatcherFailed { dispatcher, how } => {
                 self.add_violation(1, at_ms, format!("dispatcher {dispatcher} {how}"));
             }
@@ -172,13 +173,15 @@
                 kind,
                 cell,
             } => {
-                let known = self.engines.entry(engine.clone()).or_default();
-                known.zone.clone_from(zone);
-                known.kind.clone_from(kind);
-                known.cell = *cell;
-                known.closed_ms = match status {
+                let engine_history = self.engines.entry(engine.clone()).or_default();
+                engine_history.zone.clone_from(zone);
+                engine_history.kind.clone_from(kind);
+                engine_history.cell = *cell;
+                engine_history.closed_ms = match status {
                     Status::Ready => None,
-                    Status::Draining | Status::Gone => known.closed_ms.or(Some(entry.at_ms)),
+                    Status::Draining | Status::Gone => {
+                        engine_history.closed_ms.or(Some(entry.at_ms))
+                    }
                 };
             }
             EventKind::Started { engine, cores } => {
@@ -201,15 +204,20 @@
         self.class_of(query_id).map(|class| class.effect)
     }
 
-    /// Rule 1: one final answer, in time; rule 2: none that invites a retry of what may have run.
+    /// Rule 1: one final answer, in time. Rule 2: a query with an effect that may have run is not rejected, because a
+    /// rejection invites a retry.
     fn on_answer(&mut self, id: &str, status: u16, at_ms: f64) {
         let Some(query) = self.queries.get_mut(id) else {
-            return self.add_violation(1, at_ms, format!("an answer to {id}, which nobody asked"));
+            return self.add_violation(
+                1,
+                at_ms,
+                format!("an answer to {id}, which no client sent"),
+            );
         };
         query.answered_ms.push(at_ms);
         let count = query.answered_ms.len();
         let late_ms = at_ms - query.asked_ms - query.max_wait_ms;
-        let may_have_run = query.first_that_may_have_run().is_some();
+        let may_have_run = query.first_possible_execution().is_some();
         if count > 1 {
             self.add_violation(1, at_ms, format!("answer {count} to {id}"));
         }
@@ -219,19 +227,20 @@
         }
         let rejected = matches!(status, 429 | 503);
         if rejected && may_have_run && self.effect_of(id) == Some(Effect::NonIdempotent) {
-            let description = format!("{id} was rejected though an attempt may have run");
+            let description = format!("{id} was rejected although an attempt may have run");
             self.add_violation(2, at_ms, description);
         }
     }
 
-    /// Rule 2: no second effect. Only classes without an idempotency key are checked: stand-in engines keep no keys.
+    /// Rule 2: no second effect. Only classes without an idempotency key are checked, as stand-in engines do not
+    /// deduplicate by key.
     fn on_effect_applied(&mut self, engine: &str, id: &str, at_ms: f64) {
         let Some(query) = self.queries.get_mut(id) else {
             return;
         };
         query.effects_applied += 1;
         if query.effects_applied > 1 && self.effect_of(id) == Some(Effect::NonIdempotent) {
-            let description = format!("{id} took effect a second time, on {engine}");
+            let description = format!("the effect of {id} was applied a second time, on {engine}");
             self.add_violation(2, at_ms, description);
         }
     }
@@ -240,22 +249,22 @@
         let Some(query) = self.queries.get_mut(id) else {
             return;
         };
-        let open = query
+        let in_flight = query
             .attempts
             .iter_mut()
             .rev()
             .find(|attempt| attempt.engine == engine && attempt.end.is_none());
-        if let Some(attempt) = open {
+        if let Some(attempt) = in_flight {
             attempt.end = Some(end);
         }
     }
 
-    /// Rule 1: at the record's end, all queries whose time is over have an answer.
+    /// Rule 1: at the record's end, all queries whose deadline has passed have an answer.
     fn check_unanswered(&mut self, end_ms: f64) {
         let mut unanswered = Vec::new();
         for (id, query) in &self.queries {
             let due_ms = query.asked_ms + query.max_wait_ms;
-            if !query.is_over()
+            if !query.is_finished()
                 && end_ms > due_ms + self.rules.slack_ms.max(self.rules.late_answer_ms)
             {
                 unanswered.push((id.clone(), due_ms));
--- a/crates/testbed/src/invariants/rules.rs
+++ b/crates/testbed/src/invariants/rules.rs
@@ -3,27 +3,27 @@
 use std::collections::HashMap;
 use std::fmt;
 
-/// Tolerance of time limits on loopback, for a busy machine (ms).
+/// Tolerance of time limits on loopback, for scheduling delays of a busy machine (ms).
 const LOOPBACK_SLACK_MS: f64 = 50.0;
-/// How long after its announcement as closed an engine may still be sent to (ms).
+/// Time after an engine was listed as draining or gone within which attempts may still be sent to it (ms).
 const CLOSED_GRACE_MS: f64 = 1000.0;
 
 /// The parameters of the rules.
 #[derive(Debug, Clone)]
 pub struct Rules {
-    /// Tolerance of every time limit, for delays of the machine on which the run takes place.
+    /// Tolerance of every time limit, for scheduling delays of the machine that executes the run.
     pub slack_ms: f64,
-    /// Up to how much after its client's time an answer counts as late instead of lost.
+    /// Time after the client's deadline within which an answer is accepted as late.
     pub late_answer_ms: f64,
-    /// Rule 3: how long after its announcement as draining or gone an engine may still be sent to.
+    /// Rule 3: time after an engine was listed as draining or gone within which attempts may still be sent to it.
     pub grace_ms: f64,
-    /// Rule 4; none where it does not apply.
+    /// Rule 4; `None` if it is not checked.
     pub warm_up: Option<WarmUpRule>,
-    /// Rule 5: how long a key cools down after an attempt whose end is unknown.
+    /// Rule 5: cooldown of an ordering key after an attempt whose end is unknown.
     pub cooldown_ms: f64,
-    /// Rule 7; none where it does not apply.
+    /// Rule 7; `None` if it is not checked.
     pub retry_budget: Option<RetryBudget>,
-    /// What holds for each class, by its name in the record.
+    /// The rules of each class, by its name in the record.
     pub classes: HashMap<String, ClassRules>,
 }
 
@@ -34,16 +34,16 @@
     pub multiple: f64,
     /// The initial speed as a fraction of the full speed.
     pub initial_fraction: f64,
-    /// The span over which work is summed (ms).
+    /// Length of the sliding span over which work is summed (ms).
     pub span_ms: f64,
-    /// How long after its start an engine is warm (ms).
+    /// Time after its start at which an engine is warm (ms).
     pub warm_after_ms: f64,
 }
 
 /// Rule 7: within a span, at most `free` retries and a fraction of the queries sent in it.
 #[derive(Debug, Clone, Copy)]
 pub struct RetryBudget {
-    /// The span over which retries and queries are counted (ms).
+    /// Length of the sliding span over which retries and queries are counted (ms).
     pub span_ms: f64,
     /// Retries that are always allowed in a span.
     pub free: f64,
@@ -51,48 +51,48 @@
     pub query_fraction: f64,
 }
 
-/// What a query does to data.
+/// The effect of a query on data.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Effect {
     /// The query changes nothing and may be retried anywhere.
     ReadOnly,
-    /// The query carries a key by which engines recognise a retry.
+    /// The query carries an idempotency key, by which engines recognise a retry.
     IdempotencyKey,
-    /// A second run is a second effect.
+    /// A second run applies the effect a second time.
     NonIdempotent,
 }
 
-/// Where engines recognise a retry by its key.
+/// The engines that recognise a retry by its idempotency key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DedupScope {
-    /// On all engines.
+    /// All engines.
     All,
-    /// On engines of the zone of the first attempt.
+    /// The engines in the zone of the first attempt.
     Zone,
-    /// On engines of the cell of the first attempt.
+    /// The engines in the cell of the first attempt.
     Cell,
 }
 
-/// What holds for the queries of one class.
+/// The rules for the queries of one class.
 #[derive(Debug, Clone)]
 pub struct ClassRules {
-    /// What its queries do to data.
+    /// The effect of its queries on data.
     pub effect: Effect,
-    /// Where a retry is recognised by its key.
+    /// The engines that recognise a retry by its idempotency key.
     pub dedup_scope: DedupScope,
-    /// For how long a retry is recognised by its key (ms).
+    /// Time within which a retry is recognised by its idempotency key (ms).
     pub dedup_window_ms: f64,
-    /// Whether queries of one key run one after the other, in the order in which they were sent.
+    /// Whether queries of one ordering key run one after the other, in the order in which they were sent.
     pub in_order: bool,
-    /// Rule 6: zones in which it may run; none where it may run in all.
+    /// Rule 6: zones in which its queries may run; `None` if all are allowed.
     pub zones: Option<Vec<String>>,
-    /// Rule 6: kinds of engine on which it may run; none where it may run on all.
+    /// Rule 6: kinds of engines on which its queries may run; `None` if all are allowed.
     pub kinds: Option<Vec<String>>,
 }
 
 impl Rules {
-    /// The rules of a run on loopback whose classes have these rules: no slow start, no cooldown of keys, and no retry
-    /// budget.
+    /// The rules of a run on loopback with these classes. Slow start, the cooldown of ordering keys and the retry budget
+    /// are not checked.
     pub fn of_classes(classes: impl IntoIterator<Item = (String, ClassRules)>) -> Self {
         Rules {
             slack_ms: LOOPBACK_SLACK_MS,
@@ -107,7 +107,7 @@
 }
 
 impl ClassRules {
-    /// A class that may run anywhere and in any order, with no dedup window.
+    /// A class that may run on all engines and in any order, with a dedup window of zero.
     pub fn of(effect: Effect) -> Self {
         ClassRules {
             effect,
@@ -120,14 +120,14 @@
     }
 }
 
-/// A rule that was broken.
+/// A violation of a rule.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Violation {
     /// The rule's number, from 1 to 7.
     pub rule: u8,
     /// Milliseconds since the start of the record.
     pub at_ms: f64,
-    /// A description with the ids of query and engine.
+    /// A description with the ids of the query and the engine.
     pub description: String,
 }
 
--- a/crates/testbed/src/invariants/slow_start.rs
+++ b/crates/testbed/src/invariants/slow_start.rs
@@ -1,30 +1,32 @@
-//! Rule 4 for a whole fleet, with the operators' parameters: how many requests a warming engine sustains in a span.
+//! Rule 4 for a whole fleet, with the operators' parameters: bounds the number of requests that an engine which is
+//! warming up receives in a span.
 
 use super::rules::{Violation, WarmUpRule};
 use crate::record::{Entry, EventKind};
 use std::collections::BTreeMap;
 
-/// Below this many allowed requests the larger tolerance applies.
-const FEW_REQUESTS: f64 = 30.0;
+/// Number of allowed requests below which the larger tolerance applies.
+const LARGE_TOLERANCE_BELOW: f64 = 30.0;
 
-/// The most requests of mean work that do not break the rule, where the settings allow `allowed`.
-pub fn bearable_requests(allowed: f64) -> f64 {
-    if allowed < FEW_REQUESTS {
+/// The largest number of requests of mean work that does not violate the rule, where the settings allow `allowed`.
+pub fn sustainable_requests(allowed: f64) -> f64 {
+    if allowed < LARGE_TOLERANCE_BELOW {
         allowed + 3.0 * allowed.sqrt() + 3.0
     } else {
         allowed + 2.0 * allowed.sqrt() + 2.0
     }
 }
 
-/// A start of an engine, and the work that reached it since.
+/// An engine that is warming up, and the work that reached it since its start.
 struct WarmingEngine {
     started_ms: f64,
     cores: f64,
+    /// The time of each arrival (ms) and its work on one core (ms).
     arrivals: Vec<(f64, f64)>,
 }
 
-/// For each engine, the first span after its start in which all dispatchers together sent more than it sustains.
-/// `mean_work_ms`: the mean work of all requests.
+/// Returns for each start of an engine the first span in which all dispatchers together sent more than it sustains.
+/// `mean_work_ms` is the mean work of all requests.
 pub fn find_slow_start_violations(
     entries: &[Entry],
     rule: &WarmUpRule,
@@ -65,7 +67,7 @@
 }
 
 impl WarmingEngine {
-    /// A description of the excess in the span that ends now, if there is one.
+    /// A description of the excess in the span that ends at `now_ms`, if there is one.
     fn excess(&self, now_ms: f64, rule: &WarmUpRule, mean_work_ms: f64) -> Option<String> {
         if now_ms - self.started_ms >= rule.warm_after_ms {
             return None;
@@ -73,11 +75,11 @@
         let in_span = self.arrivals.iter();
         let in_span = in_span.filter(|(at_ms, _)| *at_ms > now_ms - rule.span_ms);
         let sent_ms: f64 = in_span.map(|(_, work_ms)| work_ms).sum();
-        let bearable_ms = rule.multiple * rule.initial_fraction * self.cores * rule.span_ms;
-        let bearable = bearable_requests(bearable_ms / mean_work_ms);
+        let sustainable_ms = rule.multiple * rule.initial_fraction * self.cores * rule.span_ms;
+        let sustainable = sustainable_requests(sustainable_ms / mean_work_ms);
         let sent = sent_ms / mean_work_ms;
-        (sent > bearable).then(|| {
-            format!("is warming up and was sent {sent:.1} requests of mean work where it bears {bearable:.1}")
+        (sent > sustainable).then(|| {
+            format!("is warming up and was sent {sent:.1} requests of mean work where it sustains {sustainable:.1}")
         })
     }
 }
--- a/crates/testbed/src/invariants/tests.rs
+++ b/crates/testbed/src/invariants/tests.rs
@@ -1,18 +1,18 @@
-//! One run for each rule that keeps it, and one that breaks it.
+//! For each rule, records that keep it and records that violate it.
 
 use super::*;
 use std::collections::HashMap;
 
 fn rules() -> Rules {
-    let bound = ClassRules {
+    let zone_bound = ClassRules {
         zones: Some(vec!["east".into()]),
         ..ClassRules::of(Effect::ReadOnly)
     };
-    let keyed = ClassRules {
+    let ordered = ClassRules {
         in_order: true,
         ..ClassRules::of(Effect::NonIdempotent)
     };
-    let tokened = ClassRules {
+    let idempotent = ClassRules {
         dedup_scope: DedupScope::Zone,
         dedup_window_ms: 1000.0,
         ..ClassRules::of(Effect::IdempotencyKey)
@@ -36,9 +36,9 @@
         classes: HashMap::from([
             ("look".to_owned(), ClassRules::of(Effect::ReadOnly)),
             ("load".to_owned(), ClassRules::of(Effect::NonIdempotent)),
-            ("keyed".to_owned(), keyed),
-            ("tokened".to_owned(), tokened),
-            ("bound".to_owned(), bound),
+            ("ordered".to_owned(), ordered),
+            ("idempotent".to_owned(), idempotent),
+            ("zone_bound".to_owned(), zone_bound),
         ]),
     }
 }
@@ -94,13 +94,13 @@
     }
 }
 
-/// The numbers of the rules that a run breaks.
-fn broken(run: &[(f64, EventKind)]) -> Vec<u8> {
+/// The numbers of the rules that a record violates, one for each violation.
+fn violated_rules(run: &[(f64, EventKind)]) -> Vec<u8> {
     let entries: Vec<Entry> = run
         .iter()
-        .map(|(at, what)| Entry {
-            at_ms: *at,
-            event: what.clone(),
+        .map(|(at_ms, event)| Entry {
+            at_ms: *at_ms,
+            event: event.clone(),
         })
         .collect();
     find_violations(&entries, &rules())
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn a_run_that_keeps_all_rules_is_found_to() {
+fn a_record_that_keeps_all_rules_has_no_violation() {
     let run = [
         (0.0, listed("e", Status::Ready, "east")),
         (0.0, listed("w", Status::Ready, "west")),
@@ -131,8 +131,8 @@
         ),
         (9.0, ended("w", "2", true)),
         (10.0, answered("2", 200)),
-        (11.0, asked("keyed", "3", Some("k"))),
-        (11.0, asked("keyed", "4", Some("k"))),
+        (11.0, asked("ordered", "3", Some("k"))),
+        (11.0, asked("ordered", "4", Some("k"))),
         (12.0, arrived("e", "3")),
         (13.0, ended("e", "3", true)),
         (14.0, answered("3", 200)),
@@ -143,13 +143,13 @@
         (21.0, EventKind::Left { id: "5".into() }),
         (5000.0, asked("look", "6", None)),
     ];
-    assert_eq!(broken(&run), [0; 0]);
+    assert_eq!(violated_rules(&run), [0; 0]);
 }
 
 #[test]
-fn rule_1_one_answer_in_time_and_nothing_after() {
+fn rule_1_one_answer_in_time_and_no_attempt_after_it() {
     assert_eq!(
-        broken(&[
+        violated_rules(&[
             (0.0, asked("look", "1", None)),
             (5.0, answered("1", 200)),
             (6.0, answered("1", 429))
@@ -157,106 +157,106 @@
         [1]
     );
     assert_eq!(
-        broken(&[
+        violated_rules(&[
             (0.0, asked("look", "1", None)),
             (1051.0, answered("1", 200))
         ]),
         [1]
     );
     assert_eq!(
-        broken(&[
+        violated_rules(&[
             (0.0, asked("look", "1", None)),
             (2000.0, asked("look", "2", None))
         ]),
         [1]
     );
-    assert_eq!(broken(&[(0.0, answered("9", 200))]), [1]);
-    assert_eq!(broken(&[(0.0, arrived("e", "9"))]), [1]);
-    let after = [
+    assert_eq!(violated_rules(&[(0.0, answered("9", 200))]), [1]);
+    assert_eq!(violated_rules(&[(0.0, arrived("e", "9"))]), [1]);
+    let attempt_after_answer = [
         (0.0, asked("look", "1", None)),
         (5.0, answered("1", 429)),
         (90.0, arrived("e", "1")),
     ];
-    assert_eq!(broken(&after), [1]);
+    assert_eq!(violated_rules(&attempt_after_answer), [1]);
 }
 
 #[test]
 #[expect(clippy::too_many_lines, reason = "one scenario from start to end")]
-fn rule_2_no_effect_is_applied_twice_and_no_answer_invites_a_second_one() {
-    let again = |end: EventKind| {
-        broken(&[
+fn rule_2_no_effect_is_applied_twice_and_no_rejection_invites_a_retry() {
+    let retry_after = |end: EventKind| {
+        violated_rules(&[
             (0.0, asked("load", "1", None)),
             (1.0, arrived("e", "1")),
             (2.0, end),
             (3.0, arrived("w", "1")),
         ])
     };
-    assert_eq!(again(ended("e", "1", false)), [0; 0]);
-    assert_eq!(again(ended("e", "1", true)), [2]);
-    assert_eq!(again(given_up("e", "1")), [2]);
-    let deferred = |ran: bool| {
-        broken(&[
+    assert_eq!(retry_after(ended("e", "1", false)), [0; 0]);
+    assert_eq!(retry_after(ended("e", "1", true)), [2]);
+    assert_eq!(retry_after(given_up("e", "1")), [2]);
+    let rejected = |ran: bool| {
+        violated_rules(&[
             (0.0, asked("load", "1", None)),
             (1.0, arrived("e", "1")),
             (2.0, ended("e", "1", ran)),
             (3.0, answered("1", 429)),
         ])
     };
-    assert_eq!((deferred(false), deferred(true)), (vec![], vec![2]));
-    let out = [
+    assert_eq!((rejected(false), rejected(true)), (vec![], vec![2]));
+    let concurrent = [
         (0.0, asked("load", "1", None)),
         (1.0, arrived("e", "1")),
         (2.0, arrived("w", "1")),
     ];
-    assert!(broken(&out).contains(&2));
-    let twice = |id: &str| EventKind::Applied {
+    assert!(violated_rules(&concurrent).contains(&2));
+    let applied = |id: &str| EventKind::Applied {
         engine: "e".into(),
         id: id.into(),
     };
     assert_eq!(
-        broken(&[
+        violated_rules(&[
             (0.0, asked("load", "1", None)),
-            (1.0, twice("1")),
-            (2.0, twice("1"))
+            (1.0, applied("1")),
+            (2.0, applied("1"))
         ]),
         [2]
     );
-    // A token counts within its zone and window only.
-    let tokened = |zone: &str, at: f64| {
-        broken(&[
+    // An idempotency key is recognised only in the first attempt's zone and within the dedup window.
+    let retry_with_key = |zone: &str, at_ms: f64| {
+        violated_rules(&[
             (0.0, listed("e", Status::Ready, "east")),
             (0.0, listed("w", Status::Ready, zone)),
             (
                 0.0,
                 EventKind::Asked {
                     id: "1".into(),
-                    class: "tokened".into(),
+                    class: "idempotent".into(),
                     max_wait_ms: 9e3,
                     key: None,
                 },
             ),
             (1.0, arrived("e", "1")),
             (2.0, given_up("e", "1")),
-            (at, arrived("w", "1")),
+            (at_ms, arrived("w", "1")),
         ])
     };
     assert_eq!(
         (
-            tokened("east", 3.0),
-            tokened("west", 3.0),
-            tokened("east", 1100.0)
+            retry_with_key("east", 3.0),
+            retry_with_key("west", 3.0),
+            retry_with_key("east", 1100.0)
         ),
         (vec![], vec![2], vec![2])
     );
 }
 
 #[test]
-fn rule_3_nothing_to_a_closed_engine_past_the_grace() {
-    let sent = |status: Status, at: f64| {
-        broken(&[
+fn rule_3_no_attempt_at_a_closed_engine_after_the_grace_period() {
+    let sent = |status: Status, at_ms: f64| {
+        violated_rules(&[
             (0.0, listed("e", status, "east")),
             (1.0, asked("look", "1", None)),
-            (at, arrived("e", "1")),
+            (at_ms, arrived("e", "1")),
         ])
     };
     assert_eq!(
@@ -270,8 +270,8 @@
 }
 
 #[test]
-fn rule_4_an_engine_that_warms_up_is_not_overloaded() {
-    let run = |many: usize, at: f64| {
+fn rule_4_a_warming_engine_is_not_overloaded() {
+    let overloads = |query_count: usize, at_ms: f64| {
         let mut run = vec![(
             0.0,
             EventKind::Started {
@@ -279,52 +279,55 @@
                 cores: 1.0,
             },
         )];
-        for n in 0..many {
-            run.push((at, asked("look", &n.to_string(), None)));
-            run.push((at, arrived("e", &n.to_string())));
+        for n in 0..query_count {
+            run.push((at_ms, asked("look", &n.to_string(), None)));
+            run.push((at_ms, arrived("e", &n.to_string())));
         }
-        broken(&run).contains(&4)
+        violated_rules(&run).contains(&4)
     };
-    // A span bears 2 x 0.25 x 1 core x 100 ms = 50 ms, five of 10.
+    // A span sustains 2 x 0.25 x 1 core x 100 ms = 50 ms of work: five queries of 10 ms.
     assert_eq!(
-        (run(5, 10.0), run(6, 10.0), run(6, 5001.0)),
+        (overloads(5, 10.0), overloads(6, 10.0), overloads(6, 5001.0)),
         (false, true, false)
     );
 }
 
 #[test]
 fn rule_5_queries_of_a_key_run_in_order_and_after_its_cooldown() {
-    let order = |between: Vec<(f64, EventKind)>, at: f64| {
+    let second_query_after = |events: Vec<(f64, EventKind)>, at_ms: f64| {
         let mut run = vec![
-            (0.0, asked("keyed", "1", Some("k"))),
-            (0.0, asked("keyed", "2", Some("k"))),
+            (0.0, asked("ordered", "1", Some("k"))),
+            (0.0, asked("ordered", "2", Some("k"))),
             (1.0, arrived("e", "1")),
         ];
-        run.extend(between);
-        run.push((at, arrived("e", "2")));
-        broken(&run)
+        run.extend(events);
+        run.push((at_ms, arrived("e", "2")));
+        violated_rules(&run)
     };
-    assert_eq!(order(vec![], 2.0), [5]);
+    assert_eq!(second_query_after(vec![], 2.0), [5]);
     assert_eq!(
-        order(
+        second_query_after(
             vec![(2.0, ended("e", "1", true)), (3.0, answered("1", 200))],
             4.0
         ),
         [0; 0]
     );
-    let doubt = || vec![(2.0, given_up("e", "1")), (3.0, answered("1", 500))];
+    let uncertain_end = || vec![(2.0, given_up("e", "1")), (3.0, answered("1", 500))];
     assert_eq!(
-        (order(doubt(), 300.0), order(doubt(), 510.0)),
+        (
+            second_query_after(uncertain_end(), 300.0),
+            second_query_after(uncertain_end(), 510.0)
+        ),
         (vec![5], vec![])
     );
 }
 
 #[test]
-fn rule_6_placement_on_every_attempt() {
+fn rule_6_each_attempt_runs_in_an_allowed_zone() {
     let sent = |zone: &str| {
-        broken(&[
+        violated_rules(&[
             (0.0, listed("e", Status::Ready, zone)),
-            (1.0, asked("bound", "1", None)),
+            (1.0, asked("zone_bound", "1", None)),
             (2.0, arrived("e", "1")),
         ])
     };
@@ -333,17 +336,17 @@
 
 #[test]
 fn rule_7_retries_stay_within_the_budget() {
-    let again = |many: usize| {
+    let exceeds_budget = |retries: usize| {
         let mut run = vec![(0.0, asked("look", "1", None)), (0.0, arrived("e", "1"))];
-        (0..many).for_each(|n| run.push((n as f64, arrived("e", "1"))));
-        broken(&run).contains(&7)
+        (0..retries).for_each(|n| run.push((n as f64, arrived("e", "1"))));
+        violated_rules(&run).contains(&7)
     };
-    // 1.15 x (1 + 0.1) + 1 = 2.3.
-    assert_eq!((again(2), again(3)), (false, true));
+    // The budget with its tolerance is 1.15 x (1 + 0.1) + 1 = 2.3 retries.
+    assert_eq!((exceeds_budget(2), exceeds_budget(3)), (false, true));
 }
 
 #[test]
-fn a_record_is_read_back_as_it_was_written() {
+fn a_record_entry_is_unchanged_after_serialization_and_parsing() {
     let entry = Entry {
         at_ms: 7.5,
         event: asked("look", "1", Some("k")),
@@ -357,15 +360,15 @@
 }
 
 #[test]
-fn an_attempt_more_than_a_tenth_of_a_second_after_its_client_left_is_a_violation() {
-    let left = |id: &str| EventKind::Left { id: id.into() };
+fn an_attempt_over_100_ms_after_its_client_disconnected_is_a_violation() {
+    let disconnected = |id: &str| EventKind::Left { id: id.into() };
     for (at_ms, count) in [(140.0, 0), (300.0, 1)] {
         let entries = [
             (0.0, asked("look", "a", None)),
-            (20.0, left("a")),
+            (20.0, disconnected("a")),
             (at_ms, arrived("s-1", "a")),
         ];
-        let found = broken(&entries);
+        let found = violated_rules(&entries);
         assert_eq!(found.len(), count, "{found:?}");
     }
 }
@@ -383,13 +386,13 @@
             (500.0, told),
             (600.0, answered("a", 200)),
         ];
-        let found = broken(&entries);
+        let found = violated_rules(&entries);
         assert_eq!(found.len(), count, "{limit_ms}: {found:?}");
     }
 }
 
 #[test]
-fn a_lost_query_and_a_failed_dispatcher_are_violations_and_an_excluded_query_is_none() {
+fn lost_queries_and_failed_dispatchers_are_violations_but_excluded_queries_are_not() {
     let lost = EventKind::Lost {
         id: "a".into(),
         how: "reset".into(),
@@ -407,26 +410,26 @@
         (7.0, failed),
         (9000.0, asked("look", "c", None)),
     ];
-    let found = broken(&entries);
+    let found = violated_rules(&entries);
     assert_eq!(found.len(), 2, "{found:?}");
 }
 
 #[test]
-fn a_fleet_that_sends_a_warming_engine_more_than_it_sustains_is_found() {
+fn a_fleet_that_overloads_a_warming_engine_is_a_violation() {
     let rule = WarmUpRule {
         multiple: 2.0,
         initial_fraction: 0.25,
         span_ms: 100.0,
         warm_after_ms: 5000.0,
     };
-    // 2 * 0.25 * 4 cores * 100 ms are 200 ms, so 20 requests of 10 ms: with the tolerance 36.4.
-    assert!((bearable_requests(20.0) - 36.4).abs() < 0.1);
-    assert!((bearable_requests(100.0) - 122.0).abs() < 1e-9);
+    // 2 x 0.25 x 4 cores x 100 ms = 200 ms of work: 20 requests of 10 ms, 36.4 with the tolerance.
+    assert!((sustainable_requests(20.0) - 36.4).abs() < 0.1);
+    assert!((sustainable_requests(100.0) - 122.0).abs() < 1e-9);
     let started = EventKind::Started {
         engine: "s-1".into(),
         cores: 4.0,
     };
-    for (count, is_broken) in [(36, false), (37, true)] {
+    for (count, is_violated) in [(36, false), (37, true)] {
         let mut entries = vec![Entry {
             at_ms: 0.0,
             event: started.clone(),
@@ -438,22 +441,22 @@
             });
         }
         let found = find_slow_start_violations(&entries, &rule, 10.0);
-        assert_eq!(!found.is_empty(), is_broken, "{count}: {found:?}");
+        assert_eq!(!found.is_empty(), is_violated, "{count}: {found:?}");
     }
 }
 
 #[test]
-fn second_attempt_beside_another_violates_rule_2_for_each_class() {
-    for class in ["look", "load", "tokened"] {
-        let beside = [
+fn a_concurrent_second_attempt_violates_rule_2_for_each_class() {
+    for class in ["look", "load", "idempotent"] {
+        let concurrent = [
             (0.0, listed("e", Status::Ready, "east")),
             (1.0, asked(class, "1", None)),
             (2.0, arrived("e", "1")),
             (3.0, arrived("e", "1")),
         ];
-        assert!(broken(&beside).contains(&2), "{class}");
+        assert!(violated_rules(&concurrent).contains(&2), "{class}");
     }
-    let one_by_one = [
+    let sequential = [
         (0.0, listed("e", Status::Ready, "east")),
         (1.0, asked("look", "1", None)),
         (2.0, arrived("e", "1")),
@@ -462,11 +465,11 @@
         (5.0, ended("e", "1", true)),
         (6.0, answered("1", 200)),
     ];
-    assert!(broken(&one_by_one).is_empty());
+    assert!(violated_rules(&sequential).is_empty());
 }
 
 #[test]
-fn answer_with_other_rows_violates_rule_1() {
+fn an_answer_with_wrong_rows_violates_rule_1() {
     let run = [
         (1.0, asked("look", "1", None)),
         (
@@ -478,5 +481,5 @@
         ),
         (3.0, answered("1", 200)),
     ];
-    assert_eq!(broken(&run), [1]);
+    assert_eq!(violated_rules(&run), [1]);
 }
--- a/crates/testbed/src/soak/clients.rs
+++ b/crates/testbed/src/soak/clients.rs
@@ -1,4 +1,4 @@
-//! Clients of a soak. They send requests on open or new connections, complete or in parts, singly or pipelined, and some
+//! Clients of a soak. They send requests on open or new connections, in one or two writes, singly or pipelined, and some
 //! disconnect before the answer.
 
 use super::dispatcher::{ClientEndpoint, DispatcherSlot};
@@ -16,20 +16,20 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A request that is sent on an idle connection at most this long before the connection's close is repeated elsewhere
-/// (protocol).
-const CROSSING: Duration = Duration::from_millis(50);
-/// How long after its time limit an answer is still awaited.
+/// A client resends a request elsewhere if the idle connection closes within this time after the request was sent: the
+/// request may have crossed the close (protocol).
+const CLOSE_CROSSING_WINDOW: Duration = Duration::from_millis(50);
+/// Time after its deadline for which a client still waits for an answer.
 const ANSWER_MARGIN: Duration = Duration::from_millis(1500);
-/// Interval at which a waiting client checks whether it is to disconnect.
-const WAIT_SLICE: Duration = Duration::from_millis(50);
-/// How much of a wrong answer is recorded (characters).
-const MAX_SHOWN_CHARS: usize = 200;
-/// How long a client tries to connect.
+/// Interval at which a client that waits for an answer checks whether it must disconnect.
+const DISCONNECT_POLL: Duration = Duration::from_millis(50);
+/// Length up to which a wrong answer is recorded (characters).
+const MAX_RECORDED_CHARS: usize = 200;
+/// Time limit of a connect.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(800);
-/// Mean queries a second of one client.
-const QUERIES_PER_S: f64 = 9.0;
-/// Median work of a query (ms on one core).
+/// Mean rate of a client's writes, not counting the time that it waits for answers (1/s).
+const WRITES_PER_S: f64 = 9.0;
+/// Mean work of a query (ms on one core).
 pub const MEAN_WORK_MS: f64 = 15.0;
 
 /// A class of the soak's traffic.
@@ -37,62 +37,63 @@
 pub struct SoakClass {
     /// Its name.
     pub name: &'static str,
-    /// What its queries do to data.
+    /// The effect of its queries on data.
     pub effect: Effect,
-    /// The longest wait of its clients, as a fraction of the longest one of all classes.
+    /// Its longest deadline, as a fraction of the longest deadline of all classes.
     deadline_fraction: f64,
     /// Its latency objective (ms).
     pub objective_ms: f64,
-    weight: f64,
+    /// Its share of all queries.
+    traffic_share: f64,
 }
 
 impl SoakClass {
-    /// The longest wait of its clients (ms), where `max_deadline_ms` is that of all classes.
+    /// Its longest deadline (ms), where `max_deadline_ms` is the longest of all classes.
     pub fn deadline_ms(&self, max_deadline_ms: f64) -> f64 {
         self.deadline_fraction * max_deadline_ms
     }
 }
 
-/// Look-ups, loads, and posts with an idempotency key.
+/// Read-only look-ups, non-idempotent loads, and posts with an idempotency key.
 pub const CLASSES: [SoakClass; 3] = [
     SoakClass {
         name: "look",
         effect: Effect::ReadOnly,
         deadline_fraction: 0.8,
         objective_ms: 300.0,
-        weight: 0.7,
+        traffic_share: 0.7,
     },
     SoakClass {
         name: "load",
         effect: Effect::NonIdempotent,
         deadline_fraction: 1.0,
         objective_ms: 800.0,
-        weight: 0.15,
+        traffic_share: 0.15,
     },
     SoakClass {
         name: "post",
         effect: Effect::IdempotencyKey,
         deadline_fraction: 1.0,
         objective_ms: 600.0,
-        weight: 0.15,
+        traffic_share: 0.15,
     },
 ];
 
-/// How a client sends its next request.
+/// The manner in which a client sends its next request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum RequestMode {
-    /// On the open connection, where there is one.
-    Keep,
-    /// On a new connection.
-    Fresh,
-    /// In two writes.
-    Parts,
-    /// With a close or a reset before the answer.
-    Leave,
-    /// Several requests in one write.
+    /// Uses the open connection, if there is one.
+    Reuse,
+    /// Opens a new connection.
+    NewConnection,
+    /// Sends the request in two writes.
+    TwoWrites,
+    /// Closes or resets the connection before the answer.
+    Disconnect,
+    /// Sends several requests in one write.
     Pipeline,
-    /// Only a part of the request, followed by a close.
-    Abandon,
+    /// Sends an incomplete request and closes the connection.
+    Truncate,
 }
 
 /// One client, and the state that all clients share.
@@ -103,12 +104,12 @@
     pub number: u64,
     /// The slot of its dispatcher.
     pub slot: Arc<DispatcherSlot>,
-    /// The ground truth for the engines, and the record.
+    /// The work and result of each query, from which engines answer, and the record.
     pub context: Arc<RunContext>,
     /// Set at the run's end.
-    pub is_over: Arc<AtomicBool>,
-    /// Increases when all clients of this dispatcher disconnect together.
-    pub leave_generation: Arc<AtomicU64>,
+    pub is_finished: Arc<AtomicBool>,
+    /// Incremented to make all clients of this dispatcher disconnect.
+    pub disconnect_generation: Arc<AtomicU64>,
     /// Whether clients declare the cost of their queries.
     pub has_estimates: bool,
     /// The longest deadline of all classes (ms).
@@ -122,8 +123,8 @@
 }
 
 impl Connection {
-    /// Whether the dispatcher has ended the connection, as a client sees before it sends.
-    fn has_ended(&self) -> bool {
+    /// Whether the dispatcher has closed or reset the connection.
+    fn is_closed_by_dispatcher(&self) -> bool {
         let _ = self.stream.set_nonblocking(true);
         let mut byte = [0];
         let peeked = self.stream.peek(&mut byte);
@@ -135,35 +136,40 @@
     }
 }
 
-/// How a wait for an answer ended.
-enum Waited {
-    Answered { keeps_alive: bool },
-    Ended,
+/// The outcome of a wait for an answer.
+enum WaitOutcome {
+    Answered {
+        keeps_alive: bool,
+    },
+    /// The connection was lost, the client must disconnect or the wait timed out.
+    Unanswered,
 }
 
 impl SoakClient {
-    /// Sends queries until the run is over.
+    /// Sends queries until the run ends.
     pub fn run(&self, seed: u64) {
         let mut rng = Pcg64::seed_from_u64(seed);
-        let mut kept: Option<Connection> = None;
+        let mut open: Option<Connection> = None;
         let mut sequence = 0;
-        while !self.is_over.load(Ordering::SeqCst) {
-            let pause_s = rng.random_range(0.2..1.8) / QUERIES_PER_S;
+        while !self.is_finished.load(Ordering::SeqCst) {
+            let pause_s = rng.random_range(0.2..1.8) / WRITES_PER_S;
             thread::sleep(Duration::from_secs_f64(pause_s));
             let endpoint = self.slot.client_endpoint();
             let mode = draw_request_mode(&mut rng);
-            let is_kept = |kept: &Connection| {
-                let takes_requests = self.slot.takes_requests(kept.epoch);
-                mode != RequestMode::Fresh && takes_requests && !kept.has_ended()
+            let is_reused = |open: &Connection| {
+                let takes_requests = self.slot.takes_requests(open.epoch);
+                mode != RequestMode::NewConnection
+                    && takes_requests
+                    && !open.is_closed_by_dispatcher()
             };
-            let connection = match kept.take().filter(is_kept) {
-                Some(kept) => Some(kept),
+            let connection = match open.take().filter(is_reused) {
+                Some(open) => Some(open),
                 None => self.connect(endpoint),
             };
             let Some(connection) = connection else {
                 continue;
             };
-            kept = self.send(connection, mode, &mut sequence, &mut rng);
+            open = self.send(connection, mode, &mut sequence, &mut rng);
         }
     }
 
@@ -180,8 +186,13 @@
         })
     }
 
-    /// Draws a query and registers its ground truth for the engines.
-    fn query(&self, epoch: u64, sequence: &mut u64, rng: &mut Pcg64) -> (ClientQuery, SoakClass) {
+    /// Draws a query and registers its work and result for the engines.
+    fn draw_query(
+        &self,
+        epoch: u64,
+        sequence: &mut u64,
+        rng: &mut Pcg64,
+    ) -> (ClientQuery, SoakClass) {
         *sequence += 1;
         let id = (self.dispatcher as u64 + 1) << 48
             | (epoch & 0xff) << 40
@@ -191,20 +202,20 @@
         let mut class = CLASSES[0];
         for candidate in CLASSES {
             class = candidate;
-            draw -= candidate.weight;
+            draw -= candidate.traffic_share;
             if draw < 0.0 {
                 break;
             }
         }
         let work = MEAN_WORK_MS * rng.random_range(0.3..1.7);
-        let wait = class.deadline_ms(self.max_deadline_ms) * rng.random_range(0.25..1.0);
+        let deadline_ms = class.deadline_ms(self.max_deadline_ms) * rng.random_range(0.25..1.0);
         let tables: u32 = rng.random_range(1..30);
         let statement = match class.name {
             "look" => format!("select rate from sales_{tables}.lanes where id = {sequence}"),
             _ => format!("insert into sales_{tables}.lanes values ({sequence})"),
         };
         let path = format!("/invoke/{}", class.name);
-        let mut query = ClientQuery::new(id, &path, class.name, &statement, wait.floor());
+        let mut query = ClientQuery::new(id, &path, class.name, &statement, deadline_ms.floor());
         if self.has_estimates {
             query.cost = Some(work * rng.random_range(0.7..1.4));
         }
@@ -223,8 +234,8 @@
         (query, class)
     }
 
-    /// Records requests that are sent in one write. They are answered one after the other, so that each one's time limit
-    /// includes those before it.
+    /// Records requests that are sent in one write. They are answered in order, so that the time limit of each includes
+    /// the time limits of the requests before it.
     fn record_asked(&self, queries: &[ClientQuery]) {
         let mut max_wait_ms = 0.0;
         for query in queries {
@@ -238,7 +249,7 @@
         }
     }
 
-    /// Sends one or more requests in a mode. Returns the connection, if it stays open.
+    /// Sends one or more requests and waits for the answers. Returns the connection if it stays open.
     fn send(
         &self,
         connection: Connection,
@@ -252,16 +263,16 @@
             1
         };
         let queries: Vec<ClientQuery> = (0..count)
-            .map(|_| self.query(connection.epoch, sequence, rng).0)
+            .map(|_| self.draw_query(connection.epoch, sequence, rng).0)
             .collect();
         let bytes: Vec<u8> = queries.iter().flat_map(ClientQuery::bytes).collect();
         let mut stream = &connection.stream;
         let mut unsent = bytes.as_slice();
-        if matches!(mode, RequestMode::Parts | RequestMode::Abandon) {
+        if matches!(mode, RequestMode::TwoWrites | RequestMode::Truncate) {
             let cut = rng.random_range(1..bytes.len());
             stream.write_all(&bytes[..cut]).ok()?;
             thread::sleep(Duration::from_millis(rng.random_range(1..120)));
-            if mode == RequestMode::Abandon {
+            if mode == RequestMode::Truncate {
                 return None;
             }
             unsent = &bytes[cut..];
@@ -272,14 +283,14 @@
             return None;
         }
         let sent = Instant::now();
-        if mode == RequestMode::Leave {
-            self.leave(&connection, &queries, rng);
+        if mode == RequestMode::Disconnect {
+            self.disconnect(&connection, &queries, rng);
             return None;
         }
         self.await_answers(connection, &queries, sent)
     }
 
-    fn leave(&self, connection: &Connection, queries: &[ClientQuery], rng: &mut Pcg64) {
+    fn disconnect(&self, connection: &Connection, queries: &[ClientQuery], rng: &mut Pcg64) {
         thread::sleep(Duration::from_millis(rng.random_range(0..80)));
         if rng.random_bool(0.5) {
             let socket = socket2::SockRef::from(&connection.stream);
@@ -298,19 +309,19 @@
         queries: &[ClientQuery],
         sent: Instant,
     ) -> Option<Connection> {
-        let generation = self.leave_generation.load(Ordering::SeqCst);
-        let mut until = sent + ANSWER_MARGIN;
+        let generation = self.disconnect_generation.load(Ordering::SeqCst);
+        let mut wait_until = sent + ANSWER_MARGIN;
         for (nth, query) in queries.iter().enumerate() {
-            until += Duration::from_secs_f64(query.wait / 1000.0);
-            match self.await_answer(&connection, query, until, generation) {
-                Waited::Answered { keeps_alive: true } => connection.is_used = true,
-                Waited::Answered { keeps_alive: false } => {
-                    // What was sent behind the last request of a connection is sent again elsewhere.
+            wait_until += Duration::from_secs_f64(query.wait / 1000.0);
+            match self.await_answer(&connection, query, wait_until, generation) {
+                WaitOutcome::Answered { keeps_alive: true } => connection.is_used = true,
+                WaitOutcome::Answered { keeps_alive: false } => {
+                    // Requests sent after the last one that the connection answers are resent elsewhere.
                     self.exclude(&queries[nth + 1..]);
                     return None;
                 }
-                Waited::Ended => {
-                    self.on_ended(&connection, &queries[nth..], sent, generation);
+                WaitOutcome::Unanswered => {
+                    self.on_unanswered(&connection, &queries[nth..], sent, generation);
                     return None;
                 }
             }
@@ -322,17 +333,17 @@
         &self,
         connection: &Connection,
         query: &ClientQuery,
-        until: Instant,
+        wait_until: Instant,
         generation: u64,
-    ) -> Waited {
-        if !self.await_first_byte(&connection.stream, until, generation) {
-            return Waited::Ended;
+    ) -> WaitOutcome {
+        if !self.await_first_byte(&connection.stream, wait_until, generation) {
+            return WaitOutcome::Unanswered;
         }
         let _ = connection.stream.set_read_timeout(Some(ANSWER_MARGIN));
-        // Reads no byte beyond the answer: the next one belongs to the next query.
+        // A buffer of one byte reads nothing beyond the answer: the next byte belongs to the next query.
         let mut reader = BufReader::with_capacity(1, &connection.stream);
         let Some(response) = read_response(&mut reader) else {
-            return Waited::Ended;
+            return WaitOutcome::Unanswered;
         };
         let retry_after_ms =
             field(&response.head, RETRY_AFTER_FIELD).and_then(|value| value.parse().ok());
@@ -346,25 +357,25 @@
         });
         let closes = field(&response.head, "Connection")
             .is_some_and(|value| value.eq_ignore_ascii_case("close"));
-        Waited::Answered {
+        WaitOutcome::Answered {
             keeps_alive: !closes,
         }
     }
 
-    /// Records an answer whose rows are not those of its query's result, whole and in order.
+    /// Records an answer whose rows differ from its query's result, which is expected complete and in order.
     fn check_rows(&self, query: &ClientQuery, body: &str) {
         let id = query.id();
         let expected = self.context.expected_answer(&id);
         if expected.is_some_and(|expected| expected != body) {
-            let rows = body.chars().take(MAX_SHOWN_CHARS).collect();
+            let rows = body.chars().take(MAX_RECORDED_CHARS).collect();
             self.context.record.push(EventKind::WrongRows { id, rows });
         }
     }
 
-    /// Waits for the first byte of an answer in slices, so that this client can disconnect together with the others.
-    /// Returns false where the connection or the wait ended before.
-    fn await_first_byte(&self, stream: &TcpStream, until: Instant, generation: u64) -> bool {
-        let _ = stream.set_read_timeout(Some(WAIT_SLICE));
+    /// Waits for the first byte of an answer and checks at intervals whether this client must disconnect. Returns false if
+    /// the connection closes, the wait times out or the client must disconnect.
+    fn await_first_byte(&self, stream: &TcpStream, wait_until: Instant, generation: u64) -> bool {
+        let _ = stream.set_read_timeout(Some(DISCONNECT_POLL));
         let mut first = [0];
         loop {
             match stream.peek(&mut first) {
@@ -373,14 +384,14 @@
                 Err(error) if error.kind() == std::io::ErrorKind::WouldBlock => {}
                 Err(_) => return false,
             }
-            let leaves = self.leave_generation.load(Ordering::SeqCst) != generation;
-            if leaves || Instant::now() > until {
+            let disconnects = self.disconnect_generation.load(Ordering::SeqCst) != generation;
+            if disconnects || Instant::now() > wait_until {
                 return false;
             }
         }
     }
 
-    /// Records that no answer to these queries is owed.
+    /// Records that no answer to these queries is expected.
     fn exclude(&self, queries: &[ClientQuery]) {
         for query in queries {
             let id = query.id();
@@ -388,15 +399,15 @@
         }
     }
 
-    /// Handles the end of a connection, or of the client's wait, with queries unanswered.
-    fn on_ended(
+    /// Records queries that remain unanswered after the connection was lost or the wait ended.
+    fn on_unanswered(
         &self,
         connection: &Connection,
         queries: &[ClientQuery],
         sent: Instant,
         generation: u64,
     ) {
-        if self.leave_generation.load(Ordering::SeqCst) != generation {
+        if self.disconnect_generation.load(Ordering::SeqCst) != generation {
             let _ = connection.stream.shutdown(std::net::Shutdown::Both);
             for query in queries {
                 let id = query.id();
@@ -404,13 +415,13 @@
             }
             return;
         }
-        // A crash is visible a short time after the reset that it causes.
+        // The slot registers a crash shortly after the process's connections are reset.
         thread::sleep(Duration::from_millis(30));
         if self.slot.has_crashed(connection.epoch) {
             return self.exclude(queries);
         }
         let elapsed = sent.elapsed();
-        if connection.is_used && elapsed < CROSSING {
+        if connection.is_used && elapsed < CLOSE_CROSSING_WINDOW {
             return self.exclude(queries);
         }
         for query in queries {
@@ -426,7 +437,7 @@
     }
 }
 
-/// Draws the number of pages of a result: one for most, eight at most.
+/// Draws the number of pages of a result: 1 in 60 % of the cases, otherwise 2 to 8.
 fn draw_page_count(rng: &mut Pcg64) -> usize {
     if rng.random_bool(0.6) {
         1
@@ -437,11 +448,11 @@
 
 fn draw_request_mode(rng: &mut Pcg64) -> RequestMode {
     match rng.random_range(0..100) {
-        0..55 => RequestMode::Keep,
-        55..72 => RequestMode::Fresh,
-        72..80 => RequestMode::Parts,
-        80..90 => RequestMode::Leave,
+        0..55 => RequestMode::Reuse,
+        55..72 => RequestMode::NewConnection,
+        72..80 => RequestMode::TwoWrites,
+        80..90 => RequestMode::Disconnect,
         90..96 => RequestMode::Pipeline,
-        _ => RequestMode::Abandon,
+        _ => RequestMode::Truncate,
     }
 }
--- a/crates/testbed/src/soak/dispatcher.rs
+++ b/crates/testbed/src/soak/dispatcher.rs
@@ -1,5 +1,5 @@
-//! The slot of a dispatcher in a soak: starts, signals, kills and replaces its process, and knows what clients may expect of
-//! it.
+//! The slot of a dispatcher in a soak: starts, signals, kills and replaces its process, and tells clients whether the process
+//! accepts connections and requests.
 
 use crate::fault_shim::FaultShim;
 use crate::program::{get, Config, Program};
@@ -12,27 +12,27 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The platform's limit from a start to being ready.
-const READY_WITHIN: Duration = Duration::from_secs(10);
-/// Time from SIGTERM to SIGKILL, beside the longest deadline: the shortest one of the platform.
-const SIGKILL_AFTER_DEADLINE: Duration = Duration::from_millis(700);
-/// Time between the signals of a series.
+/// Time limit of the platform from a process's start until it is ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time from SIGTERM to SIGKILL in addition to the longest deadline: the shortest that the platform sets.
+const SIGKILL_MARGIN: Duration = Duration::from_millis(700);
+/// Interval between the signals of a series.
 pub(super) const SIGNAL_STEP: Duration = Duration::from_millis(70);
-/// How long after SIGTERM clients still make new connections.
-const CONNECTS_AFTER_TERM: Duration = Duration::from_millis(300);
-/// How long after SIGTERM the next process is started.
-const NEXT_START_AFTER_TERM: Duration = Duration::from_millis(500);
-/// What a log line contains where an invariant was violated or the program panicked.
+/// Time after SIGTERM for which clients still open connections.
+const CONNECTS_AFTER_SIGTERM: Duration = Duration::from_millis(300);
+/// Time from SIGTERM to the start of the next process.
+const NEXT_START_AFTER_SIGTERM: Duration = Duration::from_millis(500);
+/// Texts that identify a log line about a violated invariant or a panic.
 const FAILURE_PATTERNS: [&str; 2] = ["invariant violated", "panicked"];
 /// Interval at which a process's state is polled.
 const POLL: Duration = Duration::from_millis(10);
 
-/// What clients may do at a dispatcher now.
+/// A dispatcher's current process and whether it accepts connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClientEndpoint {
-    /// The number of processes started in this slot; part of the ids of queries.
+    /// The number of processes started in this slot, which is part of query ids.
     pub epoch: u64,
-    /// New connections may be made.
+    /// Whether clients may open connections.
     pub takes_connections: bool,
 }
 
@@ -41,13 +41,14 @@
     program: Option<Program>,
     epoch: u64,
     is_ready: bool,
-    /// The process is stopped by SIGSTOP.
+    /// Whether the process is stopped by SIGSTOP.
     is_stopped: bool,
+    /// The time at which SIGTERM was sent to the process.
     terminated: Option<Instant>,
-    /// The epochs that ended by SIGKILL, which owe no answers.
+    /// The epochs that were ended by SIGKILL. No answers are expected from them.
     crashed: Vec<u64>,
-    /// The epoch that was terminated and has not ended.
-    ending: Option<u64>,
+    /// The epoch that received SIGTERM and has not exited.
+    exiting: Option<u64>,
     log: PathBuf,
 }
 
@@ -78,16 +79,18 @@
         record: Arc<Record>,
         max_deadline: Duration,
     ) -> Self {
-        let listen = config.0["listen"].as_str().and_then(|at| at.parse().ok());
+        let listen = config.0["listen"]
+            .as_str()
+            .and_then(|text| text.parse().ok());
         DispatcherSlot {
             name,
-            listen: listen.expect("a configuration has its address"),
+            listen: listen.expect("a configuration has a listen address"),
             exe: exe.to_owned(),
             config,
             shim,
             logs: logs.to_owned(),
             record,
-            sigkill_after: max_deadline + SIGKILL_AFTER_DEADLINE,
+            sigkill_after: max_deadline + SIGKILL_MARGIN,
             state: Mutex::new(State {
                 program: None,
                 epoch: 0,
@@ -95,13 +98,13 @@
                 is_stopped: false,
                 terminated: None,
                 crashed: Vec::new(),
-                ending: None,
+                exiting: None,
                 log: PathBuf::new(),
             }),
         }
     }
 
-    /// The fault shim under which the process runs.
+    /// The fault shim that is preloaded into the process.
     pub fn shim(&self) -> &FaultShim {
         &self.shim
     }
@@ -110,14 +113,14 @@
         self.state.lock().expect("no holder panics")
     }
 
-    fn fail(&self, how: String) {
+    fn record_failure(&self, how: String) {
         self.record.push(EventKind::DispatcherFailed {
             dispatcher: self.name.clone(),
             how,
         });
     }
 
-    /// Starts a process, and waits until it is ready.
+    /// Starts a process and waits until it is ready.
     pub fn start(&self) {
         let started = self.launch();
         self.wait_until_ready(started);
@@ -139,56 +142,56 @@
     }
 
     fn wait_until_ready(&self, started: Instant) {
-        while started.elapsed() < READY_WITHIN {
+        while started.elapsed() < READY_TIMEOUT {
             if get(self.listen, "/_health").is_some_and(|response| response.status == 200) {
                 self.state().is_ready = true;
                 return;
             }
             thread::sleep(POLL);
         }
-        self.fail(format!("was not ready {READY_WITHIN:?} after its start"));
+        self.record_failure(format!("was not ready {READY_TIMEOUT:?} after its start"));
     }
 
-    /// What clients may do now.
+    /// The current process and whether it accepts connections.
     pub fn client_endpoint(&self) -> ClientEndpoint {
         let state = self.state();
         let since_term = state.terminated.map(|at| at.elapsed());
-        let is_accepting = since_term.is_none_or(|since| since < CONNECTS_AFTER_TERM);
+        let is_accepting = since_term.is_none_or(|since| since < CONNECTS_AFTER_SIGTERM);
         ClientEndpoint {
             epoch: state.epoch,
             takes_connections: state.is_ready && is_accepting,
         }
     }
 
-    /// Whether requests may be sent on open connections to the process of this epoch: until it ends.
+    /// Whether clients may send requests on open connections to the process of this epoch. They may until it exits.
     pub fn takes_requests(&self, epoch: u64) -> bool {
         let state = self.state();
-        state.ending == Some(epoch) || state.epoch == epoch && state.is_ready
+        state.exiting == Some(epoch) || state.epoch == epoch && state.is_ready
     }
 
-    /// Whether the process of this epoch ended by SIGKILL.
+    /// Whether the process of this epoch was ended by SIGKILL.
     pub fn has_crashed(&self, epoch: u64) -> bool {
         self.state().crashed.contains(&epoch)
     }
 
-    /// Terminates the process, sends it further signals, starts the next one while clients go on sending on their connections
-    /// to the first, and checks how that one ends.
+    /// Terminates the process, sends it further signals, starts the next process while clients continue to send requests on
+    /// their connections to the old one, and checks the old one's exit.
     pub fn restart(&self, further_signals: &[&str]) {
         let Some(mut old) = self.terminate() else {
             return;
         };
-        let from = Instant::now();
-        self.send_series(&old, further_signals);
-        thread::sleep(NEXT_START_AFTER_TERM.saturating_sub(from.elapsed()));
+        let terminated = Instant::now();
+        self.send_signal_series(&old, further_signals);
+        thread::sleep(NEXT_START_AFTER_SIGTERM.saturating_sub(terminated.elapsed()));
         let old_log = self.state().log.clone();
-        // The next one binds the same address as soon as the first has closed its listener.
+        // The new process binds the same address as soon as the old one has closed its listener.
         let started = self.launch();
-        self.await_end(&mut old, from);
+        self.await_exit(&mut old, terminated);
         self.check_log(&old_log);
         self.wait_until_ready(started);
     }
 
-    fn send_series(&self, program: &Program, signals: &[&str]) {
+    fn send_signal_series(&self, program: &Program, signals: &[&str]) {
         let mut stopped_ms = None;
         for signal in signals {
             thread::sleep(SIGNAL_STEP);
@@ -204,17 +207,17 @@
         }
     }
 
-    /// Sends SIGTERM. Returns the process, if it was ready and not terminated before.
+    /// Sends SIGTERM. Returns the process if it was ready and had not been terminated before.
     fn terminate(&self) -> Option<Program> {
         let mut state = self.state();
         if !state.is_ready || state.terminated.is_some() {
             return None;
         }
         state.terminated = Some(Instant::now());
-        state.ending = Some(state.epoch);
+        state.exiting = Some(state.epoch);
         let program = state.program.take()?;
         program.terminate();
-        // The process has left the slot, where its SIGCONT would look for it.
+        // `stall` sends SIGCONT only to the slot's process, which this one no longer is.
         if std::mem::take(&mut state.is_stopped) {
             thread::sleep(SIGNAL_STEP);
             program.signal("-CONT");
@@ -222,36 +225,36 @@
         Some(program)
     }
 
-    /// Ends the last process, at the end of the run.
+    /// Terminates the last process at the end of the run.
     pub fn finish(&self) {
         let Some(mut program) = self.terminate() else {
-            return self.fail("was not running at the end".to_owned());
+            return self.record_failure("was not running at the end".to_owned());
         };
-        self.await_end(&mut program, Instant::now());
+        self.await_exit(&mut program, Instant::now());
         let log = self.state().log.clone();
         self.check_log(&log);
     }
 
-    /// Waits for the end of a terminated process, and ends it by SIGKILL at the platform's time.
-    fn await_end(&self, program: &mut Program, from: Instant) {
+    /// Waits until a terminated process exits. Sends SIGKILL when the platform's time limit has passed.
+    fn await_exit(&self, program: &mut Program, terminated: Instant) {
         let failure = loop {
             match program.child.try_wait() {
                 Ok(Some(status)) if status.success() => break None,
-                Ok(Some(status)) => break Some(format!("ended with {status}")),
-                Ok(None) if from.elapsed() > self.sigkill_after => {
+                Ok(Some(status)) => break Some(format!("exited with {status}")),
+                Ok(None) if terminated.elapsed() > self.sigkill_after => {
                     let _ = program.child.kill();
                     break Some(format!(
-                        "had not ended {:?} after SIGTERM",
+                        "had not exited {:?} after SIGTERM",
                         self.sigkill_after
                     ));
                 }
                 Ok(None) => thread::sleep(POLL),
-                Err(error) => break Some(format!("can't be waited for: {error}")),
+                Err(error) => break Some(format!("could not be waited for: {error}")),
             }
         };
-        self.state().ending = None;
+        self.state().exiting = None;
         if let Some(how) = failure {
-            self.fail(how);
+            self.record_failure(how);
         }
     }
 
@@ -262,12 +265,12 @@
                 .iter()
                 .any(|pattern| line.contains(pattern))
             {
-                self.fail(format!("logged: {line}"));
+                self.record_failure(format!("logged: {line}"));
             }
         }
     }
 
-    /// Ends the process by SIGKILL and starts another one.
+    /// Ends the process by SIGKILL and starts the next one.
     pub fn crash(&self) {
         {
             let mut state = self.state();
@@ -277,7 +280,7 @@
             let epoch = state.epoch;
             state.crashed.push(epoch);
             state.is_ready = false;
-            // Dropping it kills it.
+            // Dropping the program sends SIGKILL.
             state.program = None;
         }
         let log = self.state().log.clone();
@@ -286,34 +289,34 @@
         self.wait_until_ready(started);
     }
 
-    /// Stops the process for a time.
-    pub fn stall(&self, time: Duration) {
-        let signal = |which| {
+    /// Stops the process for this time.
+    pub fn stall(&self, duration: Duration) {
+        let send_signal = |signal| {
             let mut state = self.state();
             if let Some(program) = state.program.as_ref().filter(|_| state.is_ready) {
-                program.signal(which);
-                state.is_stopped = which == "-STOP";
+                program.signal(signal);
+                state.is_stopped = signal == "-STOP";
             }
         };
         let from_ms = self.record.now_ms();
-        signal("-STOP");
-        thread::sleep(time);
-        signal("-CONT");
+        send_signal("-STOP");
+        thread::sleep(duration);
+        send_signal("-CONT");
         self.record.push(EventKind::Stalled {
             dispatcher: self.name.clone(),
             from_ms,
         });
     }
 
-    /// Sends a number of SIGHUPs; before every third one only half of the configuration is written.
+    /// Sends `count` SIGHUPs. Before every third, only half of the configuration is written.
     pub fn reload(&self, count: u32) {
         let text = self.config.0.to_string();
         for nth in 0..count {
             let state = self.state();
             if let Some(program) = state.program.as_ref().filter(|_| state.is_ready) {
                 let is_half = nth % 3 == 1;
-                let end = if is_half { text.len() / 2 } else { text.len() };
-                program.config.write(&text[..end]);
+                let written = if is_half { text.len() / 2 } else { text.len() };
+                program.config.write(&text[..written]);
                 program.signal("-HUP");
             }
             drop(state);
@@ -325,20 +328,20 @@
         }
     }
 
-    /// Records a failure if the process ended without being terminated.
+    /// Records a failure if the process exited without SIGTERM.
     pub fn check_alive(&self) {
         let mut state = self.state();
         let Some(program) = state.program.as_mut() else {
             return;
         };
-        let ended = program.child.try_wait().ok().flatten();
-        if let Some(status) = ended {
+        let exited = program.child.try_wait().ok().flatten();
+        if let Some(status) = exited {
             let was_ready = std::mem::replace(&mut state.is_ready, false);
             state.program = None;
             let log = state.log.clone();
             drop(state);
-            self.fail(format!(
-                "ended by itself ({status}, was ready: {was_ready})"
+            self.record_failure(format!(
+                "exited without SIGTERM ({status}, was ready: {was_ready})"
             ));
             self.check_log(&log);
         }
--- a/crates/testbed/src/soak/environment.rs
+++ b/crates/testbed/src/soak/environment.rs
@@ -1,5 +1,5 @@
 //! One run: starts engines, links, the name service and dispatchers, injects the plan's faults while clients send queries,
-//! and ends all of them.
+//! and stops everything.
 
 use super::clients::SoakClient;
 use super::dispatcher::DispatcherSlot;
@@ -8,7 +8,7 @@
 use super::names::NamesLink;
 use super::peers::PeerRelay;
 use super::plan::SoakPlan;
-use super::site::{config, own_address, CORES, PEER_PORT};
+use super::site::{config, dispatcher_address, CORES, PEER_PORT};
 use super::{SoakOptions, SoakOutcome};
 use crate::engine::{Engine, EngineSpec, RunContext};
 use crate::fault_shim::FaultShim;
@@ -21,20 +21,20 @@
 use std::thread;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// Clients of each dispatcher.
+/// Number of clients of each dispatcher.
 const CLIENTS_PER_DISPATCHER: u64 = 3;
 /// Interval at which dispatchers' processes are checked while the run waits.
 const POLL: Duration = Duration::from_millis(10);
 
-/// The slot of an engine behind a link.
+/// The slot of an engine, which dispatchers reach through a link.
 pub(super) struct EngineSlot {
     pub link: Link,
     pub engine: Engine,
-    /// Number of engines that ran in this slot before.
+    /// The number of engines that ran in this slot before.
     pub generation: u32,
 }
 
-/// Everything that takes part in a run.
+/// The processes, stand-ins and links of a run.
 pub(super) struct Environment {
     pub plan: SoakPlan,
     pub context: Arc<RunContext>,
@@ -42,12 +42,12 @@
     pub names_link: NamesLink,
     engines: Mutex<Vec<EngineSlot>>,
     pub slots: Vec<Arc<DispatcherSlot>>,
-    pub leave_generations: Vec<Arc<AtomicU64>>,
-    is_over: Arc<AtomicBool>,
-    _peers: PeerRelay,
+    pub disconnect_generations: Vec<Arc<AtomicU64>>,
+    is_finished: Arc<AtomicBool>,
+    _peer_relay: PeerRelay,
 }
 
-/// Runs a plan.
+/// Runs a plan and evaluates its record. Keeps the dispatchers' logs if there are violations.
 pub(super) fn run(plan: SoakPlan, options: &SoakOptions) -> SoakOutcome {
     let lag = LagMonitor::start();
     let logs = options.keep.join(format!("logs-{}", plan.seed));
@@ -60,7 +60,7 @@
     });
     let clients = environment.start_clients();
     environment.inject_faults();
-    environment.is_over.store(true, Ordering::SeqCst);
+    environment.is_finished.store(true, Ordering::SeqCst);
     for client in clients {
         let _ = client.join();
     }
@@ -81,7 +81,7 @@
 }
 
 impl EngineSlot {
-    /// Starts an engine and the link before it.
+    /// Starts an engine and the link through which dispatchers reach it.
     pub fn start(index: usize, plan: &SoakPlan, context: &Arc<RunContext>) -> Self {
         let engine = start_engine(&format!("s-{index}"), plan, context);
         EngineSlot {
@@ -92,7 +92,7 @@
     }
 
     /// The engine's id and the address of its link, as a configuration lists them.
-    fn known(&self) -> (String, SocketAddr) {
+    fn configured(&self) -> (String, SocketAddr) {
         (self.engine.id.clone(), self.link.address)
     }
 }
@@ -109,13 +109,14 @@
         let names = NameService::start(endpoints.collect(), context.record.clone());
         let names_link = NamesLink::start(names.address);
         let peer_listen: Vec<SocketAddr> = (0..plan.dispatchers)
-            .map(|nth| own_address(plan.seed, nth, PEER_PORT))
+            .map(|nth| dispatcher_address(plan.seed, nth, PEER_PORT))
             .collect();
-        let peers = PeerRelay::start(&peer_listen, plan.seed);
-        let known: Vec<(String, SocketAddr)> = engines.iter().map(EngineSlot::known).collect();
+        let peer_relay = PeerRelay::start(&peer_listen, plan.seed);
+        let configured: Vec<(String, SocketAddr)> =
+            engines.iter().map(EngineSlot::configured).collect();
         let mut slots = Vec::new();
         for (nth, listen) in peer_listen.iter().enumerate() {
-            let config = config(&plan, nth, &known, &names_link, *listen, &peers);
+            let config = config(&plan, nth, &configured, &names_link, *listen, &peer_relay);
             slots.push(Arc::new(DispatcherSlot::new(
                 format!("n{nth}"),
                 &options.exe,
@@ -127,15 +128,15 @@
             )));
         }
         Environment {
-            leave_generations: slots.iter().map(|_| Arc::default()).collect(),
+            disconnect_generations: slots.iter().map(|_| Arc::default()).collect(),
             plan,
             context,
             names,
             names_link,
             engines: Mutex::new(engines),
             slots,
-            is_over: Arc::default(),
-            _peers: peers,
+            is_finished: Arc::default(),
+            _peer_relay: peer_relay,
         }
     }
 
@@ -152,8 +153,8 @@
                     number,
                     slot: slot.clone(),
                     context: self.context.clone(),
-                    is_over: self.is_over.clone(),
-                    leave_generation: self.leave_generations[dispatcher].clone(),
+                    is_finished: self.is_finished.clone(),
+                    disconnect_generation: self.disconnect_generations[dispatcher].clone(),
                     has_estimates: self.plan.settings.has_estimates,
                     max_deadline_ms: self.plan.settings.max_deadline_ms,
                 };
@@ -164,29 +165,30 @@
         clients
     }
 
-    /// Injects the faults at their times, each on its own thread, and waits for the end of the run and of all faults.
+    /// Injects each fault at its time on a separate thread, and waits until the run and all faults have ended.
     fn inject_faults(self: &Arc<Self>) {
-        let from = Instant::now();
+        let start = Instant::now();
         let mut injections = Vec::new();
         for planned in self.plan.faults.clone() {
-            self.sleep_until(from, planned.at_ms);
+            self.sleep_until(start, planned.at_ms);
             let environment = self.clone();
             injections.push(thread::spawn(move || environment.inject(planned)));
         }
-        self.sleep_until(from, self.plan.seconds * 1000.0);
-        for fault in injections {
-            let _ = fault.join();
+        self.sleep_until(start, self.plan.seconds * 1000.0);
+        for injection in injections {
+            let _ = injection.join();
         }
     }
 
-    fn sleep_until(&self, from: Instant, at_ms: f64) {
-        while from.elapsed().as_secs_f64() * 1000.0 < at_ms {
+    fn sleep_until(&self, start: Instant, at_ms: f64) {
+        while start.elapsed().as_secs_f64() * 1000.0 < at_ms {
             self.slots.iter().for_each(|slot| slot.check_alive());
             thread::sleep(POLL);
         }
     }
 }
 
+/// The current Unix time, in whole milliseconds.
 pub(super) fn unix_ms() -> f64 {
     let now = SystemTime::now().duration_since(UNIX_EPOCH);
     (now.unwrap_or_default().as_secs_f64() * 1000.0).floor()
--- a/crates/testbed/src/soak/evaluation.rs
+++ b/crates/testbed/src/soak/evaluation.rs
@@ -1,4 +1,4 @@
-//! Evaluates a run by its record: each process is checked against the rules, the fleet against the slow-start budget.
+//! Evaluates a run by its record: checks each process against the rules and the fleet against the slow-start budget.
 
 use super::clients::{CLASSES, MEAN_WORK_MS};
 use super::environment::Environment;
@@ -6,30 +6,31 @@
 use super::site::{DEDUP_WINDOW_MS, DRAIN_GRACE_MS, RETRY_BUDGET, WARM_UP};
 use super::{SoakCounts, SoakOutcome};
 use crate::invariants::{
-    find_slow_start_violations, find_violations, ClassRules, Rules, Violation, ANOTHER_ATTEMPT,
+    find_slow_start_violations, find_violations, ClassRules, Rules, Violation, CONCURRENT_ATTEMPT,
 };
 use crate::record::{Entry, EventKind};
 use std::collections::BTreeMap;
 
-/// How long after a change of the endpoint list dispatchers must know it, whether or not it arrived (ms; protocol).
-const ANNOUNCED_AFTER_MS: f64 = 7000.0;
-/// How much later than its limit an event may be on a busy machine (ms).
+/// Time after a change of the endpoint list within which dispatchers apply it, even if updates are lost (ms; protocol).
+const LIST_UPDATE_LIMIT_MS: f64 = 7000.0;
+/// Tolerance of every time limit, for scheduling delays of a busy machine (ms).
 const SLACK_MS: f64 = 100.0;
-/// How long after the next attempt began an engine may notice that the one before was given up (ms; protocol).
-const CROSSING_ENDS_MS: f64 = 50.0;
-/// Up to how much after its client's time an answer counts as late instead of lost (ms).
+/// Time after the next attempt's start within which an engine may still notice that the previous attempt was cancelled
+/// (ms; protocol).
+const CANCELLATION_DELAY_MS: f64 = 50.0;
+/// Time after the client's deadline within which an answer is accepted as late (ms).
 const LATE_ANSWER_MS: f64 = 500.0;
-/// A query that was sent within this time before or after its dispatcher's stop may have arrived during it (ms).
+/// Time before and after a dispatcher's stall within which a sent query may have arrived during the stall (ms).
 const STALL_MARGIN_MS: f64 = 100.0;
 
 impl Environment {
-    /// The outcome of the run: its record, its violations and its counts.
+    /// The outcome of the run: its record, violations and counts. The caller sets the longest wake-up delay.
     pub(super) fn outcome(&self) -> SoakOutcome {
         let entries = self.context.record.entries();
         let mut violations = self.dispatcher_violations(&entries);
         violations.extend(find_slow_start_violations(&entries, &WARM_UP, MEAN_WORK_MS));
         violations.sort_by(|a, b| a.at_ms.total_cmp(&b.at_ms));
-        let mut counts = count(&entries);
+        let mut counts = count_events(&entries);
         let tables = self.slots.iter().map(|slot| slot.shim().table());
         counts.failed_calls = tables.map(|table| table.injected_in_all()).sum();
         SoakOutcome {
@@ -41,18 +42,19 @@
         }
     }
 
-    /// Checks the rules for each process on its part of the record: the entries of its queries, and those of no query.
+    /// Checks the rules for each process on its part of the record: the entries of its queries, and all entries that
+    /// belong to no query.
     fn dispatcher_violations(&self, entries: &[Entry]) -> Vec<Violation> {
         let mut parts: BTreeMap<&str, Vec<Entry>> = BTreeMap::new();
         for entry in entries {
             if let Some(id) = query_id(&entry.event) {
-                parts.entry(&id[..PROCESS_DIGITS]).or_default();
+                parts.entry(&id[..PROCESS_ID_DIGITS]).or_default();
             }
         }
         for entry in entries {
             match query_id(&entry.event) {
                 Some(id) => {
-                    if let Some(part) = parts.get_mut(&id[..PROCESS_DIGITS]) {
+                    if let Some(part) = parts.get_mut(&id[..PROCESS_ID_DIGITS]) {
                         part.push(entry.clone());
                     }
                 }
@@ -64,16 +66,16 @@
         let mut violations: Vec<Violation> = Vec::new();
         for part in parts.values() {
             for violation in find_violations(part, &rules) {
-                let is_known = violations
+                let is_duplicate = violations
                     .iter()
-                    .any(|known| known.description == violation.description);
-                let came_while_stopped = stalled
+                    .any(|other| other.description == violation.description);
+                let arrived_during_stall = stalled
                     .iter()
                     .any(|id| violation.description.contains(id.as_str()));
-                let is_excluded = came_while_stopped
-                    || self.is_excluded(&violation)
-                    || other_attempt_ends_at_once(&violation, part);
-                if !is_known && !is_excluded {
+                let is_excluded = arrived_during_stall
+                    || self.may_have_lost_cancellation(&violation)
+                    || other_attempt_ends_immediately(&violation, part);
+                if !is_duplicate && !is_excluded {
                     violations.push(violation);
                 }
             }
@@ -81,25 +83,26 @@
         violations
     }
 
-    /// Whether a violation is excluded because a link may have swallowed a cancellation: the attempt then still runs at
-    /// its engine, although the dispatcher has cancelled it.
-    fn is_excluded(&self, violation: &Violation) -> bool {
-        let swallows = |planned: &PlannedFault| match planned.fault {
+    /// Whether a violation is excluded because a link may have dropped a cancellation: the attempt then still runs at its
+    /// engine, although the dispatcher has cancelled it.
+    fn may_have_lost_cancellation(&self, violation: &Violation) -> bool {
+        let loses_cancellation = |planned: &PlannedFault| match planned.fault {
             SoakFault::CutToEngine(engine)
             | SoakFault::ForgetIdle(engine)
             | SoakFault::CutFromEngine(engine) => {
-                let ran_there = format!("{ANOTHER_ATTEMPT} at s-{engine}");
-                // Engines that replaced the first one of the slot have a suffix.
-                let (exact, replaced) = (ran_there.clone(), format!("{ran_there}-"));
-                violation.description.ends_with(&exact) || violation.description.contains(&replaced)
+                let at_engine = format!("{CONCURRENT_ATTEMPT} at s-{engine}");
+                // The ids of engines that replaced the slot's first engine have a suffix.
+                let (first, replacement) = (at_engine.clone(), format!("{at_engine}-"));
+                violation.description.ends_with(&first)
+                    || violation.description.contains(&replacement)
             }
             _ => false,
         };
-        violation.rule == 2 && self.plan.faults.iter().any(swallows)
+        violation.rule == 2 && self.plan.faults.iter().any(loses_cancellation)
     }
 
     /// Whether the plan delays or silences the name service.
-    pub(super) fn hides_list(&self) -> bool {
+    pub(super) fn delays_endpoint_list(&self) -> bool {
         self.plan.faults.iter().any(|planned| {
             matches!(
                 planned.fault,
@@ -109,8 +112,8 @@
     }
 
     fn rules(&self) -> Rules {
-        let announced_after_ms = if self.hides_list() {
-            ANNOUNCED_AFTER_MS
+        let list_update_ms = if self.delays_endpoint_list() {
+            LIST_UPDATE_LIMIT_MS
         } else {
             0.0
         };
@@ -124,7 +127,7 @@
         Rules {
             slack_ms: SLACK_MS,
             late_answer_ms: LATE_ANSWER_MS,
-            grace_ms: DRAIN_GRACE_MS + announced_after_ms,
+            grace_ms: DRAIN_GRACE_MS + list_update_ms,
             warm_up: None,
             cooldown_ms: 0.0,
             retry_budget: Some(RETRY_BUDGET),
@@ -133,24 +136,24 @@
     }
 }
 
-/// Whether a violation is excluded because the other attempt ended right after the next one began: the dispatcher sees
-/// the reset of a link shortly before the engine does, within the time that the protocol allows.
-fn other_attempt_ends_at_once(violation: &Violation, entries: &[Entry]) -> bool {
-    if !violation.description.contains(ANOTHER_ATTEMPT) {
+/// Whether a violation is excluded because the other attempt ended right after the new attempt began: the dispatcher
+/// detects the reset of a link shortly before the engine does, within the time that the protocol allows.
+fn other_attempt_ends_immediately(violation: &Violation, entries: &[Entry]) -> bool {
+    if !violation.description.contains(CONCURRENT_ATTEMPT) {
         return false;
     }
     entries.iter().any(|entry| {
-        let until_ms = violation.at_ms + CROSSING_ENDS_MS;
-        let is_soon = entry.at_ms >= violation.at_ms && entry.at_ms < until_ms;
+        let until_ms = violation.at_ms + CANCELLATION_DELAY_MS;
+        let is_within_delay = entry.at_ms >= violation.at_ms && entry.at_ms < until_ms;
         let EventKind::GivenUp { id, .. } = &entry.event else {
             return false;
         };
-        is_soon && violation.description.contains(id.as_str())
+        is_within_delay && violation.description.contains(id.as_str())
     })
 }
 
-/// The queries that arrived at a dispatcher while it was stopped. It cannot know when they arrived, so that their time
-/// limits are not checked.
+/// The ids of queries that may have arrived at a dispatcher while it was stopped. The dispatcher cannot know when such a
+/// query arrived, so that violations of these queries are not counted.
 fn stalled_queries(entries: &[Entry]) -> Vec<String> {
     let mut stalls = Vec::new();
     for entry in entries {
@@ -167,8 +170,8 @@
         let EventKind::Asked { id, .. } = &entry.event else {
             continue;
         };
-        let number = usize::from_str_radix(&id[..4], 16).unwrap_or(0);
-        let name = format!("n{}", number.wrapping_sub(1));
+        let dispatcher_number = usize::from_str_radix(&id[..4], 16).unwrap_or(0);
+        let name = format!("n{}", dispatcher_number.wrapping_sub(1));
         let is_within = |&(dispatcher, from_ms, to_ms): &(&String, f64, f64)| {
             *dispatcher == name
                 && entry.at_ms > from_ms - STALL_MARGIN_MS
@@ -181,8 +184,8 @@
     ids
 }
 
-/// Digits of a query's id that name its dispatcher and the process at its slot.
-const PROCESS_DIGITS: usize = 6;
+/// Number of leading digits of a query id that identify its dispatcher and the process in its slot.
+const PROCESS_ID_DIGITS: usize = 6;
 
 fn query_id(event: &EventKind) -> Option<&str> {
     match event {
@@ -205,7 +208,7 @@
     }
 }
 
-fn count(entries: &[Entry]) -> SoakCounts {
+fn count_events(entries: &[Entry]) -> SoakCounts {
     let mut counts = SoakCounts::default();
     for entry in entries {
         match &entry.event {
--- a/crates/testbed/src/soak/faults.rs
+++ b/crates/testbed/src/soak/faults.rs
@@ -1,4 +1,4 @@
-//! Injects a plan's faults.
+//! Injection of a plan's faults.
 
 use super::environment::{endpoint, start_engine, unix_ms, EngineSlot, Environment};
 use super::link::LinkFaults;
@@ -11,84 +11,86 @@
 use std::time::Duration;
 use tansymux_fault_table::Call;
 
-/// Rate of failing system calls (of 10,000): one in twenty.
+/// Rate of failing system calls (per 10,000 calls).
 const CALL_FAULT_RATE: u32 = 500;
-/// Signals that follow a SIGTERM, in steps of [`SIGNAL_STEP`](super::dispatcher::SIGNAL_STEP).
+/// Signals that follow a SIGTERM, at intervals of [`SIGNAL_STEP`](super::dispatcher::SIGNAL_STEP).
 const SIGNAL_SERIES: [&str; 4] = ["-HUP", "-TERM", "-STOP", "-CONT"];
-/// How long dispatchers that do not know of an engine's replacement may still send to the old one (ms).
+/// Time after an engine's replacement for which dispatchers may still send as to the old engine (ms).
 const REPLACEMENT_GRACE_MS: u64 = 700;
 
 impl Environment {
-    /// Injects a fault and ends it after its time.
+    /// Injects a fault and ends it after its duration.
     pub(super) fn inject(&self, planned: PlannedFault) {
         let PlannedFault { for_ms, fault, .. } = planned;
-        let time = Duration::from_secs_f64(for_ms / 1000.0);
+        let duration = Duration::from_secs_f64(for_ms / 1000.0);
         self.context.record.push(EventKind::Fault {
             engine: String::new(),
             fault: format!("{fault} for {for_ms:.0} ms"),
         });
-        let while_on = |engine, on: Fault| {
-            self.fault_engine(engine, on);
-            thread::sleep(time);
-            self.fault_engine(engine, Fault::None);
+        let with_fault = |engine, engine_fault: Fault| {
+            self.set_engine_fault(engine, engine_fault);
+            thread::sleep(duration);
+            self.set_engine_fault(engine, Fault::None);
         };
         match fault {
-            SoakFault::SlowEngine(engine, times) => while_on(engine, Fault::Slow(times)),
-            SoakFault::FailingEngine(engine, fraction) => while_on(engine, Fault::Errors(fraction)),
-            SoakFault::SilentEngine(engine) => while_on(engine, Fault::Silent),
+            SoakFault::SlowEngine(engine, factor) => with_fault(engine, Fault::Slow(factor)),
+            SoakFault::FailingEngine(engine, fraction) => {
+                with_fault(engine, Fault::Errors(fraction))
+            }
+            SoakFault::SilentEngine(engine) => with_fault(engine, Fault::Silent),
             SoakFault::ResettingEngine(engine, fraction) => {
-                while_on(engine, Fault::Resets(fraction))
+                with_fault(engine, Fault::Resets(fraction))
             }
             SoakFault::SpoilingEngine(engine, fraction) => {
-                while_on(engine, Fault::Spoils(fraction))
+                with_fault(engine, Fault::Spoils(fraction))
             }
-            SoakFault::FullEngine(engine, fraction) => while_on(engine, Fault::Full(fraction)),
-            SoakFault::FaultyReplies(engine, fault) => while_on(engine, Fault::Replies(fault)),
-            _ => self.inject_network_fault(fault, time),
+            SoakFault::FullEngine(engine, fraction) => with_fault(engine, Fault::Full(fraction)),
+            SoakFault::FaultyReplies(engine, fault) => with_fault(engine, Fault::Replies(fault)),
+            _ => self.inject_network_fault(fault, duration),
         }
     }
 
-    /// Injects faults of the endpoint list and of links.
-    fn inject_network_fault(&self, fault: SoakFault, time: Duration) {
+    /// Injects a fault of the endpoint list, a link or the name service.
+    fn inject_network_fault(&self, fault: SoakFault, duration: Duration) {
         match fault {
-            SoakFault::DrainEngine(engine) => self.drain_engine(engine, time),
+            SoakFault::DrainEngine(engine) => self.drain_engine(engine, duration),
             SoakFault::ReplaceEngine(engine) => self.replace_engine(engine),
             SoakFault::JoinEngine => self.join_engine(),
             SoakFault::CutToEngine(engine) => {
-                self.while_link(engine, time, |faults, on| faults.cut_to_engine = on);
+                self.with_link_fault(engine, duration, |faults, on| faults.cut_to_engine = on);
             }
             SoakFault::CutFromEngine(engine) => {
-                self.while_link(engine, time, |faults, on| faults.cut_from_engine = on);
+                self.with_link_fault(engine, duration, |faults, on| faults.cut_from_engine = on);
             }
             SoakFault::ResetLink(engine) => {
                 self.reset_link(engine);
-                self.while_link(engine, time, |faults, on| faults.resets = on);
+                self.with_link_fault(engine, duration, |faults, on| faults.resets = on);
             }
             SoakFault::SplitLink(engine) => {
-                self.while_link(engine, time, |faults, on| faults.splits = on);
+                self.with_link_fault(engine, duration, |faults, on| faults.splits = on);
             }
             SoakFault::ForgetIdle(engine) => {
-                self.while_link(engine, 2 * time, |faults, on| faults.forgets = on);
+                self.with_link_fault(engine, 2 * duration, |faults, on| faults.drops_idle = on);
             }
             SoakFault::LateConnects(engine) => {
-                self.while_link(engine, time, |faults, on| faults.accepts_none = on);
+                self.with_link_fault(engine, duration, |faults, on| faults.blocks_connects = on);
             }
             SoakFault::SilentNames => {
                 self.names_link.set_silent(true);
-                thread::sleep(time);
+                thread::sleep(duration);
                 self.names_link.set_silent(false);
             }
             SoakFault::SlowNames(delay_ms) => {
                 self.names_link.set_delay_ms(delay_ms);
-                thread::sleep(time);
+                thread::sleep(duration);
                 self.names_link.set_delay_ms(0);
             }
-            _ => self.inject_dispatcher_fault(fault, time),
+            _ => self.inject_dispatcher_fault(fault, duration),
         }
     }
 
-    /// Injects faults of a dispatcher's process and of its clients.
-    fn inject_dispatcher_fault(&self, fault: SoakFault, time: Duration) {
+    /// Injects a fault of a dispatcher's process or its clients.
+    fn inject_dispatcher_fault(&self, fault: SoakFault, duration: Duration) {
         match fault {
             SoakFault::Restart(dispatcher) => self.slots[dispatcher].restart(&[]),
             SoakFault::SignalSeries(dispatcher) => {
@@ -104,22 +106,24 @@
                 table.set_wall_offset_ns(step_s * 1_000_000_000);
             }
             SoakFault::ClientsLeave(dispatcher) => {
-                self.leave_generations[dispatcher].fetch_add(1, Ordering::SeqCst);
+                self.disconnect_generations[dispatcher].fetch_add(1, Ordering::SeqCst);
             }
-            _ => self.inject_call_fault(fault, time),
+            _ => self.inject_call_fault(fault, duration),
         }
     }
 
-    /// Injects failing system calls of a dispatcher.
-    fn inject_call_fault(&self, fault: SoakFault, time: Duration) {
+    /// Injects failing or short system calls of a dispatcher.
+    fn inject_call_fault(&self, fault: SoakFault, duration: Duration) {
         match fault {
-            SoakFault::Interrupt(dispatcher) => self.fail_calls(dispatcher, libc::EINTR, time),
-            SoakFault::NoBuffers(dispatcher) => self.fail_calls(dispatcher, libc::ENOBUFS, time),
+            SoakFault::Interrupt(dispatcher) => self.fail_calls(dispatcher, libc::EINTR, duration),
+            SoakFault::NoBuffers(dispatcher) => {
+                self.fail_calls(dispatcher, libc::ENOBUFS, duration)
+            }
             SoakFault::ShortCalls(dispatcher) => {
                 let table = self.slots[dispatcher].shim().table();
                 table.shorten(Call::Recv, 3000);
                 table.shorten(Call::Writev, 3000);
-                thread::sleep(time);
+                thread::sleep(duration);
                 table.clear();
             }
             SoakFault::FailAccepts(dispatcher) => {
@@ -127,14 +131,14 @@
                 table.fail(Call::Accept, libc::ECONNABORTED, 2000, None);
                 table.fail(Call::Socket, libc::ENFILE, 1000, None);
                 table.fail(Call::Bind, libc::EADDRINUSE, 1000, None);
-                thread::sleep(time);
+                thread::sleep(duration);
                 table.clear();
             }
             _ => {}
         }
     }
 
-    fn fail_calls(&self, dispatcher: usize, errno: i32, time: Duration) {
+    fn fail_calls(&self, dispatcher: usize, errno: i32, duration: Duration) {
         let table = self.slots[dispatcher].shim().table();
         for call in [Call::Recv, Call::Writev, Call::RecvFrom, Call::SendTo] {
             table.fail(call, errno, CALL_FAULT_RATE, None);
@@ -142,19 +146,24 @@
         if errno == libc::EINTR {
             table.fail(Call::Read, errno, CALL_FAULT_RATE, None);
         }
-        thread::sleep(time);
+        thread::sleep(duration);
         table.clear();
     }
 
-    fn fault_engine(&self, engine: usize, fault: Fault) {
+    fn set_engine_fault(&self, engine: usize, fault: Fault) {
         self.engines()[engine].engine.fault(fault);
     }
 
-    fn while_link(&self, engine: usize, time: Duration, set: impl Fn(&mut LinkFaults, bool)) {
+    fn with_link_fault(
+        &self,
+        engine: usize,
+        duration: Duration,
+        set: impl Fn(&mut LinkFaults, bool),
+    ) {
         self.engines()[engine]
             .link
             .change(|faults| set(faults, true));
-        thread::sleep(time);
+        thread::sleep(duration);
         self.engines()[engine]
             .link
             .change(|faults| set(faults, false));
@@ -164,17 +173,17 @@
         self.engines()[engine].link.reset_all();
     }
 
-    /// Drains an engine, removes it and starts another one, cold, under its address.
-    fn drain_engine(&self, engine: usize, time: Duration) {
+    /// Drains an engine, removes it and starts a cold replacement at its address.
+    fn drain_engine(&self, engine: usize, duration: Duration) {
         let id = self.engines()[engine].engine.id.clone();
         self.names.set(&id, Status::Draining);
-        thread::sleep(time);
+        thread::sleep(duration);
         self.names.set(&id, Status::Gone);
-        thread::sleep(time / 2);
+        thread::sleep(duration / 2);
         self.replace_engine(engine);
     }
 
-    /// Replaces an engine by another one under the same address.
+    /// Replaces an engine by a cold one at the same address.
     fn replace_engine(&self, engine: usize) {
         let (old, new, address) = {
             let mut engines = self.engines();
@@ -191,8 +200,9 @@
         self.names.set(&old.id, Status::Gone);
         self.names.add(endpoint(&new.id, address, unix_ms()));
         thread::sleep(Duration::from_millis(REPLACEMENT_GRACE_MS));
-        // Dispatchers that do not know of the change send as to the old engine: the rule applies to the others.
-        if !self.hides_list() {
+        // Dispatchers that have not received the update send as to the old, warm engine. The slow-start rule applies only
+        // if the name service is neither silent nor slow.
+        if !self.delays_endpoint_list() {
             self.context.record.push(EventKind::Started {
                 engine: new.id,
                 cores: CORES,
@@ -200,7 +210,7 @@
         }
     }
 
-    /// Adds an engine, which is cold.
+    /// Adds a cold engine.
     fn join_engine(&self) {
         let (id, address) = {
             let mut engines = self.engines();
--- a/crates/testbed/src/soak/lag.rs
+++ b/crates/testbed/src/soak/lag.rs
@@ -1,19 +1,19 @@
-//! Measures how late the machine wakes a thread. The timing of real processes cannot be evaluated on a machine that is too
-//! busy.
+//! Measures how late the machine wakes a thread. On a machine that is too busy, the timing of real processes cannot be
+//! evaluated.
 
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Time between two wake-ups.
-const STEP: Duration = Duration::from_millis(5);
+/// Interval between wake-ups.
+const WAKE_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Measures wake-up delays until it is dropped.
 #[derive(Debug)]
 pub struct LagMonitor {
     max_lag_us: Arc<AtomicU64>,
-    is_over: Arc<AtomicBool>,
+    is_stopped: Arc<AtomicBool>,
 }
 
 impl LagMonitor {
@@ -21,16 +21,17 @@
     pub fn start() -> Self {
         let monitor = LagMonitor {
             max_lag_us: Arc::default(),
-            is_over: Arc::default(),
+            is_stopped: Arc::default(),
         };
-        let (max_lag_us, is_over) = (monitor.max_lag_us.clone(), monitor.is_over.clone());
+        let (max_lag_us, is_stopped) = (monitor.max_lag_us.clone(), monitor.is_stopped.clone());
         thread::spawn(move || {
-            while !is_over.load(Ordering::Relaxed) {
-                let from = Instant::now();
-                thread::sleep(STEP);
-                // Includes the start of a thread: stand-ins start many, and they share the lock of the memory map.
+            while !is_stopped.load(Ordering::Relaxed) {
+                let start = Instant::now();
+                thread::sleep(WAKE_INTERVAL);
+                // The delay includes the start of a thread: stand-ins start many threads, which contend for the lock of
+                // the process's memory map.
                 let _ = thread::spawn(|| ()).join();
-                let lag = from.elapsed().saturating_sub(STEP);
+                let lag = start.elapsed().saturating_sub(WAKE_INTERVAL);
                 max_lag_us.fetch_max(lag.as_micros() as u64, Ordering::Relaxed);
             }
         });
@@ -45,6 +46,6 @@
 
 impl Drop for LagMonitor {
     fn drop(&mut self) {
-        self.is_over.store(true, Ordering::Relaxed);
+        self.is_stopped.store(true, Ordering::Relaxed);
     }
 }
--- a/crates/testbed/src/soak/link.rs
+++ b/crates/testbed/src/soak/link.rs
@@ -1,7 +1,7 @@
-//! The proxy before each engine, which simulates faults of the network between the dispatchers and the engine.
+//! The TCP proxy in front of each engine, which simulates faults of the network between the dispatchers and the engine.
 //!
-//! Towards the engine it delays bytes by a few milliseconds at most, because the checker takes an attempt's arrival for its
-//! begin. Bytes that are sent during a cut are lost.
+//! It delays bytes towards the engine by a few milliseconds at most, because the checker takes an attempt's arrival at the
+//! engine for its start. Bytes that are sent during a cut are lost.
 
 use crate::engine::refuse_silently;
 use rand::{RngExt, SeedableRng};
@@ -13,29 +13,29 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Interval at which a copying thread checks whether its connection was reset.
+/// Interval at which a copying thread checks whether its connection must be reset.
 const POLL: Duration = Duration::from_millis(20);
-/// Idle time after which a link with [`LinkFaults::forgets`] drops a connection's state.
-const FORGOTTEN_AFTER: Duration = Duration::from_millis(300);
-/// Interval at which a listener accepts connections.
+/// Idle time after which a link with [`LinkFaults::drops_idle`] drops a connection's state.
+const IDLE_TIMEOUT: Duration = Duration::from_millis(300);
+/// Interval at which the listener polls for connections.
 const ACCEPT_POLL: Duration = Duration::from_millis(2);
-/// Connections that may wait at a listener.
+/// Number of connections that may wait in the listener's backlog.
 const BACKLOG: i32 = 128;
 
 /// The faults of a link.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct LinkFaults {
-    /// Bytes towards the engine are swallowed.
+    /// Bytes towards the engine are lost.
     pub cut_to_engine: bool,
-    /// Bytes from the engine are swallowed.
+    /// Bytes from the engine are lost.
     pub cut_from_engine: bool,
-    /// Bytes go in small pieces.
+    /// Bytes are forwarded in small pieces.
     pub splits: bool,
-    /// Connections that idle are forgotten.
-    pub forgets: bool,
-    /// No connection is accepted.
-    pub accepts_none: bool,
-    /// Connections are reset soon after they came up.
+    /// Idle connections stop forwarding bytes, without a close or a reset.
+    pub drops_idle: bool,
+    /// No connection is established: the listener's backlog is full.
+    pub blocks_connects: bool,
+    /// Connections are reset soon after they are established.
     pub resets: bool,
 }
 
@@ -43,15 +43,15 @@
 struct Shared {
     target: Mutex<SocketAddr>,
     faults: Mutex<LinkFaults>,
-    /// Connections opened before this count are reset.
+    /// Connections of an earlier generation are reset.
     reset_generation: AtomicU64,
     is_closed: AtomicBool,
 }
 
-/// A proxy before one engine, until it is dropped.
+/// A proxy in front of one engine. Dropping it stops the proxy and resets its connections.
 #[derive(Debug)]
 pub struct Link {
-    /// Where dispatchers connect.
+    /// The address to which dispatchers connect.
     pub address: SocketAddr,
     shared: Arc<Shared>,
 }
@@ -72,12 +72,12 @@
             reset_generation: AtomicU64::new(0),
             is_closed: AtomicBool::new(false),
         });
-        let own = shared.clone();
-        thread::spawn(move || accept(&listener, &own, seed));
+        let accept_shared = shared.clone();
+        thread::spawn(move || accept(&listener, &accept_shared, seed));
         Link { address, shared }
     }
 
-    /// Changes what the link does.
+    /// Changes the faults of the link.
     pub fn change(&self, change: impl FnOnce(&mut LinkFaults)) {
         change(&mut self.shared.faults.lock().expect("no holder panics"));
     }
@@ -87,7 +87,7 @@
         self.shared.reset_generation.fetch_add(1, Ordering::SeqCst);
     }
 
-    /// Another engine takes the place behind the address.
+    /// Sets the address of the engine to which new connections are forwarded.
     pub fn set_target(&self, target: SocketAddr) {
         *self.shared.target.lock().expect("no holder panics") = target;
     }
@@ -103,15 +103,15 @@
 fn accept(listener: &TcpListener, shared: &Arc<Shared>, seed: u64) {
     let mut rng = Pcg32::seed_from_u64(seed);
     let _ = listener.set_nonblocking(true);
-    // While no connection comes up: those that fill the backlog.
+    // Streams that fill the backlog while connects are blocked.
     let mut fillers = Vec::new();
     while !shared.is_closed.load(Ordering::SeqCst) {
-        let accepts_none = shared.faults().accepts_none;
-        if accepts_none && !fillers.is_empty() {
+        let blocks_connects = shared.faults().blocks_connects;
+        if blocks_connects && !fillers.is_empty() {
             thread::sleep(ACCEPT_POLL);
             continue;
         }
-        if !accepts_none && !fillers.is_empty() {
+        if !blocks_connects && !fillers.is_empty() {
             fillers.clear();
             let _ = socket2::SockRef::from(listener).listen(BACKLOG);
         }
@@ -119,18 +119,18 @@
             Ok((stream, _)) => {
                 let _ = stream.set_nonblocking(false);
                 let target = *shared.target.lock().expect("no holder panics");
-                let own = shared.clone();
+                let connection_shared = shared.clone();
                 let connection_seed = rng.random();
-                thread::spawn(move || own.serve(stream, target, connection_seed));
+                thread::spawn(move || connection_shared.serve(stream, target, connection_seed));
             }
-            // All that had come up is served.
-            Err(_) if accepts_none => fillers = refuse_silently(listener),
+            // All established connections have been accepted, so that the backlog can be filled.
+            Err(_) if blocks_connects => fillers = refuse_silently(listener),
             Err(_) => thread::sleep(ACCEPT_POLL),
         }
     }
 }
 
-/// Closes a connection by a reset.
+/// Closes a connection with a TCP reset.
 fn reset(stream: &TcpStream) {
     let _ = socket2::SockRef::from(stream).set_linger(Some(Duration::ZERO));
     let _ = stream.shutdown(Shutdown::Both);
@@ -147,8 +147,8 @@
         };
         let generation = self.reset_generation.load(Ordering::SeqCst);
         let last_use = Arc::new(Mutex::new(Instant::now()));
-        let is_forgotten = Arc::new(AtomicBool::new(false));
-        let pair = |from: &TcpStream, to: &TcpStream, to_engine| -> Option<Copier> {
+        let is_dropped = Arc::new(AtomicBool::new(false));
+        let copier = |from: &TcpStream, to: &TcpStream, to_engine| -> Option<Copier> {
             let _ = from.set_nodelay(true);
             let _ = from.set_read_timeout(Some(POLL));
             Some(Copier {
@@ -158,22 +158,23 @@
                 to_engine,
                 generation,
                 last_use: last_use.clone(),
-                is_forgotten: is_forgotten.clone(),
+                is_dropped: is_dropped.clone(),
                 rng: Pcg32::seed_from_u64(seed ^ u64::from(to_engine)),
             })
         };
-        let (Some(forth), Some(back)) =
-            (pair(&client, &engine, true), pair(&engine, &client, false))
-        else {
+        let (Some(to_engine), Some(from_engine)) = (
+            copier(&client, &engine, true),
+            copier(&engine, &client, false),
+        ) else {
             return;
         };
         drop((client, engine));
-        thread::spawn(move || back.run());
-        forth.run();
+        thread::spawn(move || from_engine.run());
+        to_engine.run();
     }
 }
 
-/// Copies one direction of a connection.
+/// Forwards the bytes of one direction of a connection.
 struct Copier {
     shared: Arc<Shared>,
     from: TcpStream,
@@ -181,7 +182,7 @@
     to_engine: bool,
     generation: u64,
     last_use: Arc<Mutex<Instant>>,
-    is_forgotten: Arc<AtomicBool>,
+    is_dropped: Arc<AtomicBool>,
     rng: Pcg32,
 }
 
@@ -207,11 +208,11 @@
                 }
                 Err(_) => return self.close(),
             };
-            if !self.pass_on(&buffer[..count]) {
+            if !self.forward(&buffer[..count]) {
                 return self.close();
             }
         }
-        // The other direction stays open until its own end.
+        // The other direction stays open until its sender closes it.
         let _ = self.to.shutdown(Shutdown::Write);
     }
 
@@ -221,24 +222,24 @@
         let _ = self.from.shutdown(Shutdown::Both);
     }
 
-    /// Returns whether the connection stays open.
-    fn pass_on(&mut self, bytes: &[u8]) -> bool {
+    /// Forwards bytes subject to the link's faults. Returns whether the connection stays open.
+    fn forward(&mut self, bytes: &[u8]) -> bool {
         let faults = self.shared.faults();
         let idle = {
             let mut last_use = self.last_use.lock().expect("no holder panics");
             std::mem::replace(&mut *last_use, Instant::now()).elapsed()
         };
-        if faults.forgets && idle > FORGOTTEN_AFTER {
-            self.is_forgotten.store(true, Ordering::SeqCst);
+        if faults.drops_idle && idle > IDLE_TIMEOUT {
+            self.is_dropped.store(true, Ordering::SeqCst);
         }
         let is_cut = if self.to_engine {
             faults.cut_to_engine
         } else {
             faults.cut_from_engine
         };
-        if is_cut || self.is_forgotten.load(Ordering::SeqCst) {
-            // Once bytes are lost, the rest of the stream cannot be parsed: nothing more may be forwarded.
-            self.is_forgotten.store(true, Ordering::SeqCst);
+        if is_cut || self.is_dropped.load(Ordering::SeqCst) {
+            // After a loss, the rest of the stream cannot be parsed: no further bytes are forwarded.
+            self.is_dropped.store(true, Ordering::SeqCst);
             return true;
         }
         if faults.resets && self.rng.random_bool(0.3) {
--- a/crates/testbed/src/soak/mod.rs
+++ b/crates/testbed/src/soak/mod.rs
@@ -1,8 +1,10 @@
-//! The randomized fault soak: a fleet of real processes on loopback, with faults of links, signals, stepped clocks and failing
-//! system calls, several at a time. The record of clients and engines is checked from outside.
+//! The randomized fault soak: a fleet of real processes on loopback, under concurrent link faults, signals, clock steps and
+//! failing system calls. The record of clients and engines is checked against the rules.
 //!
-//! All random draws come from a seed ([`plan`]). The timing of real processes does not: a seed that failed may pass in
-//! another run, so its record and logs are kept. Start reading at [`run`], then at `environment`, `faults` and `evaluation`.
+//! All faults and settings are drawn from a seed ([`plan`]). The timing of real processes is not reproducible: a seed that
+//! failed may pass when it is repeated, so its record and logs are kept.
+//!
+//! Start reading at [`run`], then at `environment`, `faults` and `evaluation`.
 
 mod clients;
 mod dispatcher;
@@ -26,10 +28,10 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
 
-/// A run with violations is repeated if the machine woke a thread later than this: its timing cannot be evaluated (ms).
+/// Wake-up delay from which the timing of a run cannot be evaluated (ms). A run with violations is then repeated.
 const BUSY_LAG_MS: f64 = 60.0;
-/// The most repetitions of a run because the machine was busy.
-const MAX_REPLAYS: usize = 3;
+/// Maximum number of repetitions of a run on a busy machine.
+const MAX_REPETITIONS: usize = 3;
 
 /// The parameters of a soak.
 #[derive(Debug, Clone)]
@@ -38,9 +40,9 @@
     pub exe: PathBuf,
     /// The fault shim's library.
     pub shim: PathBuf,
-    /// The seeds, each of which is a run.
+    /// The seeds; each is one run.
     pub seeds: Range<u64>,
-    /// Dispatchers of a run.
+    /// The number of dispatchers of a run, drawn from this range.
     pub processes: RangeInclusive<usize>,
     /// How long clients send queries (s).
     pub seconds: f64,
@@ -50,7 +52,7 @@
     pub jobs: usize,
     /// The folder for the records and logs of failed runs.
     pub keep: PathBuf,
-    /// Whether a failed run is repeated with one fault less each time, as long as it still fails.
+    /// Whether the plan of a failed run is reduced to the faults without which it passes.
     pub shrinks: bool,
 }
 
@@ -63,47 +65,47 @@
     pub entries: Vec<Entry>,
     /// The violations of the rules.
     pub violations: Vec<Violation>,
-    /// Queries by what became of them.
+    /// Counts of queries by their outcome, of attempts and of failed system calls.
     pub counts: SoakCounts,
     /// The longest delay with which the machine woke a thread (ms).
     pub max_lag_ms: f64,
 }
 
-/// What became of a run's queries.
+/// Counts of a run's queries by their outcome, of its attempts and of failed system calls.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct SoakCounts {
-    /// Queries that were sent completely.
+    /// Queries that clients sent in full.
     pub asked: usize,
-    /// Those answered with a result.
+    /// Queries that were answered with a result.
     pub completed: usize,
-    /// Those rejected.
+    /// Queries that were rejected.
     pub rejected: usize,
-    /// Those failed.
+    /// Queries that were answered with an error.
     pub failed: usize,
-    /// Those whose client disconnected, or for which no answer is owed.
+    /// Queries whose client disconnected, or to which no answer is expected.
     pub left: usize,
     /// Attempts that reached engines.
     pub attempts: usize,
-    /// System calls that the shim made fail.
+    /// System calls into which the fault shim injected a fault.
     pub failed_calls: u64,
 }
 
 /// The outcome of all seeds.
 #[derive(Debug)]
 pub struct SoakReport {
-    /// A line for each seed and the sums, for people.
+    /// The totals of all runs, as one line of text.
     pub table: String,
-    /// Seeds with violations.
+    /// The number of seeds with violations.
     pub failed_seeds: usize,
 }
 
-/// A run that has ended, as the report sums it up.
+/// The outcome of a finished run, for the report.
 struct FinishedRun {
     has_failed: bool,
     counts: SoakCounts,
 }
 
-/// Runs all seeds.
+/// Runs all seeds, up to [`SoakOptions::jobs`] at a time, and prints the result of each.
 pub fn run(options: &SoakOptions) -> SoakReport {
     let next = AtomicUsize::new(0);
     let seeds: Vec<u64> = options.seeds.clone().collect();
@@ -116,7 +118,7 @@
                     return;
                 };
                 let outcome = run_seed(*seed, options);
-                let line = line_of(&outcome, options);
+                let line = seed_line(&outcome, options);
                 println!("{line}");
                 runs.lock().expect("no holder panics").push(FinishedRun {
                     has_failed: !outcome.violations.is_empty(),
@@ -132,7 +134,7 @@
 fn run_seed(seed: u64, options: &SoakOptions) -> SoakOutcome {
     let plan = SoakPlan::draw(seed, &options.processes, options.seconds, &options.families);
     let mut outcome = environment::run(plan, options);
-    for _ in 0..MAX_REPLAYS {
+    for _ in 0..MAX_REPETITIONS {
         if outcome.violations.is_empty() || outcome.max_lag_ms < BUSY_LAG_MS {
             break;
         }
@@ -149,26 +151,26 @@
     if options.shrinks {
         outcome = shrink(outcome, options);
     }
-    keep(&outcome, &options.keep);
+    write_files(&outcome, &options.keep);
     outcome
 }
 
-/// Returns the run of the smallest plan that still fails, found by leaving out one fault after the other.
+/// Leaves out each fault of a failed plan in turn, for good if the run still fails. Returns the last failed run.
 fn shrink(mut failed: SoakOutcome, options: &SoakOptions) -> SoakOutcome {
     let mut nth = 0;
     while nth < failed.plan.faults.len() {
-        let smaller = environment::run(failed.plan.without(nth), options);
-        if smaller.violations.is_empty() {
+        let reduced = environment::run(failed.plan.without(nth), options);
+        if reduced.violations.is_empty() {
             nth += 1;
         } else {
-            failed = smaller;
+            failed = reduced;
         }
     }
     failed
 }
 
 /// Writes the plan, the violations and the record of a failed run to files.
-fn keep(outcome: &SoakOutcome, folder: &Path) {
+fn write_files(outcome: &SoakOutcome, folder: &Path) {
     let _ = std::fs::create_dir_all(folder);
     let seed = outcome.plan.seed;
     let mut text = format!("{:#?}\n", outcome.plan);
@@ -185,7 +187,8 @@
     let _ = std::fs::write(folder.join(format!("seed-{seed}.jsonl")), record);
 }
 
-fn line_of(outcome: &SoakOutcome, options: &SoakOptions) -> String {
+/// The result line of a seed, followed by its first violations and the command that repeats the run.
+fn seed_line(outcome: &SoakOutcome, options: &SoakOptions) -> String {
     let SoakCounts {
         asked,
         completed,
@@ -222,7 +225,7 @@
     line
 }
 
-/// The report on all runs.
+/// Returns the report on all runs.
 fn summary(runs: &[FinishedRun]) -> SoakReport {
     let failed_seeds = runs.iter().filter(|run| run.has_failed).count();
     let sum =
--- a/crates/testbed/src/soak/names.rs
+++ b/crates/testbed/src/soak/names.rs
@@ -1,4 +1,4 @@
-//! The UDP proxy before the name service: silent, slow, lossy.
+//! The UDP proxy in front of the name service, which can drop questions and delay answers.
 
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -6,9 +6,9 @@
 use std::thread;
 use std::time::Duration;
 
-/// How long the proxy waits for the name service's answer to a question.
+/// Time limit for the name service's answer to a question.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
-/// The largest datagram (bytes).
+/// Maximum size of a datagram (bytes).
 const MAX_BYTES: usize = 64 * 1024;
 
 #[derive(Debug, Default)]
@@ -18,7 +18,7 @@
     is_closed: AtomicBool,
 }
 
-/// A proxy before the name service, until it is dropped.
+/// A proxy in front of the name service. Dropping it stops the proxy.
 #[derive(Debug)]
 pub struct NamesLink {
     /// The address to which dispatchers send questions.
@@ -36,8 +36,8 @@
         let address = socket.local_addr().expect("a bound socket has an address");
         let _ = socket.set_read_timeout(Some(ANSWER_TIMEOUT));
         let shared = Arc::new(Shared::default());
-        let own = shared.clone();
-        thread::spawn(move || forward(&socket, target, &own));
+        let forward_shared = shared.clone();
+        thread::spawn(move || forward(&socket, target, &forward_shared));
         NamesLink { address, shared }
     }
 
@@ -67,36 +67,42 @@
         if shared.is_silent.load(Ordering::SeqCst) {
             continue;
         }
-        let (Ok(back), question, shared) = (
+        let (Ok(reply_socket), question, shared) = (
             socket.try_clone(),
             question[..count].to_vec(),
             shared.clone(),
         ) else {
             continue;
         };
-        thread::spawn(move || answer(&back, from, target, &question, &shared));
+        thread::spawn(move || answer(&reply_socket, from, target, &question, &shared));
     }
 }
 
-/// Forwards a question to the name service, and its answers to the dispatcher after the delay.
-fn answer(back: &UdpSocket, to: SocketAddr, target: SocketAddr, question: &[u8], shared: &Shared) {
-    let Ok(ask) = UdpSocket::bind("127.0.0.1:0") else {
+/// Forwards a question to the name service and, after the delay, its answers to the dispatcher.
+fn answer(
+    reply_socket: &UdpSocket,
+    to: SocketAddr,
+    target: SocketAddr,
+    question: &[u8],
+    shared: &Shared,
+) {
+    let Ok(upstream) = UdpSocket::bind("127.0.0.1:0") else {
         return;
     };
-    let _ = ask.set_read_timeout(Some(ANSWER_TIMEOUT));
-    if ask.send_to(question, target).is_err() {
+    let _ = upstream.set_read_timeout(Some(ANSWER_TIMEOUT));
+    if upstream.send_to(question, target).is_err() {
         return;
     }
     let mut buffer = vec![0; MAX_BYTES];
-    // A stray datagram and the answer.
+    // The name service may send a stray datagram before the answer.
     for _ in 0..2 {
-        let Ok(count) = ask.recv(&mut buffer) else {
+        let Ok(count) = upstream.recv(&mut buffer) else {
             return;
         };
         let delay_ms = shared.delay_ms.load(Ordering::SeqCst);
         thread::sleep(Duration::from_millis(delay_ms));
         if !shared.is_silent.load(Ordering::SeqCst) {
-            let _ = back.send_to(&buffer[..count], to);
+            let _ = reply_socket.send_to(&buffer[..count], to);
         }
     }
 }
--- a/crates/testbed/src/soak/peers.rs
+++ b/crates/testbed/src/soak/peers.rs
@@ -1,5 +1,5 @@
-//! The relay between dispatchers: the others know each dispatcher by an address of the relay, and one more address reaches
-//! all of them. The relay loses and duplicates some of the datagrams.
+//! The UDP relay between dispatchers. For each dispatcher it has an address, which the others use as that dispatcher's
+//! address, and one broadcast address. It drops and duplicates some of the datagrams.
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
@@ -9,25 +9,25 @@
 use std::thread;
 use std::time::Duration;
 
-/// Fraction of datagrams that are lost.
-const LOSS: f64 = 0.1;
+/// Fraction of datagrams that are dropped.
+const LOSS_FRACTION: f64 = 0.1;
 /// Fraction of datagrams that are delivered twice.
-const DOUBLED: f64 = 0.05;
+const DUPLICATE_FRACTION: f64 = 0.05;
 /// Interval at which a receiving thread checks whether the relay was dropped.
 const POLL: Duration = Duration::from_millis(100);
 
-/// The relay, until it is dropped.
+/// A relay between dispatchers. Dropping it stops the relay.
 #[derive(Debug)]
 pub struct PeerRelay {
-    /// For each dispatcher, the address by which the others know it.
-    pub each: Vec<SocketAddr>,
-    /// The address that reaches all dispatchers but the sender.
-    pub all: SocketAddr,
+    /// For each dispatcher, the relay address at which the others reach it.
+    pub unicast: Vec<SocketAddr>,
+    /// The relay address at which a dispatcher reaches all others.
+    pub broadcast: SocketAddr,
     is_closed: Arc<AtomicBool>,
 }
 
 impl PeerRelay {
-    /// A relay between dispatchers that listen at these addresses.
+    /// Starts a relay between dispatchers that listen at these addresses.
     ///
     /// # Panics
     /// The loopback has no free port.
@@ -37,12 +37,13 @@
             let _ = socket.set_read_timeout(Some(POLL));
             socket
         };
-        let address = |socket: &UdpSocket| socket.local_addr().expect("a bound socket has one");
+        let address =
+            |socket: &UdpSocket| socket.local_addr().expect("a bound socket has an address");
         let sockets: Vec<UdpSocket> = listen.iter().map(|_| bind()).collect();
         let broadcast = bind();
         let relay = PeerRelay {
-            each: sockets.iter().map(address).collect(),
-            all: address(&broadcast),
+            unicast: sockets.iter().map(address).collect(),
+            broadcast: address(&broadcast),
             is_closed: Arc::default(),
         };
         let peers = Arc::new(Peers {
@@ -57,7 +58,7 @@
         relay
     }
 
-    /// Forwards what others send to one dispatcher.
+    /// Starts a thread that forwards datagrams to one dispatcher.
     fn spawn_unicast(&self, peers: Arc<Peers>, to: usize, mut rng: Pcg32) {
         let is_closed = self.is_closed.clone();
         thread::spawn(move || {
@@ -69,7 +70,7 @@
         });
     }
 
-    /// Forwards what a dispatcher sends to all others.
+    /// Starts a thread that forwards broadcast datagrams to all dispatchers but the sender.
     fn spawn_broadcast(&self, peers: Arc<Peers>, socket: UdpSocket, mut rng: Pcg32) {
         let is_closed = self.is_closed.clone();
         thread::spawn(move || {
@@ -102,28 +103,28 @@
     }
 }
 
-/// The dispatchers between which a relay forwards datagrams.
+/// The addresses of the dispatchers and the relay's sockets.
 struct Peers {
-    /// Where each dispatcher listens, which is also the address from which it sends.
+    /// The address at which each dispatcher listens and from which it sends.
     listen: Vec<SocketAddr>,
-    /// The sockets by whose addresses the others know each dispatcher.
+    /// For each dispatcher, the socket at whose address the others reach it.
     sockets: Vec<UdpSocket>,
 }
 
 impl Peers {
-    /// The dispatcher that sends from this address.
+    /// The index of the dispatcher that sends from this address.
     fn sender(&self, source: SocketAddr) -> Option<usize> {
         self.listen.iter().position(|address| *address == source)
     }
 
-    /// Forwards a datagram from the address by which its sender is known; some are lost and some sent twice.
+    /// Forwards a datagram from the relay address of its sender. Drops some datagrams and sends some twice.
     fn forward(&self, from: usize, to: usize, bytes: &[u8], rng: &mut Pcg32) {
-        if rng.random_bool(LOSS) {
+        if rng.random_bool(LOSS_FRACTION) {
             return;
         }
         let socket = &self.sockets[from];
         let _ = socket.send_to(bytes, self.listen[to]);
-        if rng.random_bool(DOUBLED) {
+        if rng.random_bool(DUPLICATE_FRACTION) {
             let _ = socket.send_to(bytes, self.listen[to]);
         }
     }
--- a/crates/testbed/src/soak/plan.rs
+++ b/crates/testbed/src/soak/plan.rs
@@ -1,4 +1,4 @@
-//! The plan of a soak's run: how many processes and engines there are, and when which faults are injected. All of it is
+//! The plan of a soak's run: the number of dispatchers and engines, the settings and the faults with their times. All are
 //! drawn from a seed.
 
 use crate::engine::ReplyFault;
@@ -10,27 +10,28 @@
 /// A family of faults; `--faults` selects some of them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, clap::ValueEnum)]
 pub enum FaultFamily {
-    /// Engines that slow down, fail, fall silent, reset or answer noise.
+    /// Engines that slow down, fail, do not answer, reset connections, reject queries as full or send malformed answers.
     Engines,
-    /// Engines that drain, leave, join cold or are replaced under their address.
+    /// Engines that drain, are removed, join cold or are replaced at their address.
     Endpoints,
-    /// Links to engines that are cut, reset, split, forget or come up late.
+    /// Links to engines that lose bytes, reset connections, split writes, drop idle connections or establish connections
+    /// late.
     Links,
-    /// A name service that is silent, slow or out of date.
+    /// A name service that is silent or slow.
     Names,
     /// SIGTERM, SIGKILL, SIGSTOP and SIGCONT, SIGHUP.
     Signals,
     /// Steps of the wall clock.
     Clock,
-    /// System calls that fail, are interrupted or fall short.
+    /// System calls that fail, are interrupted or transfer fewer bytes than requested.
     Calls,
-    /// Clients that leave together.
+    /// Clients that disconnect together.
     Clients,
-    /// Replies that are lost, late, repeated, out of order or broken off, and half-closed connections.
+    /// Replies that are lost, late, repeated, out of order, truncated or followed by noise, and half-closed connections.
     Replies,
 }
 
-/// A fault, and the index of the engine or dispatcher that it affects.
+/// A fault, with the index of the engine or dispatcher that it affects.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum SoakFault {
     /// An engine runs slower by this factor.
@@ -39,57 +40,57 @@
     FailingEngine(usize, f64),
     /// An engine answers nothing.
     SilentEngine(usize),
-    /// A fraction of an engine's requests ends its connection.
+    /// An engine resets the connection on a fraction of its requests.
     ResettingEngine(usize, f64),
-    /// A fraction of an engine's answers is noise.
+    /// A fraction of an engine's answers is malformed.
     SpoilingEngine(usize, f64),
-    /// A fraction of an engine's queries is answered as full.
+    /// An engine rejects a fraction of its queries as full.
     FullEngine(usize, f64),
-    /// An engine drains, then is gone, and comes back cold.
+    /// An engine drains and is removed, and a cold engine replaces it.
     DrainEngine(usize),
     /// An engine's replies or connections are faulty.
     FaultyReplies(usize, ReplyFault),
-    /// Another engine starts under an engine's address, cold.
+    /// A cold engine replaces an engine at its address.
     ReplaceEngine(usize),
-    /// Another engine joins, cold.
+    /// A cold engine joins.
     JoinEngine,
     /// Bytes from dispatchers to an engine are lost.
     CutToEngine(usize),
     /// Bytes from an engine to dispatchers are lost.
     CutFromEngine(usize),
-    /// All connections to an engine are reset, and for a while also new ones.
+    /// All connections to an engine are reset, and during the fault others soon after they are established.
     ResetLink(usize),
-    /// Bytes are forwarded in small pieces.
+    /// Bytes from and to an engine are forwarded in small pieces.
     SplitLink(usize),
-    /// Idle connections are dropped silently.
+    /// Idle connections to an engine are dropped silently.
     ForgetIdle(usize),
-    /// Connections are established late.
+    /// Connections to an engine are established only after the fault ends.
     LateConnects(usize),
     /// The name service is silent.
     SilentNames,
     /// The name service answers with a delay (ms).
     SlowNames(u64),
-    /// A dispatcher is terminated and replaced by another at once.
+    /// A dispatcher is terminated, and its replacement starts while it shuts down.
     Restart(usize),
-    /// The same, with SIGHUP, SIGTERM again, SIGSTOP and SIGCONT right after the first SIGTERM.
+    /// As `Restart`, with SIGHUP, a second SIGTERM, SIGSTOP and SIGCONT after the first SIGTERM.
     SignalSeries(usize),
-    /// A dispatcher ends by SIGKILL and is started again.
+    /// A dispatcher is ended by SIGKILL and started again.
     Crash(usize),
-    /// A dispatcher is stopped for this time (ms).
+    /// A dispatcher is stopped by SIGSTOP for this time (ms).
     Stall(usize, u64),
-    /// A dispatcher gets this many SIGHUPs in a row, some of them with half a configuration.
+    /// A dispatcher receives this number of SIGHUPs, some of them with an incomplete configuration.
     Reload(usize, u32),
     /// A dispatcher's wall clock is stepped (s).
     StepClock(usize, i64),
-    /// One call in twenty of a dispatcher is interrupted.
+    /// One in twenty of a dispatcher's system calls is interrupted (EINTR).
     Interrupt(usize),
-    /// One call in twenty of a dispatcher lacks buffers.
+    /// One in twenty of a dispatcher's socket calls fails for lack of buffers (ENOBUFS).
     NoBuffers(usize),
-    /// Reads and writes of a dispatcher are short.
+    /// Some of a dispatcher's reads and writes are short.
     ShortCalls(usize),
-    /// A dispatcher's accepts and sockets fail.
+    /// Some of a dispatcher's calls of accept, socket and bind fail.
     FailAccepts(usize),
-    /// The clients of a dispatcher leave.
+    /// All clients of a dispatcher disconnect.
     ClientsLeave(usize),
 }
 
@@ -99,14 +100,14 @@
     }
 }
 
-/// A fault with its time.
+/// A fault with its begin and duration.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PlannedFault {
-    /// When it begins (ms).
+    /// Its begin, as time since the start of the run (ms).
     pub at_ms: f64,
-    /// How long it lasts, for faults that have a duration (ms).
+    /// Its duration (ms). Faults without a duration ignore it.
     pub for_ms: f64,
-    /// What it is.
+    /// The fault.
     pub fault: SoakFault,
 }
 
@@ -115,13 +116,13 @@
 pub struct SoakPlan {
     /// Its seed.
     pub seed: u64,
-    /// Dispatchers.
+    /// The number of dispatchers.
     pub dispatchers: usize,
-    /// Engines at the start.
+    /// The number of engines at the start.
     pub engines: usize,
     /// How long clients send queries (s).
     pub seconds: f64,
-    /// What engines and clients of the run support.
+    /// The settings that differ between runs.
     pub settings: SoakSettings,
     /// The faults, by their begin.
     pub faults: Vec<PlannedFault>,
@@ -134,7 +135,7 @@
     pub has_notes: bool,
     /// Whether clients declare the cost of their queries.
     pub has_estimates: bool,
-    /// Whether attempts may be cancelled.
+    /// Whether dispatchers may cancel attempts.
     pub allows_cancels: bool,
     /// Whether engines answer health checks.
     pub allows_probes: bool,
@@ -155,7 +156,8 @@
     }
 }
 
-/// Half of the runs have the longest deadlines that the platform waits for at a termination, the others shorter ones.
+/// Draws a run's longest deadline (ms). In half of the runs it is the longest for which the platform waits at a
+/// termination; in the others it is shorter.
 fn draw_max_deadline_ms(rng: &mut Pcg64) -> f64 {
     if rng.random_bool(0.5) {
         MAX_DEADLINE_MS
@@ -164,17 +166,17 @@
     }
 }
 
-/// The shortest of the longest deadlines that are drawn (ms).
+/// Lower bound of a run's longest deadline (ms).
 const MIN_DEADLINE_MS: f64 = 300.0;
 /// The longest deadline for which the platform waits at a termination (ms).
 const MAX_DEADLINE_MS: f64 = 3000.0;
-/// Makes the deadlines' random numbers differ from the plan's.
+/// Separates the deadlines' random numbers from those of the rest of the plan.
 const DEADLINE_SEED: u64 = 0x6465_6164;
-/// Steps of a dispatcher's wall clock (s).
+/// Steps that a dispatcher's wall clock may make (s).
 const CLOCK_STEPS_S: [i64; 6] = [-3600, -40, -3, 3, 40, 3600];
-/// Fraction of the runs with faulty replies that have few engines.
+/// Fraction of the runs with faulty replies that start with only one or two engines.
 const FEW_ENGINES_FRACTION: f64 = 0.5;
-/// Duration of the long outage of the name service, which is part of runs that are long enough (s).
+/// Duration of the long outage of the name service (s). Only runs longer than 1.3 times this duration include it.
 const LONG_OUTAGE_S: f64 = 30.0;
 /// The long outage of the name service.
 const LONG_OUTAGE: PlannedFault = PlannedFault {
@@ -184,7 +186,7 @@
 };
 
 impl SoakPlan {
-    /// The plan of a seed.
+    /// Draws the plan of a seed.
     pub fn draw(
         seed: u64,
         processes: &RangeInclusive<usize>,
@@ -194,14 +196,14 @@
         let mut rng = Pcg64::seed_from_u64(seed);
         let dispatchers = rng.random_range(processes.clone());
         let mut engines = rng.random_range(5..9);
-        // Where there are few, a retry goes to the engine that had the attempt before.
+        // With few engines, retries go to the engine of the previous attempt.
         if families.contains(&FaultFamily::Replies) && rng.random_bool(FEW_ENGINES_FRACTION) {
             engines = rng.random_range(1..3);
         }
         let settings = SoakSettings::draw(seed, &mut rng);
         let mut faults = Vec::new();
-        // On average two to three faults overlap; some runs begin with a time without faults.
-        let quiet_ms = if rng.random_bool(0.2) {
+        // On average two to three faults overlap. One run in five begins with a longer time without faults.
+        let first_fault_ms = if rng.random_bool(0.2) {
             0.35 * seconds * 1000.0
         } else {
             500.0
@@ -209,7 +211,7 @@
         let count = (seconds * 1.6) as usize + 3;
         for _ in 0..count {
             let family = families[rng.random_range(0..families.len())];
-            let begin_ms = quiet_ms..(seconds * 1000.0 - 300.0).max(quiet_ms + 1.0);
+            let begin_ms = first_fault_ms..(seconds * 1000.0 - 300.0).max(first_fault_ms + 1.0);
             faults.push(PlannedFault {
                 at_ms: rng.random_range(begin_ms),
                 for_ms: rng.random_range(300.0..2600.0),
@@ -230,7 +232,7 @@
         }
     }
 
-    /// The plan without one of its faults, for shrinking.
+    /// The plan without its `nth` fault, for shrinking.
     pub fn without(&self, nth: usize) -> Self {
         let mut plan = self.clone();
         plan.faults.remove(nth);
@@ -238,8 +240,8 @@
     }
 }
 
-/// Draws a fault of a family. Engine, dispatcher and fraction are drawn for every family, so that a run's later draws do
-/// not depend on the family.
+/// Draws a fault of a family. The engine, the dispatcher and the fraction are drawn for every family, so that a run's later
+/// draws do not depend on whether a family uses them.
 fn draw_fault(
     family: FaultFamily,
     dispatchers: usize,
