--- a/crates/testbed/src/corpus/generator.rs
+++ b/crates/testbed/src/corpus/generator.rs
@@ -1,5 +1,5 @@
-//! Generates statements from patterns in two steps: a pattern with its names filled in ([`fill_names`]) is a shape, and a
-//! shape with its literals filled in ([`fill_literals`]) is a statement.
+//! Generates statements from patterns in two steps: a pattern with its names filled in ([`fill_names`]) is a shape, and
+//! a shape with its literals filled in ([`fill_literals`]) is a statement.
 
 use super::patterns::{COLUMNS, TABLES};
 use rand::seq::IndexedRandom;
@@ -7,32 +7,33 @@
 use rand_pcg::Pcg64;
 use std::collections::HashMap;
 
-/// Part of the statements that are written in upper case.
+/// Probability that a statement is written in upper case.
 const UPPER_CASE_PROBABILITY: f64 = 0.3;
-/// One blank in this many, for each kind, becomes another kind of blank or a comment.
-const BLANK_VARIANTS: u32 = 40;
+/// Number of equally likely outcomes of a separator draw. Five outcomes each give an unusual separator or a comment,
+/// the others a space.
+const SEPARATOR_DRAWS: u32 = 40;
 /// String literals that look like other syntax.
 const TRICKY_STRINGS: [&str; 7] = ["a", "x''y", "", "delete from t", "1;2", "-- no", "/* no"];
-/// Ends of string literals.
-const STRING_ENDS: [&str; 5] = ["", " ", "''", ";", "é"];
+/// Suffixes of string literals.
+const STRING_SUFFIXES: [&str; 5] = ["", " ", "''", ";", "é"];
 
-/// Fills a pattern's table and column names. Placeholders of literals remain, because statements of one shape differ in
-/// their literals.
+/// Replaces the table and column placeholders of a pattern. Literal placeholders remain, because statements of one
+/// shape differ in their literals.
 pub(super) fn fill_names(pattern: &str, rng: &mut Pcg64) -> String {
     let mut numbered_names: HashMap<String, String> = HashMap::new();
     let mut text = String::new();
-    let mut rest = pattern.chars().peekable();
-    while let Some(current) = rest.next() {
-        let placeholder = rest
+    let mut characters = pattern.chars().peekable();
+    while let Some(character) = characters.next() {
+        let placeholder = characters
             .peek()
             .copied()
-            .filter(|kind| current == '%' && "tc".contains(*kind));
+            .filter(|kind| character == '%' && "tc".contains(*kind));
         let Some(kind) = placeholder else {
-            text.push(current);
+            text.push(character);
             continue;
         };
-        rest.next();
-        let name = match rest.next_if(char::is_ascii_digit) {
+        characters.next();
+        let name = match characters.next_if(char::is_ascii_digit) {
             Some(digit) => numbered_names
                 .entry(format!("{kind}{digit}"))
                 .or_insert_with(|| draw_name(kind, rng))
@@ -44,9 +45,9 @@
     text
 }
 
-/// A table's name for kind `t`, otherwise a column's.
+/// Returns a random table name for kind `t`, otherwise a random column name.
 fn draw_name(kind: char, rng: &mut Pcg64) -> String {
-    // Both are drawn for either kind: the order of draws is part of a seed's corpus.
+    // Both names are drawn for either kind: the corpus of a seed depends on the sequence of draws.
     let column = *COLUMNS.choose(rng).unwrap_or(&"day");
     let table = *TABLES.choose(rng).unwrap_or(&"orders");
     if kind == 't' {
@@ -56,32 +57,32 @@
     }
 }
 
-/// A statement of a shape: literals, letter case, blanks and comments are drawn.
+/// Returns a statement of a shape, with random literals, letter case, whitespace and comments.
 pub(super) fn fill_literals(shape: &str, rng: &mut Pcg64) -> String {
     let mut text = String::new();
-    let mut rest = shape.chars();
+    let mut characters = shape.chars();
     let is_upper_case = rng.random_bool(UPPER_CASE_PROBABILITY);
-    let mut in_string = false;
-    while let Some(current) = rest.next() {
-        in_string ^= current == '\'';
-        match current {
-            '%' => push_placeholder(&mut text, rest.next(), rng),
-            ' ' if !in_string => text += draw_blank(rng),
-            letter if is_upper_case && !in_string => text.push(letter.to_ascii_uppercase()),
+    let mut is_in_string = false;
+    while let Some(character) = characters.next() {
+        is_in_string ^= character == '\'';
+        match character {
+            '%' => push_placeholder(&mut text, characters.next(), rng),
+            ' ' if !is_in_string => text += draw_separator(rng),
+            letter if is_upper_case && !is_in_string => text.push(letter.to_ascii_uppercase()),
             other => text.push(other),
         }
     }
     text
 }
 
-/// Appends the text that replaces a placeholder of this kind. A placeholder of an unknown kind remains unchanged.
+/// Appends the replacement of a placeholder of this kind. A placeholder of unknown kind is appended unchanged.
 fn push_placeholder(text: &mut String, kind: Option<char>, rng: &mut Pcg64) {
     match kind {
         Some('n') => *text += &rng.random_range(0..1_000_000).to_string(),
         Some('s') => {
             let stem = rng.random::<u32>();
-            let end = STRING_ENDS.choose(rng).unwrap_or(&"");
-            *text += &format!("'{stem:x}{end}'");
+            let suffix = STRING_SUFFIXES.choose(rng).unwrap_or(&"");
+            *text += &format!("'{stem:x}{suffix}'");
         }
         Some('l') => {
             let length = rng.random_range(1..30);
@@ -113,8 +114,8 @@
     }
 }
 
-fn draw_blank(rng: &mut Pcg64) -> &'static str {
-    match rng.random_range(0..BLANK_VARIANTS) {
+fn draw_separator(rng: &mut Pcg64) -> &'static str {
+    match rng.random_range(0..SEPARATOR_DRAWS) {
         0 => "  ",
         1 => "\n",
         2 => " /* why; */ ",
--- a/crates/testbed/src/corpus/mod.rs
+++ b/crates/testbed/src/corpus/mod.rs
@@ -1,7 +1,8 @@
-//! SQL statements whose class and effect are known by construction: some written by hand, most generated from patterns.
+//! SQL statements whose class and effect are known by construction: some handwritten, most generated from patterns.
 //!
 //! The corpus has two splits that share no pattern. Only [`Split::Development`] may be consulted while classification
-//! rules are written; [`Split::Evaluation`] measures how well the rules work on patterns that they were not written for.
+//! rules are written. [`Split::Evaluation`] measures how well the rules work on patterns that they were not written
+//! for.
 //!
 //! Start reading at [`corpus`].
 
@@ -21,20 +22,20 @@
 use rand_distr::{Distribution, LogNormal};
 use rand_pcg::Pcg64;
 
-/// Standard deviation of the logarithm of the costs of a class's shapes. It is wide, so that the class alone predicts a
-/// shape's cost badly.
+/// Standard deviation of the logarithm of the costs of a class's shapes. It is so large that the class alone predicts a
+/// shape's cost poorly.
 const COST_LOG_DEVIATION: f64 = 0.8;
-/// Cost of a statement written by hand (ms).
-const WRITTEN_COST_MS: f64 = 50.0;
-/// Threads of a statement written by hand.
-const WRITTEN_THREADS: f64 = 1.0;
+/// Cost of a handwritten statement (ms).
+const HANDWRITTEN_COST_MS: f64 = 50.0;
+/// Threads of a handwritten statement.
+const HANDWRITTEN_THREADS: f64 = 1.0;
 
 /// The split of the corpus that a statement belongs to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Split {
     /// For writing classification rules.
     Development,
-    /// For measuring them.
+    /// For measuring classification rules.
     Evaluation,
 }
 
@@ -49,7 +50,7 @@
     pub effect: &'static str,
     /// The split that the statement's pattern belongs to.
     pub split: Split,
-    /// Statements with the same number differ in their literals only.
+    /// The shape's number. Statements of one shape differ only in letter case, whitespace, comments and literals.
     pub shape: usize,
     /// Processor time that the statement takes on one core (ms).
     pub work_ms: f64,
@@ -57,15 +58,15 @@
     pub threads: f64,
 }
 
-/// A corpus of the statements written by hand and then, for each pattern, `shapes_per_pattern` shapes with
-/// `statements_per_shape` statements each. The same seed generates the same corpus.
+/// Returns the handwritten statements, followed by `shapes_per_pattern` shapes of each pattern with
+/// `statements_per_shape` statements per shape. The same seed generates the same corpus.
 pub fn corpus(
     shapes_per_pattern: usize,
     statements_per_shape: usize,
     seed: u64,
 ) -> Vec<LabelledStatement> {
     let mut rng = Pcg64::seed_from_u64(seed);
-    let mut statements = written();
+    let mut statements = handwritten_statements();
     let mut shape = statements.len();
     for class in &CLASS_PATTERNS {
         let splits = [
@@ -89,7 +90,7 @@
     statements
 }
 
-/// One shape of a pattern, with its cost: names are filled in, literals are still placeholders.
+/// Returns a random shape of a pattern, with its cost. Its names are filled in, its literals are still placeholders.
 fn draw_template(
     class: &ClassPatterns,
     split: Split,
@@ -116,18 +117,18 @@
     }
 }
 
-/// The statements written by hand: all of the evaluation split, one shape each.
-fn written() -> Vec<LabelledStatement> {
+/// Returns the handwritten statements. All belong to the evaluation split, and each has its own shape.
+fn handwritten_statements() -> Vec<LabelledStatement> {
     include_str!("../../corpus/written.txt")
         .lines()
-        .filter_map(parse_written_line)
+        .filter_map(parse_handwritten_line)
         .enumerate()
         .map(|(shape, labelled)| LabelledStatement { shape, ..labelled })
         .collect()
 }
 
-/// Reads `class <tab> effect <tab> statement`; a line of another form is skipped.
-fn parse_written_line(line: &str) -> Option<LabelledStatement> {
+/// Parses a line `class <tab> effect <tab> statement`. Returns `None` if the line has another form.
+fn parse_handwritten_line(line: &str) -> Option<LabelledStatement> {
     let (class, rest) = line.split_once('\t')?;
     let (effect, statement) = rest.split_once('\t')?;
     Some(LabelledStatement {
@@ -136,12 +137,12 @@
         effect: known_label(effect),
         split: Split::Evaluation,
         shape: 0,
-        work_ms: WRITTEN_COST_MS,
-        threads: WRITTEN_THREADS,
+        work_ms: HANDWRITTEN_COST_MS,
+        threads: HANDWRITTEN_THREADS,
     })
 }
 
-/// The class or effect of this name, `"unknown"` if there is none.
+/// Returns the class or effect with this name, or `"unknown"` if there is none.
 fn known_label(name: &str) -> &'static str {
     CLASS_PATTERNS
         .iter()
--- a/crates/testbed/src/corpus/oracle.rs
+++ b/crates/testbed/src/corpus/oracle.rs
@@ -1,7 +1,8 @@
-//! An oracle for effects, independent of the analyzer under test: it tokenizes a text under every combination of SQL
-//! dialect rules and searches the tokens for words that change something. It errs towards "may change".
+//! Test oracle for the effect of a statement, independent of the analyzer under test. It tokenizes a text under every
+//! combination of SQL dialect rules and searches the tokens for keywords and functions that modify state. In doubt it
+//! reports a change.
 
-/// Keywords that change something where a statement starts with them.
+/// Keywords that modify state at the start of a statement.
 const STATEMENT_KEYWORDS: [&[u8]; 30] = [
     b"insert",
     b"update",
@@ -35,7 +36,7 @@
     b"notify",
 ];
 
-/// Keywords that change something anywhere in a statement.
+/// Keywords that modify state anywhere in a statement.
 const CLAUSE_KEYWORDS: [&[u8]; 10] = [
     b"insert",
     b"update",
@@ -49,20 +50,20 @@
     b"grant",
 ];
 
-/// Functions with effects; they count only where an opening parenthesis follows.
+/// Functions that modify state. They count only if an opening parenthesis follows.
 const FUNCTIONS_WITH_EFFECTS: [&[u8]; 4] =
     [b"nextval", b"setval", b"pg_advisory_lock", b"set_config"];
 
-/// Number of dialect rules in [`Dialect`], each on or off.
-const DIALECT_RULES: u32 = 6;
+/// Number of rules in [`Dialect`]. Each rule is on or off.
+const DIALECT_RULE_COUNT: u32 = 6;
 
-/// Whether a text may change something under any way in which an engine could split it into words.
+/// Returns whether a text may modify state under at least one combination of dialect rules.
 pub fn may_change(text: &[u8]) -> bool {
-    (0..1_u8 << DIALECT_RULES)
+    (0..1_u8 << DIALECT_RULE_COUNT)
         .any(|rules| Scanner::new(text, Dialect::from_bits(rules)).finds_change())
 }
 
-/// Rules in which SQL dialects differ.
+/// Lexical rules in which SQL dialects differ.
 #[derive(Debug, Clone, Copy)]
 struct Dialect {
     /// A backslash escapes the next character of a string.
@@ -71,11 +72,11 @@
     nested_comments: bool,
     /// `#` starts a line comment.
     hash_comments: bool,
-    /// `--` starts a comment only if a blank or the end follows.
+    /// `--` starts a comment only if whitespace or the end of the text follows.
     dashes_need_blank: bool,
     /// `$tag$` quotes strings.
     dollar_quotes: bool,
-    /// `/*! ... */` is executed, and a carriage return ends a line comment.
+    /// The content of `/*! ... */` is executed, and a carriage return ends a `--` comment.
     executable_comments: bool,
 }
 
@@ -100,7 +101,7 @@
     position: usize,
     /// No word of the current statement has been read yet.
     at_statement_start: bool,
-    /// The next word is a column's or table's name, as in `t.update`.
+    /// The preceding token is a dot, so the next word is the name of a column or table, as in `t.update`.
     after_dot: bool,
 }
 
@@ -129,13 +130,13 @@
                         return true;
                     }
                 }
-                byte => self.take_other(byte),
+                byte => self.consume_other(byte),
             }
         }
         false
     }
 
-    /// The byte at this distance, 0 behind the end.
+    /// Returns the byte at this offset from the current position, or 0 past the end.
     fn peek(&self, offset: usize) -> u8 {
         let byte = self.text.get(self.position + offset);
         byte.copied().unwrap_or(0)
@@ -147,7 +148,7 @@
         }
     }
 
-    /// Skips a quoted string or name with its closing quote; a doubled quote doesn't close it.
+    /// Skips a quoted string or name including its closing quote. A doubled quote doesn't close it.
     fn skip_quoted(&mut self, quote: u8) {
         self.position += 1;
         while self.position < self.text.len() {
@@ -179,7 +180,7 @@
         self.skip_until(|byte| byte == b'\n' || return_ends_line && byte == b'\r');
     }
 
-    /// Skips a block comment. Of an executable one (`/*!`, `/*M!`) only the opening and its version number are skipped.
+    /// Skips a block comment. If it is executable (`/*!`, `/*M!`), skips only its opening and version number.
     fn skip_block_comment(&mut self) {
         let is_executable = self.peek(2) == b'!' || self.peek(2) == b'M' && self.peek(3) == b'!';
         if self.dialect.executable_comments && is_executable {
@@ -203,7 +204,7 @@
         }
     }
 
-    /// Skips a dollar-quoted string, or the dollar alone if it opens none that is closed.
+    /// Skips a dollar-quoted string. Skips only the dollar sign if no complete dollar-quoted string starts here.
     fn skip_dollar_quoted(&mut self) {
         let end = self.dollar_quoted_end();
         self.position = end.unwrap_or(self.position + 1);
@@ -225,7 +226,7 @@
         Some(body_start + body_length + delimiter.len())
     }
 
-    /// Moves behind a word; whether the word changes something.
+    /// Skips a word. Returns whether the word modifies state.
     fn skip_identifier_and_check(&mut self) -> bool {
         let start = self.position;
         while self.peek(0).is_ascii_alphanumeric() || self.peek(0) == b'_' {
@@ -248,7 +249,7 @@
         false
     }
 
-    fn take_other(&mut self, byte: u8) {
+    fn consume_other(&mut self, byte: u8) {
         self.position += 1;
         if byte == b';' {
             self.at_statement_start = true;
--- a/crates/testbed/src/corpus/patterns.rs
+++ b/crates/testbed/src/corpus/patterns.rs
@@ -1,21 +1,21 @@
-//! The statement patterns, by class and split, and the table and column names that fill them.
+//! Statement patterns by class and split, and the table and column names that replace their placeholders.
 //!
-//! | Placeholder | Filled with | When |
+//! | Placeholder | Replaced by | Drawn |
 //! | --- | --- | --- |
 //! | `%t` | a table name | once per shape |
 //! | `%c` | a column name | once per shape |
-//! | `%n` | a number | for each statement |
-//! | `%s` | a string literal | for each statement |
-//! | `%l` | a list of literals | for each statement |
-//! | `%v` | rows of literals | for each statement |
+//! | `%n` | a number | once per statement |
+//! | `%s` | a string literal | once per statement |
+//! | `%l` | a list of literals | once per statement |
+//! | `%v` | rows of literals | once per statement |
 //!
-//! `%t` and `%c` followed by a digit (`%c1`) stand for the same name throughout the pattern.
+//! A placeholder `%t` or `%c` with a digit (`%c1`) is replaced by the same name throughout the pattern.
 
 /// The patterns of one class of statements.
 pub(super) struct ClassPatterns {
-    /// The class that every statement of these patterns has.
+    /// The class of all statements of these patterns.
     pub class: &'static str,
-    /// The effect that every statement of these patterns has.
+    /// The effect of all statements of these patterns.
     pub effect: &'static str,
     /// Patterns of [`Split::Development`](super::Split::Development).
     pub development: &'static [&'static str],
@@ -23,7 +23,7 @@
     pub evaluation: &'static [&'static str],
 }
 
-/// The patterns of each class, by the class's name.
+/// The patterns of each class.
 pub(super) const CLASS_PATTERNS: [ClassPatterns; 4] = [
     ClassPatterns {
         class: "look-up",
--- a/crates/testbed/src/corpus/tests.rs
+++ b/crates/testbed/src/corpus/tests.rs
@@ -1,23 +1,33 @@
-//! The corpus is large, split cleanly and reproducible; the oracle finds hidden changes.
+//! Tests that the corpus is large and reproducible, that its splits share no shape, and that the oracle finds changes
+//! hidden in comments and strings.
 
 use super::*;
 use std::collections::HashMap;
 
 #[test]
 fn corpus_is_large_and_its_splits_share_no_shape() {
-    let all = corpus(8, 8, 1);
-    assert!(all.len() >= 3000, "{}", all.len());
-    let split_of: HashMap<usize, Split> = all.iter().map(|s| (s.shape, s.split)).collect();
-    assert!(all.iter().all(|s| split_of[&s.shape] == s.split));
-    let made = all.iter().filter(|s| s.shape >= written().len());
+    let first_corpus = corpus(8, 8, 1);
+    assert!(first_corpus.len() >= 3000, "{}", first_corpus.len());
+    let split_of: HashMap<usize, Split> = first_corpus
+        .iter()
+        .map(|labelled| (labelled.shape, labelled.split))
+        .collect();
+    assert!(first_corpus
+        .iter()
+        .all(|labelled| split_of[&labelled.shape] == labelled.split));
+    let generated = first_corpus
+        .iter()
+        .filter(|labelled| labelled.shape >= handwritten_statements().len());
     assert!(
-        made.clone().all(|s| !s.statement.contains('%')),
+        generated
+            .clone()
+            .all(|labelled| !labelled.statement.contains('%')),
         "a placeholder was not filled"
     );
-    let again = corpus(8, 8, 1);
-    assert!(all
+    let second_corpus = corpus(8, 8, 1);
+    assert!(first_corpus
         .iter()
-        .zip(&again)
+        .zip(&second_corpus)
         .all(|(a, b)| a.statement == b.statement));
 }
 
--- a/crates/testbed/src/demo.rs
+++ b/crates/testbed/src/demo.rs
@@ -1,4 +1,5 @@
-//! The demo: the real program under the load of a quarter start, with stand-in engines of which one fails and one drains.
+//! Demo run: the real program under a load that rises to a peak and falls again, as at the start of a business quarter.
+//! Of its stand-in engines one fails and one drains.
 //!
 //! Start reading at [`run`].
 
@@ -30,21 +31,22 @@
 const FAILING_ENGINE: usize = 1;
 /// Id of the engine that drains.
 const DRAINING_ENGINE: &str = "s-3";
-/// Spread (log) of works about their median.
-const WORK_SPREAD: f64 = 0.5;
+/// Standard deviation of the logarithm of a query's work.
+const WORK_LOG_DEVIATION: f64 = 0.5;
 
-/// Interval at which faults and announcements are checked for being due.
+/// Interval at which the run checks for due faults and endpoint list changes.
 const ACTION_POLL: Duration = Duration::from_millis(20);
 
 /// A class of the demo's traffic.
 struct DemoClass {
     traffic: TrafficClass,
-    /// Queries a second when calm, and how many times that at the peak.
-    calm_queries_per_s: f64,
+    /// Queries per second at the start and the end of the run.
+    base_queries_per_s: f64,
+    /// Ratio of the rate at the peak to the rate at the start.
     peak_factor: f64,
 }
 
-/// The traffic of the demo: look-ups, reports and loads.
+/// Traffic classes of the demo: look-ups, reports and loads.
 const CLASSES: [DemoClass; 3] = [
     DemoClass {
         traffic: TrafficClass {
@@ -56,7 +58,7 @@
             weight: 1.0,
             changes_tables: false,
         },
-        calm_queries_per_s: 90.0,
+        base_queries_per_s: 90.0,
         peak_factor: 2.0,
     },
     DemoClass {
@@ -69,7 +71,7 @@
             weight: 1.0,
             changes_tables: false,
         },
-        calm_queries_per_s: 9.0,
+        base_queries_per_s: 9.0,
         peak_factor: 4.0,
     },
     DemoClass {
@@ -82,15 +84,15 @@
             weight: 1.0,
             changes_tables: true,
         },
-        calm_queries_per_s: 2.0,
+        base_queries_per_s: 2.0,
         peak_factor: 3.0,
     },
 ];
 
-/// What became of a class's queries.
+/// Counts and latencies of a class's queries.
 #[derive(Debug)]
 struct ClassOutcome {
-    asked: u64,
+    sent: u64,
     completed: u64,
     rejected: u64,
     failed: u64,
@@ -100,11 +102,12 @@
 impl ClassOutcome {
     fn new() -> Self {
         ClassOutcome {
-            asked: 0,
+            sent: 0,
             completed: 0,
             rejected: 0,
             failed: 0,
-            latencies_ms: Histogram::new_with_bounds(1, 60_000, 3).expect("bounds in order"),
+            latencies_ms: Histogram::new_with_bounds(1, 60_000, 3)
+                .expect("the bounds are in order"),
         }
     }
 }
@@ -114,13 +117,13 @@
 /// The results of a run.
 #[derive(Debug)]
 pub struct Report {
-    /// A table for people.
+    /// Human-readable table.
     pub table: String,
-    /// The rules that were broken.
+    /// Violations of the rules.
     pub violations: Vec<Violation>,
 }
 
-/// A fault or an announcement, at a fraction of the run.
+/// A fault or a change of the endpoint list, executed at a fraction of the run.
 struct TimedAction<'a> {
     at_fraction: f64,
     act: Box<dyn Fn() + 'a>,
@@ -151,7 +154,7 @@
     setup::with_retry_budget(config)
 }
 
-/// Runs the demo for `seconds`, with all random draws from `seed`. Progress goes to standard error unless `quiet`.
+/// Runs the demo for `seconds` with random draws from `seed`. Prints progress to standard error unless `quiet` is set.
 pub fn run(exe: &Path, seconds: f64, seed: u64, quiet: bool) -> Report {
     let context = Arc::new(RunContext::default());
     let spec = EngineSpec {
@@ -165,35 +168,35 @@
     program.wait_until_healthy();
     let new_outcome = |class: &DemoClass| (class.traffic.name, ClassOutcome::new());
     let outcomes: Arc<Outcomes> = Arc::new(Mutex::new(CLASSES.iter().map(new_outcome).collect()));
-    let from = Instant::now();
+    let start = Instant::now();
     let clients = spawn_clients(program.listen, seconds, seed, &context, &outcomes);
-    let mut shown_s = 0;
+    let mut last_progress_s = 0;
     let mut actions = timed_actions(&engines, &names).into_iter().peekable();
-    while from.elapsed().as_secs_f64() < seconds {
+    while start.elapsed().as_secs_f64() < seconds {
         thread::sleep(ACTION_POLL);
-        let fraction = from.elapsed().as_secs_f64() / seconds;
+        let fraction = start.elapsed().as_secs_f64() / seconds;
         while let Some(action) = actions.next_if(|action| fraction >= action.at_fraction) {
             (action.act)();
         }
-        let second = from.elapsed().as_secs();
-        if second > shown_s && !quiet {
-            shown_s = second;
-            eprintln!("{}", progress(second, &outcomes, &engines));
+        let elapsed_s = start.elapsed().as_secs();
+        if elapsed_s > last_progress_s && !quiet {
+            last_progress_s = elapsed_s;
+            eprintln!("{}", progress(elapsed_s, &outcomes, &engines));
         }
     }
     setup::join_all(clients);
     program.terminate();
     let _ = program.end();
-    let lasted_ms = from.elapsed().as_secs_f64() * 1000.0;
-    report(&context.record.entries(), &outcomes, &engines, lasted_ms)
+    let duration_ms = start.elapsed().as_secs_f64() * 1000.0;
+    report(&context.record.entries(), &outcomes, &engines, duration_ms)
 }
 
-/// The report on a run that lasted `lasted_ms`.
-fn report(entries: &[Entry], outcomes: &Outcomes, engines: &[Engine], lasted_ms: f64) -> Report {
+/// Checks the rules and returns the report on a run that took `duration_ms`.
+fn report(entries: &[Entry], outcomes: &Outcomes, engines: &[Engine], duration_ms: f64) -> Report {
     let rules = setup::rules(&traffic_classes(), Some(RETRY_BUDGET));
     let violations = find_violations(entries, &rules);
     let mut table = class_table(outcomes);
-    table += &engine_table(entries, engines, lasted_ms);
+    table += &engine_table(entries, engines, duration_ms);
     if violations.is_empty() {
         table += "rules: all seven kept\n";
     }
@@ -203,7 +206,7 @@
     Report { table, violations }
 }
 
-/// Starts a thread for each class, which draws arrivals and starts a thread for each query.
+/// Starts one thread per class. Each thread draws arrival times and starts one thread per query.
 fn spawn_clients(
     dispatcher: SocketAddr,
     seconds: f64,
@@ -215,10 +218,10 @@
     CLASSES
         .iter()
         .enumerate()
-        .map(|(number, class)| {
+        .map(|(class_index, class)| {
             let traffic = ClassTraffic {
                 class,
-                number: number as u64,
+                class_index: class_index as u64,
                 dispatcher,
                 seconds,
                 start,
@@ -233,8 +236,8 @@
 /// The traffic of one class.
 struct ClassTraffic {
     class: &'static DemoClass,
-    /// Of the class: part of its queries' ids and of its seed.
-    number: u64,
+    /// Index of the class, part of its seed and of its queries' ids.
+    class_index: u64,
     dispatcher: SocketAddr,
     seconds: f64,
     start: Instant,
@@ -244,41 +247,41 @@
 
 impl ClassTraffic {
     fn run(&self, seed: u64) {
-        let mut rng = Pcg64::seed_from_u64(seed ^ self.number << 32);
+        let mut rng = Pcg64::seed_from_u64(seed ^ self.class_index << 32);
         let class = self.class;
-        let works =
-            LogNormal::new(class.traffic.work_ms.ln(), WORK_SPREAD).expect("a finite spread");
+        let works = LogNormal::new(class.traffic.work_ms.ln(), WORK_LOG_DEVIATION)
+            .expect("the deviation is finite");
         let mut at_s = 0.0;
-        let mut query_number = 0_u64;
-        let mut waiting = Vec::new();
+        let mut query_index = 0_u64;
+        let mut query_threads = Vec::new();
         while at_s < self.seconds {
             at_s += Exp::new(self.queries_per_s(at_s))
-                .expect("a rate above 0")
+                .expect("the rate is positive")
                 .sample(&mut rng);
-            query_number += 1;
+            query_index += 1;
             let work_ms: f64 = works.sample(&mut rng);
             let tables = rng.random_range(1..30_u32);
             let mut query = ClientQuery::new(
-                (self.number + 1) << 48 | query_number,
+                (self.class_index + 1) << 48 | query_index,
                 &format!("/invoke/{}", class.traffic.name),
                 class.traffic.name,
-                &statement(class.traffic.name, tables, query_number),
+                &statement(class.traffic.name, tables, query_index),
                 class.traffic.max_wait_ms,
             );
             query.cost = Some(work_ms * rng.random_range(0.7..1.4));
-            let truth = class.traffic.query_work(work_ms, tables);
-            self.context.register(query.id(), truth);
+            let true_work = class.traffic.query_work(work_ms, tables);
+            self.context.register(query.id(), true_work);
             thread::sleep(Duration::from_secs_f64(at_s).saturating_sub(self.start.elapsed()));
-            waiting.push(self.spawn_query(query));
-            waiting.retain(|thread| !thread.is_finished());
+            query_threads.push(self.spawn_query(query));
+            query_threads.retain(|thread| !thread.is_finished());
         }
-        setup::join_all(waiting);
+        setup::join_all(query_threads);
     }
 
-    /// The load of a quarter start: from calm to its peak and back.
+    /// Returns the arrival rate at a time: half a sine wave, from the base rate to the peak and back.
     fn queries_per_s(&self, at_s: f64) -> f64 {
-        let height = (at_s / self.seconds * std::f64::consts::PI).sin().max(0.0);
-        self.class.calm_queries_per_s * (1.0 + (self.class.peak_factor - 1.0) * height)
+        let ramp = (at_s / self.seconds * std::f64::consts::PI).sin().max(0.0);
+        self.class.base_queries_per_s * (1.0 + (self.class.peak_factor - 1.0) * ramp)
     }
 
     fn spawn_query(&self, query: ClientQuery) -> thread::JoinHandle<()> {
@@ -292,7 +295,7 @@
             let Some(outcome) = outcomes.get_mut(name) else {
                 return;
             };
-            outcome.asked += 1;
+            outcome.sent += 1;
             match response.as_ref().map(|response| response.status) {
                 Some(200) => outcome.completed += 1,
                 Some(429 | 503) => outcome.rejected += 1,
@@ -306,19 +309,19 @@
     }
 }
 
-fn statement(class: &str, tables: u32, number: u64) -> String {
+fn statement(class: &str, tables: u32, index: u64) -> String {
     match class {
-        "look" => format!("select rate from sales_{tables}.lanes where id = {number}"),
+        "look" => format!("select rate from sales_{tables}.lanes where id = {index}"),
         "report" => format!(
-            "select lane, sum(rate) from sales_{tables}.history where day > '{number}' group by lane"
+            "select lane, sum(rate) from sales_{tables}.history where day > '{index}' group by lane"
         ),
         _ => format!(
-            "insert into sales_{tables}.lanes select * from staging.lanes where batch = {number}"
+            "insert into sales_{tables}.lanes select * from staging.lanes where batch = {index}"
         ),
     }
 }
 
-fn progress(second: u64, outcomes: &Outcomes, engines: &[Engine]) -> String {
+fn progress(elapsed_s: u64, outcomes: &Outcomes, engines: &[Engine]) -> String {
     let outcomes = outcomes.lock().expect("no holder panics");
     let sum = |count: fn(&ClassOutcome) -> u64| outcomes.values().map(count).sum::<u64>();
     let threads: Vec<String> = engines
@@ -326,8 +329,8 @@
         .map(|engine| format!("{}:{:>2.0}", engine.id, engine.threads()))
         .collect();
     format!(
-        "{second:>3} s  received {:>5}  completed {:>5}  rejected {:>4}  failed {:>3}  threads {}",
-        sum(|outcome| outcome.asked),
+        "{elapsed_s:>3} s  received {:>5}  completed {:>5}  rejected {:>4}  failed {:>3}  threads {}",
+        sum(|outcome| outcome.sent),
         sum(|outcome| outcome.completed),
         sum(|outcome| outcome.rejected),
         sum(|outcome| outcome.failed),
@@ -346,13 +349,13 @@
         let _ = writeln!(
             table,
             "{name:<8} {:>7} {:>9} {:>9} {:>7} {p50:>8} {p99:>8}",
-            outcome.asked, outcome.completed, outcome.rejected, outcome.failed
+            outcome.sent, outcome.completed, outcome.rejected, outcome.failed
         );
     }
     table
 }
 
-fn engine_table(entries: &[Entry], engines: &[Engine], lasted_ms: f64) -> String {
+fn engine_table(entries: &[Entry], engines: &[Engine], duration_ms: f64) -> String {
     let mut attempts: HashMap<&str, u64> = HashMap::new();
     for entry in entries {
         if let EventKind::Arrived { engine, .. } = &entry.event {
@@ -361,7 +364,7 @@
     }
     let mut table = format!("{:<8} {:>12} {:>12}\n", "engine", "attempts", "load");
     for engine in engines {
-        let load = engine.busy() / (CORES * lasted_ms);
+        let load = engine.busy() / (CORES * duration_ms);
         let count = attempts.get(engine.id.as_str()).copied().unwrap_or(0);
         let _ = writeln!(
             table,
--- a/crates/testbed/src/levels/clients.rs
+++ b/crates/testbed/src/levels/clients.rs
@@ -1,6 +1,6 @@
-//! Clients of the runs with levels: they retry after a rejection, and count their answers.
+//! Clients of the service level runs. They retry after a rejection and count their answers.
 
-use super::{capacity_per_s, MixClass, Outcome, RunPlan, CLASSES, WORK_SPREAD};
+use super::{capacity_per_s, MixClass, Outcome, RunPlan, CLASSES, WORK_LOG_DEVIATION};
 use crate::client::{send_query, ClientQuery, ClientResponse};
 use crate::engine::RunContext;
 use crate::setup;
@@ -13,33 +13,33 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The most requests of a client for one query, the first one included.
-const MAX_TRIES: usize = 4;
-/// After which time a client retries when a rejection names none (ms).
+/// Maximum requests that a client sends for one query, including the first.
+const MAX_REQUESTS: usize = 4;
+/// Delay before a client retries after a rejection without a retry time (ms).
 const DEFAULT_RETRY_AFTER_MS: f64 = 500.0;
-/// The load never falls below this fraction of capacity.
+/// Minimum load, as a fraction of capacity. It keeps the arrival rate positive.
 const MIN_LOAD: f64 = 0.02;
 
-/// Answers since the last sample.
+/// Counts and value of the answers since the previous sample.
 #[derive(Debug, Default, Clone, Copy)]
-pub(super) struct SinceSample {
+pub(super) struct IntervalCounts {
     pub completed: f64,
     pub late: f64,
     pub value: f64,
 }
 
-/// Counts of the answers that clients have received.
+/// Totals of the responses that clients have received.
 #[derive(Debug)]
 pub(super) struct Tally {
     outcome: Outcome,
     lookup_latencies_ms: Histogram<u64>,
-    /// Core time spent on what was answered in time (ms).
-    useful_ms: f64,
-    since_sample: SinceSample,
+    /// Core time of the queries that were answered in time (ms).
+    useful_core_ms: f64,
+    interval: IntervalCounts,
 }
 
-/// What a client does after a response.
-enum Next {
+/// Action of a client after a response.
+enum NextStep {
     Stop,
     RetryAfter(Duration),
 }
@@ -49,55 +49,62 @@
     pub fn new() -> Self {
         Tally {
             outcome: Outcome::default(),
-            lookup_latencies_ms: Histogram::new_with_bounds(1, 60_000, 3).expect("bounds in order"),
-            useful_ms: 0.0,
-            since_sample: SinceSample::default(),
+            lookup_latencies_ms: Histogram::new_with_bounds(1, 60_000, 3)
+                .expect("the bounds are in order"),
+            useful_core_ms: 0.0,
+            interval: IntervalCounts::default(),
         }
     }
 
-    /// Returns the counts since the last sample and resets them.
-    pub fn take_since_sample(&mut self) -> SinceSample {
-        std::mem::take(&mut self.since_sample)
+    /// Returns the counts since the previous sample and resets them.
+    pub fn take_interval(&mut self) -> IntervalCounts {
+        std::mem::take(&mut self.interval)
     }
 
-    /// The outcome, with the figures over all queries. `spent_ms`: core time that queries used on the engines.
-    pub fn finish(&mut self, spent_ms: f64) -> Outcome {
+    /// Takes the outcome and fills in the look-ups' 99th percentile and the wasted fraction of core time.
+    /// `used_core_ms` is the core time that queries used on the engines.
+    pub fn finish(&mut self, used_core_ms: f64) -> Outcome {
         let mut outcome = std::mem::take(&mut self.outcome);
         outcome.lookup_p99_ms = self.lookup_latencies_ms.value_at_quantile(0.99);
-        outcome.waste = 1.0 - self.useful_ms / spent_ms.max(1.0);
+        outcome.waste = 1.0 - self.useful_core_ms / used_core_ms.max(1.0);
         outcome
     }
 
-    fn record(&mut self, job: &ClientJob, tries: usize, response: Option<ClientResponse>) -> Next {
+    fn record(
+        &mut self,
+        pending: &PendingQuery,
+        request_count: usize,
+        response: Option<ClientResponse>,
+    ) -> NextStep {
         let Some(response) = response else {
             self.outcome.failed += 1;
-            return Next::Stop;
+            return NextStep::Stop;
         };
         match response.status {
             200 => {
-                self.record_answer(job, &response);
-                Next::Stop
+                self.record_answer(pending, &response);
+                NextStep::Stop
             }
             429 | 503 => {
                 self.outcome.rejected += 1;
-                if tries == MAX_TRIES {
-                    return Next::Stop;
+                if request_count == MAX_REQUESTS {
+                    return NextStep::Stop;
                 }
                 self.outcome.retried += 1;
                 let wait_ms = response.retry_after_ms.unwrap_or(DEFAULT_RETRY_AFTER_MS);
-                Next::RetryAfter(Duration::from_secs_f64(wait_ms / 1000.0))
+                NextStep::RetryAfter(Duration::from_secs_f64(wait_ms / 1000.0))
             }
             _ => {
                 self.outcome.failed += 1;
-                Next::Stop
+                NextStep::Stop
             }
         }
     }
 
-    fn record_answer(&mut self, job: &ClientJob, response: &ClientResponse) {
-        let class = &job.class.traffic;
-        // The time limit counts from the first request: rejections do not extend it.
-        let total_ms = job.from.elapsed().as_secs_f64() * 1000.0;
+    fn record_answer(&mut self, pending: &PendingQuery, response: &ClientResponse) {
+        let class = &pending.class.traffic;
+        // The time limit starts at the first request, so rejections do not extend it.
+        let total_ms = pending.first_sent_at.elapsed().as_secs_f64() * 1000.0;
         let in_time = total_ms <= class.objective_ms.max(class.max_wait_ms)
             && response.latency_ms <= class.objective_ms;
         let value = if in_time {
@@ -108,13 +115,13 @@
         self.outcome.value += value;
         if in_time {
             self.outcome.in_time += 1;
-            self.useful_ms += job.work_ms;
+            self.useful_core_ms += pending.work_ms;
         } else {
             self.outcome.late += 1;
-            self.since_sample.late += 1.0;
+            self.interval.late += 1.0;
         }
-        self.since_sample.completed += 1.0;
-        self.since_sample.value += value;
+        self.interval.completed += 1.0;
+        self.interval.value += value;
         if class.name == "look" {
             let latency_ms = response.latency_ms.max(1.0) as u64;
             let _ = self.lookup_latencies_ms.record(latency_ms);
@@ -122,12 +129,12 @@
     }
 }
 
-/// A client's query, until it is answered or its last request is rejected.
-struct ClientJob {
+/// A query for which its client may still send requests.
+struct PendingQuery {
     class: &'static MixClass,
     query: ClientQuery,
     work_ms: f64,
-    from: Instant,
+    first_sent_at: Instant,
 }
 
 /// All clients of a run.
@@ -141,77 +148,78 @@
 }
 
 impl Clients {
-    /// Draws arrivals and starts a thread for each query.
+    /// Draws arrival times and starts one thread per query. Returns when all queries have ended.
     pub fn run(&self) {
         let plan = &self.plan;
         let mut rng = Pcg64::seed_from_u64(plan.seed);
         let mut at_s = 0.0;
-        let mut number = 0_u64;
-        let mut waiting = Vec::new();
+        let mut query_index = 0_u64;
+        let mut query_threads = Vec::new();
         while at_s < plan.seconds {
             let load = (plan.load)(at_s / plan.seconds, plan.peak).max(MIN_LOAD);
             at_s += Exp::new(capacity_per_s() * load)
-                .expect("a rate above 0")
+                .expect("the rate is positive")
                 .sample(&mut rng);
-            number += 1;
+            query_index += 1;
             let class = draw_class(&mut rng);
-            let work_ms = LogNormal::new(class.traffic.work_ms.ln(), WORK_SPREAD)
-                .expect("a finite spread")
+            let work_ms = LogNormal::new(class.traffic.work_ms.ln(), WORK_LOG_DEVIATION)
+                .expect("the deviation is finite")
                 .sample(&mut rng);
             let tables = rng.random_range(1..30);
             let mut query = ClientQuery::new(
-                number << 8,
+                query_index << 8,
                 &format!("/invoke/{}", class.traffic.name),
                 class.traffic.name,
-                &format!("select a from sales_{tables}.t where id = {number}"),
+                &format!("select a from sales_{tables}.t where id = {query_index}"),
                 class.traffic.max_wait_ms,
             );
             query.cost = Some(work_ms * rng.random_range(0.8..1.25));
             thread::sleep(Duration::from_secs_f64(at_s).saturating_sub(self.start.elapsed()));
-            let own = self.clone();
-            waiting.push(thread::spawn(move || {
-                own.send(ClientJob {
+            let clients = self.clone();
+            query_threads.push(thread::spawn(move || {
+                clients.send(PendingQuery {
                     class,
                     query,
                     work_ms,
-                    from: Instant::now(),
+                    first_sent_at: Instant::now(),
                 });
             }));
-            waiting.retain(|thread| !thread.is_finished());
+            query_threads.retain(|thread| !thread.is_finished());
         }
-        setup::join_all(waiting);
+        setup::join_all(query_threads);
     }
 
-    /// Sends a query until it is answered, fails, or is rejected [`MAX_TRIES`] times. Each request has its own id.
-    fn send(&self, mut job: ClientJob) {
-        for tries in 1..=MAX_TRIES {
-            let truth = job.class.traffic.query_work(job.work_ms, 0);
-            self.context.register(job.query.id(), truth);
-            let response = send_query(self.dispatcher, &job.query, &self.context.record);
+    /// Sends a query until it is answered, fails, or is rejected [`MAX_REQUESTS`] times. Each request has a different
+    /// id.
+    fn send(&self, mut pending: PendingQuery) {
+        for request_count in 1..=MAX_REQUESTS {
+            let true_work = pending.class.traffic.query_work(pending.work_ms, 0);
+            self.context.register(pending.query.id(), true_work);
+            let response = send_query(self.dispatcher, &pending.query, &self.context.record);
             let next = {
                 let mut tally = self.tally.lock().expect("no holder panics");
-                if tries == 1 {
-                    tally.outcome.asked += 1;
-                    tally.outcome.max_value += job.class.traffic.weight;
+                if request_count == 1 {
+                    tally.outcome.sent += 1;
+                    tally.outcome.max_value += pending.class.traffic.weight;
                 }
-                tally.record(&job, tries, response)
+                tally.record(&pending, request_count, response)
             };
             match next {
-                Next::Stop => return,
-                Next::RetryAfter(wait) => thread::sleep(wait),
+                NextStep::Stop => return,
+                NextStep::RetryAfter(wait) => thread::sleep(wait),
             }
-            job.query.id += 1;
+            pending.query.id += 1;
         }
     }
 }
 
 fn draw_class(rng: &mut Pcg64) -> &'static MixClass {
-    let mut lot: f64 = rng.random();
+    let mut draw: f64 = rng.random();
     CLASSES
         .iter()
         .find(|class| {
-            lot -= class.fraction;
-            lot < 0.0
+            draw -= class.fraction;
+            draw < 0.0
         })
         .unwrap_or(&CLASSES[0])
 }
--- a/crates/testbed/src/levels/loads.rs
+++ b/crates/testbed/src/levels/loads.rs
@@ -1,21 +1,23 @@
-//! Loads over a run, as fractions of capacity.
+//! Load profiles of a run. Each returns the load, as a fraction of capacity, at a fraction of the run.
 
 use std::f64::consts::{PI, TAU};
 
-/// When the load of [`step`] rises, as a fraction of the run.
-pub(super) const STEP_UP: f64 = 0.08;
-/// When the load of [`step`] falls again, as a fraction of the run.
-pub(super) const STEP_DOWN: f64 = 0.4;
-/// The load of [`step`] when calm.
-const CALM_LOAD: f64 = 0.3;
+/// Begin of the peak of [`step`], as a fraction of the run.
+pub(super) const STEP_BEGIN: f64 = 0.08;
+/// End of the peak of [`step`], as a fraction of the run.
+pub(super) const STEP_END: f64 = 0.4;
+/// Load of [`step`] before and after the peak, as a fraction of capacity.
+const BASE_LOAD: f64 = 0.3;
 
-/// From calm to the peak and halfway back, as a quarter starts.
-pub(super) fn quarter_start(fraction: f64, peak: f64) -> f64 {
+/// Rises along a sine from half of capacity to the peak and falls about halfway back, as load does at the start of a
+/// business quarter.
+pub(super) fn rise_to_peak(fraction: f64, peak: f64) -> f64 {
     0.5 + (peak - 0.5) * (fraction * PI * 0.85).sin()
 }
 
-/// Around the thresholds: sines, squares and a sawtooth of periods from 7 to 90 s, as if the run took ten minutes.
-pub(super) fn swings(fraction: f64, middle: f64) -> f64 {
+/// Oscillates around `middle`, across the thresholds of the levels: sine, square and sawtooth waves with periods from 7
+/// to 90 s, scaled to a run of ten minutes.
+pub(super) fn waves(fraction: f64, middle: f64) -> f64 {
     let time_s = fraction * 600.0;
     let wave = match (fraction * 6.0) as u32 {
         0 => (time_s / 7.0 * TAU).sin(),
@@ -28,11 +30,11 @@
     middle + 0.45 * wave
 }
 
-/// Calm, then at the peak for a third of the time, then calm.
+/// Base load with one peak that takes about a third of the run.
 pub(super) fn step(fraction: f64, peak: f64) -> f64 {
-    if (STEP_UP..STEP_DOWN).contains(&fraction) {
+    if (STEP_BEGIN..STEP_END).contains(&fraction) {
         peak
     } else {
-        CALM_LOAD
+        BASE_LOAD
     }
 }
--- a/crates/testbed/src/levels/mod.rs
+++ b/crates/testbed/src/levels/mod.rs
@@ -1,7 +1,7 @@
-//! Service levels on loopback: loads that swing around thresholds for minutes, and a quarter start with and without
-//! levels on the same seeds.
+//! Runs of service levels on loopback: loads that oscillate across the levels' thresholds, a step of load, and the load
+//! peak of a quarter start with and without levels on the same seeds.
 //!
-//! Start reading at [`run`]; [`swing`], [`reaction`] and [`quarters`] report on its results.
+//! Start reading at [`run`]; [`swing`], [`reaction`] and [`quarters`] run it and report the results.
 
 mod clients;
 mod loads;
@@ -23,30 +23,30 @@
 use std::time::{Duration, Instant};
 use tansymux::settings::keys;
 
-/// The levels of these runs, and of the example for operators.
-pub const LEVELS: &str = include_str!("../../../../deploy/levels.textproto");
+/// Operators' file that defines the levels of these runs. It also serves operators as an example.
+pub const OPERATOR_FILE: &str = include_str!("../../../../deploy/levels.textproto");
 
 /// Cores of each engine.
 const CORES: f64 = 8.0;
 /// Number of engines.
 const ENGINES: usize = 4;
-/// The engine that fails, where one does.
+/// Index of the engine that fails in runs with [`RunPlan::failing`].
 const FAILING_ENGINE: usize = 1;
 /// Time between two samples.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(250);
-/// Samples a second, which follows from [`SAMPLE_INTERVAL`].
+/// Samples per second, the inverse of [`SAMPLE_INTERVAL`].
 const SAMPLES_PER_S: f64 = 4.0;
-/// Spread (log) of works about their median.
-const WORK_SPREAD: f64 = 0.4;
+/// Standard deviation of the logarithm of a query's work.
+const WORK_LOG_DEVIATION: f64 = 0.4;
 
-/// A class of the traffic.
+/// A traffic class and its share of the queries.
 struct MixClass {
     traffic: TrafficClass,
-    /// Its part of all queries.
+    /// Fraction of all queries.
     fraction: f64,
 }
 
-/// The traffic of these runs: look-ups, reports and loads.
+/// Traffic classes of these runs: look-ups, reports and loads.
 const CLASSES: [MixClass; 3] = [
     MixClass {
         traffic: setup::LOOKUPS,
@@ -66,16 +66,16 @@
     CLASSES.iter().map(|class| class.traffic).collect()
 }
 
-/// Mean work of a query of the mix (ms).
+/// Returns the mean work of a query over all classes (ms on one core).
 fn mean_work_ms() -> f64 {
-    let mean_of_median = f64::exp(WORK_SPREAD * WORK_SPREAD / 2.0);
+    let mean_to_median_ratio = f64::exp(WORK_LOG_DEVIATION * WORK_LOG_DEVIATION / 2.0);
     CLASSES
         .iter()
-        .map(|class| class.fraction * class.traffic.work_ms * mean_of_median)
+        .map(|class| class.fraction * class.traffic.work_ms * mean_to_median_ratio)
         .sum()
 }
 
-/// Queries a second that fill all engines.
+/// Returns the arrival rate (queries per second) that uses all cores of all engines.
 fn capacity_per_s() -> f64 {
     ENGINES as f64 * CORES * 1000.0 / mean_work_ms()
 }
@@ -85,72 +85,72 @@
 pub struct RunPlan {
     /// Duration of the run (s).
     pub seconds: f64,
-    /// The seed of all random draws.
+    /// Seed of all random draws.
     pub seed: u64,
     /// Whether the operators' file defines levels.
     pub levels: bool,
     /// Whether one engine fails during the middle third of the run.
     pub failing: bool,
-    /// Load, as a fraction of capacity, at a fraction of the run and with a peak.
+    /// Load profile: returns the load, as a fraction of capacity, for a fraction of the run and a peak.
     pub load: fn(f64, f64) -> f64,
     /// The peak that is passed to `load`.
     pub peak: f64,
 }
 
-/// A change of the level in force.
+/// A change of the service level.
 #[derive(Debug, Clone, Copy)]
 pub struct LevelChange {
-    /// Seconds since the run's begin.
+    /// Time since the start of the run (s).
     pub at_s: f64,
-    /// The depth before.
+    /// Depth before the change; 0 is full service.
     pub from: usize,
-    /// The depth after.
+    /// Depth after the change.
     pub to: usize,
 }
 
-/// The state of a run at one moment, with the counts since the sample before.
+/// The state of a run at one time, with the counts since the previous sample.
 #[derive(Debug, Clone, Copy)]
 pub struct Sample {
-    /// Seconds since the run's begin.
+    /// Time since the start of the run (s).
     pub at_s: f64,
     /// Load as a fraction of capacity.
     pub load: f64,
-    /// The depth of the level in force.
+    /// Depth of the current level.
     pub depth: f64,
-    /// Late answers as a fraction of all.
+    /// Late answers as a fraction of all answers.
     pub late_fraction: f64,
-    /// Value of answers, a second.
+    /// Value of the answers per second.
     pub value_per_s: f64,
 }
 
 /// The results of a run.
 #[derive(Debug, Default, Clone)]
 pub struct Outcome {
-    /// Queries sent, each counted once.
-    pub asked: u64,
-    /// Answers in time.
+    /// Queries sent. Repeated requests for a query are not counted.
+    pub sent: u64,
+    /// Answers within the latency objective and the time limit.
     pub in_time: u64,
-    /// Answers that came late.
+    /// Answers that were not in time.
     pub late: u64,
     /// Rejections.
     pub rejected: u64,
-    /// Final errors.
+    /// Queries that ended with an error or without a response.
     pub failed: u64,
     /// Value of all answers.
     pub value: f64,
-    /// Value if all had been answered in time.
+    /// Value if all queries had been answered in time.
     pub max_value: f64,
-    /// The 99th percentile of look-ups' latencies (ms).
+    /// 99th percentile of the look-ups' latencies (ms).
     pub lookup_p99_ms: u64,
-    /// Core time spent on queries that were not answered in time, as a fraction of all core time spent.
+    /// Core time used for queries that were not answered in time, as a fraction of all core time used.
     pub waste: f64,
     /// Rejections after which clients retried.
     pub retried: u64,
-    /// The rules that were broken.
+    /// Violations of the rules.
     pub violations: Vec<Violation>,
-    /// Samples, in the order of their times.
+    /// Samples in chronological order.
     pub samples: Vec<Sample>,
-    /// Changes of the level, in the order of their times.
+    /// Level changes in chronological order.
     pub changes: Vec<LevelChange>,
 }
 
@@ -161,11 +161,11 @@
     setup::with_retry_budget(config)
 }
 
-/// The depth of the level in force, as the program reports it.
+/// Returns the depth of the current level that the program reports, or 0 if the request fails.
 fn level_depth(dispatcher: SocketAddr) -> usize {
     get(dispatcher, "/_levels")
         .and_then(|response| serde_json::from_str::<Value>(&response.body).ok())
-        .and_then(|shown| shown["depth"].as_u64())
+        .and_then(|levels| levels["depth"].as_u64())
         .unwrap_or(0) as usize
 }
 
@@ -179,9 +179,12 @@
     };
     let engines = setup::start_engines(ENGINES, spec, plan.seed, &context);
     let names = setup::start_name_service(&engines, &context);
-    let operator = TempFile::new("operator.textproto", if plan.levels { LEVELS } else { "" });
+    let operator_file = TempFile::new(
+        "operator.textproto",
+        if plan.levels { OPERATOR_FILE } else { "" },
+    );
     let config = configuration(&engines, &names);
-    let mut program = setup::start_with_operator(exe, &config, &operator);
+    let mut program = setup::start_with_operator(exe, &config, &operator_file);
     let tally = Arc::new(Mutex::new(Tally::new()));
     let start = Instant::now();
     let clients = Clients {
@@ -192,35 +195,35 @@
         tally: tally.clone(),
     };
     let clients = thread::spawn(move || clients.run());
-    let mut watch = Watch::default();
+    let mut monitor = RunMonitor::default();
     while start.elapsed().as_secs_f64() < plan.seconds {
         thread::sleep(SAMPLE_INTERVAL);
-        watch.observe(&plan, start, &engines, program.listen, &tally);
+        monitor.observe(&plan, start, &engines, program.listen, &tally);
     }
     let _ = clients.join();
     program.terminate();
     let _ = program.end();
-    let spent_ms: f64 = engines.iter().map(Engine::busy).sum();
-    let mut outcome = tally.lock().expect("no holder panics").finish(spent_ms);
+    let used_core_ms: f64 = engines.iter().map(Engine::busy).sum();
+    let mut outcome = tally.lock().expect("no holder panics").finish(used_core_ms);
     outcome.violations = find_violations(
         &context.record.entries(),
         &setup::rules(&traffic_classes(), Some(RETRY_BUDGET)),
     );
-    outcome.samples = watch.samples;
-    outcome.changes = watch.changes;
+    outcome.samples = monitor.samples;
+    outcome.changes = monitor.changes;
     outcome
 }
 
-/// Samples a run from outside, and injects its fault.
+/// Samples a run, records its level changes and injects the engine fault.
 #[derive(Default)]
-struct Watch {
+struct RunMonitor {
     samples: Vec<Sample>,
     changes: Vec<LevelChange>,
     depth: usize,
     failing: bool,
 }
 
-impl Watch {
+impl RunMonitor {
     fn observe(
         &mut self,
         plan: &RunPlan,
@@ -248,13 +251,13 @@
             });
             self.depth = depth;
         }
-        let since = tally.lock().expect("no holder panics").take_since_sample();
+        let interval = tally.lock().expect("no holder panics").take_interval();
         self.samples.push(Sample {
             at_s,
             load: (plan.load)(fraction, plan.peak),
             depth: depth as f64,
-            late_fraction: since.late / since.completed.max(1.0),
-            value_per_s: since.value * SAMPLES_PER_S,
+            late_fraction: interval.late / interval.completed.max(1.0),
+            value_per_s: interval.value * SAMPLES_PER_S,
         });
     }
 }
--- a/crates/testbed/src/levels/reports.rs
+++ b/crates/testbed/src/levels/reports.rs
@@ -1,22 +1,24 @@
-//! Reports on runs with levels: a swinging load, the reaction to a step, and quarter starts.
+//! Reports on runs with service levels: an oscillating load, the reaction to a step of load, and quarter starts.
 
-use super::loads::{quarter_start, step, swings, STEP_DOWN, STEP_UP};
+use super::loads::{rise_to_peak, step, waves, STEP_BEGIN, STEP_END};
 use super::{run, LevelChange, Outcome, RunPlan, Sample};
 use crate::plot::{plot, Line};
 use std::fmt::Write as _;
 use std::path::Path;
 use std::thread;
 
-/// Two changes of one level must be this far apart (s): a minute, less two samples.
-const MIN_CHANGE_DISTANCE_S: f64 = 59.5;
+/// Minimum time between two changes of a level (s): the minute that the program enforces, less the error of two
+/// samples.
+const MIN_CHANGE_INTERVAL_S: f64 = 59.5;
 /// The peak of the step, as a fraction of capacity.
 const STEP_PEAK: f64 = 2.2;
-/// Levels of the operators' file of these runs.
-const LEVELS: usize = 3;
-/// Violations that a table shows.
-const SHOWN_VIOLATIONS: usize = 5;
+/// Number of levels in the operators' file of these runs.
+const LEVEL_COUNT: usize = 3;
+/// Maximum violations that a table shows.
+const MAX_SHOWN_VIOLATIONS: usize = 5;
 
-/// Runs a step of load, and reports how long after it each level was entered, and full service after the step back.
+/// Runs a step of load with each seed. Returns a table of the times from the rise of the load until each level was
+/// entered, and from its fall until full service was restored.
 pub fn reaction(exe: &Path, seconds: f64, seeds: u64) -> String {
     let mut table = format!(
         "{:<6} {:>12} {:>12} {:>12} {:>12}\n",
@@ -30,29 +32,29 @@
         load: step,
         peak: STEP_PEAK,
     });
-    let shown =
+    let format_time =
         |at_s: Option<f64>| at_s.map_or_else(|| "-".to_owned(), |at_s| format!("{at_s:.1}"));
-    for (n, outcome) in run_concurrently(exe, plans).iter().enumerate() {
-        let first = |depth: usize| {
+    for (index, outcome) in run_concurrently(exe, plans).iter().enumerate() {
+        let time_to_enter = |depth: usize| {
             let change = outcome.changes.iter().find(|change| change.to == depth);
-            change.map(|change| change.at_s - seconds * STEP_UP)
+            change.map(|change| change.at_s - seconds * STEP_BEGIN)
         };
-        let last_back = outcome.changes.iter().rev().find(|change| change.to == 0);
-        let full = last_back.map(|change| change.at_s - seconds * STEP_DOWN);
+        let last_return = outcome.changes.iter().rev().find(|change| change.to == 0);
+        let time_to_full = last_return.map(|change| change.at_s - seconds * STEP_END);
         let _ = writeln!(
             table,
             "{:<6} {:>12} {:>12} {:>12} {:>12}",
-            n + 1,
-            shown(first(1)),
-            shown(first(2)),
-            shown(first(3)),
-            shown(full)
+            index + 1,
+            format_time(time_to_enter(1)),
+            format_time(time_to_enter(2)),
+            format_time(time_to_enter(3)),
+            format_time(time_to_full)
         );
     }
     table
 }
 
-/// Runs all plans at the same time. A run whose thread panicked is left out.
+/// Runs all plans concurrently. The result omits runs whose thread panicked.
 fn run_concurrently(exe: &Path, plans: impl Iterator<Item = RunPlan>) -> Vec<Outcome> {
     thread::scope(|scope| {
         let running: Vec<_> = plans
@@ -65,35 +67,36 @@
     })
 }
 
-/// The level that a change enters or leaves.
+/// Returns the index of the level that a change enters or leaves.
 fn level_of(change: &LevelChange) -> usize {
     change.from.min(change.to)
 }
 
-/// Number of changes of a level that are less than a minute after another one.
-fn count_too_near(changes: &[LevelChange]) -> usize {
-    let is_too_near = |n: &usize| {
-        let change = &changes[*n];
-        changes[..*n].iter().any(|before| {
-            level_of(before) == level_of(change)
-                && change.at_s - before.at_s < MIN_CHANGE_DISTANCE_S
+/// Counts the changes of a level that follow an earlier change of the same level by less than
+/// [`MIN_CHANGE_INTERVAL_S`].
+fn count_too_frequent(changes: &[LevelChange]) -> usize {
+    let is_too_frequent = |index: &usize| {
+        let change = &changes[*index];
+        changes[..*index].iter().any(|earlier| {
+            level_of(earlier) == level_of(change)
+                && change.at_s - earlier.at_s < MIN_CHANGE_INTERVAL_S
         })
     };
-    (0..changes.len()).filter(is_too_near).count()
+    (0..changes.len()).filter(is_too_frequent).count()
 }
 
-/// Number of changes by more than one level.
-fn count_skips(changes: &[LevelChange]) -> usize {
+/// Counts the changes by more than one level.
+fn count_level_skips(changes: &[LevelChange]) -> usize {
     changes
         .iter()
         .filter(|change| change.from.abs_diff(change.to) != 1)
         .count()
 }
 
-/// A line for each level with its number of changes.
+/// Returns one line per level with its number of changes.
 fn changes_by_level(changes: &[LevelChange], seconds: f64) -> String {
     let mut lines = String::new();
-    for level in 0..LEVELS {
+    for level in 0..LEVEL_COUNT {
         let count = changes
             .iter()
             .filter(|change| level_of(change) == level)
@@ -108,7 +111,7 @@
     lines
 }
 
-/// Runs a load that swings around all thresholds. Returns a table, and whether a check failed.
+/// Runs a load that oscillates across the thresholds of all levels. Returns a table, and whether a check failed.
 pub fn swing(exe: &Path, seconds: f64, svg: Option<&Path>) -> (String, bool) {
     let outcome = run(
         exe,
@@ -117,15 +120,15 @@
             seed: 1,
             levels: true,
             failing: false,
-            load: swings,
+            load: waves,
             peak: 1.0,
         },
     );
-    let too_near = count_too_near(&outcome.changes);
-    let skips = count_skips(&outcome.changes);
+    let too_frequent = count_too_frequent(&outcome.changes);
+    let level_skips = count_level_skips(&outcome.changes);
     let mut table = format!(
         "{seconds:.0} s, {} received, {} in time, {} late, {} rejected, {} failed, value {:.3} of the most\n",
-        outcome.asked,
+        outcome.sent,
         outcome.in_time,
         outcome.late,
         outcome.rejected,
@@ -135,18 +138,21 @@
     table += &changes_by_level(&outcome.changes, seconds);
     let _ = writeln!(
         table,
-        "changes of a level less than a minute apart: {too_near}; steps of more than one: {skips}"
+        "changes of a level less than a minute apart: {too_frequent}; steps of more than one: {level_skips}"
     );
     let _ = writeln!(table, "rules broken: {}", outcome.violations.len());
-    for violation in outcome.violations.iter().take(SHOWN_VIOLATIONS) {
+    for violation in outcome.violations.iter().take(MAX_SHOWN_VIOLATIONS) {
         let _ = writeln!(table, "  {violation}");
     }
     if let Some(svg) = svg {
         if let Err(error) = plot_swing(svg, &outcome.samples) {
-            let _ = writeln!(table, "no plot: {error}");
+            let _ = writeln!(table, "plot not written: {error}");
         }
     }
-    (table, too_near + skips + outcome.violations.len() > 0)
+    (
+        table,
+        too_frequent + level_skips + outcome.violations.len() > 0,
+    )
 }
 
 fn plot_swing(svg: &Path, samples: &[Sample]) -> Result<(), Box<dyn std::error::Error>> {
@@ -182,7 +188,8 @@
     plot(svg, title, "s", &lines)
 }
 
-/// Runs the same quarter starts with levels and without, for several peaks, with and without a failing engine.
+/// Runs the load of a quarter start with and without levels on the same seeds, for several peaks, with and without a
+/// failing engine. Returns a table.
 pub fn quarters(exe: &Path, seconds: f64, seeds: u64) -> String {
     let mut table = format!(
         "{:<7} {:<8} {:<7} {:>8} {:>8} {:>6} {:>9} {:>7} {:>9} {:>7} {:>9} {:>7} {:>7}\n",
@@ -207,7 +214,7 @@
                 seed: seed + 1,
                 levels,
                 failing,
-                load: quarter_start,
+                load: rise_to_peak,
                 peak,
             };
             let (without, with) = run_with_and_without_levels(exe, seeds, plan);
@@ -223,7 +230,7 @@
     table
 }
 
-/// Runs all seeds at the same time. Returns the outcomes without levels, then those with levels.
+/// Runs all seeds concurrently. Returns the outcomes without levels, then those with levels.
 fn run_with_and_without_levels(
     exe: &Path,
     seeds: u64,
@@ -247,11 +254,11 @@
 }
 
 fn quarter_row(outcomes: &[Outcome]) -> String {
-    let sum = |figure: fn(&Outcome) -> f64| outcomes.iter().map(figure).sum::<f64>();
+    let sum = |metric: fn(&Outcome) -> f64| outcomes.iter().map(metric).sum::<f64>();
     let count = outcomes.len().max(1) as f64;
     format!(
         "{:>8} {:>8} {:>6} {:>9} {:>7} {:>9} {:>7.3} {:>9.0} {:>7.3} {:>7}",
-        sum(|outcome| outcome.asked as f64),
+        sum(|outcome| outcome.sent as f64),
         sum(|outcome| outcome.in_time as f64),
         sum(|outcome| outcome.late as f64),
         sum(|outcome| outcome.rejected as f64),
--- a/crates/testbed/src/measure/learning.rs
+++ b/crates/testbed/src/measure/learning.rs
@@ -1,4 +1,4 @@
-//! Compares learned with true costs, over simulated executions with noise, waits, bad plans and interruptions.
+//! Compares learned with true costs over simulated executions with noise, queueing, bad plans and interruptions.
 
 use super::analyzer;
 use crate::corpus::corpus;
@@ -8,33 +8,33 @@
 use std::fmt::Write as _;
 use tansymux_sql_analysis::{Execution, ExecutionEnd, StatementAnalyzer};
 
-/// Engines that run the statements.
+/// Number of engines that run the statements.
 const ENGINES: u64 = 6;
-/// The engine that is slow.
+/// Id of the slow engine.
 const SLOW_ENGINE: u64 = 5;
-/// Factor on run times of the slow engine.
+/// Factor on the run times of the slow engine.
 const SLOW_ENGINE_FACTOR: f64 = 1.9;
 /// Standard deviation of the logarithm of run times.
-const LATENCY_LOG_DEVIATION: f64 = 0.25;
+const RUN_TIME_LOG_DEVIATION: f64 = 0.25;
 /// Probability that an execution runs with a bad plan.
 const BAD_PLAN_PROBABILITY: f64 = 0.02;
-/// Factor of a bad plan on the run time.
+/// Factor on the run time of an execution with a bad plan.
 const BAD_PLAN_FACTOR: f64 = 15.0;
-/// Probability that an execution waits before it runs.
+/// Probability that an execution is queued before it runs.
 const WAIT_PROBABILITY: f64 = 0.1;
 /// Probability that an execution is interrupted.
 const INTERRUPTION_PROBABILITY: f64 = 0.03;
-/// Time between two executions (ms).
+/// Time between the ends of two successive executions (ms).
 const INTERVAL_MS: f64 = 5.0;
 
-/// A statement and what it truly costs.
+/// A statement and its true cost.
 #[derive(Debug, Clone)]
 struct CostedStatement {
     text: String,
     cost_ms: f64,
 }
 
-/// Executions with known costs, from which an analyzer learns.
+/// Simulated executions with known costs, from which the analyzer learns.
 struct Workload {
     analyzer: StatementAnalyzer,
     rng: Pcg64,
@@ -47,12 +47,12 @@
         Workload {
             analyzer: analyzer(),
             rng: Pcg64::seed_from_u64(seed),
-            noise: Normal::new(0.0, LATENCY_LOG_DEVIATION).expect("the deviation is finite"),
+            noise: Normal::new(0.0, RUN_TIME_LOG_DEVIATION).expect("the deviation is finite"),
             now_ms: 0.0,
         }
     }
 
-    /// Executes each statement so many times.
+    /// Executes all statements in order, `rounds` times.
     fn execute(&mut self, statements: &[CostedStatement], rounds: usize) {
         for _ in 0..rounds {
             for statement in statements {
@@ -98,22 +98,24 @@
         }
     }
 
-    /// A line with the median and 90th percentile of the ratio, over or under and at least 1, of learned to true costs.
+    /// Returns a line with the median and 90th percentile of the error factor of the learned costs. The factor is at
+    /// least 1: the ratio of learned to true cost, or its inverse.
     fn table_row(&mut self, name: &str, statements: &[CostedStatement]) -> String {
-        let mut ratios = Vec::with_capacity(statements.len());
+        let mut error_factors = Vec::with_capacity(statements.len());
         for statement in statements {
             let analyzed = self.analyzer.analyze(statement.text.as_bytes());
             let learned_ms = self.analyzer.estimate(&analyzed, self.now_ms).cost_ms;
-            ratios.push((learned_ms / statement.cost_ms).ln().abs().exp());
+            error_factors.push((learned_ms / statement.cost_ms).ln().abs().exp());
         }
-        ratios.sort_by(f64::total_cmp);
-        let median = ratios[ratios.len() / 2];
-        let p90 = ratios[ratios.len() * 9 / 10];
+        error_factors.sort_by(f64::total_cmp);
+        let median = error_factors[error_factors.len() / 2];
+        let p90 = error_factors[error_factors.len() * 9 / 10];
         format!("{name:<34} {median:>8.2} {p90:>8.2}\n")
     }
 }
 
-/// Learned against true costs, before and after the cost of one shape in five changes a hundredfold.
+/// Returns a table of the errors of learned costs, before and after the cost of one shape in five changes by a factor
+/// of 100.
 pub fn learning(seed: u64) -> String {
     let mut statements = costed_statements(seed);
     let mut workload = Workload::new(seed);
@@ -132,8 +134,8 @@
         workload.execute(&statements, rounds);
         table += &workload.table_row(name, &statements);
     }
-    change_costs(&mut statements);
-    let changed: Vec<CostedStatement> = statements.iter().step_by(5).cloned().collect();
+    change_some_costs(&mut statements);
+    let changed_statements: Vec<CostedStatement> = statements.iter().step_by(5).cloned().collect();
     for (name, rounds) in [
         ("changed, after 1", 1),
         ("changed, after 3", 2),
@@ -141,12 +143,12 @@
         ("changed, after 10", 5),
     ] {
         workload.execute(&statements, rounds);
-        table += &workload.table_row(name, &changed);
+        table += &workload.table_row(name, &changed_statements);
     }
     table
 }
 
-/// One statement of each shape whose class is known.
+/// Returns one statement of each shape whose class is not `unknown`.
 fn costed_statements(seed: u64) -> Vec<CostedStatement> {
     corpus(3, 1, seed)
         .into_iter()
@@ -158,8 +160,8 @@
         .collect()
 }
 
-/// Makes every tenth statement a hundred times dearer, and the fifth behind each a hundred times cheaper.
-fn change_costs(statements: &mut [CostedStatement]) {
+/// Multiplies the costs of the statements 0, 10, 20 and so on by 100, and divides those of 5, 15, 25 and so on by 100.
+fn change_some_costs(statements: &mut [CostedStatement]) {
     for (index, statement) in statements.iter_mut().enumerate() {
         match index % 10 {
             0 => statement.cost_ms *= 100.0,
--- a/crates/testbed/src/measure/mod.rs
+++ b/crates/testbed/src/measure/mod.rs
@@ -1,5 +1,5 @@
-//! Measurements of statement analysis: accuracy and false proofs (here), cache and time ([`cache`], [`time`]), learned
-//! costs ([`learning`]). Each function returns a table as text.
+//! Measurements of statement analysis: accuracy ([`accuracy`]), statements falsely proven read-only ([`mutations`]),
+//! cache ([`cache`]), analysis time ([`time`]) and learned costs ([`learning`]). Each returns a table as text.
 
 mod learning;
 mod speed;
@@ -13,14 +13,14 @@
 use std::fmt::Write as _;
 use tansymux_sql_analysis::{Analysis, Config, Effect, StatementAnalyzer};
 
-/// Shapes of each pattern in the corpus.
+/// Shapes per pattern of the corpus.
 pub const SHAPES_PER_PATTERN: usize = 8;
-/// Statements of each shape in the corpus.
+/// Statements per shape of the corpus.
 pub const STATEMENTS_PER_SHAPE: usize = 10;
-/// Key of the analyzer's shape hashes: fixed, so that runs can be compared.
+/// Key of the analyzer's shape hashes. It is fixed so that runs are comparable.
 const SHAPE_KEY: [u8; 16] = [3; 16];
-/// False proofs that the table of [`mutations`] shows.
-const SHOWN_FALSE_PROOFS: usize = 20;
+/// Maximum false proofs that the table of [`mutations`] shows.
+const MAX_SHOWN_FALSE_PROOFS: usize = 20;
 
 fn analyzer() -> StatementAnalyzer {
     StatementAnalyzer::new(Config::default(), SHAPE_KEY)
@@ -31,13 +31,13 @@
 pub struct Accuracy {
     /// Statements analyzed.
     pub statements: usize,
-    /// Statements whose class was found.
+    /// Statements that were assigned their true class.
     pub correct_class: usize,
-    /// Statements whose effect was found.
+    /// Statements that were assigned their true effect.
     pub correct_effect: usize,
-    /// Statements taken for read-only that are not.
+    /// Statements reported as read-only whose true effect is another.
     pub false_read_only: usize,
-    /// A line for each statement whose class or effect was not found.
+    /// One line per statement that was assigned a wrong class or effect.
     pub errors: Vec<String>,
 }
 
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Part of the statements, between 0 and 1.
+    /// Returns `count` as a fraction of the analyzed statements.
     fn fraction(&self, count: usize) -> f64 {
         count as f64 / self.statements.max(1) as f64
     }
@@ -64,7 +64,7 @@
 
 fn describe_error(labelled: &LabelledStatement, analysis: &Analysis) -> String {
     format!(
-        "{} {} taken for {} {}: {} ({})",
+        "{} {} analyzed as {} {}: {} ({})",
         labelled.class,
         labelled.effect,
         analysis.class.name(),
@@ -74,7 +74,7 @@
     )
 }
 
-/// Analyzes one split of a corpus and compares with its labels.
+/// Analyzes one split of a corpus and compares the results with its labels.
 pub fn accuracy_of(statements: &[LabelledStatement], split: Split) -> Accuracy {
     let mut analyzer = analyzer();
     let mut accuracy = Accuracy::default();
@@ -85,14 +85,14 @@
     accuracy
 }
 
-/// A table of the accuracy on both splits, then up to `shown_errors` errors of each.
-pub fn accuracy(seed: u64, shown_errors: usize) -> String {
+/// Returns a table of the accuracy on both splits, followed by up to `max_shown_errors` errors of each.
+pub fn accuracy(seed: u64, max_shown_errors: usize) -> String {
     let statements = corpus(SHAPES_PER_PATTERN, STATEMENTS_PER_SHAPE, seed);
     let mut table = format!(
         "{:<10} {:>6} {:>8} {:>8} {:>16}\n",
         "part", "asked", "class", "effect", "false read-only"
     );
-    let mut errors = String::new();
+    let mut error_lines = String::new();
     for (name, split) in [
         ("building", Split::Development),
         ("measuring", Split::Evaluation),
@@ -106,35 +106,36 @@
             accuracy.fraction(accuracy.correct_effect),
             accuracy.false_read_only
         );
-        for error in accuracy.errors.iter().take(shown_errors) {
-            let _ = writeln!(errors, "{name}: {error}");
+        for error in accuracy.errors.iter().take(max_shown_errors) {
+            let _ = writeln!(error_lines, "{name}: {error}");
         }
     }
-    table + &errors
+    table + &error_lines
 }
 
-/// What came of analyzing mutated statements.
+/// Results of analyzing mutated statements.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Proofs {
-    /// Statements proven read-only.
+    /// Number of statements proven read-only.
     pub proven: usize,
-    /// Those among them that change something under some SQL dialect.
+    /// Texts of those that may modify state under some SQL dialect.
     pub falsely_proven: Vec<Vec<u8>>,
 }
 
-/// Analyzes at least `many` mutated statements of a corpus, on all cores. The draws depend on the number of cores.
+/// Analyzes at least `statement_count` mutated statements of a corpus on all cores. The mutations depend on the number
+/// of cores.
 ///
 /// # Panics
 /// If the analyzer panics.
-pub fn false_proofs(many: usize, seed: u64) -> Proofs {
+pub fn false_proofs(statement_count: usize, seed: u64) -> Proofs {
     let statements = corpus(SHAPES_PER_PATTERN, STATEMENTS_PER_SHAPE, seed);
     let threads = std::thread::available_parallelism().map_or(1, usize::from);
-    let statements_per_thread = many.div_ceil(threads);
+    let statements_per_thread = statement_count.div_ceil(threads);
     let mut total = Proofs::default();
     std::thread::scope(|scope| {
         let mut running = Vec::new();
-        for thread in 0..threads {
-            let thread_seed = seed.wrapping_add(thread as u64 + 1);
+        for index in 0..threads {
+            let thread_seed = seed.wrapping_add(index as u64 + 1);
             let statements = &statements;
             running.push(
                 scope.spawn(move || prove_mutated(statements, statements_per_thread, thread_seed)),
@@ -149,11 +150,11 @@
     total
 }
 
-fn prove_mutated(statements: &[LabelledStatement], many: usize, seed: u64) -> Proofs {
+fn prove_mutated(statements: &[LabelledStatement], statement_count: usize, seed: u64) -> Proofs {
     let mut rng = Pcg64::seed_from_u64(seed);
     let mut analyzer = analyzer();
     let mut proofs = Proofs::default();
-    for _ in 0..many {
+    for _ in 0..statement_count {
         let original = &statements[rng.random_range(0..statements.len())];
         let other = &statements[rng.random_range(0..statements.len())];
         let text = mutated(&original.statement, &other.statement, &mut rng);
@@ -171,21 +172,21 @@
 /// The report of [`mutations`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MutationReport {
-    /// Counts, then the first false proofs.
+    /// Counts, followed by the first false proofs.
     pub table: String,
     /// Whether any statement was falsely proven read-only.
     pub has_false_proofs: bool,
 }
 
-/// Counts false proofs among `many` mutated statements.
-pub fn mutations(many: usize, seed: u64) -> MutationReport {
-    let proofs = false_proofs(many, seed);
+/// Counts the false proofs among at least `statement_count` mutated statements.
+pub fn mutations(statement_count: usize, seed: u64) -> MutationReport {
+    let proofs = false_proofs(statement_count, seed);
     let mut table = format!(
-        "{many} mutated statements, {} proven read-only, {} of them falsely\n",
+        "{statement_count} mutated statements, {} proven read-only, {} of them falsely\n",
         proofs.proven,
         proofs.falsely_proven.len()
     );
-    for text in proofs.falsely_proven.iter().take(SHOWN_FALSE_PROOFS) {
+    for text in proofs.falsely_proven.iter().take(MAX_SHOWN_FALSE_PROOFS) {
         let _ = writeln!(table, "false: {}", String::from_utf8_lossy(text));
     }
     MutationReport {
--- a/crates/testbed/src/measure/speed.rs
+++ b/crates/testbed/src/measure/speed.rs
@@ -1,4 +1,4 @@
-//! The analyzer's cache: hit rate, and the time of a hit and of a miss.
+//! Measures the hit rate of the analyzer's cache, and the analysis time of hits and misses.
 
 use super::analyzer;
 use hdrhistogram::Histogram;
@@ -10,7 +10,7 @@
 use std::time::Instant;
 use tansymux_sql_analysis::StatementAnalyzer;
 
-/// A statement of about 300 bytes; statements of one number differ in their literals only.
+/// Returns a statement of about 300 bytes. Statements with the same `shape` differ only in their literals.
 fn typical_statement(shape: usize, rng: &mut Pcg64) -> String {
     format!(
         "select a.lane_id, a.rate_{shape}, a.fuel, b.shipper_name, b.region, coalesce(a.note, '{:x}') as note from \
@@ -29,49 +29,49 @@
     )
 }
 
-/// Traffic of the hit rate's measurement.
+/// Traffic of a hit rate measurement.
 struct Traffic {
     name: &'static str,
-    /// Shapes that come again, by Zipf's law.
+    /// Number of recurring shapes; their popularity follows Zipf's law.
     shapes: usize,
-    /// Statements of a shape that never comes again, after each other statement.
-    flood: usize,
+    /// Statements of one-off shapes after each statement of a recurring shape.
+    one_off_statements: usize,
 }
 
-/// The kinds of traffic in the table of hit rates.
-const TRAFFIC: [Traffic; 4] = [
+/// Traffic of each row in the table of hit rates.
+const TRAFFIC_KINDS: [Traffic; 4] = [
     Traffic {
         name: "2,000 shapes",
         shapes: 2000,
-        flood: 0,
+        one_off_statements: 0,
     },
     Traffic {
         name: "2,000 and 1 flood",
         shapes: 2000,
-        flood: 1,
+        one_off_statements: 1,
     },
     Traffic {
         name: "2,000 and 4 floods",
         shapes: 2000,
-        flood: 4,
+        one_off_statements: 4,
     },
     Traffic {
         name: "20,000 shapes",
         shapes: 20_000,
-        flood: 0,
+        one_off_statements: 0,
     },
 ];
 
-/// Hit rate on shapes that come by Zipf's law, alone and with a flood of ever new ones between them. Which shapes are
-/// evicted, and with it the last digits, differs from run to run.
-pub fn cache(many: usize, seed: u64) -> String {
+/// Returns a table of hit rates on shapes whose popularity follows Zipf's law, with and without one-off shapes between
+/// them. Runs evict different shapes, so the last digits of the rates differ from run to run.
+pub fn cache(statement_count: usize, seed: u64) -> String {
     let mut table = format!(
         "{:<22} {:>7} {:>9} {:>9} {:>9} {:>9}\n",
         "traffic", "hits", "shapes", "kB", "costs", "RSS kB"
     );
-    for traffic in &TRAFFIC {
+    for traffic in &TRAFFIC_KINDS {
         let mut analyzer = analyzer();
-        let hit_rate = hit_rate(&mut analyzer, traffic, many, seed);
+        let hit_rate = hit_rate(&mut analyzer, traffic, statement_count, seed);
         let counts = analyzer.counts();
         let resident_kb = crate::program::used(std::process::id()).map_or(0, |(kb, _)| kb);
         let _ = writeln!(
@@ -86,24 +86,31 @@
     table
 }
 
-/// Part of `many` statements that hit the cache. The first tenth fills it and isn't counted.
-fn hit_rate(analyzer: &mut StatementAnalyzer, traffic: &Traffic, many: usize, seed: u64) -> f64 {
+/// Returns the fraction of `statement_count` statements of recurring shapes that hit the cache. The first tenth fills
+/// the cache and isn't counted.
+fn hit_rate(
+    analyzer: &mut StatementAnalyzer,
+    traffic: &Traffic,
+    statement_count: usize,
+    seed: u64,
+) -> f64 {
     let mut rng = Pcg64::seed_from_u64(seed);
-    let popularity = Zipf::new(traffic.shapes as f64, 1.0).expect("there is more than one shape");
+    let popularity =
+        Zipf::new(traffic.shapes as f64, 1.0).expect("the number of shapes is positive");
     let mut hits = 0;
     let mut counted = 0;
-    let mut flood_shape = 0_u64;
-    for index in 0..many {
+    let mut one_off_shape = 0_u64;
+    for index in 0..statement_count {
         let shape = popularity.sample(&mut rng) as usize;
         let text = typical_statement(shape, &mut rng);
         let is_hit = analyzer.analyze(text.as_bytes()).is_cache_hit;
-        if index >= many / 10 {
+        if index >= statement_count / 10 {
             counted += 1;
             hits += usize::from(is_hit);
         }
-        for _ in 0..traffic.flood {
-            flood_shape += 1;
-            analyzer.analyze(format!("select f{flood_shape} from flood where a = 1").as_bytes());
+        for _ in 0..traffic.one_off_statements {
+            one_off_shape += 1;
+            analyzer.analyze(format!("select f{one_off_shape} from flood where a = 1").as_bytes());
         }
     }
     hits as f64 / counted.max(1) as f64
@@ -113,22 +120,23 @@
     Histogram::new_with_bounds(1, 1_000_000_000, 3).expect("the bounds are in order")
 }
 
-/// Time of an analysis on a hit and on a miss, for statements of about 300 bytes, and parse throughput of one core.
-pub fn time(many: usize, seed: u64) -> String {
+/// Returns a table of the analysis times of hits and misses, for statements of about 300 bytes, and the parse
+/// throughput of one core.
+pub fn time(statement_count: usize, seed: u64) -> String {
     let mut rng = Pcg64::seed_from_u64(seed);
     let mut analyzer = analyzer();
-    let texts: Vec<String> = (0..many)
+    let texts: Vec<String> = (0..statement_count)
         .map(|index| typical_statement(index % 64, &mut rng))
         .collect();
-    let mean_bytes = texts.iter().map(String::len).sum::<usize>() as f64 / many as f64;
+    let mean_bytes = texts.iter().map(String::len).sum::<usize>() as f64 / statement_count as f64;
     let hits = time_hits(&mut analyzer, &texts);
-    let new_texts: Vec<String> = (0..many / 10)
+    let uncached_texts: Vec<String> = (0..statement_count / 10)
         .map(|index| typical_statement(1000 + index, &mut rng))
         .collect();
     let start = Instant::now();
-    let misses = time_misses(&mut analyzer, &new_texts);
-    let new_bytes = new_texts.iter().map(String::len).sum::<usize>() as f64;
-    let throughput_mb_per_s = new_bytes / start.elapsed().as_secs_f64() / 1e6;
+    let misses = time_misses(&mut analyzer, &uncached_texts);
+    let uncached_bytes = uncached_texts.iter().map(String::len).sum::<usize>() as f64;
+    let throughput_mb_per_s = uncached_bytes / start.elapsed().as_secs_f64() / 1e6;
     let mut table = format!(
         "statements of {mean_bytes:.0} bytes\n{:<6} {:>10} {:>10} {:>10}\n",
         "", "p50 us", "p99 us", "count"
@@ -151,7 +159,7 @@
     table
 }
 
-/// Times of the analyses that hit the cache (ns).
+/// Analyzes all texts. Returns the times of the analyses that hit the cache (ns).
 fn time_hits(analyzer: &mut StatementAnalyzer, texts: &[String]) -> Histogram<u64> {
     let mut histogram = nanosecond_histogram();
     for text in texts {
@@ -159,14 +167,14 @@
         let analyzed = black_box(analyzer.analyze(black_box(text.as_bytes())));
         let elapsed_ns = start.elapsed().as_nanos() as u64;
         if analyzed.is_cache_hit {
-            // Above the histogram's bound (1 s) nothing is recorded.
+            // Times above the histogram's upper bound of 1 s are not recorded.
             let _ = histogram.record(elapsed_ns);
         }
     }
     histogram
 }
 
-/// Times of the analyses of statements that all miss the cache (ns).
+/// Analyzes texts that all miss the cache. Returns the times of the analyses (ns).
 fn time_misses(analyzer: &mut StatementAnalyzer, texts: &[String]) -> Histogram<u64> {
     let mut histogram = nanosecond_histogram();
     for text in texts {
--- a/crates/testbed/src/replay.rs
+++ b/crates/testbed/src/replay.rs
@@ -1,5 +1,6 @@
-//! Sends the corpus through the real program on loopback as four kinds of clients would: without classes, with true classes
-//! and costs, and with one class guessed for all statements. Seeds, arrivals and engines are the same for all kinds.
+//! Sends statements of the corpus through the real program on loopback as four kinds of clients would: with true
+//! classes and costs, without classes, with all statements as look-ups, and with all as reports. Seeds, arrival times
+//! and engines are the same for all kinds.
 //!
 //! Start reading at [`run_variant`].
 
@@ -24,19 +25,19 @@
 
 /// Number of engines.
 const ENGINES: usize = 4;
-/// Violations that the table shows of each run.
-const SHOWN_VIOLATIONS: usize = 3;
+/// Maximum violations that the table shows per run.
+const MAX_SHOWN_VIOLATIONS: usize = 3;
 
 /// How clients send their statements.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Variant {
-    /// Without a class or a cost.
+    /// Without class and cost.
     Bare,
-    /// With the true class and cost.
+    /// With true class and cost.
     Honest,
-    /// All as look-ups, without a cost.
+    /// All as look-ups, without cost.
     GuessLookUp,
-    /// All as reports, without a cost.
+    /// All as reports, without cost.
     GuessReport,
 }
 
@@ -49,7 +50,7 @@
         Variant::GuessReport,
     ];
 
-    /// The path to which a statement of a class is sent.
+    /// Returns the request path of a statement whose true class is `class`.
     fn path(self, class: &str) -> &'static str {
         match self {
             Variant::Bare => "/statement",
@@ -62,12 +63,12 @@
     }
 }
 
-/// What clients of a class expect.
+/// Latency objective, time limit and value of a class's queries.
 #[derive(Debug, Clone, Copy)]
 struct Expectation {
     objective_ms: f64,
     max_wait_ms: f64,
-    /// Value of an answer in time.
+    /// Value of an answer within the objective.
     weight: f64,
 }
 
@@ -88,32 +89,32 @@
 #[derive(Debug, Clone, Default)]
 pub struct Outcome {
     /// Queries sent.
-    pub asked: u64,
-    /// Queries that got any response.
+    pub sent: u64,
+    /// Queries that received a response.
     pub answered: u64,
-    /// Queries that were run.
+    /// Answers with a result.
     pub completed: u64,
-    /// Rejections.
+    /// Rejections (status 429 or 503).
     pub rejected: u64,
-    /// Final errors.
+    /// Responses with an error (status 500).
     pub failed: u64,
-    /// Other responses.
+    /// Responses with any other status.
     pub refused: u64,
     /// Value of all answers.
     pub value: f64,
-    /// Value if all had been answered in time.
+    /// Value if all queries had been answered within the objective.
     pub max_value: f64,
-    /// The rules that were broken.
+    /// Violations of the rules.
     pub violations: Vec<Violation>,
-    /// Resident memory of the program at the end (kB).
+    /// Resident memory of the program after the last answer (kB).
     pub resident_kb: u64,
-    /// Processor time of the program for each query (ms).
+    /// Processor time of the program per query (ms).
     pub cpu_ms_per_query: f64,
 }
 
 impl Outcome {
     fn record(&mut self, expected: Expectation, response: Option<ClientResponse>) {
-        self.asked += 1;
+        self.sent += 1;
         self.max_value += expected.weight;
         let Some(response) = response else { return };
         self.answered += 1;
@@ -130,8 +131,8 @@
     }
 }
 
-/// The operators' file: which resource group a classified statement gets.
-const OPERATOR: &str = r#"statements {
+/// Operators' file that maps the class of a classified statement to a resource group.
+const OPERATOR_FILE: &str = r#"statements {
   path: "/statement"
   groups { look_up: "look" report: "report" load: "load" }
 }"#;
@@ -148,25 +149,26 @@
         .with_setting(keys::IS_LOAD_BY_GROUP, json!([false, false, true]))
 }
 
-/// The statements of a run, drawn by class.
-struct Mix {
-    /// Up to which draw a class is taken, and its statements.
+/// Statements of a run by class, with the probabilities of the classes.
+struct StatementMix {
+    /// For each class, its statements and the upper bound of the draws from [0, 1) that select it.
     classes: [(f64, Vec<LabelledStatement>); 4],
 }
 
-impl Mix {
+impl StatementMix {
     fn new(seed: u64) -> Self {
-        let pool: Vec<LabelledStatement> = corpus(2, 12, seed)
+        let evaluation_statements: Vec<LabelledStatement> = corpus(2, 12, seed)
             .into_iter()
             .filter(|labelled| labelled.split == Split::Evaluation)
             .collect();
         let of_class = |name: &str| {
-            pool.iter()
+            evaluation_statements
+                .iter()
                 .filter(|labelled| labelled.class == name)
                 .cloned()
                 .collect()
         };
-        Mix {
+        StatementMix {
             classes: [
                 (0.80, of_class("look-up")),
                 (0.93, of_class("report")),
@@ -177,17 +179,17 @@
     }
 
     fn draw(&self, rng: &mut Pcg64) -> Option<&LabelledStatement> {
-        let lot: f64 = rng.random();
+        let point: f64 = rng.random();
         let (_, statements) = self
             .classes
             .iter()
-            .find(|(up_to, _)| lot < *up_to)
+            .find(|(upper_bound, _)| point < *upper_bound)
             .unwrap_or(&self.classes[0]);
         statements.choose(rng)
     }
 }
 
-/// The query by which a variant's client sends a statement.
+/// Returns the query with which a client of a variant sends a statement.
 fn client_query(variant: Variant, number: u64, labelled: &LabelledStatement) -> ClientQuery {
     let mut query = ClientQuery::new(
         number,
@@ -200,7 +202,7 @@
     query
 }
 
-/// Runs one variant for `seconds` at a rate of queries a second.
+/// Runs one variant for `seconds` at a mean rate of `queries_per_s`.
 pub fn run_variant(
     exe: &Path,
     variant: Variant,
@@ -215,9 +217,9 @@
         ..EngineSpec::default()
     };
     let engines = setup::start_engines(ENGINES, spec, seed, &context);
-    let operator = TempFile::new("operator.textproto", OPERATOR);
+    let operator_file = TempFile::new("operator.textproto", OPERATOR_FILE);
     let config = configuration(&engines);
-    let mut program = setup::start_with_operator(exe, &config, &operator);
+    let mut program = setup::start_with_operator(exe, &config, &operator_file);
     let traffic = Traffic {
         variant,
         dispatcher: program.listen,
@@ -226,14 +228,14 @@
         context: context.clone(),
         outcome: Arc::default(),
     };
-    let sent = traffic.send_all(seed);
+    let query_count = traffic.send_all(seed);
     let (resident_kb, cpu_ms) = used(program.child.id()).unwrap_or((0, 0.0));
     program.terminate();
     let _ = program.end();
     let mut outcome = traffic.outcome.lock().expect("no holder panics").clone();
     outcome.violations = find_violations(&context.record.entries(), &rules(variant));
     outcome.resident_kb = resident_kb;
-    outcome.cpu_ms_per_query = cpu_ms / sent as f64;
+    outcome.cpu_ms_per_query = cpu_ms / query_count as f64;
     outcome
 }
 
@@ -248,17 +250,17 @@
 }
 
 impl Traffic {
-    /// Sends statements of the corpus until the run's end, and waits for all answers. Returns the number of queries.
+    /// Sends statements of the corpus until the run ends, then waits for all answers. Returns the number of queries.
     fn send_all(&self, seed: u64) -> u64 {
         let mut rng = Pcg64::seed_from_u64(seed);
-        let mix = Mix::new(seed);
+        let mix = StatementMix::new(seed);
         let start = Instant::now();
         let mut at_s = 0.0;
         let mut number = 0_u64;
-        let mut waiting = Vec::new();
+        let mut query_threads = Vec::new();
         while at_s < self.seconds {
             at_s += Exp::new(self.queries_per_s)
-                .expect("a rate above 0")
+                .expect("the rate is positive")
                 .sample(&mut rng);
             number += 1;
             let Some(labelled) = mix.draw(&mut rng) else {
@@ -267,14 +269,14 @@
             let query = client_query(self.variant, number, labelled);
             self.context.register(query.id(), query_work(labelled));
             thread::sleep(Duration::from_secs_f64(at_s).saturating_sub(start.elapsed()));
-            waiting.push(self.spawn_query(query, expectation(labelled.class)));
-            waiting.retain(|thread| !thread.is_finished());
+            query_threads.push(self.spawn_query(query, expectation(labelled.class)));
+            query_threads.retain(|thread| !thread.is_finished());
         }
-        setup::join_all(waiting);
+        setup::join_all(query_threads);
         number
     }
 
-    /// Sends a query on a thread of its own, and records the answer.
+    /// Starts a thread that sends a query and records the response.
     fn spawn_query(&self, query: ClientQuery, expected: Expectation) -> JoinHandle<()> {
         let context = self.context.clone();
         let outcome = self.outcome.clone();
@@ -297,7 +299,8 @@
     }
 }
 
-/// The rules for a variant: the true class of a statement sets its effect, a guessed class only promises to read.
+/// Returns the rules for a variant. Effects follow from the true classes, except that a client that guesses a class
+/// declares all statements read-only.
 fn rules(variant: Variant) -> Rules {
     let effect = |class: &str| match (variant, class) {
         (Variant::GuessLookUp | Variant::GuessReport, _) | (_, "look-up" | "report") => {
@@ -311,7 +314,7 @@
     Rules::of_classes(classes)
 }
 
-/// All variants on the same seeds, as a table.
+/// Runs all variants with the same seeds. Returns a table.
 pub fn run(exe: &Path, seconds: f64, queries_per_s: f64, seeds: u64) -> String {
     let mut table = format!(
         "{:<12} {:>8} {:>9} {:>9} {:>9} {:>7} {:>7} {:>7} {:>7} {:>7} {:>8}\n",
@@ -334,7 +337,7 @@
                 table,
                 "{:<12} {:>8} {:>9} {:>9} {:>9} {:>7} {:>7} {:>7.3} {:>7} {:>7} {:>8.3}",
                 format!("{variant:?}"),
-                outcome.asked,
+                outcome.sent,
                 outcome.answered,
                 outcome.completed,
                 outcome.rejected,
@@ -345,7 +348,7 @@
                 outcome.resident_kb,
                 outcome.cpu_ms_per_query
             );
-            for violation in outcome.violations.iter().take(SHOWN_VIOLATIONS) {
+            for violation in outcome.violations.iter().take(MAX_SHOWN_VIOLATIONS) {
                 let _ = writeln!(table, "  {violation}");
             }
         }
--- a/crates/testbed/src/zone_routing.rs
+++ b/crates/testbed/src/zone_routing.rs
@@ -1,5 +1,5 @@
-//! Two zones of stand-in engines and several real dispatchers: one zone is silent for a while and returns cold, with tiers
-//! and without, on the same seeds.
+//! Runs of several real dispatchers with stand-in engines in two zones. The engines of one zone stop answering for a
+//! quarter of the run and then restart cold. Each seed runs with and without tiers.
 //!
 //! Start reading at [`run`].
 
@@ -21,63 +21,63 @@
 use std::time::{Duration, Instant};
 use tansymux::settings::keys;
 
-/// Number of dispatchers, spread over the zones in turn.
+/// Number of dispatchers, assigned to the zones round-robin.
 const DISPATCHERS: usize = 3;
-/// The zones; the first one is cut.
+/// Names of the zones. The first zone is cut.
 const ZONES: [&str; 2] = ["east", "west"];
 /// Number of engines in each zone.
 const ENGINES_PER_ZONE: usize = 3;
 /// Cores of each engine.
 const CORES: f64 = 8.0;
-/// The operators' file that defines the tiers.
-const OPERATOR: &str = include_str!("../../../deploy/zones.textproto");
-/// When the cut begins, as a fraction of the run.
+/// Operators' file that defines the tiers.
+const OPERATOR_FILE: &str = include_str!("../../../deploy/zones.textproto");
+/// Begin of the cut, as a fraction of the run.
 const CUT_BEGIN: f64 = 0.25;
-/// When the cut ends, as a fraction of the run.
+/// End of the cut, as a fraction of the run.
 const CUT_END: f64 = 0.5;
 /// Time between two samples.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(250);
-/// Spread (log) of works about their median.
-const WORK_SPREAD: f64 = 0.4;
-/// Clients start this long after the begin (s).
-const CLIENTS_START_S: f64 = 0.2;
-/// Violations that a table shows of each run.
-const SHOWN_VIOLATIONS: usize = 3;
+/// Standard deviation of the logarithm of a query's work.
+const WORK_LOG_DEVIATION: f64 = 0.4;
+/// Time from the start of the run to the start of the clients (s).
+const CLIENT_START_DELAY_S: f64 = 0.2;
+/// Maximum violations that the table shows per run.
+const MAX_SHOWN_VIOLATIONS: usize = 3;
 
-/// A class of the traffic.
-struct SiteClass {
+/// A traffic class and its arrival rate.
+struct ClassLoad {
     traffic: TrafficClass,
     queries_per_s: f64,
 }
 
-/// The traffic of these runs: look-ups, reports and loads.
-const CLASSES: [SiteClass; 3] = [
-    SiteClass {
+/// Traffic classes of these runs: look-ups, reports and loads.
+const CLASSES: [ClassLoad; 3] = [
+    ClassLoad {
         traffic: setup::LOOKUPS,
         queries_per_s: 420.0,
     },
-    SiteClass {
+    ClassLoad {
         traffic: setup::REPORTS,
         queries_per_s: 22.0,
     },
-    SiteClass {
+    ClassLoad {
         traffic: setup::LOADS,
         queries_per_s: 5.0,
     },
 ];
 
-/// The value of answers, and its maximum.
+/// The value of the answers, and its maximum if all queries are answered in time.
 #[derive(Debug, Default, Clone, Copy)]
 struct Value {
-    got: f64,
+    achieved: f64,
     max: f64,
 }
 
-/// The state of a run at one moment, with the counts since the sample before.
+/// The state of a run at one time, with the value and the rejections since the previous sample.
 #[derive(Debug, Clone)]
 struct Sample {
     at_s: f64,
-    /// Threads that run on each engine.
+    /// Running threads of each engine.
     threads: Vec<f64>,
     value: Value,
     rejected: f64,
@@ -86,9 +86,9 @@
 /// The results of a run.
 #[derive(Debug, Default, Clone)]
 pub struct Outcome {
-    /// Before the cut, during it and after it.
+    /// Value before, during and after the cut.
     value: [Value; 3],
-    asked: u64,
+    sent: u64,
     rejected: u64,
     failed: u64,
     unanswered: u64,
@@ -98,14 +98,14 @@
 
 impl Outcome {
     fn record(&mut self, class: &TrafficClass, phase: usize, response: Option<ClientResponse>) {
-        self.asked += 1;
+        self.sent += 1;
         self.value[phase].max += class.weight;
         let Some(response) = response else {
             self.unanswered += 1;
             return;
         };
         match response.status {
-            200 => self.value[phase].got += class.value_of(response.latency_ms),
+            200 => self.value[phase].achieved += class.value_of(response.latency_ms),
             429 | 503 => self.rejected += 1,
             _ => self.failed += 1,
         }
@@ -137,19 +137,19 @@
     config
 }
 
-fn start_dispatchers(exe: &Path, engines: &[Engine], operator: &TempFile) -> Vec<Program> {
+fn start_dispatchers(exe: &Path, engines: &[Engine], operator_file: &TempFile) -> Vec<Program> {
     let peers: Vec<SocketAddr> = (0..DISPATCHERS).map(|_| free_udp_address()).collect();
     let programs: Vec<Program> = (0..DISPATCHERS)
         .map(|dispatcher| {
             let config = configuration(dispatcher, engines, &peers);
-            setup::launch_with_operator(exe, &config, operator)
+            setup::launch_with_operator(exe, &config, operator_file)
         })
         .collect();
     programs.iter().for_each(Program::wait_until_healthy);
     programs
 }
 
-/// What each engine can do.
+/// Capacity and warm-up of each engine.
 fn engine_spec() -> EngineSpec {
     EngineSpec {
         cores: CORES,
@@ -159,19 +159,19 @@
     }
 }
 
-/// Runs once; the east zone is cut from a quarter of the run to its half.
+/// Runs once, with the first zone cut from [`CUT_BEGIN`] to [`CUT_END`].
 pub fn run_once(exe: &Path, seconds: f64, seed: u64, tiers: bool) -> Outcome {
     let context = Arc::new(RunContext::default());
     let engine_count = ZONES.len() * ENGINES_PER_ZONE;
     let engines = setup::start_engines(engine_count, engine_spec(), seed, &context);
-    let operator = TempFile::new("operator.textproto", if tiers { OPERATOR } else { "" });
-    let mut programs = start_dispatchers(exe, &engines, &operator);
+    let operator_file = TempFile::new("operator.textproto", if tiers { OPERATOR_FILE } else { "" });
+    let mut programs = start_dispatchers(exe, &engines, &operator_file);
     let outcome: Arc<Mutex<Outcome>> = Arc::default();
     let start = Instant::now();
-    thread::sleep(Duration::from_secs_f64(CLIENTS_START_S));
+    thread::sleep(Duration::from_secs_f64(CLIENT_START_DELAY_S));
     let dispatchers: Vec<SocketAddr> = programs.iter().map(|program| program.listen).collect();
-    let traffic_of = |number| ClassTraffic {
-        number,
+    let traffic_of = |class_index| ClassTraffic {
+        class_index,
         dispatchers: dispatchers.clone(),
         seconds,
         start,
@@ -182,13 +182,13 @@
         .map(traffic_of)
         .map(|traffic| thread::spawn(move || traffic.run(seed)))
         .collect();
-    let mut watch = Watch::default();
+    let mut monitor = RunMonitor::default();
     while start.elapsed().as_secs_f64() < seconds {
         thread::sleep(SAMPLE_INTERVAL);
         let at_s = start.elapsed().as_secs_f64();
-        watch.cut_zone(at_s / seconds, &engines[..ENGINES_PER_ZONE]);
+        monitor.cut_zone(at_s / seconds, &engines[..ENGINES_PER_ZONE]);
         let mut outcome = outcome.lock().expect("no holder panics");
-        watch.sample(at_s, &engines, &mut outcome);
+        monitor.sample(at_s, &engines, &mut outcome);
     }
     setup::join_all(clients);
     programs.iter().for_each(Program::terminate);
@@ -206,26 +206,26 @@
     setup::rules(&traffic_classes(), None)
 }
 
-/// Cuts and restores the zone, and samples the run.
+/// Cuts and restores the first zone, and samples the run.
 #[derive(Default)]
-struct Watch {
-    cut: bool,
-    returned: bool,
+struct RunMonitor {
+    is_cut: bool,
+    is_restored: bool,
     last_value: Value,
     last_rejected: f64,
 }
 
-impl Watch {
-    /// Silences the zone's engines at the cut's begin, and restarts them cold at its end.
+impl RunMonitor {
+    /// Lets the engines of the cut zone stop answering at [`CUT_BEGIN`], and restarts them cold at [`CUT_END`].
     fn cut_zone(&mut self, fraction: f64, engines: &[Engine]) {
-        if fraction >= CUT_BEGIN && !self.cut {
-            self.cut = true;
+        if fraction >= CUT_BEGIN && !self.is_cut {
+            self.is_cut = true;
             for engine in engines {
                 engine.fault(Fault::Silent);
             }
         }
-        if fraction >= CUT_END && !self.returned {
-            self.returned = true;
+        if fraction >= CUT_END && !self.is_restored {
+            self.is_restored = true;
             for engine in engines {
                 engine.fault(Fault::None);
                 engine.restart_cold();
@@ -234,30 +234,30 @@
     }
 
     fn sample(&mut self, at_s: f64, engines: &[Engine], outcome: &mut Outcome) {
-        let mut value = Value::default();
+        let mut total = Value::default();
         for phase in &outcome.value {
-            value.got += phase.got;
-            value.max += phase.max;
+            total.achieved += phase.achieved;
+            total.max += phase.max;
         }
         let rejected = outcome.rejected as f64;
         outcome.samples.push(Sample {
             at_s,
             threads: engines.iter().map(Engine::threads).collect(),
             value: Value {
-                got: value.got - self.last_value.got,
-                max: value.max - self.last_value.max,
+                achieved: total.achieved - self.last_value.achieved,
+                max: total.max - self.last_value.max,
             },
             rejected: rejected - self.last_rejected,
         });
-        self.last_value = value;
+        self.last_value = total;
         self.last_rejected = rejected;
     }
 }
 
 /// The traffic of one class.
 struct ClassTraffic {
-    /// Of the class: part of its queries' ids and of its seed.
-    number: usize,
+    /// Index of the class in [`CLASSES`], part of its seed and of its queries' ids.
+    class_index: usize,
     dispatchers: Vec<SocketAddr>,
     seconds: f64,
     start: Instant,
@@ -267,46 +267,47 @@
 
 impl ClassTraffic {
     fn run(&self, seed: u64) {
-        let class = &CLASSES[self.number];
+        let class = &CLASSES[self.class_index];
         let traffic = class.traffic;
-        let mut rng = Pcg64::seed_from_u64(seed ^ (self.number as u64) << 40);
-        let works = LogNormal::new(traffic.work_ms.ln(), WORK_SPREAD).expect("a finite spread");
-        let mut at_s = CLIENTS_START_S;
-        let mut number = 0_u64;
-        let mut waiting = Vec::new();
+        let mut rng = Pcg64::seed_from_u64(seed ^ (self.class_index as u64) << 40);
+        let works = LogNormal::new(traffic.work_ms.ln(), WORK_LOG_DEVIATION)
+            .expect("the deviation is finite");
+        let mut at_s = CLIENT_START_DELAY_S;
+        let mut query_index = 0_u64;
+        let mut query_threads = Vec::new();
         while at_s < self.seconds {
             at_s += Exp::new(class.queries_per_s)
-                .expect("a rate above 0")
+                .expect("the rate is positive")
                 .sample(&mut rng);
-            number += 1;
+            query_index += 1;
             let work_ms: f64 = works.sample(&mut rng);
             let tables = rng.random_range(1..30_u32);
             let mut query = ClientQuery::new(
-                (self.number as u64 + 1) << 48 | number,
+                (self.class_index as u64 + 1) << 48 | query_index,
                 &format!("/invoke/{}", traffic.name),
                 traffic.name,
-                &format!("select a from sales_{tables}.t where id = {number}"),
+                &format!("select a from sales_{tables}.t where id = {query_index}"),
                 traffic.max_wait_ms,
             );
             query.cost = Some(work_ms * rng.random_range(0.8..1.25));
-            let truth = traffic.query_work(work_ms, tables);
-            self.context.register(query.id(), truth);
+            let true_work = traffic.query_work(work_ms, tables);
+            self.context.register(query.id(), true_work);
             let dispatcher = self.dispatchers[rng.random_range(0..self.dispatchers.len())];
             thread::sleep(Duration::from_secs_f64(at_s).saturating_sub(self.start.elapsed()));
             let context = self.context.clone();
             let outcome = self.outcome.clone();
             let phase = self.phase(at_s);
-            waiting.push(thread::spawn(move || {
+            query_threads.push(thread::spawn(move || {
                 let response = send_query(dispatcher, &query, &context.record);
                 let mut outcome = outcome.lock().expect("no holder panics");
                 outcome.record(&traffic, phase, response);
             }));
-            waiting.retain(|thread| !thread.is_finished());
+            query_threads.retain(|thread| !thread.is_finished());
         }
-        setup::join_all(waiting);
+        setup::join_all(query_threads);
     }
 
-    /// 0 before the cut, 1 during it, 2 after it.
+    /// Returns 0 before the cut, 1 during the cut and 2 after it, as an index into [`Outcome::value`].
     fn phase(&self, at_s: f64) -> usize {
         if at_s < self.seconds * CUT_BEGIN {
             0
@@ -318,8 +319,8 @@
     }
 }
 
-/// Runs all seeds with tiers and without. Returns a table, and whether a rule was broken. `svg`: the file for the plot of
-/// the first seed.
+/// Runs all seeds with and without tiers. Returns a table, and whether a rule was violated. Plots the run of the first
+/// seed with tiers to the file `svg`.
 pub fn run(exe: &Path, seconds: f64, seeds: u64, svg: Option<&Path>) -> (String, bool) {
     let mut table = format!(
         "{:<7} {:>5} {:>8} {:>9} {:>7} {:>11} {:>8} {:>8} {:>8} {:>7}\n",
@@ -338,23 +339,25 @@
     for seed in 1..=seeds {
         for tiers in [false, true] {
             let outcome = run_once(exe, seconds, seed, tiers);
-            let [before, cut, after] = outcome.value.map(|value| value.got / value.max.max(1e-9));
+            let [before, cut, after] = outcome
+                .value
+                .map(|value| value.achieved / value.max.max(1e-9));
             let _ = writeln!(
                 table,
                 "{tiers:<7} {seed:>5} {:>8} {:>9} {:>7} {:>11} {before:>8.3} {cut:>8.3} {after:>8.3} {:>7}",
-                outcome.asked,
+                outcome.sent,
                 outcome.rejected,
                 outcome.failed,
                 outcome.unanswered,
                 outcome.violations.len()
             );
-            for violation in outcome.violations.iter().take(SHOWN_VIOLATIONS) {
+            for violation in outcome.violations.iter().take(MAX_SHOWN_VIOLATIONS) {
                 let _ = writeln!(table, "  {violation}");
             }
             any_violation |= !outcome.violations.is_empty();
             if let Some(svg) = svg.filter(|_| seed == 1 && tiers) {
                 if let Err(error) = plot_run(svg, &outcome.samples) {
-                    let _ = writeln!(table, "no plot: {error}");
+                    let _ = writeln!(table, "plot not written: {error}");
                 }
             }
         }
@@ -379,7 +382,7 @@
     let lines = [
         Line {
             name: "value (part of the worth asked)",
-            points: column(&|sample| sample.value.got / sample.value.max.max(1e-9)),
+            points: column(&|sample| sample.value.achieved / sample.value.max.max(1e-9)),
         },
         Line {
             name: "rejected in 250 ms / 10",
