--- a/crates/testbed/src/levels/reports.rs
+++ b/crates/testbed/src/levels/reports.rs
@@ -146,7 +146,7 @@
     }
     if let Some(svg) = svg {
         if let Err(error) = plot_swing(svg, &outcome.samples) {
-            let _ = writeln!(table, "plot not written: {error}");
+            let _ = writeln!(table, "no plot: {error}");
         }
     }
     (
--- a/crates/testbed/src/measure/mod.rs
+++ b/crates/testbed/src/measure/mod.rs
@@ -64,7 +64,7 @@
 
 fn describe_error(labelled: &LabelledStatement, analysis: &Analysis) -> String {
     format!(
-        "{} {} analyzed as {} {}: {} ({})",
+        "{} {} taken for {} {}: {} ({})",
         labelled.class,
         labelled.effect,
         analysis.class.name(),
--- a/crates/testbed/src/zone_routing.rs
+++ b/crates/testbed/src/zone_routing.rs
@@ -357,7 +357,7 @@
             any_violation |= !outcome.violations.is_empty();
             if let Some(svg) = svg.filter(|_| seed == 1 && tiers) {
                 if let Err(error) = plot_run(svg, &outcome.samples) {
-                    let _ = writeln!(table, "plot not written: {error}");
+                    let _ = writeln!(table, "no plot: {error}");
                 }
             }
         }
