--- a/crates/testbed/src/cli.rs
+++ b/crates/testbed/src/cli.rs
@@ -13,25 +13,27 @@
     pub command: Command,
 }
 
-/// The subcommands; their docs are the help texts.
+/// The subcommands. Their doc comments are the help texts.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// The load of a quarter start, with one engine failing and one draining; exit 1 if a rule was broken
+    /// Runs the load of a quarter start, with one engine failing and one draining; exit 1 if a rule was broken
     Demo {
         #[arg(long, default_value_t = 30.0)]
         seconds: f64,
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
-    /// Service levels under a load that swings around all thresholds; exit 1 if a level changed twice in a minute or a rule broke
+    /// Service levels: swings the load around all thresholds; exit 1 if a level changed twice within a minute or a rule
+    /// was broken
     Levels {
         #[arg(long, default_value_t = 600.0)]
         seconds: f64,
-        /// A file for the plot
+        /// File that the plot is written to (SVG)
         #[arg(long)]
         svg: Option<PathBuf>,
     },
-    /// Two zones and three dispatchers, one zone cut and restored, with tiers and without; exit 1 if a rule broke
+    /// Cuts off and restores one of two zones under three dispatchers, with tiers and without; exit 1 if a rule was
+    /// broken
     Halls {
         #[arg(long, default_value_t = 40.0)]
         seconds: f64,
@@ -40,34 +42,35 @@
         #[arg(long)]
         svg: Option<PathBuf>,
     },
-    /// Service levels: how long after a step of load they come, and full service after the step back
+    /// Service levels: time from a step up in load to the change of level, and from the step down to full service
     Reaction {
         #[arg(long, default_value_t = 300.0)]
         seconds: f64,
         #[arg(long, default_value_t = 3)]
         seeds: u64,
     },
-    /// Service levels: a quarter start beyond capacity, with levels and without, on the same seeds
+    /// Service levels: a quarter-start load beyond capacity, with levels and without, on the same seeds
     Quarters {
         #[arg(long, default_value_t = 24.0)]
         seconds: f64,
         #[arg(long, default_value_t = 2)]
         seeds: u64,
     },
-    /// Fleet scenarios on real processes, with a relay on every link; exit 1 if one failed
+    /// Runs fleet scenarios on real processes, with a relay on every link; exit 1 if one failed
     Fleet(FleetArgs),
-    /// One zone is cut and returns cold, on real processes, in three variants; exit 1 if the agreed variant did not evacuate
-    /// or restore it, granted shares of more than 1 in total, or left a query without an answer
+    /// Cuts off one zone, which returns cold, on real processes, in three variants; exit 1 if the agreed variant did
+    /// not evacuate or restore the zone, granted shares of more than 1 in total, or left a query without an answer
     Zones(ZonesArgs),
-    /// Random faults on a fleet of real processes, several at a time, checked from outside; exit 1 if a rule broke
+    /// Injects random, overlapping faults into a fleet of real processes and checks the record of the run; exit 1 if a
+    /// rule was broken
     Soak(SoakArgs),
-    /// Fleet scenarios in virtual time, for many seeds; exit 1 if one failed
+    /// Runs fleet scenarios in virtual time, for many seeds; exit 1 if one failed
     FleetVirtual(FleetVirtualArgs),
     /// Statement analysis: accuracy of class and effect on both parts of the corpus
     Accuracy {
         #[arg(long, default_value_t = 1)]
         seed: u64,
-        /// How many wrong results are shown of each part
+        /// Number of wrong results to show for each part of the corpus
         #[arg(long, default_value_t = 0)]
         show: usize,
     },
@@ -78,22 +81,23 @@
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
-    /// Statement analysis: hit rate with and without a flood of new shapes
+    /// Statement analysis: cache hit rate with and without a flood of new shapes
     Cache {
         #[arg(long, default_value_t = 200_000)]
         many: usize,
     },
-    /// Statement analysis: time of a hit and of a miss
+    /// Statement analysis: time per cache hit and per cache miss
     Time {
         #[arg(long, default_value_t = 200_000)]
         many: usize,
     },
-    /// Statement analysis: learned against true cost
+    /// Statement analysis: learned cost compared with true cost
     Learning {
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
-    /// Statement analysis: the corpus through the real program, without classes, with true classes and with guessed ones
+    /// Statement analysis: replays the corpus through the real program, without classes, with true classes and with
+    /// guessed classes
     Replay {
         #[arg(long, default_value_t = 15.0)]
         seconds: f64,
@@ -113,22 +117,22 @@
     pub seeds: u64,
     #[arg(long, default_value_t = 1)]
     pub first: u64,
-    /// No faults
+    /// Injects no faults
     #[arg(long)]
     pub calm: bool,
-    /// One of the hard cases, for example two-halves or leader-stops
+    /// Name of a built-in scenario, for example two-halves or leader-stops
     #[arg(long)]
     pub name: Option<String>,
     /// Supervisors restart without a lease, for comparison
     #[arg(long = "alone")]
     pub uncoordinated: bool,
-    /// A scenario from a file, as `--show` prints it
+    /// File with a scenario, in the form that `--show` prints
     #[arg(long)]
     pub file: Option<PathBuf>,
-    /// Prints the scenario and does not run it
+    /// Prints the scenario without running it
     #[arg(long)]
     pub show: bool,
-    /// A folder for the processes' logs
+    /// Directory for the processes' logs
     #[arg(long)]
     pub logs: Option<PathBuf>,
 }
@@ -136,37 +140,37 @@
 /// Flags of `soak`.
 #[derive(Debug, Args)]
 pub struct SoakArgs {
-    /// Seeds, the last one not included
+    /// Range of seeds, end excluded
     #[arg(long, default_value = "1..11", value_parser = parse_range)]
     pub seeds: Range<u64>,
-    /// Dispatchers of a run, drawn from here, the last one included
+    /// Range from which the number of dispatchers of a run is drawn, end included
     #[arg(long, default_value = "10..40", value_parser = parse_range)]
     pub processes: Range<u64>,
-    /// How long clients send queries (s)
+    /// Time for which clients send queries (s)
     #[arg(long, default_value_t = 8.0)]
     pub seconds: f64,
-    /// The families of faults that are injected; all unless given
+    /// Fault families to inject; all by default
     #[arg(long, value_delimiter = ',')]
     pub faults: Vec<FaultFamily>,
-    /// Runs at a time
+    /// Number of concurrent runs
     #[arg(long, default_value_t = 1)]
     pub jobs: usize,
-    /// A folder for the records and logs of runs that failed
+    /// Directory for the records and logs of failed runs
     #[arg(long, default_value = "target/soak")]
     pub keep: PathBuf,
-    /// Repeats a failed run with fewer faults, as long as it still fails
+    /// Shrinks a failed run: repeats it with fewer faults while it still fails
     #[arg(long)]
     pub shrink: bool,
 }
 
-/// A range on the command line is not two numbers.
+/// A range on the command line does not consist of two numbers.
 #[derive(Debug, thiserror::Error)]
 #[error("expected two numbers, as in 1..11")]
 struct InvalidRange;
 
 fn parse_range(text: &str) -> Result<Range<u64>, InvalidRange> {
-    let numbers = text.split_once("..");
-    let range = numbers.and_then(|(first, last)| Some(first.parse().ok()?..last.parse().ok()?));
+    let bounds = text.split_once("..");
+    let range = bounds.and_then(|(first, last)| Some(first.parse().ok()?..last.parse().ok()?));
     range.ok_or(InvalidRange)
 }
 
@@ -179,13 +183,13 @@
     pub seeds: u64,
     #[arg(long, default_value_t = 0)]
     pub first: u64,
-    /// Loss on all links from the first to the last, beside the faults
+    /// Fraction of packets lost on all links during the whole run, in addition to the faults
     #[arg(long, default_value_t = 0.0)]
     pub loss: f64,
-    /// No faults beside that
+    /// Injects no other faults
     #[arg(long)]
     pub calm: bool,
-    /// Supervisors restart without a lease, for comparison: what breaks is counted and is no failure
+    /// Supervisors restart without a lease, for comparison: broken rules are counted, but the run does not fail
     #[arg(long = "alone")]
     pub uncoordinated: bool,
     /// Prints a line for each run
--- a/crates/testbed/src/client.rs
+++ b/crates/testbed/src/client.rs
@@ -1,4 +1,4 @@
-//! Stand-in clients: each sends one query on its own connection and records what became of the query.
+//! Stand-in clients: each sends one query on its own connection and records the outcome.
 
 use crate::program::TIMEOUT;
 use crate::record::{EventKind, Record};
@@ -8,32 +8,32 @@
 use std::thread;
 use std::time::Duration;
 
-/// How much longer than its client's time a connection is read for an answer.
+/// Time for which a connection is read for an answer beyond its client's wait.
 const ANSWER_GRACE: Duration = Duration::from_secs(2);
 
-/// A query as a client sends it.
+/// A query of a stand-in client.
 #[derive(Debug, Clone)]
 pub struct ClientQuery {
-    /// Its number, sent as 16 hex digits.
+    /// Query id, sent as 16 hex digits.
     pub id: u64,
-    /// The path of the call, as in `/invoke/look`.
+    /// The request path, for example `/invoke/look`.
     pub path: String,
-    /// What the record calls its class.
+    /// Class under which the query is recorded.
     pub class: String,
     /// The statement.
     pub statement: String,
-    /// How long the client waits for an answer (ms).
+    /// Maximum time that the client waits for an answer (ms).
     pub wait: f64,
     /// The tenant.
     pub owner: String,
     /// The declared cost (ms on one core).
     pub cost: Option<f64>,
-    /// The declared need of memory (MB).
+    /// The declared memory need (MB).
     pub memory: Option<f64>,
 }
 
 impl ClientQuery {
-    /// A query of the tenant `acme`, with no declared cost and memory; `wait` in ms.
+    /// A query of the tenant `acme`, with no declared cost or memory need; `wait` in ms.
     pub fn new(id: u64, path: &str, class: &str, statement: &str, wait: f64) -> Self {
         ClientQuery {
             id,
@@ -47,12 +47,12 @@
         }
     }
 
-    /// The id as it is sent.
+    /// The id as 16 hex digits.
     pub fn id(&self) -> String {
         format!("{:016x}", self.id)
     }
 
-    /// The request's bytes.
+    /// The encoded HTTP request.
     pub fn bytes(&self) -> Vec<u8> {
         let mut head = format!(
             "POST {} HTTP/1.1\r\nHost: b\r\nReq-Id: {}\r\nReq-Wait-Ms: {}\r\nReq-Owner: {}\r\n",
@@ -72,20 +72,21 @@
     }
 }
 
-/// A response, as a client received it.
+/// A response received by a client.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ClientResponse {
     /// The HTTP status.
     pub status: u16,
-    /// After which time the client may retry, where its query was rejected (ms).
+    /// Time after which the client may retry a rejected query (ms).
     pub retry_after_ms: Option<f64>,
-    /// The answer.
+    /// The response body.
     pub body: String,
-    /// From the query's last byte to the answer's (ms).
+    /// Time from just before the query is written until the answer is complete (ms).
     pub latency_ms: f64,
 }
 
-/// Sends a query and waits for its answer; returns none if the connection ended without one.
+/// Sends a query and waits for its answer. Returns none if the connection failed, closed or timed out before the answer
+/// was complete.
 pub fn send_query(to: SocketAddr, query: &ClientQuery, record: &Record) -> Option<ClientResponse> {
     let mut stream = TcpStream::connect(to).ok()?;
     stream.set_nodelay(true).ok()?;
@@ -94,10 +95,10 @@
             Duration::from_secs_f64(query.wait / 1000.0) + ANSWER_GRACE,
         ))
         .ok()?;
-    let from = record.now_ms();
+    let sent_ms = record.now_ms();
     let id = query.id();
     record.push_at(
-        from,
+        sent_ms,
         EventKind::Asked {
             id: id.clone(),
             class: query.class.clone(),
@@ -117,15 +118,16 @@
         status,
         retry_after_ms,
         body,
-        latency_ms: record.now_ms() - from,
+        latency_ms: record.now_ms() - sent_ms,
     })
 }
 
-/// Sends a query in two parts with a pause between them, and returns the connection on which the answer will come.
+/// Sends the first `first_len` bytes of a query and, after a pause, the others. Returns the connection, on which the
+/// answer will arrive.
 pub fn send_query_in_two_writes(
     to: SocketAddr,
     query: &ClientQuery,
-    cut: usize,
+    first_len: usize,
     pause: Duration,
 ) -> TcpStream {
     let mut stream = TcpStream::connect(to).expect("the program listens");
@@ -133,7 +135,7 @@
         .set_read_timeout(Some(TIMEOUT))
         .expect("a socket takes a timeout");
     let bytes = query.bytes();
-    let (first, second) = bytes.split_at(cut.min(bytes.len()));
+    let (first, second) = bytes.split_at(first_len.min(bytes.len()));
     stream.write_all(first).expect("the program reads");
     thread::sleep(pause);
     stream.write_all(second).expect("the program reads");
--- a/crates/testbed/src/commands.rs
+++ b/crates/testbed/src/commands.rs
@@ -13,7 +13,7 @@
 use tansymux_testbed::soak::{self, FaultFamily, SoakOptions};
 use tansymux_testbed::{demo, fault_shim, levels, measure, program, replay, zone_routing};
 
-/// Why a subcommand could not run.
+/// An error that prevented a subcommand from running.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
     /// The dispatcher's program could not be built or found.
@@ -22,20 +22,20 @@
     /// `--file` could not be read.
     #[error(transparent)]
     ScenarioFile(#[from] ScenarioFileError),
-    /// `--name` is no scenario's name.
-    #[error("{name:?} is none of {}", scenario::NAMES.join(", "))]
+    /// `--name` is not the name of a scenario.
+    #[error("unknown scenario {name:?}, expected one of {}", scenario::NAMES.join(", "))]
     UnknownScenario {
         /// The name that was given.
         name: String,
     },
 }
 
-/// How a subcommand that ran ended.
+/// Outcome of a subcommand that ran.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
     /// All checks passed, or the subcommand has none.
     Passed,
-    /// A rule or bar was broken; the report names it.
+    /// A rule was broken or a limit exceeded; the report names it.
     Failed,
 }
 
@@ -52,7 +52,7 @@
 /// Runs a subcommand and prints its report.
 ///
 /// # Errors
-/// The dispatcher's program or the scenario is not there.
+/// The dispatcher's program could not be built or found, or the scenario is unknown or could not be read.
 pub fn run(command: Command) -> Result<Outcome, CommandError> {
     match command {
         Command::Demo { seconds, seed } => run_demo(seconds, seed),
@@ -142,9 +142,12 @@
         }
         reports.push(report);
     }
-    let is_broken = reports.iter().any(|report| !report.violations.is_empty());
+    let has_violations = reports.iter().any(|report| !report.violations.is_empty());
     let table = fleet::table(&reports, false);
-    Ok(print_checked(&table, is_broken && !arguments.uncoordinated))
+    Ok(print_checked(
+        &table,
+        has_violations && !arguments.uncoordinated,
+    ))
 }
 
 /// The scenario that the flags of `fleet` select: a file takes precedence over a name, a name over `--calm`.
--- a/crates/testbed/src/engine/attempt.rs
+++ b/crates/testbed/src/engine/attempt.rs
@@ -1,4 +1,4 @@
-//! An attempt at an engine: admission, its run in small steps, and its end.
+//! An attempt on an engine: admission, execution in small steps, and final reply.
 
 use super::protocol::{Reply, LIMIT_FIELD, NO_FIELDS, ONE_PAGE};
 use super::reply_channel::ReplyChannel;
@@ -12,27 +12,27 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The longest step of a run.
+/// Maximum length of an execution step.
 const STEP: Duration = Duration::from_millis(2);
-/// How long an engine continues past the limit of an attempt (ms).
+/// Time for which an engine continues an attempt past its limit (ms).
 const LIMIT_GRACE_MS: f64 = 200.0;
-/// The limit of a request without one (ms).
+/// Limit assumed for a request that carries none (ms).
 const NO_LIMIT_MS: f64 = 1e9;
-/// After this time an injected error ends a query.
+/// Delay after which an attempt fails with an injected error.
 const ERROR_DELAY: Duration = Duration::from_millis(3);
-/// The most progress that is reported of an attempt that still runs.
+/// Maximum progress reported for an attempt that is still running.
 const MAX_REPORTED_PROGRESS: f64 = 0.9999;
 /// The bytes of a malformed answer.
 const MALFORMED_ANSWER: &[u8] = b"*4\r\n$1\r\n\xff\xfe no";
 
-/// An attempt, from its arrival until its end.
+/// An attempt, from its arrival until it completes, fails or is cancelled.
 pub(super) struct Attempt {
     pub id: String,
     cancelled: AtomicBool,
 }
 
 impl Attempt {
-    /// An attempt that runs and has not been cancelled.
+    /// Creates an attempt that has not been cancelled.
     pub fn new(id: String) -> Self {
         Attempt {
             id,
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Requests the attempt's end; its run ends at its next step.
+    /// Requests cancellation, which takes effect at the next execution step.
     pub fn cancel(&self) {
         self.cancelled.store(true, Ordering::Relaxed);
     }
@@ -50,16 +50,16 @@
     }
 }
 
-/// The decision on an attempt's arrival.
+/// The admission decision on a new attempt.
 struct Admission {
     fault: Fault,
-    /// A random number that is compared with a fault's fraction; drawn once for each attempt.
+    /// Random number in [0, 1) that is compared with the fault's fraction; drawn once per attempt.
     draw: f64,
     is_full: bool,
 }
 
-/// An admitted attempt, with everything that its run needs.
-struct Run {
+/// An admitted attempt, with the state that its execution needs.
+struct Execution {
     engine: Engine,
     attempt: Arc<Attempt>,
     work: QueryWork,
@@ -69,7 +69,7 @@
 }
 
 impl Engine {
-    /// Handles a request. Returns whether its connection stays open.
+    /// Handles a request to run a query. Returns whether its connection stays open.
     pub(super) fn accept(
         &self,
         attempt: Arc<Attempt>,
@@ -84,15 +84,15 @@
         self.record_arrival(&attempt, &work, limit_ms);
         let admission = self.admit(&work);
         let draw = admission.draw;
-        let said_full = matches!(admission.fault, Fault::Full(fraction) if draw < fraction);
-        if admission.is_full || said_full {
+        let injects_full = matches!(admission.fault, Fault::Full(fraction) if draw < fraction);
+        if admission.is_full || injects_full {
             if !admission.is_full {
                 self.release_threads(&work);
             }
             self.record_end(&attempt, Reply::Full, false);
             return channel.send(&attempt.id, Reply::Full, NO_FIELDS, "");
         }
-        if channel.expires_request() {
+        if channel.injects_expiry() {
             self.release_threads(&work);
             self.record_end(&attempt, Reply::Expired, false);
             return channel.send(&attempt.id, Reply::Expired, NO_FIELDS, "");
@@ -102,7 +102,7 @@
             self.record_cancelled(&attempt);
             return false;
         }
-        let run = Run {
+        let execution = Execution {
             engine: self.clone(),
             attempt,
             work,
@@ -110,8 +110,8 @@
             admission,
             channel: channel.clone(),
         };
-        run.spawn();
-        channel.half_close_if_faulty();
+        execution.spawn();
+        channel.half_close_on_fault();
         true
     }
 
@@ -130,7 +130,7 @@
         }
     }
 
-    /// Reserves the threads for an attempt, where the engine has capacity.
+    /// Reserves the threads for an attempt if the engine has capacity for them.
     fn admit(&self, work: &QueryWork) -> Admission {
         let mut state = self.state();
         let draw: f64 = state.rng.random();
@@ -167,12 +167,12 @@
     }
 }
 
-impl Run {
+impl Execution {
     fn write(&self, reply: Reply, fields: &str, body: &str) {
         self.channel.send(&self.attempt.id, reply, fields, body);
     }
 
-    /// Executes the attempt on a thread of its own, and releases its threads at its end.
+    /// Executes the attempt on a new OS thread, and then releases the engine's threads that it reserved.
     fn spawn(self) {
         thread::spawn(move || {
             self.execute();
@@ -183,13 +183,13 @@
     fn execute(&self) {
         let draw = self.admission.draw;
         match self.admission.fault {
-            Fault::Silent => self.stay_silent(),
+            Fault::Silent => self.wait_without_reply(),
             Fault::Errors(fraction) if draw < fraction => self.fail(),
             Fault::Replies(fault) if fault.fails_request(&mut self.engine.state().rng) => {
                 self.fail();
             }
             _ => {
-                if self.work_off() {
+                if self.run_to_completion() {
                     self.complete();
                 } else {
                     self.engine.record_cancelled(&self.attempt);
@@ -198,38 +198,39 @@
         }
     }
 
-    /// Ends the attempt with an error after a short delay.
+    /// Replies with a failure after [`ERROR_DELAY`].
     fn fail(&self) {
         thread::sleep(ERROR_DELAY);
         self.engine.record_end(&self.attempt, Reply::Failed, true);
         self.write(Reply::Failed, NO_FIELDS, "");
     }
 
-    /// Waits until the attempt is cancelled or its limit is over.
-    fn stay_silent(&self) {
-        let from = Instant::now();
-        while !self.attempt.is_cancelled() && elapsed_ms(from) < self.limit_ms {
+    /// Waits until the attempt is cancelled or its limit has passed, and sends no reply.
+    fn wait_without_reply(&self) {
+        let started = Instant::now();
+        while !self.attempt.is_cancelled() && elapsed_ms(started) < self.limit_ms {
             thread::sleep(STEP);
         }
         self.engine.record_cancelled(&self.attempt);
     }
 
-    /// Works until the query is done. Returns false where the attempt was cancelled or its limit was over before.
-    fn work_off(&self) -> bool {
+    /// Executes the query until it is complete. Returns false if the attempt is cancelled or exceeds its limit by
+    /// [`LIMIT_GRACE_MS`] first.
+    fn run_to_completion(&self) -> bool {
         let needed_ms = self.work.work / self.work.threads;
-        let from = Instant::now();
+        let started = Instant::now();
         let mut done_ms = 0.0;
-        let mut last_step = from;
+        let mut last_step = started;
         let mut last_note = Instant::now();
         while done_ms < needed_ms {
-            let left = Duration::from_secs_f64((needed_ms - done_ms).max(0.0) / 1000.0);
-            thread::sleep(STEP.min(left));
+            let remaining = Duration::from_secs_f64((needed_ms - done_ms).max(0.0) / 1000.0);
+            thread::sleep(STEP.min(remaining));
             let now = Instant::now();
             let step_ms = (now - last_step).as_secs_f64() * 1000.0 * self.engine.speed();
             last_step = now;
             done_ms += step_ms;
             self.engine.state().busy_ms += step_ms * self.work.threads;
-            if self.attempt.is_cancelled() || elapsed_ms(from) > self.limit_ms + LIMIT_GRACE_MS {
+            if self.attempt.is_cancelled() || elapsed_ms(started) > self.limit_ms + LIMIT_GRACE_MS {
                 return false;
             }
             let since_note_ms = now.duration_since(last_note).as_secs_f64() * 1000.0;
@@ -267,6 +268,6 @@
     }
 }
 
-fn elapsed_ms(from: Instant) -> f64 {
-    from.elapsed().as_secs_f64() * 1000.0
+fn elapsed_ms(started: Instant) -> f64 {
+    started.elapsed().as_secs_f64() * 1000.0
 }
--- a/crates/testbed/src/engine/mod.rs
+++ b/crates/testbed/src/engine/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-in engines. [`scripted`] answers each frame by a closure. [`Engine`] has cores, runs queries concurrently, reports
-//! progress, keeps a record, and simulates injected faults.
+//! Stand-in engines. [`scripted`] starts an engine that answers each frame with a closure. [`Engine`] has cores, runs
+//! queries concurrently, sends progress notes, records events, and simulates injected faults.
 //!
 //! Start reading at [`Engine::start`], then at the `attempt` module.
 
@@ -32,20 +32,20 @@
 use std::thread;
 use std::time::Instant;
 
-/// How an engine misbehaves. Fractions are probabilities of a request.
+/// A fault of an engine. Fractions are probabilities per request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Fault {
-    /// It works.
+    /// No fault.
     None,
-    /// All runs take this many times as long.
+    /// Queries run slower by this factor.
     Slow(f64),
-    /// This fraction of the queries ends with an error after a short delay; those that change tables may have run.
+    /// This fraction of the queries fails after a short delay; those that change tables may have run.
     Errors(f64),
-    /// This fraction of the queries is answered as full.
+    /// This fraction of the queries is rejected as if the engine were full.
     Full(f64),
-    /// This fraction of the requests ends its connection.
+    /// The engine closes the connection on this fraction of the requests.
     Resets(f64),
-    /// It reads all requests and answers none.
+    /// The engine reads all requests and answers none.
     Silent,
     /// This fraction of the answers is malformed.
     Spoils(f64),
@@ -53,23 +53,23 @@
     Replies(ReplyFault),
 }
 
-/// The ground truth of a query, for engines.
+/// The true work and result of a query, which engines simulate.
 #[derive(Debug, Clone, Copy)]
 pub struct QueryWork {
     /// Work on one core (ms).
     pub work: f64,
-    /// Threads that it runs on.
+    /// Number of threads that the query runs on.
     pub threads: f64,
-    /// Whether it changes tables.
+    /// Whether the query changes tables.
     pub changes: bool,
     /// The group of tables that a load locks.
     pub tables: u32,
-    /// The form of its result.
+    /// The form of the result.
     pub result: ResultShape,
 }
 
 impl Default for QueryWork {
-    /// The work of a query that was not registered.
+    /// The work assumed for a query that was not registered.
     fn default() -> Self {
         QueryWork {
             work: 1.0,
@@ -81,17 +81,17 @@
     }
 }
 
-/// What all engines of a run share.
+/// State shared by all engines of a run.
 #[derive(Debug, Default)]
 pub struct RunContext {
-    /// What was observed.
+    /// Record of the observed events.
     pub record: Arc<Record>,
-    /// The ground truth of queries, by their ids.
+    /// Work of the registered queries, by query id.
     pub works: Mutex<HashMap<String, QueryWork>>,
 }
 
 impl RunContext {
-    /// Registers the ground truth of a query for the engines, before the query is sent.
+    /// Registers the work of a query for the engines. Must be called before the query is sent.
     pub fn register(&self, query_id: String, work: QueryWork) {
         self.works
             .lock()
@@ -99,7 +99,7 @@
             .insert(query_id, work);
     }
 
-    /// The whole answer with a query's result, where its rows are numbered.
+    /// Returns the complete answer expected for a query whose result has numbered rows, and none for other queries.
     pub fn expected_answer(&self, query_id: &str) -> Option<String> {
         match self.work_of(query_id).result {
             ResultShape::OneRow => None,
@@ -113,18 +113,18 @@
     }
 }
 
-/// What an engine can do.
+/// Capacity and timing of an engine.
 #[derive(Debug, Clone, Copy)]
 pub struct EngineSpec {
-    /// Its cores.
+    /// Number of cores.
     pub cores: f64,
-    /// More running threads a core than this are answered as full.
+    /// Maximum number of running threads per core; a query that needs more is rejected as full.
     pub max_threads_a_core: f64,
-    /// Time between progress notes (ms).
+    /// Interval between progress notes (ms).
     pub progress_interval_ms: f64,
-    /// The fraction of its speed that it starts with.
+    /// Fraction of its full speed at which a cold engine starts.
     pub cold_from: f64,
-    /// How long it takes to reach its full speed (ms).
+    /// Time from the start until full speed (ms).
     pub warm_after_ms: f64,
 }
 
@@ -143,7 +143,7 @@
 #[derive(Debug)]
 struct State {
     fault: Fault,
-    /// Threads that run.
+    /// Number of running threads.
     threads: f64,
     started: Instant,
     rng: Pcg32,
@@ -151,12 +151,12 @@
     busy_ms: f64,
 }
 
-/// A running engine; it ends when it is stopped or with the process.
+/// A running engine. It runs until [`Engine::stop`] is called or the process exits.
 #[derive(Debug, Clone)]
 pub struct Engine {
-    /// Its name in lists and in the record.
+    /// Engine id in endpoint lists and in the record.
     pub id: String,
-    /// Where it listens.
+    /// Address on which the engine listens.
     pub address: SocketAddr,
     spec: EngineSpec,
     context: Arc<RunContext>,
@@ -190,14 +190,14 @@
             stopped: Arc::default(),
             streams: Arc::default(),
         };
-        let own = engine.clone();
+        let server = engine.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
-                if own.stopped.load(Ordering::Relaxed) {
+                if server.stopped.load(Ordering::Relaxed) {
                     return;
                 }
-                let own = own.clone();
-                thread::spawn(move || own.serve(stream));
+                let server = server.clone();
+                thread::spawn(move || server.serve(stream));
             }
         });
         engine
@@ -211,7 +211,7 @@
         self.streams.lock().expect("no holder panics")
     }
 
-    /// Injects a fault, which replaces the one before.
+    /// Injects a fault, which replaces the previous one.
     pub fn fault(&self, fault: Fault) {
         self.state().fault = fault;
         self.context.record.push(EventKind::Fault {
@@ -220,7 +220,7 @@
         });
     }
 
-    /// Simulates a restart: from now on the engine warms up.
+    /// Simulates a restart: the engine is cold and begins to warm up.
     pub fn restart_cold(&self) {
         self.state().started = Instant::now();
         self.context.record.push(EventKind::Started {
@@ -235,27 +235,27 @@
         for (_, stream) in self.streams().drain() {
             let _ = stream.shutdown(Shutdown::Both);
         }
-        // Wakes the listener, so that it closes.
+        // Wakes the accept loop, which then closes the listener.
         let _ = TcpStream::connect(self.address);
     }
 
-    /// Core time that queries have used since the engine's start (ms).
+    /// Core time that queries have used since the engine was started (ms).
     pub fn busy(&self) -> f64 {
         self.state().busy_ms
     }
 
-    /// Threads that run now.
+    /// Number of running threads.
     pub fn threads(&self) -> f64 {
         self.state().threads
     }
 
-    /// Serves a connection until it ends; attempts that still run on it are cancelled then.
+    /// Serves a connection until it closes, and then cancels the attempts that are still running on it.
     fn serve(&self, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
-        let (Ok(kept), Ok(peer)) = (stream.try_clone(), stream.peer_addr()) else {
+        let (Ok(registered), Ok(peer)) = (stream.try_clone(), stream.peer_addr()) else {
             return;
         };
-        self.streams().insert(peer, kept);
+        self.streams().insert(peer, registered);
         let Ok(reader) = stream.try_clone() else {
             return;
         };
@@ -282,9 +282,9 @@
         attempts: &mut Vec<Arc<Attempt>>,
         channel: &ReplyChannel,
     ) -> bool {
-        let word = fields.first().map_or("", String::as_str);
+        let command = fields.first().map_or("", String::as_str);
         let id = fields.get(1).cloned().unwrap_or_default();
-        match Request::parse(word) {
+        match Request::parse(command) {
             Request::Fetch => {
                 let attempt = Arc::new(Attempt::new(id));
                 attempts.retain(|attempt| Arc::strong_count(attempt) > 1);
@@ -309,22 +309,22 @@
         true
     }
 
-    /// The speed of a thread now, relative to that of a single thread on a warm engine.
+    /// The current speed of a thread, relative to that of a single thread on a warm engine.
     fn speed(&self) -> f64 {
         let state = self.state();
-        let sharing = (self.spec.cores / state.threads.max(1.0)).min(1.0);
+        let core_share = (self.spec.cores / state.threads.max(1.0)).min(1.0);
         let age_ms = state.started.elapsed().as_secs_f64() * 1000.0;
-        let warmth = if self.spec.warm_after_ms > 0.0 {
+        let warm_up_fraction = if self.spec.warm_after_ms > 0.0 {
             (age_ms / self.spec.warm_after_ms).min(1.0)
         } else {
             1.0
         };
-        let warm_speed = self.spec.cold_from + (1.0 - self.spec.cold_from) * warmth;
-        let slowdown = if let Fault::Slow(times) = state.fault {
-            times
+        let warm_speed = self.spec.cold_from + (1.0 - self.spec.cold_from) * warm_up_fraction;
+        let slowdown = if let Fault::Slow(factor) = state.fault {
+            factor
         } else {
             1.0
         };
-        sharing * warm_speed / slowdown
+        core_share * warm_speed / slowdown
     }
 }
--- a/crates/testbed/src/engine/protocol.rs
+++ b/crates/testbed/src/engine/protocol.rs
@@ -1,7 +1,7 @@
-//! The words of the engines' protocol. They are written from the published protocol and deliberately not shared with the
-//! program under test, which must agree with them.
+//! Request and reply words of the engine protocol. They follow the published protocol and are deliberately not shared
+//! with the program under test, so that a deviation of the program is detected.
 
-/// What a dispatcher requests of an engine.
+/// A request of a dispatcher to an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Request {
     /// Runs a query.
@@ -12,14 +12,14 @@
     Page,
     /// Releases a result.
     Release,
-    /// Checks whether the engine answers.
+    /// Checks whether the engine is alive.
     HealthCheck,
-    /// A request to which the testbed's engines do not reply.
+    /// Any other request; the testbed's engines do not reply to it.
     Other,
 }
 
 impl Request {
-    /// The request of a frame's first field.
+    /// Parses the first field of a frame.
     pub fn parse(word: &str) -> Self {
         match word {
             "fetch" => Request::Fetch,
@@ -39,7 +39,7 @@
     Done,
     /// The engine is full; the query has not run.
     Full,
-    /// The query's time was over before it ran.
+    /// The query's time limit had passed before the query ran.
     Expired,
     /// The query failed, or the engine does not have the page.
     Failed,
@@ -52,7 +52,7 @@
 }
 
 impl Reply {
-    /// The reply's word.
+    /// The word of the reply in the protocol.
     pub fn as_str(self) -> &'static str {
         match self {
             Reply::Done => "DONE",
@@ -66,9 +66,9 @@
     }
 }
 
-/// The fields of a reply that has none.
+/// Placeholder in a reply without fields.
 pub(super) const NO_FIELDS: &str = "-";
-/// The name of a request's time limit in its list of fields (ms).
+/// Name of the field with a request's time limit (ms).
 pub(super) const LIMIT_FIELD: &str = "limit";
-/// The fields of a result that fits into one page.
+/// Fields of the reply with a result of one page.
 pub(super) const ONE_PAGE: &str = "batches=1";
--- a/crates/testbed/src/engine/reply_channel.rs
+++ b/crates/testbed/src/engine/reply_channel.rs
@@ -1,4 +1,4 @@
-//! The replies of an engine on one connection, with the faults that befall them, and the results that it holds there.
+//! The replies of an engine on one connection, with injected faults, and the results held for that connection.
 
 use super::protocol::{Reply, NO_FIELDS};
 use super::reply_faults::{LateReply, ReplyFault};
@@ -11,7 +11,7 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::thread;
 
-/// Half of a frame with the id of no query.
+/// The beginning of a frame, with an id that belongs to no query.
 const NOISE: &[u8] = b"*4\r\n$16\r\n00000000000000ff\r\n$4\r\nDO";
 
 /// A connection on which an engine replies.
@@ -19,12 +19,12 @@
 pub(super) struct ReplyChannel {
     engine: Engine,
     stream: Arc<Mutex<TcpStream>>,
-    /// Pages of the results that were not released, by the queries' ids.
+    /// Pages of the results that have not been released, by query id.
     results: Arc<Mutex<HashMap<String, Vec<String>>>>,
 }
 
 impl ReplyChannel {
-    /// The channel of a connection.
+    /// Creates the channel of a connection.
     pub fn new(engine: Engine, stream: TcpStream) -> Self {
         ReplyChannel {
             engine,
@@ -44,25 +44,25 @@
         }
     }
 
-    fn strikes(&self, fraction: f64) -> bool {
-        ReplyFault::strikes(fraction, &mut self.engine.state().rng)
+    fn is_triggered(&self, fraction: f64) -> bool {
+        ReplyFault::is_triggered(fraction, &mut self.engine.state().rng)
     }
 
-    /// Whether this request is answered as over already.
-    pub fn expires_request(&self) -> bool {
-        matches!(self.reply_fault(), Some(ReplyFault::Expires(fraction)) if self.strikes(fraction))
+    /// Returns whether the injected fault makes this request expire.
+    pub fn injects_expiry(&self) -> bool {
+        matches!(self.reply_fault(), Some(ReplyFault::Expires(fraction)) if self.is_triggered(fraction))
     }
 
-    /// Half-closes the connection where the fault is that.
-    pub fn half_close_if_faulty(&self) {
+    /// Half-closes the connection if the injected fault requires it.
+    pub fn half_close_on_fault(&self) {
         if let Some(ReplyFault::HalfCloses(fraction)) = self.reply_fault() {
-            if self.strikes(fraction) {
+            if self.is_triggered(fraction) {
                 let _ = self.stream().shutdown(Shutdown::Write);
             }
         }
     }
 
-    /// Waits before a frame is read where the fault is that.
+    /// Delays the next read if the injected fault requires it.
     pub fn pause_before_read(&self) {
         if self.reply_fault() == Some(ReplyFault::ReadsLate) {
             let delay = ReplyFault::read_delay(&mut self.engine.state().rng);
@@ -70,22 +70,22 @@
         }
     }
 
-    /// Ends the connection.
+    /// Closes the connection in both directions.
     pub fn close(&self) {
         let _ = self.stream().shutdown(Shutdown::Both);
     }
 
-    /// Writes bytes that are no frame.
+    /// Writes bytes that do not form a frame.
     pub fn write_malformed(&self, bytes: &[u8]) {
         let _ = self.stream().write_all(bytes);
     }
 
-    /// Sends a reply. Returns whether the connection stays open.
+    /// Sends a reply, subject to the injected fault. Returns whether the connection stays open.
     pub fn send(&self, id: &str, reply: Reply, fields: &str, body: &str) -> bool {
         let fault = self.reply_fault();
         if let Some(ReplyFault::BreaksOff(fraction)) = fault {
-            if self.strikes(fraction) {
-                self.break_off(id, reply, fields, body);
+            if self.is_triggered(fraction) {
+                self.send_truncated(id, reply, fields, body);
                 return false;
             }
         }
@@ -107,7 +107,7 @@
                 let late = LateReply::draw(&mut self.engine.state().rng);
                 self.send_late(id, late);
             }
-            Some(ReplyFault::Noise(fraction)) if is_final && self.strikes(fraction) => {
+            Some(ReplyFault::Noise(fraction)) if is_final && self.is_triggered(fraction) => {
                 self.write_malformed(NOISE);
             }
             _ => {}
@@ -119,12 +119,12 @@
         write_frame(&mut *self.stream(), &[id, reply.as_str(), fields, body])
     }
 
-    /// Writes a part of a reply and ends the connection.
-    fn break_off(&self, id: &str, reply: Reply, fields: &str, body: &str) {
+    /// Writes a random prefix of a reply and closes the connection.
+    fn send_truncated(&self, id: &str, reply: Reply, fields: &str, body: &str) {
         let mut bytes = Vec::new();
         write_frame(&mut bytes, &[id, reply.as_str(), fields, body]);
-        let end = self.engine.state().rng.random_range(0..bytes.len());
-        self.write_malformed(&bytes[..end]);
+        let prefix_len = self.engine.state().rng.random_range(0..bytes.len());
+        self.write_malformed(&bytes[..prefix_len]);
         self.close();
     }
 
@@ -142,7 +142,7 @@
         self.results.lock().expect("no holder panics")
     }
 
-    /// Sends the first page of a result, and holds the others until they are released.
+    /// Sends the first page of a result. A result of several pages is held until it is released.
     pub fn send_result(&self, id: &str, pages: Vec<String>) -> bool {
         let fields = format!("batches={}", pages.len());
         let first = pages[0].clone();
@@ -152,7 +152,7 @@
         self.send(id, Reply::Done, &fields, &first)
     }
 
-    /// Sends a page other than the first, or that it is lost.
+    /// Sends a page other than the first, or a failure if the page is unknown or lost by the injected fault.
     pub fn send_page(&self, id: &str, page: usize) -> bool {
         let rows = self
             .results()
@@ -160,7 +160,7 @@
             .and_then(|pages| pages.get(page).cloned());
         let fault = self.reply_fault();
         let is_lost =
-            matches!(fault, Some(ReplyFault::PagesLost(fraction)) if self.strikes(fraction));
+            matches!(fault, Some(ReplyFault::PagesLost(fraction)) if self.is_triggered(fraction));
         if is_lost {
             let delay = ReplyFault::page_delay(&mut self.engine.state().rng);
             let lost = LateReply {
@@ -193,7 +193,7 @@
         true
     }
 
-    /// Frees a result.
+    /// Discards a result.
     pub fn release_result(&self, id: &str) {
         self.results().remove(id);
     }
--- a/crates/testbed/src/engine/reply_faults.rs
+++ b/crates/testbed/src/engine/reply_faults.rs
@@ -1,4 +1,4 @@
-//! What an engine may do to its replies and connections, as far as the protocol allows it or a network brings it about.
+//! Faults of an engine's replies and connections: those that the protocol permits or that a network can cause.
 
 use super::protocol::{Reply, NO_FIELDS, ONE_PAGE};
 use rand::RngExt;
@@ -6,41 +6,41 @@
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-/// Delay of a reply that is repeated, or that follows the final one (ms).
+/// Delay of a repeated reply, or of a reply that follows the final one (ms).
 const LATE_REPLY_MS: RangeInclusive<u64> = 1..=100;
-/// The delay of half of them (ms): while a retry of the query runs.
-const SOON_REPLY_MS: RangeInclusive<u64> = 1..=12;
-/// Fraction of the requests that fail while replies come late or twice: only what fails is retried.
+/// Delay of half of these replies (ms): they arrive while a retry of the query is running.
+const REPLY_DURING_RETRY_MS: RangeInclusive<u64> = 1..=12;
+/// Fraction of the requests that fail under faults that repeat or add replies: only failed attempts are retried.
 const FAILING_FRACTION: f64 = 0.5;
-/// Delay of a page that is sent out of order, or of the reply that it is lost (ms).
+/// Delay of a page that is sent out of order, or of the failure sent for a lost page (ms).
 const PAGE_DELAY_MS: RangeInclusive<u64> = 0..=20;
-/// How late an engine reads under [`ReplyFault::ReadsLate`] (ms): less than the protocol's tolerance.
+/// Delay of each read under [`ReplyFault::ReadsLate`] (ms): less than the protocol's tolerance.
 const READ_DELAY_MS: RangeInclusive<u64> = 1..=30;
 
-/// A fault of replies. Fractions are probabilities of a reply, a page or a request.
+/// A fault of replies or connections. Fractions are probabilities per reply, page or request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum ReplyFault {
-    /// Pages other than the first come late, out of order and some of them twice.
+    /// Pages other than the first are sent late and out of order, and some of them twice.
     PagesOutOfOrder,
     /// This fraction of the pages other than the first is lost.
     PagesLost(f64),
-    /// Every reply comes a second time, late. Some requests fail.
+    /// Every reply is repeated after a delay. Some requests fail.
     Repeats,
-    /// Another reply follows each final one, late. Some requests fail.
+    /// A random reply follows each final one after a delay. Some requests fail.
     RepliesAfterFinal,
-    /// This fraction of the requests is answered as over already.
+    /// This fraction of the requests is answered as expired.
     Expires(f64),
-    /// This fraction of the replies is broken off at any byte, with the connection.
+    /// This fraction of the replies is truncated at a random byte, and the connection is closed.
     BreaksOff(f64),
-    /// This fraction of the requests half-closes its connection.
+    /// The engine half-closes the connection after this fraction of the requests.
     HalfCloses(f64),
-    /// Each frame is read late.
+    /// The engine delays the read of each frame.
     ReadsLate,
-    /// This fraction of the final replies is followed by noise on the connection.
+    /// This fraction of the final replies is followed by a partial frame on the connection.
     Noise(f64),
 }
 
-/// A reply that is sent later.
+/// A reply that is sent after a delay.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct LateReply {
     pub delay: Duration,
@@ -50,31 +50,31 @@
 }
 
 impl ReplyFault {
-    /// Whether a fault with a fraction strikes now.
-    pub(super) fn strikes(fraction: f64, rng: &mut Pcg32) -> bool {
+    /// Draws whether a fault of this fraction is triggered.
+    pub(super) fn is_triggered(fraction: f64, rng: &mut Pcg32) -> bool {
         rng.random_bool(fraction.clamp(0.0, 1.0))
     }
 
-    /// Whether a request fails.
+    /// Draws whether a request fails under this fault.
     pub(super) fn fails_request(self, rng: &mut Pcg32) -> bool {
         matches!(self, ReplyFault::Repeats | ReplyFault::RepliesAfterFinal)
             && rng.random_bool(FAILING_FRACTION)
     }
 
-    /// How late a page is sent, or that it is lost.
+    /// Draws the delay of a page, or of the failure sent for a lost page.
     pub(super) fn page_delay(rng: &mut Pcg32) -> Duration {
         Duration::from_millis(rng.random_range(PAGE_DELAY_MS))
     }
 
-    /// How late a frame is read.
+    /// Draws the delay of a read.
     pub(super) fn read_delay(rng: &mut Pcg32) -> Duration {
         Duration::from_millis(rng.random_range(READ_DELAY_MS))
     }
 
-    /// How late a reply is repeated.
+    /// Draws the delay of a repeated or additional reply.
     pub(super) fn late_reply_delay(rng: &mut Pcg32) -> Duration {
         let range = if rng.random_bool(0.5) {
-            SOON_REPLY_MS
+            REPLY_DURING_RETRY_MS
         } else {
             LATE_REPLY_MS
         };
@@ -83,7 +83,7 @@
 }
 
 impl LateReply {
-    /// A reply of any kind that follows a final one.
+    /// Draws a reply to follow a final one, with its delay.
     pub fn draw(rng: &mut Pcg32) -> Self {
         let (reply, fields, body) = match rng.random_range(0..6) {
             0 => (Reply::Failed, NO_FIELDS, ""),
--- a/crates/testbed/src/engine/scripted.rs
+++ b/crates/testbed/src/engine/scripted.rs
@@ -1,4 +1,4 @@
-//! Scripted engines, and a listener that no connection reaches.
+//! Scripted engines, and a listener that accepts no connections.
 
 use super::protocol::{Reply, Request, ONE_PAGE};
 use crate::wire::{read_frame, write_frame};
@@ -8,15 +8,16 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The fields of a received frame, and when it was received.
+/// The fields of a received frame, and the time of its receipt.
 pub type ReceivedFrame = (Vec<String>, Instant);
 
-/// Starts an engine that sends each frame it receives, with its time, to the returned channel; `react` writes the answer.
+/// Starts an engine that passes each received frame to `handler`, which writes the answer. Returns its address and a
+/// channel with the received frames.
 ///
 /// # Panics
 /// The loopback has no free port.
 pub fn scripted(
-    react: impl Fn(&[String], &mut TcpStream) + Send + Clone + 'static,
+    handler: impl Fn(&[String], &mut TcpStream) + Send + Clone + 'static,
 ) -> (SocketAddr, Receiver<ReceivedFrame>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("loopback has a free port");
     let address = listener
@@ -26,7 +27,7 @@
     thread::spawn(move || {
         for stream in listener.incoming().flatten() {
             let sender = sender.clone();
-            let react = react.clone();
+            let handler = handler.clone();
             thread::spawn(move || {
                 let Ok(reader) = stream.try_clone() else {
                     return;
@@ -35,7 +36,7 @@
                 let mut writer = stream;
                 while let Some(fields) = read_frame(&mut reader) {
                     let _ = sender.send((fields.clone(), Instant::now()));
-                    react(&fields, &mut writer);
+                    handler(&fields, &mut writer);
                 }
             });
         }
@@ -53,7 +54,8 @@
     write_frame(to, &[query_id, Reply::Done.as_str(), ONE_PAGE, rows]);
 }
 
-/// An engine that completes each query after `delay`, and the frames that it receives.
+/// Starts an engine that completes each query after `delay`. Returns its address and a channel with the received
+/// frames.
 ///
 /// # Panics
 /// The loopback has no free port.
@@ -72,8 +74,8 @@
     })
 }
 
-/// Makes a listener unreachable, as on a machine that vanished: its backlog is set to the minimum and filled. No
-/// connection is established while the returned streams are held and nothing accepts them.
+/// Makes a listener unreachable, as on a machine that vanished, by setting its backlog to the minimum and filling it.
+/// No further connection is established while the returned streams are held and the listener accepts none of them.
 ///
 /// # Panics
 /// The listener has no address or can't listen.
--- a/crates/testbed/src/fault_shim.rs
+++ b/crates/testbed/src/fault_shim.rs
@@ -1,4 +1,4 @@
-//! The fault shim for a program under test: builds the library, makes a table of faults, and starts programs under both.
+//! The fault shim for a program under test: builds its library, creates a fault table, and applies both to a command.
 
 use crate::program::{locate_beside, LocateError, TempFile};
 use std::ffi::CString;
@@ -7,52 +7,54 @@
 use std::process::Command;
 use tansymux_fault_table::{FaultTable, TABLE_VARIABLE};
 
-/// The package of the library.
+/// Package of the shim library.
 const PACKAGE: &str = "tansymux-fault-shim";
-/// Its file.
+/// File name of the shim library.
 const LIBRARY: &str = "libtansymux_fault_shim.so";
 
-/// The library, and a table of faults of its own.
+/// The shim library, and a fault table in a temporary file.
 #[derive(Debug)]
 pub struct FaultShim {
     library: PathBuf,
-    file: TempFile,
+    table_file: TempFile,
     table: &'static FaultTable,
 }
 
 impl FaultShim {
-    /// A table without faults, for the library at this path: see [`locate_library`].
+    /// Creates an empty fault table for the library at this path; see [`locate_library`].
     ///
     /// # Panics
-    /// The folder for temporary files can't be written to.
+    /// The directory for temporary files can't be written to.
     pub fn new(library: PathBuf) -> Self {
-        let file = TempFile::new("faults", &"\0".repeat(FaultTable::BYTES));
-        let path = CString::new(file.0.as_os_str().as_bytes()).expect("a path without zeros");
+        let table_file = TempFile::new("faults", &"\0".repeat(FaultTable::BYTES));
+        let path =
+            CString::new(table_file.0.as_os_str().as_bytes()).expect("a path contains no NUL byte");
         let table = FaultTable::map(&path).expect("a file that was just written can be mapped");
         FaultShim {
             library,
-            file,
+            table_file,
             table,
         }
     }
 
-    /// What is injected.
+    /// The fault table, which the program under test maps as well.
     pub fn table(&self) -> &'static FaultTable {
         self.table
     }
 
-    /// Loads the library into the program that the command starts.
+    /// Sets the environment of a command so that its program loads the library and the fault table.
     pub fn apply(&self, command: &mut Command) {
-        command
-            .env("LD_PRELOAD", &self.library)
-            .env(TABLE_VARIABLE.to_string_lossy().as_ref(), &self.file.0);
+        command.env("LD_PRELOAD", &self.library).env(
+            TABLE_VARIABLE.to_string_lossy().as_ref(),
+            &self.table_file.0,
+        );
     }
 }
 
-/// The library, beside the program that runs; built by the same cargo where there is one.
+/// Returns the path of the library, in the running program's directory. Under cargo, the library is built first.
 ///
 /// # Errors
-/// It could not be built or is not there.
+/// It could not be built or does not exist.
 pub fn locate_library() -> Result<PathBuf, LocateError> {
     locate_beside(PACKAGE, LIBRARY)
 }
--- a/crates/testbed/src/free_address.rs
+++ b/crates/testbed/src/free_address.rs
@@ -1,62 +1,63 @@
 //! Addresses on the loopback for programs that a test starts.
 //!
-//! A program binds its address some time after the test has chosen it. The ports come from below the range from which
-//! the system assigns ports by itself, so that no socket of another test can take one in between.
+//! A program binds its address only some time after the test has chosen it. The ports are below the system's ephemeral
+//! port range, so that no socket of another test is assigned the same port in between.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, UdpSocket};
 use std::sync::atomic::{AtomicU32, Ordering};
 use std::sync::Mutex;
 
-/// The first port that is chosen.
+/// First port of the range.
 const FIRST_PORT: u16 = 12_000;
-/// Number of ports; the last one is below 32,768, where the system's own range begins.
+/// Number of ports in the range; the last one is below 32,768, where the ephemeral port range begins.
 const PORT_COUNT: u16 = 20_000;
-/// Distance between the first ports of two processes with consecutive ids: test processes start at different ports.
+/// Distance between the first ports of two processes with consecutive ids, so that test processes start at different
+/// ports.
 const PROCESS_STRIDE: u32 = 997;
 
-/// Ports chosen so far by this process.
-static CHOSEN: AtomicU32 = AtomicU32::new(0);
-/// Sockets of the other protocol on the chosen ports, held until the process ends: other test processes pass these ports
-/// over, also while no program has bound them yet.
+/// Number of candidate ports that this process has tried so far.
+static PORTS_TRIED: AtomicU32 = AtomicU32::new(0);
+/// Sockets of the other transport protocol (UDP or TCP) on the chosen ports, held until the process exits. Other test
+/// processes skip these ports even before a program has bound them.
 static RESERVATIONS: Mutex<Vec<Reservation>> = Mutex::new(Vec::new());
 
 /// A socket that reserves a port.
 #[derive(Debug)]
 enum Reservation {
-    /// Reserves an address for a program that listens.
-    Datagrams(#[expect(dead_code, reason = "held, not used")] UdpSocket),
+    /// Reserves an address for a program that listens for connections.
+    Udp(#[expect(dead_code, reason = "held, not used")] UdpSocket),
     /// Reserves an address for a program that receives datagrams.
-    Connections(#[expect(dead_code, reason = "held, not used")] TcpListener),
+    Tcp(#[expect(dead_code, reason = "held, not used")] TcpListener),
 }
 
-/// An address on which nobody listens now, and that no test process has chosen before.
+/// Reserves and returns a TCP address on which no program listens and that no running test process has reserved.
 ///
 /// # Panics
 /// No port of the range is free.
 pub fn free_address() -> SocketAddr {
-    choose(|address| {
+    reserve_next_address(|address| {
         TcpListener::bind(address)?;
-        UdpSocket::bind(address).map(Reservation::Datagrams)
+        UdpSocket::bind(address).map(Reservation::Udp)
     })
 }
 
-/// The same for datagrams.
+/// Reserves and returns a UDP address to which no program is bound and that no running test process has reserved.
 ///
 /// # Panics
 /// No port of the range is free.
 pub fn free_udp_address() -> SocketAddr {
-    choose(|address| {
+    reserve_next_address(|address| {
         UdpSocket::bind(address)?;
-        TcpListener::bind(address).map(Reservation::Connections)
+        TcpListener::bind(address).map(Reservation::Tcp)
     })
 }
 
-/// The next address that can be reserved.
-fn choose(reserve: impl Fn(SocketAddr) -> io::Result<Reservation>) -> SocketAddr {
-    let next_reserved = |_| {
+/// Reserves the next candidate address for which `try_reserve` succeeds.
+fn reserve_next_address(try_reserve: impl Fn(SocketAddr) -> io::Result<Reservation>) -> SocketAddr {
+    let reserve_candidate = |_| {
         let candidate = next_candidate();
-        let reservation = reserve(candidate).ok()?;
+        let reservation = try_reserve(candidate).ok()?;
         RESERVATIONS
             .lock()
             .expect("no holder panics")
@@ -64,13 +65,13 @@
         Some(candidate)
     };
     (0..PORT_COUNT)
-        .find_map(next_reserved)
+        .find_map(reserve_candidate)
         .expect("a port of the range is free")
 }
 
 fn next_candidate() -> SocketAddr {
     let first = std::process::id().wrapping_mul(PROCESS_STRIDE);
-    let offset = first.wrapping_add(CHOSEN.fetch_add(1, Ordering::Relaxed));
+    let offset = first.wrapping_add(PORTS_TRIED.fetch_add(1, Ordering::Relaxed));
     let port = FIRST_PORT + (offset % u32::from(PORT_COUNT)) as u16;
     SocketAddr::from((Ipv4Addr::LOCALHOST, port))
 }
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,9 +1,9 @@
-//! The testbed: stand-ins, on loopback, for clients, engines and the name service, written from the published protocols.
+//! The testbed: loopback stand-ins for clients, engines and the name service, written from the published protocols.
 //!
-//! Owns: scripted clients ([`client`]), engines ([`engine`]) and a name service ([`name_service`]), the start of the real
-//! program ([`program`]), the record of a run ([`record`]), the checker that holds a record against the seven rules
-//! ([`invariants`]), and fleets under fault injection in virtual time and on processes ([`fleet`]). It holds no decision of
-//! the dispatcher, and nothing of the product depends on it. All randomness comes from a seed.
+//! Owns: scripted clients ([`client`]), engines ([`engine`]) and a name service ([`name_service`]), the start of the
+//! real program ([`program`]), the record of a run ([`record`]), the checker that verifies a record against the seven
+//! rules ([`invariants`]), and fleets under fault injection in virtual time and on processes ([`fleet`]). It contains
+//! no decision logic of the dispatcher, and no product code depends on it. All randomness is seeded.
 //!
 //! Start reading at [`invariants::find_violations`], then at [`demo::run`].
 
--- a/crates/testbed/src/main.rs
+++ b/crates/testbed/src/main.rs
@@ -11,7 +11,7 @@
 use tansymux_testbed::program;
 
 fn main() -> ExitCode {
-    program::end_children_on_signal();
+    program::kill_children_on_signal();
     match commands::run(cli::Cli::parse().command) {
         Ok(Outcome::Passed) => ExitCode::SUCCESS,
         Ok(Outcome::Failed) => ExitCode::FAILURE,
--- a/crates/testbed/src/name_service.rs
+++ b/crates/testbed/src/name_service.rs
@@ -1,4 +1,4 @@
-//! A stand-in name service: answers dispatchers' questions with the complete list of engines, in DNS records.
+//! A stand-in name service: answers the dispatchers' DNS requests with the records of all listed engines.
 
 use crate::record::{EventKind, Record, Status};
 use std::net::{SocketAddr, UdpSocket};
@@ -18,22 +18,22 @@
 /// The weight of all SRV records.
 const SRV_WEIGHT: u16 = 10;
 
-/// An engine as it is listed.
+/// An engine's entry in the endpoint list.
 #[derive(Debug, Clone)]
 pub struct Endpoint {
-    /// The engine.
+    /// Engine id.
     pub id: String,
-    /// Its zone.
+    /// Zone of the engine.
     pub zone: String,
-    /// Its kind of machine.
+    /// Machine type.
     pub kind: String,
-    /// Its cell.
+    /// Cell of the engine.
     pub cell: u32,
-    /// Where it listens.
+    /// Address on which the engine listens.
     pub address: SocketAddr,
     /// Ready, draining or gone.
     pub status: Status,
-    /// Unix milliseconds of a late start.
+    /// The engine's start time (Unix ms); 0 if it is unknown.
     pub started: f64,
 }
 
@@ -42,20 +42,21 @@
     engines: Vec<Endpoint>,
     serial: u32,
     silent: bool,
-    /// Entries that were changed and that no answer has announced yet.
+    /// Changed entries that no answer has announced yet.
     unannounced: Vec<Endpoint>,
 }
 
-/// A name service, until the process ends.
+/// A running name service; it runs until the process exits.
 #[derive(Debug, Clone)]
 pub struct NameService {
-    /// The address at which it receives questions.
+    /// Address on which it receives requests.
     pub address: SocketAddr,
     list: Arc<Mutex<List>>,
 }
 
 impl NameService {
-    /// Starts on the loopback. `record` gets an entry when an answer first announces a change.
+    /// Starts a name service on the loopback. Records each initial entry now, and each later change when an answer
+    /// first announces it.
     ///
     /// # Panics
     /// The loopback has no free port.
@@ -72,32 +73,32 @@
         }));
         let shared = list.clone();
         thread::spawn(move || {
-            let mut asked = [0; 512];
-            while let Ok((count, from)) = socket.recv_from(&mut asked) {
+            let mut request = [0; 512];
+            while let Ok((length, from)) = socket.recv_from(&mut request) {
                 let mut list = shared.lock().expect("no holder panics");
-                if list.silent || count < 12 {
+                if list.silent || length < 12 {
                     continue;
                 }
-                let bytes = answer(&asked[..count], &list);
+                let answer = encode_answer(&request[..length], &list);
                 let unannounced = std::mem::take(&mut list.unannounced);
                 drop(list);
                 unannounced
                     .iter()
                     .for_each(|engine| record.push(listed_event(engine)));
-                // Dispatchers must ignore a datagram that is no answer.
+                // Dispatchers must ignore a datagram that is not an answer.
                 let _ = socket.send_to(b"no answer", from);
-                let _ = socket.send_to(&bytes, from);
+                let _ = socket.send_to(&answer, from);
             }
         });
         NameService { address, list }
     }
 
-    /// Changes an engine's status; an engine that is gone has no records any more.
+    /// Changes an engine's status. Answers have no records of an engine that is gone.
     pub fn set(&self, id: &str, status: Status) {
         self.change(id, |engine| engine.status = status);
     }
 
-    /// Changes an entry.
+    /// Changes the entry of an engine, if it has one.
     pub fn change(&self, id: &str, change: impl FnOnce(&mut Endpoint)) {
         let mut list = self.list.lock().expect("no holder panics");
         if let Some(index) = list.engines.iter().position(|engine| engine.id == id) {
@@ -108,7 +109,7 @@
         }
     }
 
-    /// Adds an entry, or replaces the one of the same engine.
+    /// Adds an entry, replacing any entry of the same engine.
     pub fn add(&self, engine: Endpoint) {
         let mut list = self.list.lock().expect("no holder panics");
         list.engines.retain(|other| other.id != engine.id);
@@ -117,7 +118,7 @@
         list.serial += 1;
     }
 
-    /// Sets whether questions remain unanswered.
+    /// Sets whether requests remain unanswered.
     pub fn silent(&self, silent: bool) {
         self.list.lock().expect("no holder panics").silent = silent;
     }
@@ -133,7 +134,7 @@
     }
 }
 
-fn name(labels: &[&str]) -> Vec<u8> {
+fn encode_name(labels: &[&str]) -> Vec<u8> {
     let mut bytes = Vec::new();
     for label in labels {
         bytes.push(label.len() as u8);
@@ -143,25 +144,25 @@
     bytes
 }
 
-/// The answer to a question: SRV, SOA, and A and TXT records for each engine that is not gone.
-fn answer(asked: &[u8], list: &List) -> Vec<u8> {
-    let mut bytes = asked.to_vec();
+/// Encodes the answer to a request: an SOA record, and SRV, A and TXT records for each engine that is not gone.
+fn encode_answer(request: &[u8], list: &List) -> Vec<u8> {
+    let mut bytes = request.to_vec();
     bytes[2] |= 0x80;
-    let there: Vec<&Endpoint> = list
+    let listed: Vec<&Endpoint> = list
         .engines
         .iter()
         .filter(|engine| engine.status != Status::Gone)
         .collect();
     let count = |records: usize| (records as u16).to_be_bytes();
-    bytes[6..8].copy_from_slice(&count(there.len()));
+    bytes[6..8].copy_from_slice(&count(listed.len()));
     bytes[8..10].copy_from_slice(&count(1));
-    bytes[10..12].copy_from_slice(&count(2 * there.len()));
-    for engine in &there {
+    bytes[10..12].copy_from_slice(&count(2 * listed.len()));
+    for engine in &listed {
         append_record(&mut bytes, &QUESTION_NAME, TYPE_SRV, &srv_data(engine));
     }
     let soa = soa_data(list.serial);
     append_record(&mut bytes, &QUESTION_NAME, TYPE_SOA, &soa);
-    for engine in &there {
+    for engine in &listed {
         let SocketAddr::V4(address) = engine.address else {
             continue;
         };
@@ -172,7 +173,7 @@
     bytes
 }
 
-/// Appends a record of class IN that may be cached for a second.
+/// Appends a record of class IN with a TTL of one second.
 fn append_record(bytes: &mut Vec<u8>, name: &[u8], record_type: u8, data: &[u8]) {
     bytes.extend_from_slice(name);
     bytes.extend_from_slice(&[0, record_type, 0, 1, 0, 0, 0, 1]);
@@ -180,12 +181,12 @@
     bytes.extend_from_slice(data);
 }
 
-/// The name of an engine's host.
+/// Encodes the host name of an engine.
 fn target_name(engine: &Endpoint) -> Vec<u8> {
-    name(&[&engine.id, &engine.zone, "hosts"])
+    encode_name(&[&engine.id, &engine.zone, "hosts"])
 }
 
-/// The data of an engine's SRV record; an engine that drains has the lower priority.
+/// Encodes the data of an engine's SRV record; a draining engine has the lower priority.
 fn srv_data(engine: &Endpoint) -> Vec<u8> {
     let priority = u16::from(engine.status == Status::Draining);
     let numbers = [
@@ -196,7 +197,7 @@
     [numbers.concat(), target_name(engine)].concat()
 }
 
-/// The data of the SOA record with a serial number; the other numbers are 0.
+/// Encodes the data of the SOA record with a serial number; the other numbers are 0.
 fn soa_data(serial: u32) -> Vec<u8> {
     [
         QUESTION_NAME.as_slice(),
@@ -207,7 +208,7 @@
     .concat()
 }
 
-/// The data of an engine's TXT record.
+/// Encodes the data of an engine's TXT record.
 fn txt_data(engine: &Endpoint) -> Vec<u8> {
     let texts = [
         format!("kind={}", engine.kind),
--- a/crates/testbed/src/plot.rs
+++ b/crates/testbed/src/plot.rs
@@ -6,13 +6,13 @@
 /// A line of a plot.
 #[derive(Debug, Clone)]
 pub struct Line<'a> {
-    /// Its name in the legend.
+    /// Name in the legend.
     pub name: &'a str,
-    /// Its points, in the order of the first axis.
+    /// Points as (x, y), in ascending order of x.
     pub points: Vec<(f64, f64)>,
 }
 
-/// Draws lines over one axis, whose unit is `unit`.
+/// Draws lines into the SVG file `to`; `unit` labels the x axis.
 ///
 /// # Errors
 /// The file can't be written.
@@ -22,7 +22,7 @@
     unit: &str,
     lines: &[Line],
 ) -> Result<(), Box<dyn std::error::Error>> {
-    let (right, top) = upper_bounds(lines);
+    let (max_x, max_y) = upper_bounds(lines);
     let area = SVGBackend::new(to, (1000, 420)).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
@@ -30,7 +30,7 @@
         .margin(10)
         .x_label_area_size(30)
         .y_label_area_size(45)
-        .build_cartesian_2d(0.0..right, 0.0..top * 1.05)?;
+        .build_cartesian_2d(0.0..max_x, 0.0..max_y * 1.05)?;
     chart
         .configure_mesh()
         .x_desc(unit)
@@ -58,12 +58,12 @@
     Ok(())
 }
 
-/// The largest values on both axes, at least 1.
+/// Returns the largest x and y of all points, each at least 1.
 fn upper_bounds(lines: &[Line]) -> (f64, f64) {
     lines
         .iter()
         .flat_map(|line| &line.points)
-        .fold((1.0_f64, 1.0_f64), |(right, top), point| {
-            (right.max(point.0), top.max(point.1))
+        .fold((1.0_f64, 1.0_f64), |(max_x, max_y), point| {
+            (max_x.max(point.0), max_y.max(point.1))
         })
 }
--- a/crates/testbed/src/program.rs
+++ b/crates/testbed/src/program.rs
@@ -1,4 +1,4 @@
-//! The real program as a process: its start, signals, counters and end. Its configuration is in `config`.
+//! The real program as a process: start, signals, counters and exit. Its configuration is in `config`.
 //!
 //! Start reading at [`Program::start`].
 
@@ -18,10 +18,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The longest wait for anything in a test, ample for a busy machine.
+/// Maximum time that a test waits for an event; ample for a busy machine.
 pub const TIMEOUT: Duration = Duration::from_secs(10);
 
-/// A file in the system's folder for temporary files, removed when dropped.
+/// A file in the system's directory for temporary files, removed when dropped.
 #[derive(Debug)]
 pub struct TempFile(pub PathBuf);
 
@@ -29,10 +29,10 @@
     /// Writes a file whose name ends in `name`.
     ///
     /// # Panics
-    /// The folder can't be written to.
+    /// The directory can't be written to.
     pub fn new(name: &str, text: &str) -> Self {
-        static NUMBER: AtomicU32 = AtomicU32::new(0);
-        let number = NUMBER.fetch_add(1, Ordering::Relaxed);
+        static NEXT_NUMBER: AtomicU32 = AtomicU32::new(0);
+        let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
         let path =
             std::env::temp_dir().join(format!("tansymux-{}-{number}-{name}", std::process::id()));
         let file = TempFile(path);
@@ -43,9 +43,9 @@
     /// Replaces the file's text.
     ///
     /// # Panics
-    /// The folder can't be written to.
+    /// The directory can't be written to.
     pub fn write(&self, text: &str) {
-        std::fs::write(&self.0, text).expect("the folder for temporary files can be written to");
+        std::fs::write(&self.0, text).expect("the directory for temporary files can be written to");
     }
 }
 
@@ -55,22 +55,22 @@
     }
 }
 
-/// Processes that were started and not yet waited for: those that must end with the testbed.
-static STARTED: Mutex<Vec<u32>> = Mutex::new(Vec::new());
+/// Ids of the started processes that have not been waited for; they must not outlive the testbed.
+static CHILD_PIDS: Mutex<Vec<u32>> = Mutex::new(Vec::new());
 
-/// From now on, a signal that ends the testbed first kills the processes that it started.
-pub fn end_children_on_signal() {
+/// Installs a handler for SIGINT, SIGTERM and SIGHUP that kills the started processes before the testbed exits.
+pub fn kill_children_on_signal() {
     let Ok(mut signals) = signal_hook::iterator::Signals::new([SIGINT, SIGTERM, SIGHUP]) else {
         return;
     };
     thread::spawn(move || {
         if let Some(signal) = signals.forever().next() {
-            // Until it is waited for, a number is its process's and nobody else's.
-            let started = STARTED
+            // A process id is not reused before the process has been waited for.
+            let children = CHILD_PIDS
                 .lock()
-                .map(|started| started.clone())
+                .map(|children| children.clone())
                 .unwrap_or_default();
-            let pids: Vec<String> = started.iter().map(u32::to_string).collect();
+            let pids: Vec<String> = children.iter().map(u32::to_string).collect();
             let _ = Command::new("kill").arg("-KILL").args(&pids).status();
             std::process::exit(128 + signal);
         }
@@ -82,17 +82,17 @@
 pub struct Program {
     /// The process.
     pub child: Child,
-    /// Where it takes queries.
+    /// Address on which it accepts queries.
     pub listen: SocketAddr,
-    /// Its configuration.
+    /// Its configuration file.
     pub config: TempFile,
 }
 
 impl Drop for Program {
     fn drop(&mut self) {
         let _ = self.child.kill();
-        if let Ok(mut started) = STARTED.lock() {
-            started.retain(|pid| *pid != self.child.id());
+        if let Ok(mut children) = CHILD_PIDS.lock() {
+            children.retain(|pid| *pid != self.child.id());
         }
         let _ = self.child.wait();
     }
@@ -102,19 +102,19 @@
     /// Starts `exe` and waits until it is healthy.
     ///
     /// # Panics
-    /// It did not start or did not become healthy in time.
+    /// It did not start, or did not become healthy within [`TIMEOUT`].
     pub fn start(exe: &Path, config: &Config, arguments: &[&str]) -> Self {
         let program = Program::launch(exe, config, arguments, Stdio::piped());
         program.wait_until_healthy();
         program
     }
 
-    /// The same with its log written to where `log` says, and no wait.
+    /// Starts `exe` with its standard error sent to `log`, and does not wait.
     pub fn launch(exe: &Path, config: &Config, arguments: &[&str], log: Stdio) -> Self {
         Program::prepared(exe, config, arguments, log, |_| ())
     }
 
-    /// The same, with more done to the command before it runs.
+    /// Like [`Program::launch`], but calls `prepare` on the command before it runs.
     pub fn prepared(
         exe: &Path,
         config: &Config,
@@ -124,8 +124,8 @@
     ) -> Self {
         let listen = config.0["listen"]
             .as_str()
-            .and_then(|at| at.parse().ok())
-            .expect("a configuration listens");
+            .and_then(|address| address.parse().ok())
+            .expect("a configuration has an address to listen on");
         let config = TempFile::new("config.json", &config.0.to_string());
         let mut command = Command::new(exe);
         command
@@ -136,8 +136,8 @@
             .stderr(log);
         prepare(&mut command);
         let child = command.spawn().expect("the program can be started");
-        if let Ok(mut started) = STARTED.lock() {
-            started.push(child.id());
+        if let Ok(mut children) = CHILD_PIDS.lock() {
+            children.push(child.id());
         }
         Program {
             child,
@@ -146,14 +146,17 @@
         }
     }
 
-    /// Waits until it takes queries.
+    /// Waits until the program is healthy.
     ///
     /// # Panics
-    /// It does not within [`TIMEOUT`].
+    /// It is not healthy within [`TIMEOUT`].
     pub fn wait_until_healthy(&self) {
-        let from = Instant::now();
+        let started = Instant::now();
         while get(self.listen, "/_health").is_none_or(|response| response.status != 200) {
-            assert!(from.elapsed() < TIMEOUT, "not healthy in time");
+            assert!(
+                started.elapsed() < TIMEOUT,
+                "the program is not healthy in time"
+            );
             thread::sleep(Duration::from_millis(10));
         }
     }
@@ -161,64 +164,70 @@
     /// Sends a signal by its name, for example `-HUP`.
     ///
     /// # Panics
-    /// The process is not there.
-    pub fn signal(&self, which: &str) {
+    /// The process does not exist.
+    pub fn signal(&self, name: &str) {
         let pid = self.child.id().to_string();
         assert!(
             Command::new("kill")
-                .args([which, &pid])
+                .args([name, &pid])
                 .status()
                 .is_ok_and(|status| status.success()),
-            "kill {which}"
+            "kill {name} failed"
         );
     }
 
     /// Sends SIGTERM.
     ///
     /// # Panics
-    /// The process is not there.
+    /// The process does not exist.
     pub fn terminate(&self) {
         self.signal("-TERM");
     }
 
-    /// All counters as text; empty where it does not answer.
+    /// All counters as text; empty if the program does not answer.
     pub fn counters(&self) -> String {
         get(self.listen, "/_counters").map_or_else(String::new, |response| response.body)
     }
 
-    /// A counter's value.
+    /// A counter's value; none if the program does not report it.
     pub fn counter(&self, name: &str) -> Option<u64> {
         self.counters()
             .lines()
             .find_map(|line| line.strip_prefix(name)?.trim().parse().ok())
     }
 
-    /// Waits until the counters show this line.
+    /// Waits until the text of the counters contains `line`.
     ///
     /// # Panics
-    /// They do not within [`TIMEOUT`].
+    /// It does not within [`TIMEOUT`].
     pub fn wait_for_count(&self, line: &str) {
-        let from = Instant::now();
+        let started = Instant::now();
         while !self.counters().contains(line) {
-            assert!(from.elapsed() < TIMEOUT, "no {line}");
+            assert!(
+                started.elapsed() < TIMEOUT,
+                "the counters do not show {line}"
+            );
             thread::sleep(Duration::from_millis(10));
         }
     }
 
-    /// Waits for the end; what was written to standard error.
+    /// Waits for the program to exit. Returns its standard error.
     ///
     /// # Panics
-    /// It does not end within [`TIMEOUT`], ends with an error, or its guard has seen a violation.
+    /// It does not exit within [`TIMEOUT`], exits with an error, or its guard has logged a violation.
     pub fn end(&mut self) -> String {
-        let from = Instant::now();
+        let started = Instant::now();
         let status = loop {
             match self
                 .child
                 .try_wait()
-                .expect("its own child can be waited for")
+                .expect("a child process can be waited for")
             {
                 Some(status) => break status,
-                None => assert!(from.elapsed() < TIMEOUT, "not ended in time"),
+                None => assert!(
+                    started.elapsed() < TIMEOUT,
+                    "the program did not exit in time"
+                ),
             }
             thread::sleep(Duration::from_millis(10));
         };
@@ -232,14 +241,14 @@
     }
 }
 
-/// Memory that a process holds of its own (kB): without the pages of the program's file, of which more or fewer are in
-/// memory with what else the machine has read.
+/// Anonymous resident memory of a process (kB). Pages of the program's file are excluded, because the number of them in
+/// memory depends on other reads on the machine.
 pub fn own_memory(pid: u32) -> Option<u64> {
-    of_status(pid, "RssAnon:")
+    status_kb(pid, "RssAnon:")
 }
 
-/// A figure in kB from what the system says of a process.
-fn of_status(pid: u32, name: &str) -> Option<u64> {
+/// A value in kB from `/proc/PID/status`.
+fn status_kb(pid: u32, name: &str) -> Option<u64> {
     let status = std::fs::read_to_string(format!("/proc/{pid}/status")).ok()?;
     status.lines().find_map(|line| {
         line.strip_prefix(name)?
@@ -251,17 +260,17 @@
     })
 }
 
-/// Resident memory (kB) and processor time (ms, of its own and of the system) of a process.
+/// Resident memory (kB) and processor time (user and system, ms) of a process.
 pub fn used(pid: u32) -> Option<(u64, f64)> {
-    let resident = of_status(pid, "VmRSS:")?;
+    let resident = status_kb(pid, "VmRSS:")?;
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
     let fields: Vec<&str> = stat.rsplit(')').next()?.split_whitespace().collect();
-    // Fields 14 and 15 of the line, in ticks of 10 ms.
+    // User and system time: fields 14 and 15 of the line, in ticks of 10 ms.
     let ticks = fields.get(11)?.parse::<f64>().ok()? + fields.get(12)?.parse::<f64>().ok()?;
     Some((resident, ticks * 10.0))
 }
 
-/// Sends a GET on a new connection; returns none without a complete response.
+/// Sends a GET request on a new connection. Returns none if no complete response arrives.
 pub fn get(to: SocketAddr, path: &str) -> Option<HttpResponse> {
     let mut stream = TcpStream::connect(to).ok()?;
     stream.set_read_timeout(Some(TIMEOUT)).ok()?;
@@ -271,53 +280,53 @@
     read_response(&mut BufReader::new(stream))
 }
 
-/// Why the program under test can't be started.
+/// An error in locating the program under test or the shim library.
 #[derive(Debug, thiserror::Error)]
 pub enum LocateError {
     /// The path of the running program is not known, or cargo can't be run.
     #[error("{0}")]
     System(#[from] std::io::Error),
-    /// The running program is in no folder.
-    #[error("the folder of the running program is not known")]
-    NoFolder,
-    /// Cargo said why on standard error.
-    #[error("tansymux could not be built")]
+    /// The path of the running program has no parent directory.
+    #[error("the directory of the running program is not known")]
+    NoDirectory,
+    /// Cargo could not build the package and printed the reason on standard error.
+    #[error("cargo build failed")]
     BuildFailed,
-    /// No program is where it should be.
-    #[error("{} is not there", .0.display())]
+    /// The file is not in the expected directory.
+    #[error("{} does not exist", .0.display())]
     Missing(PathBuf),
 }
 
-/// The program under test, next to the running program; it is built by the same cargo, where there is one.
+/// Returns the path of the program under test, in the running program's directory. Under cargo, it is built first.
 ///
 /// # Errors
-/// It could not be built or is not there.
+/// It could not be built or does not exist.
 pub fn locate_program() -> Result<PathBuf, LocateError> {
     locate_beside("tansymux-dispatcher", "tansymux")
 }
 
-/// A package's file in the folder of the program that runs, or above it for a test; built by the same cargo where there is
-/// one.
+/// Returns the path of a package's file, in the running program's directory or, for a test, in its parent directory.
+/// Under cargo, the package is built first.
 ///
 /// # Errors
-/// It could not be built or is not there.
+/// It could not be built or does not exist.
 pub(crate) fn locate_beside(package: &str, file: &str) -> Result<PathBuf, LocateError> {
-    let own = std::env::current_exe()?;
-    let mut folder = own.parent().ok_or(LocateError::NoFolder)?;
-    if folder.ends_with("deps") {
-        folder = folder.parent().ok_or(LocateError::NoFolder)?;
+    let running_exe = std::env::current_exe()?;
+    let mut directory = running_exe.parent().ok_or(LocateError::NoDirectory)?;
+    if directory.ends_with("deps") {
+        directory = directory.parent().ok_or(LocateError::NoDirectory)?;
     }
     if let Some(cargo) = std::env::var_os("CARGO") {
         let mut build = Command::new(cargo);
         build.args(["build", "--quiet", "-p", package]);
-        if folder.ends_with("release") {
+        if directory.ends_with("release") {
             build.arg("--release");
         }
         if !build.status()?.success() {
             return Err(LocateError::BuildFailed);
         }
     }
-    let path = folder.join(file);
+    let path = directory.join(file);
     if path.exists() {
         Ok(path)
     } else {
--- a/crates/testbed/src/program/config.rs
+++ b/crates/testbed/src/program/config.rs
@@ -5,7 +5,8 @@
 use std::net::SocketAddr;
 use tansymux::settings::keys;
 
-/// The settings of a resource group. `effect` is one of the values in [`keys::effect`].
+/// The settings of a resource group, with its latency objective and maximum wait. `effect` is one of the values in
+/// [`keys::effect`].
 pub fn class(name: &str, objective_ms: f64, max_wait_ms: f64, effect: &str) -> Value {
     json!({
         keys::group::NAME: name,
@@ -20,15 +21,16 @@
 pub struct Config(pub Value);
 
 impl Config {
-    /// One dispatcher of one, in zone `h`, with these engines of kind `std` (8 cores, 4,096 MB) known and ready.
+    /// Configures a fleet of one dispatcher, in zone `h`. `engines` are of kind `std` (8 cores, 4,096 MB) and listed as
+    /// ready.
     pub fn new(
         listen: SocketAddr,
         engines: &[(String, SocketAddr)],
         classes: &[Value],
         threads: &[u32],
     ) -> Self {
-        let entry = |(id, at): &(String, SocketAddr)| {
-            json!({"instanceId": id, "hostPort": at.to_string(), "zone": "h", "machineType": "std", "cell": 0,
+        let entry = |(id, address): &(String, SocketAddr)| {
+            json!({"instanceId": id, "hostPort": address.to_string(), "zone": "h", "machineType": "std", "cell": 0,
                 "lifecycle": "Ready", "startedAtMs": 0})
         };
         let instances: Vec<Value> = engines.iter().map(entry).collect();
@@ -51,7 +53,8 @@
         .with_setting(keys::MAX_RETRY_AFTER_US, 500_000)
     }
 
-    /// One dispatcher with these engines and two classes of 9 s each: `look` only reads, `load` writes.
+    /// Configures a fleet of one dispatcher, with these engines and two classes with a deadline of 9 s: `look` is
+    /// read-only, `load` is not idempotent.
     pub fn with_two_classes(engines: &[SocketAddr]) -> Self {
         let engines = numbered_engines(engines);
         let classes = [
@@ -61,31 +64,31 @@
         Config::new(free_address(), &engines, &classes, &[1, 1])
     }
 
-    /// Sets a value by the path of its keys, as in `settings.limits.probes`.
+    /// Sets the value at a path of keys, for example `settings.limits.probes`. A number is the index of an array.
     pub fn with(mut self, path: &str, value: impl Into<Value>) -> Self {
-        let mut at = &mut self.0;
+        let mut target = &mut self.0;
         for key in path.split('.') {
-            at = match key.parse::<usize>() {
-                Ok(n) if at.is_array() => &mut at[n],
-                _ => &mut at[key],
+            target = match key.parse::<usize>() {
+                Ok(index) if target.is_array() => &mut target[index],
+                _ => &mut target[key],
             };
         }
-        *at = value.into();
+        *target = value.into();
         self
     }
 
-    /// Sets a setting of the resource group at an index by its key, as in [`keys::group::OBJECTIVE_US`].
+    /// Sets a setting of the resource group with index `group` by its key, for example [`keys::group::OBJECTIVE_US`].
     pub fn with_group_setting(self, group: usize, key: &str, value: impl Into<Value>) -> Self {
         self.with_setting(&format!("{}.{group}.{key}", keys::GROUPS), value)
     }
 
-    /// Sets a setting by its key, as in [`keys::HEALTH_CHECKS`].
+    /// Sets a setting by its key, for example [`keys::HEALTH_CHECKS`].
     pub fn with_setting(self, key: &str, value: impl Into<Value>) -> Self {
         self.with(&format!("settings.{key}"), value)
     }
 }
 
-/// The engines at these addresses by their ids: `s-0`, `s-1` and so on.
+/// Pairs each address with an engine id: `s-0`, `s-1` and so on.
 pub fn numbered_engines(addresses: &[SocketAddr]) -> Vec<(String, SocketAddr)> {
     addresses
         .iter()
--- a/crates/testbed/src/record.rs
+++ b/crates/testbed/src/record.rs
@@ -1,94 +1,94 @@
-//! The record of a run: what clients, engines and the name service observed, each entry with its time. It is all that the
-//! checker knows of a run. Entries are written as JSON, whose keys must stay.
+//! The record of a run: the events that clients, engines and the name service observed, with their times. The checker
+//! has no other information about a run. Entries are written as JSON, whose keys must not change.
 
 use serde::{Deserialize, Serialize};
 use std::sync::Mutex;
 use std::time::Instant;
 
-/// What was observed.
+/// An observed event.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "what", rename_all = "kebab-case")]
 pub enum EventKind {
-    /// A client has sent its query's last byte.
+    /// A client sent its query.
     Asked {
         /// The query.
         id: String,
-        /// The class by which the checker judges it.
+        /// The class whose rules the checker applies.
         class: String,
-        /// How long the client waits for an answer (ms).
+        /// Maximum time that the client waits for an answer (ms).
         #[serde(rename = "wait")]
         max_wait_ms: f64,
-        /// The ordering key; queries of one key run in their order.
+        /// The ordering key; queries with the same key run in order.
         key: Option<String>,
     },
-    /// A complete answer was received.
+    /// A client received a complete answer.
     Answered {
         /// The query.
         id: String,
         /// The HTTP status.
         status: u16,
-        /// After which time the client may retry, where its query was rejected (ms).
+        /// Time after which the client may retry a rejected query (ms).
         #[serde(rename = "retry_after")]
         retry_after_ms: Option<f64>,
     },
-    /// The client left without waiting.
+    /// A client closed its connection without waiting for an answer.
     Left {
         /// The query.
         id: String,
     },
-    /// An attempt was received completely by an engine.
+    /// An engine received an attempt completely.
     Arrived {
         /// The engine.
         engine: String,
         /// The query.
         id: String,
-        /// The query's work on one core, as the engine knows it (ms).
+        /// The query's work on one core, as registered for the engines (ms).
         #[serde(rename = "work")]
         work_ms: f64,
     },
-    /// The time limit that an engine was given with an attempt.
+    /// An engine received a time limit with an attempt.
     Told {
         /// The engine.
         engine: String,
         /// The query.
         id: String,
-        /// How long the dispatcher will wait (ms).
+        /// Time for which the dispatcher will wait (ms).
         #[serde(rename = "limit")]
         limit_ms: f64,
     },
-    /// The client's connection ended without an answer, and no exclusion covers it.
+    /// A client's connection closed without an answer, and the query is not excluded.
     Lost {
         /// The query.
         id: String,
-        /// How it ended, for people.
+        /// Readable description of how it closed.
         how: String,
     },
-    /// An answer has other rows than the result of its query.
+    /// An answer's rows differ from the result of its query.
     WrongRows {
         /// The query.
         id: String,
-        /// The beginning of the answer, for people.
+        /// The beginning of the answer, as readable text.
         rows: String,
     },
-    /// No answer is owed: the query's dispatcher was killed, or the query was sent to another one instead.
+    /// No answer is required: the query's dispatcher was killed, or the query was sent to another dispatcher instead.
     #[serde(rename = "excused")]
     Excluded {
         /// The query.
         id: String,
     },
-    /// A dispatcher's process was stopped by a signal, up to now.
+    /// A dispatcher's process was stopped by a signal; recorded when the stop is over.
     Stalled {
-        /// Its name.
+        /// Name of the dispatcher.
         dispatcher: String,
-        /// From when (ms).
+        /// Beginning of the stop (ms).
         #[serde(rename = "from")]
         from_ms: f64,
     },
-    /// A dispatcher did not start, end or become ready as required.
+    /// A dispatcher did not start, exit or become ready as required.
     DispatcherFailed {
-        /// Its name.
+        /// Name of the dispatcher.
         dispatcher: String,
-        /// What happened, for people.
+        /// Readable description of the failure.
         how: String,
     },
     /// An attempt's effect was applied.
@@ -98,19 +98,19 @@
         /// The query.
         id: String,
     },
-    /// The engine wrote an attempt's end.
+    /// An engine completed, failed or rejected an attempt.
     Ended {
         /// The engine.
         engine: String,
         /// The query.
         id: String,
-        /// The reply of the engine's protocol with which it ended.
+        /// The final reply, as its word in the engine protocol.
         #[serde(rename = "word")]
         reply: String,
         /// Whether the attempt may have run.
         ran: bool,
     },
-    /// An attempt was cancelled, or its connection ended.
+    /// An attempt ended without a reply: it was cancelled, exceeded its limit, or its connection closed.
     GivenUp {
         /// The engine.
         engine: String,
@@ -123,39 +123,39 @@
         engine: String,
         /// Ready, draining or gone.
         status: Status,
-        /// The zone that it is in.
+        /// The engine's zone.
         #[serde(rename = "hall")]
         zone: String,
-        /// The kind of machine.
+        /// The machine type.
         kind: String,
-        /// The cell that it is in.
+        /// The engine's cell.
         cell: u32,
     },
-    /// An engine started, and warms up.
+    /// An engine started and begins to warm up.
     Started {
         /// The engine.
         engine: String,
         /// Its cores.
         cores: f64,
     },
-    /// A fault was injected or ended.
+    /// A fault was injected or removed.
     Fault {
         /// The engine.
         engine: String,
-        /// The fault, for people.
+        /// Readable description of the fault.
         fault: String,
     },
 }
 
-/// An engine's status as the name service announces it.
+/// Status of an engine, as announced by the name service.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Status {
-    /// It takes queries.
+    /// The engine accepts queries.
     Ready,
-    /// It takes no new queries.
+    /// The engine accepts no new queries.
     Draining,
-    /// It is no longer listed.
+    /// The engine is no longer listed.
     Gone,
 }
 
@@ -165,12 +165,12 @@
     /// Milliseconds since the start of the record.
     #[serde(rename = "at")]
     pub at_ms: f64,
-    /// What was observed.
+    /// The observed event.
     #[serde(flatten)]
     pub event: EventKind,
 }
 
-/// A record that threads write to.
+/// A record to which several threads can add events.
 #[derive(Debug)]
 pub struct Record {
     started: Instant,
@@ -192,12 +192,12 @@
         self.started.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// Adds an event that happens now.
+    /// Adds an event at the current time.
     pub fn push(&self, event: EventKind) {
         self.push_at(self.now_ms(), event);
     }
 
-    /// Adds an event that happened at an earlier time.
+    /// Adds an event at an earlier time.
     pub fn push_at(&self, at_ms: f64, event: EventKind) {
         self.entries
             .lock()
--- a/crates/testbed/src/setup.rs
+++ b/crates/testbed/src/setup.rs
@@ -1,4 +1,4 @@
-//! Set-up that the runs on loopback share: classes of traffic, engines, the name service, settings and rules.
+//! Set-up shared by the runs on loopback: classes of traffic, engines, the name service, settings and rules.
 
 use crate::engine::{Engine, EngineSpec, QueryWork, ResultShape, RunContext};
 use crate::invariants::{ClassRules, Effect, RetryBudget, Rules};
@@ -20,14 +20,14 @@
     query_fraction: 0.2,
 };
 
-/// A class of a run's traffic.
+/// A class of queries in a run.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct TrafficClass {
     pub name: &'static str,
     /// Median work on one core (ms).
     pub work_ms: f64,
     pub threads: f64,
-    /// Latency objective (ms): an answer within it has the value of its full weight, a later one of a third.
+    /// Latency objective (ms). An answer within it has the full weight as its value, a later one a third of the weight.
     pub objective_ms: f64,
     pub max_wait_ms: f64,
     pub weight: f64,
@@ -40,7 +40,7 @@
         value_of(self.weight, self.objective_ms, latency_ms)
     }
 
-    /// The ground truth of one of its queries.
+    /// The work of a query of this class.
     pub fn query_work(&self, work_ms: f64, tables: u32) -> QueryWork {
         QueryWork {
             work: work_ms,
@@ -59,7 +59,7 @@
         }
     }
 
-    fn service_class(&self) -> Value {
+    fn group_settings(&self) -> Value {
         let effect = effect_value(self.effect());
         class(self.name, self.objective_ms, self.max_wait_ms, effect)
     }
@@ -75,7 +75,7 @@
     weight: 1.0,
     changes_tables: false,
 };
-/// Reports of these runs.
+/// Reports of the same runs.
 pub(crate) const REPORTS: TrafficClass = TrafficClass {
     name: "report",
     work_ms: 500.0,
@@ -85,7 +85,7 @@
     weight: 2.0,
     changes_tables: false,
 };
-/// Loads of these runs.
+/// Loads of the same runs.
 pub(crate) const LOADS: TrafficClass = TrafficClass {
     name: "load",
     work_ms: 400.0,
@@ -96,7 +96,7 @@
     changes_tables: true,
 };
 
-/// The settings' value for an effect.
+/// The value of an effect in the settings.
 pub(crate) fn effect_value(effect: Effect) -> &'static str {
     match effect {
         Effect::ReadOnly => keys::effect::READ_ONLY,
@@ -105,7 +105,7 @@
     }
 }
 
-/// The value of an answer: all of its weight within the objective, a third of it later.
+/// The value of an answer: its full weight within the objective, a third of the weight later.
 pub(crate) fn value_of(weight: f64, objective_ms: f64, latency_ms: f64) -> f64 {
     if latency_ms <= objective_ms {
         weight
@@ -114,7 +114,7 @@
     }
 }
 
-/// The rules of a run with these classes.
+/// The checker's rules for a run with these classes.
 pub(crate) fn rules(classes: &[TrafficClass], retry_budget: Option<RetryBudget>) -> Rules {
     let classes = classes
         .iter()
@@ -169,16 +169,16 @@
     NameService::start(endpoints, context.record.clone())
 }
 
-/// A configuration with these classes, of which the last one loads tables, and with health checks.
+/// A configuration with these classes and with health checks. Classes that change tables are marked as loads.
 pub(crate) fn traffic_config(
     listen: SocketAddr,
     engines: &[Engine],
     classes: &[TrafficClass],
 ) -> Config {
-    let services: Vec<Value> = classes.iter().map(TrafficClass::service_class).collect();
+    let groups: Vec<Value> = classes.iter().map(TrafficClass::group_settings).collect();
     let threads: Vec<u32> = classes.iter().map(|class| class.threads as u32).collect();
     let loads: Vec<bool> = classes.iter().map(|class| class.changes_tables).collect();
-    Config::new(listen, &known_engines(engines), &services, &threads)
+    Config::new(listen, &known_engines(engines), &groups, &threads)
         .with_setting(keys::HEALTH_CHECKS, true)
         .with_setting(keys::PROGRESS_INTERVAL_US, 100_000)
         .with_setting(keys::IS_LOAD_BY_GROUP, json!(loads))
@@ -191,7 +191,7 @@
     program
 }
 
-/// Starts the program with an operators' file, without waiting.
+/// Starts the program with an operators' file, without waiting until it is healthy.
 pub(crate) fn launch_with_operator(exe: &Path, config: &Config, operator: &TempFile) -> Program {
     let path = operator.0.display().to_string();
     let arguments = ["--operator", path.as_str(), "--log-level", "error"];
@@ -206,7 +206,7 @@
         .with_setting(keys::RETRY_BUDGET_RATIO, RETRY_BUDGET.query_fraction)
 }
 
-/// Waits for all threads, also where one panicked.
+/// Waits for all threads, even if one panicked.
 pub(crate) fn join_all(threads: Vec<JoinHandle<()>>) {
     for thread in threads {
         let _ = thread.join();
--- a/crates/testbed/src/wire.rs
+++ b/crates/testbed/src/wire.rs
@@ -1,8 +1,8 @@
-//! The bytes of the clients' protocol (HTTP) and of the engines' (arrays of bulk strings), on blocking sockets.
+//! Wire formats on blocking sockets: the client protocol (HTTP) and the engine protocol (arrays of bulk strings).
 
 use std::io::{BufRead, Write};
 
-/// The header field of a rejection with the time after which the client may retry (ms).
+/// Header field of a rejection: the time after which the client may retry (ms).
 pub const RETRY_AFTER_FIELD: &str = "Srv-Wait-Ms";
 
 /// A complete HTTP response.
@@ -10,13 +10,13 @@
 pub struct HttpResponse {
     /// The status code.
     pub status: u16,
-    /// The status line and the header fields, to the empty line.
+    /// The status line and the header fields, including the empty line.
     pub head: String,
     /// The body.
     pub body: String,
 }
 
-/// Reads an HTTP response; returns none if the connection ends before the response is complete.
+/// Reads an HTTP response. Returns none if it is malformed or the connection closes before the response is complete.
 pub fn read_response(from: &mut impl BufRead) -> Option<HttpResponse> {
     let mut head = String::new();
     while !head.ends_with("\r\n\r\n") {
@@ -33,22 +33,22 @@
     })
 }
 
-/// The value of a header field, whose name matches in any case.
+/// Returns the value of a header field; the case of its name is ignored.
 pub fn field<'a>(head: &'a str, name: &str) -> Option<&'a str> {
     head.lines()
         .find_map(|line| {
             line.split_once(':')
-                .filter(|(known, _)| known.eq_ignore_ascii_case(name))
+                .filter(|(key, _)| key.eq_ignore_ascii_case(name))
         })
         .map(|(_, value)| value.trim())
 }
 
-/// Reads an array of bulk strings; returns none at the end of the stream, or where there is no such array.
+/// Reads an array of bulk strings. Returns none at the end of the stream or if the input is malformed.
 pub fn read_frame(from: &mut impl BufRead) -> Option<Vec<String>> {
-    let mut number = |mark: &str| {
+    let mut number = |prefix: &str| {
         let mut line = String::new();
         from.read_line(&mut line).ok()?;
-        line.trim_end().strip_prefix(mark)?.parse::<usize>().ok()
+        line.trim_end().strip_prefix(prefix)?.parse::<usize>().ok()
     };
     let count = number("*")?;
     let mut parts = Vec::new();
@@ -63,17 +63,17 @@
     Some(parts)
 }
 
-/// Writes an array of bulk strings. Returns whether that was possible.
+/// Writes an array of bulk strings. Returns whether the write succeeded.
 pub fn write_frame(to: &mut impl Write, parts: &[&str]) -> bool {
     let bulk = |part: &&str| format!("${}\r\n{part}\r\n", part.len());
     let text = format!("*{}\r\n", parts.len()) + &parts.iter().map(bulk).collect::<String>();
     to.write_all(text.as_bytes()).is_ok()
 }
 
-/// A value in a list `name=value,name=value`.
+/// Returns the value of a name in a list of the form `name=value,name=value`.
 pub fn list_value<'a>(fields: &'a str, name: &str) -> Option<&'a str> {
     fields
         .split(',')
-        .find_map(|pair| pair.split_once('=').filter(|(known, _)| *known == name))
+        .find_map(|pair| pair.split_once('=').filter(|(key, _)| *key == name))
         .map(|(_, value)| value)
 }
