--- a/crates/testbed/src/fleet/links.rs
+++ b/crates/testbed/src/fleet/links.rs
@@ -1,19 +1,21 @@
-//! The conditions of a link between members: one seeded model for virtual time and for the relay on sockets.
+//! Conditions of the links between members: one seeded model, used in virtual time and by the relay on
+//! real sockets.
 
 use rand::RngExt;
 use rand_pcg::Pcg32;
 use serde::{Deserialize, Serialize};
 
-/// How a link delays, duplicates and loses datagrams. Probabilities are for one datagram.
+/// Delay, duplication and loss of the datagrams on a link.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct LinkConditions {
     /// Probability that a copy is lost.
     pub loss: f64,
     /// Probability that a datagram is delivered twice.
     pub doubled: f64,
-    /// Longest delay (ms). Delays are uniform, so that datagrams overtake each other.
+    /// Maximum delay (ms). Delays are drawn uniformly from 0 to this value, so that datagrams overtake
+    /// each other.
     pub delay: f64,
-    /// Probability that a copy is as late as the scenario allows.
+    /// Probability that a copy is delayed by the scenario's `late` time instead of a drawn delay.
     pub late: f64,
 }
 
@@ -25,7 +27,7 @@
         delay: 3.0,
         late: 0.0,
     };
-    /// Heavy loss, duplicates, disorder and some very late datagrams.
+    /// Heavy loss, duplicates, reordering and some very late datagrams.
     pub const BAD: LinkConditions = LinkConditions {
         loss: 0.3,
         doubled: 0.1,
@@ -33,7 +35,8 @@
         late: 0.01,
     };
 
-    /// The delays (ms) of the copies of one datagram that are not lost. A late copy is delayed by `late_ms`.
+    /// Draws the delay (ms) of each copy of one datagram, without the copies that are lost. A late copy is
+    /// delayed by `late_ms`.
     pub fn draw_delays_ms(&self, late_ms: f64, rng: &mut Pcg32) -> Vec<f64> {
         let copies = if rng.random_bool(self.doubled) { 2 } else { 1 };
         let mut delays_ms = Vec::with_capacity(copies);
--- a/crates/testbed/src/fleet/mod.rs
+++ b/crates/testbed/src/fleet/mod.rs
@@ -1,9 +1,9 @@
-//! Fleets under test: the same scenarios run in virtual time around the decisions, and on real processes of the program
-//! with a relay on every link.
+//! Fleets under test. The same scenarios run in virtual time, around the program's `FleetNode`, and on real processes
+//! of the program with a relay on every link.
 //!
-//! The testbed's clock is the true one. Members' reports are never taken for the ground truth: which dispatchers are out is
-//! known from what the testbed's own supervisors did. Safety is checked at every true instant, progress from the end of the
-//! last fault.
+//! True time is the testbed's clock. The actions of the testbed's supervisors determine which dispatchers are out;
+//! members' reports are never taken as ground truth. Safety limits are checked throughout the run. The time limit for
+//! the release starts at the end of the last fault.
 
 mod dispatcher_setup;
 mod links;
@@ -20,44 +20,44 @@
 use std::sync::Mutex;
 use virtual_fleet::{VersionQuality, VirtualFleet};
 
-/// The key that all members of a fleet on processes share.
+/// The key shared by all members of a fleet on processes.
 pub(crate) const FLEET_KEY: &str = "00112233445566778899aabbccddeeff";
 
-/// The longest time in a table, shown for a release that did not complete (ms).
+/// Maximum time in a table (ms), which also stands for a release that did not complete.
 const MAX_SHOWN_MS: f64 = 1e8;
 
-/// What was observed in one run of a scenario.
+/// The observations of one run of a scenario.
 #[derive(Debug, Clone, Default)]
 pub struct FleetReport {
     /// The seed that reproduces the run.
     pub seed: u64,
-    /// The most dispatchers that were out under a restart lease at any true instant.
+    /// Maximum number of dispatchers that were out under a restart lease at the same time.
     pub max_out: usize,
-    /// Dispatchers that may be out at a time.
+    /// Maximum number of dispatchers allowed out at the same time.
     pub limit: usize,
-    /// The most engines that were drained at a time.
+    /// Maximum number of engines that were drained at the same time.
     pub max_drained: usize,
-    /// Engines that may be drained at a time.
+    /// Maximum number of engines allowed drained at the same time.
     pub drain_limit: usize,
-    /// Dispatchers that run the new version at the end.
+    /// Number of dispatchers that run the new version at the end of the run.
     pub released: usize,
-    /// Dispatchers of the fleet.
+    /// Number of dispatchers in the fleet.
     pub members: usize,
-    /// When the last dispatcher was released (ms after the release's begin).
+    /// Time at which all dispatchers ran the new version (ms after the start of the release).
     pub completed_after_ms: Option<f64>,
-    /// When the last fault was over (ms after the release's begin).
+    /// End of the last fault (ms after the start of the release).
     pub last_fault_ms: f64,
-    /// For each granted lease, how long its supervisor waited for it (ms).
+    /// For each granted lease, the time that its supervisor waited for it (ms).
     pub lease_waits_ms: Vec<f64>,
-    /// Bytes a second that each member sent, on average.
+    /// Mean rate at which each member sent bytes (bytes/s).
     pub bytes_per_s: f64,
-    /// When the release halted for the first time (ms after its begin).
+    /// Time of the first halt (ms after the start of the release).
     pub halted_after_ms: Option<f64>,
-    /// Requests answered well; 0 where the run had no load.
+    /// Number of requests that succeeded; 0 in a run without load.
     pub requests_ok: u64,
-    /// Requests sent.
+    /// Number of requests sent.
     pub requests: u64,
-    /// What must not happen; each entry fails the run.
+    /// Violations of the run's checks. Any entry fails the run.
     pub violations: Vec<String>,
 }
 
@@ -74,7 +74,7 @@
         }
     }
 
-    /// A summary line for people, followed by a line for each violation.
+    /// A readable summary line, followed by one line per violation.
     pub fn line(&self) -> String {
         let mut line = format!(
             "seed {}: out {} of at most {}, drained {} of {}, released {} of {}",
@@ -108,7 +108,7 @@
         line
     }
 
-    /// Records how many dispatchers are out now; the first time over the limit is a violation.
+    /// Records the number of dispatchers out now. The first time that it exceeds the limit is a violation.
     pub fn record_out(&mut self, out: usize) {
         self.max_out = self.max_out.max(out);
         if out > self.limit && !self.has_violation("out at a time") {
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Records how many engines are drained now; the first time over the limit is a violation.
+    /// Records the number of engines drained now. The first time that it exceeds the limit is a violation.
     pub fn record_drained(&mut self, drained: usize) {
         self.max_drained = self.max_drained.max(drained);
         if drained > self.drain_limit && !self.has_violation("drained at a time") {
@@ -141,18 +141,18 @@
 /// The results of several runs: a table, and whether one failed.
 #[derive(Debug)]
 pub struct RunsOutcome {
-    /// For people.
+    /// The readable table.
     pub table: String,
     /// Whether any run has a violation.
     pub failed: bool,
 }
 
-/// How fleets run in virtual time.
+/// Options of runs in virtual time.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct RunOptions {
-    /// Supervisors restart without a lease, for comparison.
+    /// Whether supervisors restart dispatchers without a lease, for comparison.
     pub uncoordinated: bool,
-    /// The table has a line for each run, not only for those that failed.
+    /// Whether the table has a line for every run instead of only for failed runs.
     pub show_all: bool,
 }
 
@@ -189,12 +189,12 @@
     }
 }
 
-/// A table of runs: a line for each run that failed, or with `show_all` for each run, and a summary.
-pub fn table(reports: &[FleetReport], show: bool) -> String {
+/// A table of runs: a line for each failed run, or with `show_all` for every run, and a summary.
+pub fn table(reports: &[FleetReport], show_all: bool) -> String {
     let mut text = String::new();
     for report in reports
         .iter()
-        .filter(|report| show || !report.violations.is_empty())
+        .filter(|report| show_all || !report.violations.is_empty())
     {
         let _ = writeln!(text, "{}", report.line());
     }
@@ -202,7 +202,7 @@
     text
 }
 
-/// The line of a table that sums up all runs.
+/// The summary line of a table.
 fn summary(reports: &[FleetReport]) -> String {
     let waits_ms = histogram(
         reports
@@ -255,23 +255,23 @@
     histogram
 }
 
-/// Why a scenario's file could not be used.
+/// An error while reading a scenario file.
 #[derive(Debug, thiserror::Error)]
 pub enum ScenarioFileError {
-    /// The file can't be read.
+    /// The file could not be read.
     #[error("{path}: {source}")]
     Unreadable {
         /// The file's path.
         path: String,
-        /// What the system says.
+        /// The error from the operating system.
         source: std::io::Error,
     },
-    /// The file holds no scenario; the source names the place.
+    /// The file is not a scenario in JSON; the source gives the position.
     #[error("{path}: {source}")]
     Malformed {
         /// The file's path.
         path: String,
-        /// What is wrong, and where.
+        /// The JSON error with its position.
         source: serde_json::Error,
     },
 }
@@ -279,20 +279,20 @@
 /// Reads a scenario from a file.
 ///
 /// # Errors
-/// The file can't be read, or is no scenario; the text names the file and the place.
+/// Fails if the file cannot be read or is not a scenario; the message gives the file and the position.
 pub fn read_scenario(path: &std::path::Path) -> Result<Scenario, ScenarioFileError> {
-    let shown = path.display().to_string();
+    let path_text = path.display().to_string();
     let text = match std::fs::read_to_string(path) {
         Ok(text) => text,
         Err(source) => {
             return Err(ScenarioFileError::Unreadable {
-                path: shown,
+                path: path_text,
                 source,
             })
         }
     };
     serde_json::from_str(&text).map_err(|source| ScenarioFileError::Malformed {
-        path: shown,
+        path: path_text,
         source,
     })
 }
--- a/crates/testbed/src/fleet/processes/clients.rs
+++ b/crates/testbed/src/fleet/processes/clients.rs
@@ -1,4 +1,4 @@
-//! Clients of the fleet on processes.
+//! Clients that send queries to a fleet of processes.
 
 use super::FleetRun;
 use crate::client::{send_query, ClientQuery};
@@ -10,25 +10,25 @@
 use std::thread;
 use std::time::Duration;
 
-/// Work of a query, as its client declares it (ms).
+/// Cost that a client declares for each query (ms).
 const QUERY_COST_MS: f64 = 4.0;
-/// Query ids of one client lie this far from those of the next one.
+/// Number of query ids reserved for each client.
 const IDS_PER_CLIENT: u64 = 1_000_000;
-/// Entries at the end of a client's record among which those of its last query are.
-const LAST_ENTRIES: usize = 4;
+/// Number of entries at the end of a client's record that are searched for its last query.
+const SEARCHED_ENTRIES: usize = 4;
 
-/// What became of the queries of all clients.
+/// Counts of the queries of all clients, by outcome.
 #[derive(Default)]
 pub(super) struct RequestCounts {
-    pub asked: AtomicU64,
+    pub sent: AtomicU64,
     pub completed: AtomicU64,
-    /// Queries that a process which keeps running accepted and did not answer.
+    /// Queries accepted but not answered by a process that kept running.
     pub unanswered: AtomicU64,
 }
 
 impl FleetRun {
-    /// Sends queries to members drawn at random, as a load balancer would. A query that was accepted by a process which
-    /// keeps running must be answered.
+    /// Sends queries to random members, as a load balancer would, until the run is over. A process that accepts a
+    /// query and keeps running must answer it.
     pub(super) fn run_client(&self, client: u64) {
         let mut rng = Pcg32::seed_from_u64(self.scenario.seed * 31 + client);
         let record = Record::default();
@@ -42,18 +42,18 @@
     }
 
     fn send_query(&self, id: u64, member: usize, record: &Record) {
-        let process_before = self.processes.running_process(member);
+        let process_before = self.processes.running_process_id(member);
         let mut query = ClientQuery::new(id, "/invoke/look", "look", "select 1", MAX_WAIT_MS);
         query.cost = Some(QUERY_COST_MS);
         let response = send_query(self.processes.listen_address(member), &query, record);
         let same_process =
-            process_before.is_some() && process_before == self.processes.running_process(member);
-        self.requests.asked.fetch_add(1, Ordering::Relaxed);
+            process_before.is_some() && process_before == self.processes.running_process_id(member);
+        self.requests.sent.fetch_add(1, Ordering::Relaxed);
         match response {
             Some(response) if response.status == 200 => {
                 self.requests.completed.fetch_add(1, Ordering::Relaxed);
             }
-            // A listener that is closed already refuses at once, and owes no answer.
+            // A closed listener refuses the connection at once, so no answer is expected.
             None if same_process
                 && was_sent(record, &query)
                 && self.processes.is_healthy(member) =>
@@ -72,6 +72,6 @@
         .entries()
         .iter()
         .rev()
-        .take(LAST_ENTRIES)
-        .any(|entry| matches!(&entry.event, EventKind::Asked { id: asked, .. } if *asked == id))
+        .take(SEARCHED_ENTRIES)
+        .any(|entry| matches!(&entry.event, EventKind::Asked { id: sent_id, .. } if *sent_id == id))
 }
--- a/crates/testbed/src/fleet/processes/faults.rs
+++ b/crates/testbed/src/fleet/processes/faults.rs
@@ -5,10 +5,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The relay delays datagrams by at least this (ms).
+/// Lower bound on the relay's maximum delay (ms).
 const MIN_RELAY_DELAY_MS: f64 = 1.0;
 
-/// A member whose process is stopped, and until when.
+/// A member whose process is stopped, and the time at which it resumes.
 struct Stall {
     member: usize,
     until: Instant,
@@ -20,7 +20,7 @@
 }
 
 impl FleetRun {
-    /// Injects the scenario's faults at their times. `begin_ms`: when the release began, from which they count.
+    /// Injects each fault of the scenario at its time, relative to the start of the release at `begin_ms`.
     pub(super) fn inject_faults(&self, begin_ms: f64) {
         let mut stalls: Vec<Stall> = Vec::new();
         let mut events = self.scenario.events.clone().into_iter().peekable();
@@ -66,11 +66,11 @@
             | Fault::Halt { .. }
             | Fault::Resume { .. }
             | Fault::Back { .. }
-            | Fault::Limit { .. } => self.let_operators_act(fault),
+            | Fault::Limit { .. } => self.perform_operator_action(fault),
         }
     }
 
-    fn let_operators_act(&self, action: Fault) {
+    fn perform_operator_action(&self, action: Fault) {
         match action {
             Fault::Drain { engines } => self.drain(&engines),
             Fault::Undrain { engine, at } => {
@@ -90,12 +90,12 @@
         self.processes.leader(self.scenario.voters)
     }
 
-    fn stall(&self, member: Option<usize>, lasts_ms: f64, stalls: &mut Vec<Stall>) {
+    fn stall(&self, member: Option<usize>, duration_ms: f64, stalls: &mut Vec<Stall>) {
         let Some(member) = member else {
             return;
         };
         if self.processes.slot(member).stall() {
-            let until = Instant::now() + Duration::from_secs_f64(lasts_ms / 1000.0);
+            let until = Instant::now() + Duration::from_secs_f64(duration_ms / 1000.0);
             stalls.push(Stall { member, until });
         }
     }
@@ -119,7 +119,8 @@
         out.iter().position(|is_out| *is_out)
     }
 
-    /// Operators at these members request drains of these engines at the same time, and drain those that are granted.
+    /// Requests drains concurrently, and records the engines whose drain is granted as drained. `requests`: pairs of
+    /// the member at which the operator acts and the engine.
     fn drain(&self, requests: &[(usize, usize)]) {
         thread::scope(|scope| {
             for &(at, engine) in requests {
@@ -137,7 +138,7 @@
         });
     }
 
-    /// All operators' files get another limit of dispatchers out, and all processes read them again.
+    /// Sets the limit on dispatchers out in all operators' files, and makes the processes reload them.
     fn change_limit(&self, max_out: usize) {
         for member in 0..self.processes.len() {
             let slot = self.processes.slot(member);
--- a/crates/testbed/src/fleet/processes/members.rs
+++ b/crates/testbed/src/fleet/processes/members.rs
@@ -9,16 +9,16 @@
 use std::sync::{Mutex, MutexGuard};
 use std::time::Duration;
 
-/// What the program's log contains where another program listens at its address.
+/// Text in the program's log when another program already listens at its address.
 const ADDRESS_TAKEN: &str = "Address already in use";
-/// How long after a process failed it is started again.
+/// Delay before a failed process is started again.
 const RESTART_DELAY: Duration = Duration::from_millis(300);
-/// The environment variable by which a process is given its restart lease.
+/// Environment variable that passes a process its restart lease.
 const LEASE_VARIABLE: &str = "TANSYMUX_TURN";
 
-/// What the program's `fleet` command answered.
+/// The result of running the program's `fleet` command.
 pub(super) struct CommandAnswer {
-    /// The exit code; none where the command could not run or was killed.
+    /// The exit code; `None` if the command could not run or was killed.
     pub code: Option<i32>,
     /// Standard output, then standard error.
     pub text: String,
@@ -27,7 +27,7 @@
 /// The members' processes, each in its slot.
 pub(super) struct MemberProcesses {
     exe: PathBuf,
-    /// The folder for logs that remain after the run.
+    /// The folder for logs that are kept after the run.
     logs: Option<PathBuf>,
     slots: Vec<Mutex<DispatcherSlot>>,
     listen_addresses: Vec<SocketAddr>,
@@ -37,7 +37,8 @@
 }
 
 impl MemberProcesses {
-    /// Slots for the members with these configurations and texts of operators' files; no process runs yet.
+    /// Creates a slot for each member, with its configuration and the text of its operators' file. Starts no
+    /// process.
     pub fn new(
         exe: &Path,
         options: &ProcessOptions,
@@ -55,7 +56,7 @@
             listen_addresses,
             operator_files: operator_texts
                 .iter()
-                .map(|text| TempFile::new(operator_file::NAME, text))
+                .map(|text| TempFile::new(operator_file::NAME_SUFFIX, text))
                 .collect(),
             log_files: configs.iter().map(|_| TempFile::new("log", "")).collect(),
             configs,
@@ -72,12 +73,12 @@
         self.slots[member].lock().expect("no holder panics")
     }
 
-    /// Where a member accepts queries.
+    /// The address at which a member accepts queries.
     pub fn listen_address(&self, member: usize) -> SocketAddr {
         self.listen_addresses[member]
     }
 
-    /// Starts the process that belongs in a slot, under a restart lease if there is one.
+    /// Starts a member's process in its slot, under a restart lease if `lease` gives one.
     pub fn start(&self, member: usize, slot: &mut DispatcherSlot, lease: Option<&str>) {
         let log = match &self.logs {
             Some(folder) => append_to(&folder.join(format!("n{member}.log")), true),
@@ -95,14 +96,14 @@
         slot.occupy(program, lease);
     }
 
-    /// Starts all members, none of them under a restart lease.
+    /// Starts all members without a restart lease.
     pub fn start_all(&self) {
         for member in 0..self.len() {
             self.start(member, &mut self.slot(member), None);
         }
     }
 
-    /// Starts a crashed member again, once its time has come.
+    /// Starts a crashed member again if its restart is due.
     pub fn restart_if_due(&self, member: usize, slot: &mut DispatcherSlot) {
         if slot.is_restart_due() {
             let lease = slot.lease().map(str::to_owned);
@@ -110,19 +111,19 @@
         }
     }
 
-    /// Takes away a process that ended with an error, which is returned unless another program took its address while
-    /// it was down.
+    /// Removes a process that exited with an error and schedules its restart. Returns the error, unless another
+    /// program took the process's address while it was down.
     pub fn check_exit(&self, member: usize, slot: &mut DispatcherSlot) -> Option<String> {
         let status = slot.failure()?;
         let log = std::fs::read_to_string(&self.log_files[member].0).unwrap_or_default();
         let is_violation = !log.contains(ADDRESS_TAKEN);
         self.log_files[member].write("");
         slot.restart_after(RESTART_DELAY);
-        is_violation.then(|| format!("n{member} ended by itself: {:?} {log}", Some(status)))
+        is_violation.then(|| format!("n{member} exited unexpectedly: {:?} {log}", Some(status)))
     }
 
-    /// Whether a member's log reports that another program took its address.
-    pub fn has_taken_address(&self) -> bool {
+    /// Whether any member's log reports that another program took the member's address.
+    pub fn is_any_address_taken(&self) -> bool {
         self.log_files.iter().any(|log| {
             std::fs::read_to_string(&log.0).is_ok_and(|text| text.contains(ADDRESS_TAKEN))
         })
@@ -136,7 +137,7 @@
                 .is_some_and(|response| response.status == 200)
     }
 
-    /// The first of the first `voters` members whose counters report that it leads.
+    /// The first voter whose counters report that it leads. The voters are the first `voters` members.
     pub fn leader(&self, voters: usize) -> Option<usize> {
         (0..voters).find(|member| {
             let slot = self.slot(*member);
@@ -145,25 +146,25 @@
         })
     }
 
-    /// The id of a member's process, where one runs and is not stalled.
-    pub fn running_process(&self, member: usize) -> Option<u32> {
+    /// The id of a member's process; `None` if it is down or stalled.
+    pub fn running_process_id(&self, member: usize) -> Option<u32> {
         let slot = self.slot(member);
         slot.responsive_program().map(|program| program.child.id())
     }
 
-    /// Members in whose slot this version belongs.
+    /// Number of members whose slot has this version.
     pub fn count_on(&self, version: &str) -> usize {
         (0..self.len())
             .filter(|member| self.slot(*member).version() == version)
             .count()
     }
 
-    /// Writes another operators' file for a member.
+    /// Replaces the text of a member's operators' file.
     pub fn write_operator_file(&self, member: usize, text: &str) {
         self.operator_files[member].write(text);
     }
 
-    /// Runs `tansymux fleet ...` at a member and waits for its end.
+    /// Runs `tansymux fleet ...` with a member's operators' file and waits until the command exits.
     pub fn fleet_command(&self, member: usize, arguments: &[&str]) -> CommandAnswer {
         let output = self
             .spawn_fleet_command(member, arguments)
@@ -195,7 +196,7 @@
     }
 }
 
-/// Opens a log for appending; nothing is logged where that fails.
+/// Opens a log for appending. If that fails, the output is discarded.
 fn append_to(path: &Path, create: bool) -> Stdio {
     std::fs::OpenOptions::new()
         .create(create)
--- a/crates/testbed/src/fleet/processes/mod.rs
+++ b/crates/testbed/src/fleet/processes/mod.rs
@@ -1,5 +1,5 @@
-//! A scenario on real processes of the program, each with an operators' file of its own and a relay on every link.
-//! Stalls and crashes reach only processes that this run started and holds.
+//! Runs a scenario on real processes of the program, each with a separate operators' file, and a relay on every link.
+//! Stalls and crashes affect only processes that this run started.
 //!
 //! Start reading at [`run`], then at `FleetRun::run`.
 
@@ -19,7 +19,7 @@
 use crate::setup::start_engines;
 use clients::RequestCounts;
 use members::{CommandAnswer, MemberProcesses};
-use operator_file::Voters;
+use operator_file::VoterState;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -33,33 +33,33 @@
 const NEW_VERSION: &str = "v2";
 /// Interval at which threads of a run check for changes.
 const POLL_INTERVAL: Duration = Duration::from_millis(15);
-/// All members must be healthy this long after their start, and the release must begin in the same time.
+/// Time limit for all members to become healthy, and for the fleet to accept the release.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
 /// Interval of the operators' checks on a release, once the faults are over.
 const OPERATOR_CHECK_INTERVAL: Duration = Duration::from_secs(3);
-/// Operators do not check on a release before this long after the last fault (ms).
+/// Time after the last fault before operators start to check on the release (ms).
 const OPERATORS_RETURN_MS: f64 = 2000.0;
-/// A run lasts at least this long after the last fault (ms).
+/// Minimum duration of a run after the last fault (ms).
 const MIN_CALM_MS: f64 = 500.0;
-/// Pause between two requests of a release that is not accepted yet.
+/// Interval between requests for a release until the fleet accepts it.
 const RELEASE_RETRY_INTERVAL: Duration = Duration::from_millis(300);
-/// The most set-ups of a run in which another program took an address.
+/// Maximum number of set-ups of a run while another program takes one of its addresses.
 const MAX_SETUPS: usize = 3;
-/// Clients of the fleet.
+/// Number of clients.
 const CLIENTS: u64 = 3;
 
-/// How a scenario runs on processes.
+/// Options of a run on processes.
 #[derive(Debug, Clone, Default)]
 pub struct ProcessOptions {
-    /// Supervisors restart without a lease, for comparison.
+    /// Whether supervisors restart dispatchers without a lease, for comparison.
     pub uncoordinated: bool,
-    /// A folder for the processes' logs.
+    /// The folder for the processes' logs; without one, they are not kept after the run.
     pub logs: Option<PathBuf>,
 }
 
 /// Runs a scenario with processes of `exe`.
 pub fn run(exe: &Path, scenario: &Scenario, options: &ProcessOptions) -> FleetReport {
-    // Another program may take an address between the search for a free one and its use: such a run does not count.
+    // Another program may take an address between the search for a free one and its use. Such a run is repeated.
     for _ in 0..MAX_SETUPS {
         match run_once(exe, scenario, options) {
             Some(report) => return report,
@@ -72,7 +72,7 @@
     }
 }
 
-/// Runs a scenario once; returns none where another program took an address.
+/// Runs a scenario once. Returns `None` if another program took an address.
 fn run_once(exe: &Path, scenario: &Scenario, options: &ProcessOptions) -> Option<FleetReport> {
     let context = Arc::new(RunContext::default());
     let engines = start_engines(scenario.engines, EngineSpec::default(), 0, &context);
@@ -87,10 +87,10 @@
     report
 }
 
-/// A run: what all its threads share.
+/// The state of one run, shared by its threads.
 struct FleetRun {
     scenario: Scenario,
-    /// Supervisors restart without a lease.
+    /// Whether supervisors restart dispatchers without a lease.
     is_uncoordinated: bool,
     processes: MemberProcesses,
     relay: Relay,
@@ -98,9 +98,9 @@
     engine_links: Vec<Vec<EngineLink>>,
     started: Instant,
     over: AtomicBool,
-    /// Whether each member is out by a restart lease: the true state.
+    /// For each member, whether it is out under a restart lease, as recorded by its supervisor.
     out: Mutex<Vec<bool>>,
-    /// Whether each engine is drained: the true state.
+    /// For each engine, whether an operator drained it with permission.
     drained: Mutex<Vec<bool>>,
     requests: RequestCounts,
     report: Mutex<FleetReport>,
@@ -129,7 +129,7 @@
             .collect();
         let operator_texts: Vec<String> = (0..members)
             .map(|member| {
-                operator_file::text(&scenario, member, &relay, OLD_VERSION, Voters::Fresh)
+                operator_file::text(&scenario, member, &relay, OLD_VERSION, VoterState::Fresh)
             })
             .collect();
         FleetRun {
@@ -164,22 +164,34 @@
         self.report().violations.push(description);
     }
 
-    /// The operators' file of a member once the fleet has begun.
+    /// The text of a member's operators' file once the fleet has been started.
     fn operator_text(&self, member: usize, version: &str) -> String {
-        operator_file::text(&self.scenario, member, &self.relay, version, Voters::Begun)
+        operator_file::text(
+            &self.scenario,
+            member,
+            &self.relay,
+            version,
+            VoterState::Restarted,
+        )
     }
 
-    /// The same with another limit of dispatchers out.
+    /// The same text with a different limit on dispatchers out.
     fn operator_text_with_limit(&self, member: usize, version: &str, max_out: usize) -> String {
         let scenario = Scenario {
             max_out,
             ..self.scenario.clone()
         };
-        operator_file::text(&scenario, member, &self.relay, version, Voters::Begun)
+        operator_file::text(
+            &scenario,
+            member,
+            &self.relay,
+            version,
+            VoterState::Restarted,
+        )
     }
 
-    /// Runs the scenario: starts all members, then the release with faults, clients and supervisors at the same time.
-    /// Returns none where another program took an address.
+    /// Starts all members, then runs the release, faults, clients and supervisors concurrently. Returns `None` if
+    /// another program took an address.
     fn run(&self) -> Option<FleetReport> {
         self.processes.start_all();
         if !self.await_all_healthy() {
@@ -217,15 +229,15 @@
         (0..self.processes.len()).all(|member| self.processes.is_healthy(member))
     }
 
-    /// Waits until all members are healthy; it is a violation if they are not in time. Returns false where another
-    /// program took an address.
+    /// Waits until all members are healthy. Records a violation if this takes longer than `START_TIMEOUT`. Returns
+    /// false if another program took an address.
     fn await_all_healthy(&self) -> bool {
-        let from = Instant::now();
+        let start = Instant::now();
         while !self.are_all_healthy() {
-            if self.processes.has_taken_address() {
+            if self.processes.is_any_address_taken() {
                 return false;
             }
-            if from.elapsed() > START_TIMEOUT {
+            if start.elapsed() > START_TIMEOUT {
                 self.record_violation("not all healthy after 20 s".into());
                 break;
             }
@@ -234,7 +246,7 @@
         true
     }
 
-    /// Starts crashed members again, each once its time has come, and checks how processes end.
+    /// Starts crashed members again when their restart is due, and records a violation for each process that fails.
     fn restart_crashed_members(&self) {
         while !self.is_over() {
             thread::sleep(POLL_INTERVAL);
@@ -248,14 +260,15 @@
         }
     }
 
-    /// Waits until all supervisors are done or the release's time is over, and records which.
+    /// Waits until all supervisors have finished or the release's time limit has passed. Records the completion time
+    /// or a violation.
     fn await_release(&self, begin_ms: f64, all_released: impl Fn() -> bool) {
         let last_fault_ms = self.scenario.last_fault_ms();
         let limit_ms = last_fault_ms + self.scenario.done_within;
         let limit = Duration::from_secs_f64(limit_ms / 1000.0);
-        let from = Instant::now();
+        let start = Instant::now();
         let mut last_check = Instant::now();
-        while !all_released() && from.elapsed() < limit {
+        while !all_released() && start.elapsed() < limit {
             thread::sleep(POLL_INTERVAL);
             let faults_over = self.elapsed_ms() - begin_ms > last_fault_ms + OPERATORS_RETURN_MS;
             if faults_over
@@ -263,11 +276,11 @@
                 && last_check.elapsed() > OPERATOR_CHECK_INTERVAL
             {
                 last_check = Instant::now();
-                self.attend_release();
+                self.check_release();
             }
         }
         let completed_ms = self.elapsed_ms() - begin_ms;
-        // Faults that are still to come are injected before the run ends.
+        // All remaining faults are injected before the run ends.
         while self.elapsed_ms() - begin_ms < last_fault_ms + MIN_CALM_MS {
             thread::sleep(POLL_INTERVAL);
         }
@@ -284,16 +297,16 @@
 
     fn complete_report(&self, begin_ms: f64, bytes_before: u64) -> FleetReport {
         let mut report = self.report().clone();
-        let lasted_s = (self.elapsed_ms() - begin_ms) / 1000.0;
+        let duration_s = (self.elapsed_ms() - begin_ms) / 1000.0;
         let bytes = self.relay.bytes.load(Ordering::Relaxed) - bytes_before;
-        report.bytes_per_s = bytes as f64 / lasted_s / self.processes.len() as f64;
+        report.bytes_per_s = bytes as f64 / duration_s / self.processes.len() as f64;
         report.released = self.processes.count_on(NEW_VERSION);
         report.requests_ok = self.requests.completed.load(Ordering::Relaxed);
-        report.requests = self.requests.asked.load(Ordering::Relaxed);
+        report.requests = self.requests.sent.load(Ordering::Relaxed);
         let unanswered = self.requests.unanswered.load(Ordering::Relaxed);
         if unanswered > 0 {
             report.violations.push(format!(
-                "{unanswered} queries without an answer from a process that lived"
+                "{unanswered} queries not answered by a process that kept running"
             ));
         }
         report
@@ -304,15 +317,16 @@
         self.processes.fleet_command(at, &arguments)
     }
 
-    /// Requests the release until the fleet accepts it; a violation if that is not in time.
+    /// Requests the release until the fleet accepts it. Records a violation if this takes longer than
+    /// `START_TIMEOUT`.
     fn request_release(&self) {
-        let from = Instant::now();
+        let start = Instant::now();
         loop {
             let answer = self.issue_release(0);
             if answer.code == Some(0) || answer.text.contains("under way") {
                 return;
             }
-            if from.elapsed() > START_TIMEOUT {
+            if start.elapsed() > START_TIMEOUT {
                 let text = answer.text;
                 return self.record_violation(format!("the release did not begin: {text}"));
             }
@@ -320,9 +334,9 @@
         }
     }
 
-    /// Operators resume what the fleet halted on its own, and request the release again where all members that knew of
-    /// it have lost their memory.
-    fn attend_release(&self) {
+    /// Acts for the operators: resumes a release that the fleet halted by itself, and requests the release again if
+    /// all members that knew of it have lost their state.
+    fn check_release(&self) {
         let healthy = (0..self.processes.len()).find(|member| self.processes.is_healthy(*member));
         let Some(at) = healthy else {
             return;
--- a/crates/testbed/src/fleet/processes/operator_file.rs
+++ b/crates/testbed/src/fleet/processes/operator_file.rs
@@ -1,32 +1,32 @@
-//! The operators' files of the members, by the scenario.
+//! The members' operators' files for a scenario.
 
 use crate::fleet::relay::Relay;
 use crate::fleet::scenario::Scenario;
 use crate::fleet::FLEET_KEY;
 
-/// The end of the files' names.
-pub(super) const NAME: &str = "fleet.textproto";
-/// The most members that each member's file names to join by.
+/// Suffix of the files' names.
+pub(super) const NAME_SUFFIX: &str = "fleet.textproto";
+/// Maximum number of join seeds in a member's file.
 const MAX_JOIN_SEEDS: usize = 5;
 
-/// Whether a voter that starts may have promised anything before.
+/// Whether a starting voter may have made promises before.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Voters {
-    /// The fleet starts for the first time: no voter has promised anything.
+pub(super) enum VoterState {
+    /// The fleet starts for the first time, so no voter has made a promise.
     Fresh,
-    /// The fleet has begun: a voter that starts may have forgotten what it promised.
-    Begun,
+    /// The fleet has been started before, so a starting voter may have forgotten promises.
+    Restarted,
 }
 
-/// The operators' file of a member that runs `version`.
+/// The text of the operators' file of a member that runs `version`.
 pub(super) fn text(
     scenario: &Scenario,
     member: usize,
     relay: &Relay,
     version: &str,
-    voters: Voters,
+    voter_state: VoterState,
 ) -> String {
-    let is_fresh = voters == Voters::Fresh;
+    let is_fresh = voter_state == VoterState::Fresh;
     let seeds: String = relay
         .public
         .iter()
--- a/crates/testbed/src/fleet/processes/slot.rs
+++ b/crates/testbed/src/fleet/processes/slot.rs
@@ -1,4 +1,4 @@
-//! The place of one dispatcher: the process that runs there, if one does.
+//! The slot of one dispatcher: its process, if it has one, and the state that remains across restarts.
 
 use super::OLD_VERSION;
 use crate::program::Program;
@@ -9,14 +9,14 @@
     program: Option<Program>,
     version: &'static str,
     is_stalled: bool,
-    /// After a crash: when the process is started again.
+    /// Time at which a crashed or failed process is started again.
     restart_at: Option<Instant>,
-    /// The restart lease under which the process was started last.
+    /// The restart lease under which the process was last started.
     lease: Option<String>,
 }
 
 impl DispatcherSlot {
-    /// A slot in which no program has been started yet.
+    /// An empty slot with the old version.
     pub fn new() -> Self {
         DispatcherSlot {
             program: None,
@@ -27,32 +27,32 @@
         }
     }
 
-    /// The version that belongs in this slot.
+    /// The version that the slot's process runs, or runs once it is started.
     pub fn version(&self) -> &'static str {
         self.version
     }
 
-    /// Whether the process is stopped by a signal.
+    /// Whether the process is stopped by SIGSTOP.
     pub fn is_stalled(&self) -> bool {
         self.is_stalled
     }
 
-    /// The process, where one was started and is not stalled.
+    /// The process, if the slot has one and it is not stalled.
     pub fn responsive_program(&self) -> Option<&Program> {
         self.program.as_ref().filter(|_| !self.is_stalled)
     }
 
-    /// The restart lease under which the process was started last.
+    /// The restart lease under which the process was last started.
     pub fn lease(&self) -> Option<&str> {
         self.lease.as_deref()
     }
 
-    /// Whether no process was started here since the last one was taken away.
+    /// Whether the slot has no process, neither a running nor an exited one.
     pub fn is_empty(&self) -> bool {
         self.program.is_none()
     }
 
-    /// Whether a process runs here and has not ended.
+    /// Whether the slot's process is running.
     fn is_alive(&mut self) -> bool {
         self.program.as_mut().is_some_and(|program| {
             program
@@ -62,7 +62,7 @@
         })
     }
 
-    /// Whether no process runs here any more.
+    /// Whether the slot is empty or its process has exited.
     pub fn has_ended(&mut self) -> bool {
         self.program.as_mut().is_none_or(|program| {
             program
@@ -72,7 +72,7 @@
         })
     }
 
-    /// The exit status of a process that ended with an error.
+    /// The exit status of the process, if it exited with a non-zero code.
     pub fn failure(&mut self) -> Option<std::process::ExitStatus> {
         let status = self.program.as_mut()?.child.try_wait().ok().flatten()?;
         status
@@ -81,13 +81,13 @@
             .then_some(status)
     }
 
-    /// Whether a crashed process is to be started again by now.
+    /// Whether the restart of a crashed or failed process is due.
     pub fn is_restart_due(&self) -> bool {
         self.restart_at
             .is_some_and(|restart_at| Instant::now() >= restart_at)
     }
 
-    /// Puts a started process into the slot.
+    /// Stores a started process in the slot.
     pub fn occupy(&mut self, program: Program, lease: Option<&str>) {
         self.program = Some(program);
         self.is_stalled = false;
@@ -95,7 +95,7 @@
         self.lease = lease.map(str::to_owned);
     }
 
-    /// Kills the process; it is started again after `delay`. An empty slot is left as it is.
+    /// Kills the process and schedules its restart after `delay`. An empty slot does not change.
     pub fn crash(&mut self, delay: Duration) {
         if self.program.take().is_some() {
             self.lease = None;
@@ -103,30 +103,30 @@
         }
     }
 
-    /// Takes away a process that ended; it is started again after `delay`.
+    /// Removes an exited process and schedules its restart after `delay`.
     pub fn restart_after(&mut self, delay: Duration) {
         self.program = None;
         self.restart_at = Some(Instant::now() + delay);
     }
 
-    /// Sends SIGTERM to the process. Returns whether there is one.
+    /// Sends SIGTERM to the process. Returns whether the slot has a process.
     pub fn terminate(&self) -> bool {
         self.program.as_ref().map(Program::terminate).is_some()
     }
 
-    /// Empties the slot; a process that still runs ends by SIGKILL.
+    /// Empties the slot. A process that still runs is ended by SIGKILL.
     pub fn clear(&mut self) {
         self.program = None;
     }
 
-    /// Empties the slot, in which another version belongs from now on.
+    /// Empties the slot and sets the version of its next process.
     pub fn set_version(&mut self, version: &'static str) {
         self.program = None;
         self.restart_at = None;
         self.version = version;
     }
 
-    /// Stops the process by a signal. Returns whether there was one to stop.
+    /// Stops the process by SIGSTOP. Returns whether a process was running.
     pub fn stall(&mut self) -> bool {
         if !self.is_alive() {
             return false;
@@ -138,7 +138,7 @@
         true
     }
 
-    /// Lets a stalled process continue.
+    /// Continues a stalled process by SIGCONT.
     pub fn resume(&mut self) {
         let was_stalled = std::mem::replace(&mut self.is_stalled, false);
         if was_stalled && self.is_alive() {
--- a/crates/testbed/src/fleet/relay.rs
+++ b/crates/testbed/src/fleet/relay.rs
@@ -1,6 +1,6 @@
-//! A relay on every link: between two members, and from a member to an engine. It applies the scenario's faults, unnoticed
-//! by the processes: other members know a member by an address of the relay, and each member knows each engine by a
-//! separate address.
+//! Relays on the links between members and from members to engines, which apply the scenario's faults. The processes
+//! use only the relays' addresses: each member has one address of the relay by which the others know it, and each
+//! member knows each engine by a separate address.
 
 use super::links::LinkConditions;
 use crate::engine::{refuse_silently, Engine};
@@ -15,15 +15,15 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Interval at which the relay sends datagrams that are due.
+/// Interval at which relays check for due datagrams, new connections and the end of a cut.
 const POLL_INTERVAL: Duration = Duration::from_millis(1);
 /// Interval at which a receiving thread checks whether the relay was dropped.
 const RECEIVE_TIMEOUT: Duration = Duration::from_millis(50);
-/// Larger than any datagram of the fleet (bytes).
+/// Size of the receive buffer (bytes), larger than any datagram of the fleet.
 const RECEIVE_BUFFER_BYTES: usize = 2048;
-/// The most bytes that are copied at a time between a member and an engine.
+/// Size of the copy buffer between a member and an engine (bytes).
 const COPY_BUFFER_BYTES: usize = 16 * 1024;
-/// Delay between members unless the scenario sets another (ms).
+/// Maximum delay between members until the scenario sets other conditions (ms).
 const DEFAULT_DELAY_MS: f64 = 1.0;
 
 /// A datagram in flight between two members.
@@ -34,21 +34,23 @@
     bytes: Vec<u8>,
 }
 
+/// Conditions of the links between members, and the datagrams in flight.
 #[derive(Debug)]
 struct LinkState {
     conditions: LinkConditions,
     late_ms: f64,
-    /// Whether what the first sends reaches the second.
-    passes: Vec<Vec<bool>>,
+    /// `reachable[from][to]`: whether datagrams from member `from` reach member `to`.
+    reachable: Vec<Vec<bool>>,
     rng: Pcg32,
-    /// By time of arrival, and number for those of one instant.
+    /// Datagrams by arrival time and sequence number, which orders datagrams of the same time.
     in_flight: BTreeMap<(Instant, u64), Datagram>,
     datagram_count: u64,
 }
 
 impl LinkState {
-    fn accept(&mut self, from: usize, to: usize, bytes: &[u8]) {
-        if !self.passes[from][to] {
+    /// Schedules the arrival of a datagram's copies, unless the link is cut.
+    fn enqueue(&mut self, from: usize, to: usize, bytes: &[u8]) {
+        if !self.reachable[from][to] {
             return;
         }
         for delay_ms in self.conditions.draw_delays_ms(self.late_ms, &mut self.rng) {
@@ -76,15 +78,15 @@
     /// Bytes received from members.
     pub bytes: Arc<AtomicU64>,
     state: Arc<Mutex<LinkState>>,
-    over: Arc<AtomicBool>,
+    stopped: Arc<AtomicBool>,
 }
 
 impl Relay {
-    /// Starts the links between so many members. Datagrams that are late come after `late_ms`; all else is drawn from
-    /// `seed`.
+    /// Starts the links between `members` members. Late datagrams are delayed by `late_ms`. `seed` is the seed of all
+    /// random draws.
     ///
     /// # Panics
-    /// The loopback has no free port.
+    /// If the loopback interface has no free port.
     pub fn start(members: usize, late_ms: f64, seed: u64) -> Self {
         let sockets: Vec<Arc<UdpSocket>> = (0..members).map(|_| relay_socket()).collect();
         let state = LinkState {
@@ -93,7 +95,7 @@
                 ..LinkConditions::GOOD
             },
             late_ms,
-            passes: vec![vec![true; members]; members],
+            reachable: vec![vec![true; members]; members],
             rng: Pcg32::seed_from_u64(seed),
             in_flight: BTreeMap::new(),
             datagram_count: 0,
@@ -106,7 +108,7 @@
             private: (0..members).map(|_| free_udp_address()).collect(),
             bytes: Arc::default(),
             state: Arc::new(Mutex::new(state)),
-            over: Arc::default(),
+            stopped: Arc::default(),
         };
         for (to, socket) in sockets.iter().enumerate() {
             relay.spawn_receiver(to, socket.clone());
@@ -115,15 +117,15 @@
         relay
     }
 
-    /// Receives what other members send to member `to`.
+    /// Starts the thread that receives the datagrams sent to member `to`.
     fn spawn_receiver(&self, to: usize, socket: Arc<UdpSocket>) {
         let private = self.private.clone();
         let state = self.state.clone();
-        let over = self.over.clone();
+        let stopped = self.stopped.clone();
         let bytes = self.bytes.clone();
         thread::spawn(move || {
             let mut buffer = [0; RECEIVE_BUFFER_BYTES];
-            while !over.load(Ordering::Relaxed) {
+            while !stopped.load(Ordering::Relaxed) {
                 let Ok((count, source)) = socket.recv_from(&mut buffer) else {
                     continue;
                 };
@@ -134,18 +136,18 @@
                 state
                     .lock()
                     .expect("no holder panics")
-                    .accept(from, to, &buffer[..count]);
+                    .enqueue(from, to, &buffer[..count]);
             }
         });
     }
 
-    /// Forwards datagrams that are due from the address by which the sender is known, so that they can be answered.
+    /// Starts the thread that forwards due datagrams from the sender's public address, so that they can be answered.
     fn spawn_sender(&self, sockets: Vec<Arc<UdpSocket>>) {
         let private = self.private.clone();
         let state = self.state.clone();
-        let over = self.over.clone();
+        let stopped = self.stopped.clone();
         thread::spawn(move || {
-            while !over.load(Ordering::Relaxed) {
+            while !stopped.load(Ordering::Relaxed) {
                 thread::sleep(POLL_INTERVAL);
                 let due = state.lock().expect("no holder panics").take_due();
                 for datagram in due.into_values() {
@@ -167,27 +169,27 @@
     /// Cuts `side` off from the other members; with `one_way`, only what `side` sends is lost.
     pub fn cut(&self, side: &[usize], one_way: bool) {
         let mut state = self.state();
-        let members = state.passes.len();
+        let members = state.reachable.len();
         for from in 0..members {
             for to in 0..members {
                 let from_inside = side.contains(&from);
                 let to_inside = side.contains(&to);
-                state.passes[from][to] = from_inside == to_inside || one_way && !from_inside;
+                state.reachable[from][to] = from_inside == to_inside || one_way && !from_inside;
             }
         }
     }
 
     /// Ends all cuts.
     pub fn heal(&self) {
-        for passes in self.state().passes.iter_mut().flatten() {
-            *passes = true;
+        for reachable in self.state().reachable.iter_mut().flatten() {
+            *reachable = true;
         }
     }
 }
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::Relaxed);
+        self.stopped.store(true, Ordering::Relaxed);
     }
 }
 
@@ -199,21 +201,21 @@
     Arc::new(socket)
 }
 
-/// A link from one member to one engine. While it is cut, nothing gets through and neither side learns of it, as on a
-/// network.
+/// A link from one member to one engine. While it is cut, no bytes pass and neither side sees an error, as in a
+/// network partition.
 #[derive(Debug, Clone)]
 pub struct EngineLink {
     /// The address by which the member knows the engine.
     pub address: SocketAddr,
     cut: Arc<AtomicBool>,
-    over: Arc<AtomicBool>,
+    stopped: Arc<AtomicBool>,
 }
 
 impl EngineLink {
     /// Starts a link to the engine at `engine`.
     ///
     /// # Panics
-    /// The loopback has no free port.
+    /// If the loopback interface has no free port.
     pub fn start(engine: SocketAddr) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("loopback has a free port");
         let address = listener
@@ -222,55 +224,59 @@
         let link = EngineLink {
             address,
             cut: Arc::default(),
-            over: Arc::default(),
+            stopped: Arc::default(),
         };
         listener
             .set_nonblocking(true)
             .expect("a listener need not block");
-        let own = link.clone();
-        thread::spawn(move || own.accept_connections(&listener, engine));
+        let accepting_link = link.clone();
+        thread::spawn(move || accepting_link.accept_connections(&listener, engine));
         link
     }
 
     fn is_cut(&self) -> bool {
-        self.cut.load(Ordering::Relaxed) && !self.over.load(Ordering::Relaxed)
+        self.cut.load(Ordering::Relaxed) && !self.stopped.load(Ordering::Relaxed)
     }
 
     fn accept_connections(&self, listener: &TcpListener, engine: SocketAddr) {
-        while !self.over.load(Ordering::Relaxed) {
+        while !self.stopped.load(Ordering::Relaxed) {
             if self.cut.load(Ordering::Relaxed) {
-                // No connection is established, as on a network: a relay that still accepts would look different.
-                let held = refuse_silently(listener);
+                // No connection is established, as in a network partition.
+                // A relay that still accepted connections would behave differently.
+                let pending_connections = refuse_silently(listener);
                 while self.is_cut() {
                     thread::sleep(POLL_INTERVAL);
                 }
-                drop(held);
+                drop(pending_connections);
                 let _ = socket2::SockRef::from(listener).listen(128);
             }
-            let Ok((near, _)) = listener.accept() else {
+            let Ok((member_stream, _)) = listener.accept() else {
                 thread::sleep(POLL_INTERVAL);
                 continue;
             };
-            let Ok(far) = TcpStream::connect(engine) else {
+            let Ok(engine_stream) = TcpStream::connect(engine) else {
                 continue;
             };
-            let _ = near.set_nodelay(true);
-            let _ = far.set_nodelay(true);
-            let (Ok(near_again), Ok(far_again)) = (near.try_clone(), far.try_clone()) else {
+            let _ = member_stream.set_nodelay(true);
+            let _ = engine_stream.set_nodelay(true);
+            let (Ok(member_clone), Ok(engine_clone)) =
+                (member_stream.try_clone(), engine_stream.try_clone())
+            else {
                 continue;
             };
-            self.spawn_copy(near, far);
-            self.spawn_copy(far_again, near_again);
+            self.spawn_copy(member_stream, engine_stream);
+            self.spawn_copy(engine_clone, member_clone);
         }
     }
 
-    /// Copies one direction of a connection; bytes that arrive during a cut are forwarded after its end.
+    /// Starts a thread that copies one direction of a connection. Bytes that arrive during a cut are forwarded after
+    /// its end.
     fn spawn_copy(&self, mut from: TcpStream, mut to: TcpStream) {
-        let own = self.clone();
+        let link = self.clone();
         thread::spawn(move || {
             let mut buffer = [0; COPY_BUFFER_BYTES];
             while let Ok(count) = from.read(&mut buffer) {
-                while own.is_cut() {
+                while link.is_cut() {
                     thread::sleep(POLL_INTERVAL);
                 }
                 if count == 0 || to.write_all(&buffer[..count]).is_err() {
@@ -282,18 +288,18 @@
         });
     }
 
-    /// Cuts the link or heals it.
+    /// Cuts or heals the link.
     pub fn set_cut(&self, cut: bool) {
         self.cut.store(cut, Ordering::Relaxed);
     }
 
-    /// Ends the link; established connections end with their next byte.
+    /// Ends any cut and accepts no further connections. An established connection remains until one side closes it.
     pub fn stop(&self) {
-        self.over.store(true, Ordering::Relaxed);
+        self.stopped.store(true, Ordering::Relaxed);
     }
 }
 
-/// For each member, a link of its own to each engine.
+/// Starts a separate link from each member to each engine. Returns the links of each member.
 pub(super) fn start_engine_links(members: usize, engines: &[Engine]) -> Vec<Vec<EngineLink>> {
     let links_of_member = |_| {
         engines
--- a/crates/testbed/src/fleet/scenario.rs
+++ b/crates/testbed/src/fleet/scenario.rs
@@ -1,5 +1,5 @@
-//! Scenarios: a fleet, its release, and when which faults are injected. A scenario is generated from a seed, selected by
-//! name, or read from a file. Files are JSON, whose keys must stay.
+//! Scenarios: a fleet, its release, and the faults to inject with their times. A scenario is generated from a seed,
+//! selected by name, or read from a JSON file. The keys of these files must not change.
 
 pub use super::links::LinkConditions;
 
@@ -16,128 +16,128 @@
     Links(LinkConditions),
     /// Cuts some members off from the others.
     Cut {
-        /// The members on the one side.
+        /// The members on one side of the cut.
         side: Vec<usize>,
-        /// Only what they send is lost.
+        /// Whether only the datagrams that they send are lost.
         one_way: bool,
     },
     /// Cuts the leader off from the others.
     CutLeader {
-        /// Only what it sends is lost.
+        /// Whether only the datagrams that it sends are lost.
         one_way: bool,
     },
     /// Ends all cuts.
     Heal,
-    /// Stops a process, which later continues.
+    /// Stops a process for a time.
     Stall {
         /// The member.
         who: usize,
-        /// For how long (ms).
+        /// Duration of the stop (ms).
         lasts: f64,
     },
-    /// Stops the leader's process, which later continues.
+    /// Stops the leader's process for a time.
     StallLeader {
-        /// For how long (ms).
+        /// Duration of the stop (ms).
         lasts: f64,
     },
-    /// Kills a process, which is started again without its memory.
+    /// Kills a process, which is started again without its state.
     Kill {
         /// The member.
         who: usize,
-        /// Until its start (ms).
+        /// Time until its restart (ms).
         back: f64,
     },
     /// Kills the leader's process.
     KillLeader {
-        /// Until its start (ms).
+        /// Time until its restart (ms).
         back: f64,
     },
     /// Kills the process of a member that holds a restart lease.
     KillHolder {
-        /// Until its start (ms).
+        /// Time until its restart (ms).
         back: f64,
     },
-    /// Operators request drains of engines, at the same time.
+    /// Operators request drains of several engines at the same time.
     Drain {
-        /// At which member, and which engine.
+        /// Pairs of the member at which the operator acts and the engine.
         engines: Vec<(usize, usize)>,
     },
-    /// An operator takes an engine into service again.
+    /// An operator returns an engine to service.
     Undrain {
         /// The engine.
         engine: usize,
-        /// At which member.
+        /// The member at which the operator acts.
         at: usize,
     },
     /// An operator halts the release.
     Halt {
-        /// At which member.
+        /// The member at which the operator acts.
         at: usize,
     },
     /// An operator resumes the release.
     Resume {
-        /// At which member.
+        /// The member at which the operator acts.
         at: usize,
     },
     /// An operator rolls the release back.
     Back {
-        /// At which member.
+        /// The member at which the operator acts.
         at: usize,
     },
-    /// The operators' files define another limit of dispatchers out, and all members read them again.
+    /// Changes the limit on dispatchers out in all operators' files, which the members reload.
     Limit {
-        /// Dispatchers that may be out at a time.
+        /// Maximum number of dispatchers allowed out at the same time.
         #[serde(rename = "most")]
         max_out: usize,
     },
 }
 
-/// A fault at its time.
+/// A fault with its time.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Event {
-    /// Milliseconds after the release's begin.
+    /// Time of the fault (ms after the start of the release).
     pub at: f64,
-    /// What happens.
+    /// The fault or operator's action.
     pub what: Fault,
 }
 
-/// A fleet, and what happens to it while it is released to another version.
+/// A fleet, and the faults during its release to another version.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Scenario {
     /// The scenario's name in reports.
     pub name: String,
     /// The seed of all random draws.
     pub seed: u64,
-    /// Dispatchers.
+    /// Number of dispatchers.
     pub members: usize,
-    /// How many of them vote: the first ones.
+    /// Number of voters, which are the first members.
     pub voters: usize,
-    /// Zones, over which members are spread in turn.
+    /// Number of zones, to which members are assigned round-robin.
     #[serde(rename = "halls")]
     pub zones: usize,
-    /// Engines.
+    /// Number of engines.
     pub engines: usize,
-    /// Dispatchers that may be out at a time.
+    /// Maximum number of dispatchers allowed out at the same time.
     #[serde(rename = "most")]
     pub max_out: usize,
-    /// Engines that may be drained at a time.
+    /// Maximum number of engines allowed drained at the same time.
     #[serde(rename = "most_engines")]
     pub max_engines: usize,
-    /// How long a restart lease lasts (ms).
+    /// Duration of a restart lease (ms).
     pub turn: f64,
-    /// How long a restart takes (ms).
+    /// Duration of a restart (ms).
     pub down: f64,
-    /// The delay of a late datagram, up to which voters are correct (ms).
+    /// Delay of a late datagram (ms), the longest delay for which the voters guarantee correctness.
     pub late: f64,
-    /// Faults, in the order of their times.
+    /// Faults, ordered by time.
     pub events: Vec<Event>,
-    /// All members must be released this long after the last fault (ms); 0: no such requirement.
+    /// Time after the last fault within which the release must complete (ms); 0 for no limit.
     pub done_within: f64,
-    /// The longest duration of a run (ms).
+    /// Maximum duration of a run (ms).
     pub lasts: f64,
 }
 
-/// The names of the hard cases, which also run on processes.
+/// Names of the predefined scenarios, which also run on processes.
 pub const NAMES: [&str; 9] = [
     "two-halves",
     "leader-one-way",
@@ -150,9 +150,9 @@
     "halt-races",
 ];
 
-/// Faults of a mixed scenario, one after the other.
+/// Number of faults in a mixed scenario, injected one after the other.
 const MIXED_FAULTS: usize = 7;
-/// How long after a cut drains are requested on both sides of it (ms).
+/// Delay between a cut and the drain requests on both sides of it (ms).
 const DRAIN_DELAY_MS: f64 = 200.0;
 
 fn cut(side: &[usize]) -> Fault {
@@ -168,7 +168,7 @@
     }
 }
 
-/// Drains that are requested at members on both sides of a cut.
+/// Drains that are requested at one member on each side of a cut.
 fn drain_on_both_sides(inside: usize, outside: usize) -> Fault {
     drain(&[(inside, 0), (outside, 1), (inside, 2), (outside, 3)])
 }
@@ -178,7 +178,7 @@
 }
 
 impl Scenario {
-    /// A release with no faults.
+    /// A release without faults.
     pub fn calm(seed: u64, members: usize) -> Self {
         let max_out = (members / 10).max(1);
         let voters = members.min(if members >= 30 { 5 } else { 3 });
@@ -196,7 +196,7 @@
             down: 1500.0,
             late: 10_000.0,
             events: Vec::new(),
-            // A lease may be used at its very end, and a restarted voter is silent during its quarantine.
+            // A lease may be used just before it ends, and a restarted voter does not answer during its quarantine.
             done_within: 40_000.0 + 30_000.0 * voters as f64 + 12_000.0 * waves,
             lasts: 140_000.0 + 30_000.0 * voters as f64 + 12_000.0 * waves,
         }
@@ -206,7 +206,7 @@
         self.events.push(Event { at, what });
     }
 
-    /// Ends cuts and bad links.
+    /// Ends all cuts and restores good links at time `at` (ms).
     fn end_network_faults(&mut self, at: f64) {
         self.add(at, Fault::Heal);
         self.add(at, Fault::Links(LinkConditions::GOOD));
@@ -259,7 +259,7 @@
         scenario
     }
 
-    /// The hard case of this name, one of [`NAMES`]. The seed shifts its faults in time.
+    /// The predefined scenario of this name, one of [`NAMES`]. The seed shifts the times of its faults.
     pub fn named(name: &str, seed: u64) -> Option<Self> {
         let members = if name == "seven-in-ten" { 10 } else { 5 };
         let mut scenario = Scenario {
@@ -277,7 +277,8 @@
         Some(scenario)
     }
 
-    /// The same with times for processes: leases and faults half as long, a program that ends within 4 s.
+    /// The same scenario with times for processes: leases and faults are half as long, and the program exits within
+    /// 4 s.
     pub fn on_processes(mut self) -> Self {
         self.turn = 6000.0;
         self.down = 300.0;
@@ -298,7 +299,7 @@
         self
     }
 
-    /// The same with loss on all links all the time; links that heal go back to that.
+    /// The same scenario with loss on all links for the whole run. Healed links return to this loss.
     pub fn with_loss(mut self, loss: f64) -> Self {
         let lossy = LinkConditions {
             loss,
@@ -317,7 +318,7 @@
         self
     }
 
-    /// When the last fault is over (ms after the release's begin).
+    /// End of the last fault (ms after the start of the release).
     pub fn last_fault_ms(&self) -> f64 {
         let end = |event: &Event| match event.what {
             Fault::Stall { lasts, .. } | Fault::StallLeader { lasts } => event.at + lasts,
@@ -330,7 +331,7 @@
     }
 }
 
-/// The faults of a hard case, each with its time (ms after the release's begin).
+/// The faults of a predefined scenario, each with its time (ms after the start of the release).
 fn named_events(name: &str, members: usize) -> Option<Vec<(f64, Fault)>> {
     Some(match name {
         "two-halves" => vec![
@@ -348,7 +349,7 @@
             (24_000.0, Fault::StallLeader { lasts: 18_000.0 }),
         ],
         "voter-forgets" => vec![(1000.0, crash(1, 200.0)), (5000.0, crash(2, 200.0))],
-        // Voters 0 and 2 are in one zone, and are the majority.
+        // Voters 0 and 2 are in the same zone and are the majority.
         "hall-of-voters-lost" => [0, 2, 4].map(|who| (1000.0, crash(who, 14_000.0))).into(),
         "holder-crashes" => (1..9)
             .map(f64::from)
@@ -363,7 +364,7 @@
     })
 }
 
-/// Halts and resumptions at different members, in turn.
+/// Halts and resumptions alternate, each at a different member.
 fn halt_races(members: usize) -> Vec<(f64, Fault)> {
     let mut events = Vec::new();
     for round in 0..5 {
--- a/crates/testbed/src/fleet/virtual_fleet/diagnostics.rs
+++ b/crates/testbed/src/fleet/virtual_fleet/diagnostics.rs
@@ -1,4 +1,4 @@
-//! What members know, as text for the analysis of a failed run.
+//! Text that describes the members' state, for the analysis of a failed run.
 
 use super::member::Member;
 use super::members::Members;
@@ -7,10 +7,11 @@
 use tansymux_coordination::{LeasedRecord, QuorumNode, Record, UnitKind};
 use tansymux_rollout::FleetNode;
 
-/// Members whose view is shown.
+/// Maximum number of members whose state is shown.
 const SHOWN_MEMBERS: usize = 7;
 
-/// The leader's records, then how the first members see all others, then their coordination state.
+/// The leader's records, then how all members see each of the first members, then the coordination state of the
+/// first members.
 pub(super) fn describe(members: &Members, now_ms: f64) -> String {
     let Some(leader) = members.leader() else {
         return "nobody leads".into();
@@ -95,7 +96,7 @@
     format!("{:?}", Some(state))
 }
 
-/// Whether a voter leads, since when, whom it takes for the leader, and the newest record that it holds.
+/// Whether a voter leads, how long it has led (ms), the leader that it knows, and its highest record stamp.
 fn leadership(quorum: &QuorumNode, process_ms: f64) -> impl Debug {
     let led_for_ms = quorum
         .leader_since_ms()
@@ -108,7 +109,7 @@
     )
 }
 
-/// A record as a member's agent holds it.
+/// The fields of a record that a member's agent holds.
 fn agent_record(leased: LeasedRecord) -> impl Debug {
     let record = leased.record;
     (
--- a/crates/testbed/src/fleet/virtual_fleet/environment.rs
+++ b/crates/testbed/src/fleet/virtual_fleet/environment.rs
@@ -1,4 +1,4 @@
-//! What all parts of a virtual fleet share: the true clock, the random draws, the network and the report.
+//! State shared by all parts of a virtual fleet: true time, the random generator, the network and the report.
 
 use super::network::{Datagram, Network};
 use super::settings::host_of;
@@ -10,10 +10,10 @@
 /// The largest datagram that members may send (bytes).
 const MAX_DATAGRAM_BYTES: usize = 256;
 
-/// The surroundings of a virtual fleet's members, supervisors and operators.
+/// The environment of a virtual fleet's members, supervisors and operators.
 pub(super) struct Environment {
     pub scenario: Scenario,
-    /// The true time since the run's begin.
+    /// True time since the start of the run (ms).
     pub now_ms: f64,
     /// The source of all random draws of the run.
     pub rng: Pcg32,
@@ -45,7 +45,7 @@
             return;
         };
         if bytes.len() > MAX_DATAGRAM_BYTES {
-            self.record_violation(format!("a datagram of {} bytes", bytes.len()));
+            self.record_violation(format!("oversized datagram of {} bytes", bytes.len()));
         }
         let datagram = Datagram {
             host,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Adds to the report what must not happen.
+    /// Adds a violation to the report.
     pub fn record_violation(&mut self, description: String) {
         self.report.violations.push(description);
     }
--- a/crates/testbed/src/fleet/virtual_fleet/faults.rs
+++ b/crates/testbed/src/fleet/virtual_fleet/faults.rs
@@ -7,7 +7,7 @@
 use tansymux_rollout::message::Command;
 
 impl VirtualFleet {
-    /// Injects a fault, or lets operators act.
+    /// Injects a fault or performs an operator's action.
     pub(super) fn inject(&mut self, fault: Fault) {
         match fault {
             Fault::Links(conditions) => self.environment.network.set_conditions(conditions),
@@ -29,11 +29,11 @@
             | Fault::Halt { .. }
             | Fault::Resume { .. }
             | Fault::Back { .. }
-            | Fault::Limit { .. } => self.let_operators_act(fault),
+            | Fault::Limit { .. } => self.perform_operator_action(fault),
         }
     }
 
-    fn let_operators_act(&mut self, action: Fault) {
+    fn perform_operator_action(&mut self, action: Fault) {
         match action {
             Fault::Drain { engines } => self.request_drains(&engines),
             Fault::Undrain { engine, at } => self.undrain(engine, at),
@@ -65,9 +65,9 @@
         self.environment.network.cut(members, side, one_way);
     }
 
-    fn stall(&mut self, member: Option<usize>, lasts_ms: f64) {
+    fn stall(&mut self, member: Option<usize>, duration_ms: f64) {
         if let Some(member) = member {
-            let until_ms = self.environment.now_ms + lasts_ms;
+            let until_ms = self.environment.now_ms + duration_ms;
             self.members.member_mut(member).stall(until_ms);
         }
     }
@@ -79,8 +79,8 @@
         }
     }
 
-    /// Operators request drains of engines and drain those that are granted. `requests`: at which member each engine's
-    /// drain is requested.
+    /// Requests drains of engines, which operators drain once that is granted. `requests`: pairs of the member at which
+    /// the operator acts and the engine.
     fn request_drains(&mut self, requests: &[(usize, usize)]) {
         for &(at, engine) in requests {
             let command = Command::Drain {
@@ -97,7 +97,7 @@
         }
     }
 
-    /// For the operators an engine serves again from the moment on which they say so.
+    /// Issues the command to return an engine to service. The engine counts as in service at once, before any answer.
     fn undrain(&mut self, engine: usize, at: usize) {
         self.operators.undrain(engine);
         let command = Command::Undrain {
--- a/crates/testbed/src/fleet/virtual_fleet/member.rs
+++ b/crates/testbed/src/fleet/virtual_fleet/member.rs
@@ -9,38 +9,38 @@
 use tansymux_coordination::Role;
 use tansymux_rollout::{FleetAction, FleetEvent, FleetNode, MemberStatus};
 
-/// A member is polled at least this often (ms).
+/// Maximum interval between two polls of a member (ms).
 const MAX_POLL_INTERVAL_MS: f64 = 250.0;
-/// Datagrams that a stalled process's socket holds; later ones are lost.
+/// Capacity of a stalled process's socket buffer (datagrams). Further datagrams are lost.
 const SOCKET_BUFFER_DATAGRAMS: usize = 200;
-/// Mean time between two polls, for which a member's requests are counted (s).
+/// Mean time between two polls of a member (s), from which the number of requests per poll is computed.
 const REQUEST_INTERVAL_S: f64 = 0.25;
-/// Probability that a poll counts requests, which then come in a burst: that of several polls.
+/// Probability that a poll counts requests. Such a poll counts a burst: the requests of 1 / `BURST_PROBABILITY` polls.
 const BURST_PROBABILITY: f64 = 0.5;
 
-/// The requests that a member answers.
+/// The rate and success of the requests to a member.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct RequestLoad {
     pub requests_per_s: f64,
-    /// Fraction of them that the member answers well.
+    /// Fraction of the requests that succeed.
     pub success: f64,
 }
 
-/// A dispatcher's process, as it truly is.
+/// A dispatcher with the true state of its process.
 pub(super) struct Member {
     index: usize,
-    /// The fleet object of the process; none while it is down.
+    /// The process's fleet node; `None` while the process is down.
     fleet: Option<FleetNode>,
-    /// Speed of the host's clock against the true one.
+    /// Rate of the host's and the process's clock relative to true time.
     clock_rate: f64,
-    /// What the process's clock read at true time 0.
+    /// Reading of the process's clock at true time 0 (ms).
     process_offset_ms: f64,
-    /// What the host's clock read at true time 0. Supervisors and operators read it; a restart of the process does not
-    /// change it.
+    /// Reading of the host's clock at true time 0 (ms). Supervisors and operators use this clock. A restart of the
+    /// process does not change it.
     host_offset_ms: f64,
     version: u32,
     stalled_until_ms: f64,
-    /// When the process is started again; none while it runs.
+    /// Time of the process's next start (true ms); `None` while it runs.
     restart_at_ms: Option<f64>,
     next_poll_ms: f64,
     /// Datagrams that a stalled process has not read yet.
@@ -52,7 +52,7 @@
 }
 
 impl Member {
-    /// A member that is to be started at once, with clocks drawn from `rng`.
+    /// A member whose start is due at once, with clocks drawn from `rng`.
     pub fn new(index: usize, rng: &mut Pcg32) -> Self {
         Member {
             index,
@@ -76,12 +76,12 @@
         self.fleet.is_some()
     }
 
-    /// The fleet object of the member's process, while it is up.
+    /// The fleet node of the member's process, while it is up.
     pub fn fleet(&self) -> Option<&FleetNode> {
         self.fleet.as_ref()
     }
 
-    /// The same, for changes.
+    /// Mutable access to the fleet node of the member's process, while it is up.
     pub fn fleet_mut(&mut self) -> Option<&mut FleetNode> {
         self.fleet.as_mut()
     }
@@ -96,7 +96,7 @@
         self.lease_at_start
     }
 
-    /// Whether the member runs and holds the leader's role by its own account.
+    /// Whether the member runs and considers itself the leader.
     pub fn is_leader(&self) -> bool {
         let Some(fleet) = &self.fleet else {
             return false;
@@ -108,22 +108,22 @@
                 .is_some()
     }
 
-    /// The process's clock at a true time.
+    /// The reading of the process's clock at a true time (ms).
     pub fn process_clock_ms(&self, true_ms: f64) -> f64 {
         self.process_offset_ms + true_ms * self.clock_rate
     }
 
-    /// The host's clock at a true time.
+    /// The reading of the host's clock at a true time (ms).
     pub fn host_clock_ms(&self, true_ms: f64) -> f64 {
         self.host_offset_ms + true_ms * self.clock_rate
     }
 
-    /// The true time at which the process's clock reads `process_ms`.
+    /// The true time at which the process's clock reads `process_ms` (ms).
     fn true_ms(&self, process_ms: f64) -> f64 {
         (process_ms - self.process_offset_ms) / self.clock_rate
     }
 
-    /// How long a span of the host's clock truly lasts (ms).
+    /// The true duration of a span of the host's clock (ms).
     pub fn true_span_ms(&self, host_span_ms: f64) -> f64 {
         host_span_ms / self.clock_rate
     }
@@ -134,17 +134,17 @@
             .is_some_and(|restart_at_ms| now_ms >= restart_at_ms)
     }
 
-    /// Sets when the process is started next.
+    /// Sets the time of the process's next start (true ms).
     pub fn start_at(&mut self, at_ms: f64) {
         self.restart_at_ms = Some(at_ms);
     }
 
-    /// Moves the process's clock: a new process reads another clock, and does not know what the one before read.
+    /// Shifts the process's clock. A restarted process has a clock unrelated to that of its predecessor.
     pub fn shift_process_clock(&mut self, shift_ms: f64) {
         self.process_offset_ms += shift_ms;
     }
 
-    /// Starts a process around `fleet`.
+    /// Starts a process with this fleet node.
     pub fn start(&mut self, fleet: FleetNode, now_ms: f64) {
         self.fleet = Some(fleet);
         self.restart_at_ms = None;
@@ -156,20 +156,20 @@
         self.queued_datagrams.clear();
     }
 
-    /// Ends the process, which is started again at `restart_at_ms`.
+    /// Stops the process and schedules its restart at `restart_at_ms`.
     pub fn stop(&mut self, restart_at_ms: f64) {
         self.fleet = None;
         self.restart_at_ms = Some(restart_at_ms);
     }
 
-    /// Ends the process, which is started again on another version under a restart lease.
+    /// Stops the process and schedules its restart on another version under a restart lease.
     pub fn restart_on(&mut self, version: u32, lease: u64, restart_at_ms: f64) {
         self.version = version;
         self.lease_at_start = lease;
         self.stop(restart_at_ms);
     }
 
-    /// Stalls the process until a time.
+    /// Stalls the process until `until_ms`.
     pub fn stall(&mut self, until_ms: f64) {
         self.stalled_until_ms = until_ms;
     }
@@ -193,8 +193,8 @@
         }
     }
 
-    /// Lets the process work, where it runs, is not stalled and has something due. `load`: the requests that it answers
-    /// meanwhile.
+    /// Polls the process if it runs, is not stalled and is due. `load`: the load under which it has run since its last
+    /// poll.
     pub fn poll(&mut self, load: RequestLoad, environment: &mut Environment) {
         let now_ms = environment.now_ms;
         if now_ms < self.stalled_until_ms || now_ms < self.next_poll_ms {
@@ -216,7 +216,7 @@
         self.send_due_datagrams(process_ms, environment);
     }
 
-    /// Counts the requests that the member has answered since it was polled last.
+    /// Draws and counts the requests that the member has answered since its last poll.
     fn serve_requests(&mut self, load: RequestLoad, rng: &mut Pcg32) {
         let requests_per_poll = load.requests_per_s * REQUEST_INTERVAL_S;
         if requests_per_poll > 0.0 && rng.random::<f64>() < BURST_PROBABILITY {
@@ -253,7 +253,7 @@
         self.send_all(datagrams, environment);
     }
 
-    /// Announces to the other members that this one leaves, where its process runs.
+    /// Announces the member's departure to the other members, if its process runs.
     pub fn leave(&mut self, environment: &mut Environment) {
         let process_ms = self.process_clock_ms(environment.now_ms);
         let Some(fleet) = &mut self.fleet else {
@@ -271,7 +271,7 @@
     }
 }
 
-/// Everything that a member sends at a time of its process's clock.
+/// All datagrams that a member sends when its process's clock reads `process_ms`.
 fn due_datagrams(fleet: &mut FleetNode, process_ms: f64) -> Vec<(SocketAddr, Vec<u8>)> {
     let mut datagrams = Vec::new();
     while let Some(FleetAction::Send { to, datagram }) = fleet.poll(process_ms) {
--- a/crates/testbed/src/fleet/virtual_fleet/members.rs
+++ b/crates/testbed/src/fleet/virtual_fleet/members.rs
@@ -1,4 +1,4 @@
-//! All members of the virtual fleet, and the definition and versions that they run with.
+//! All members of the virtual fleet, with their fleet definition and the quality of their versions.
 
 use super::environment::Environment;
 use super::member::{Member, RequestLoad};
@@ -9,24 +9,24 @@
 use tansymux_coordination::QuorumNode;
 use tansymux_rollout::{FleetNode, RolloutConfig};
 
-/// Engine ids start here, so that they differ from any other number.
+/// Id of the first engine, chosen so that engine ids differ from every other number.
 pub(super) const FIRST_ENGINE_ID: u64 = 1000;
-/// Cores of each engine, as members know them.
+/// Number of cores of each engine, as members know it.
 const ENGINE_CAPACITY: f64 = 8.0;
-/// Zones over which engines are spread in turn.
+/// Number of zones, to which engines are assigned round-robin.
 const ENGINE_ZONES: usize = 2;
 
-/// The members, and what their processes are started with.
+/// The members, and the definition with which their processes start.
 pub(super) struct Members {
     members: Vec<Member>,
     definition: RolloutConfig,
     quality: VersionQuality,
-    /// When the release begins (true ms).
+    /// Start of the release (true ms).
     release_at_ms: f64,
 }
 
 impl Members {
-    /// Members of which none runs yet.
+    /// A set of members, none of which runs yet.
     pub fn new(
         members: Vec<Member>,
         definition: RolloutConfig,
@@ -56,22 +56,22 @@
         &self.members[index]
     }
 
-    /// The same, for changes.
+    /// Mutable access to the member at an index.
     pub fn member_mut(&mut self, index: usize) -> &mut Member {
         &mut self.members[index]
     }
 
-    /// The index of the member that leads, where one does.
+    /// The index of the member that leads, if any.
     pub fn leader(&self) -> Option<usize> {
         self.members.iter().position(Member::is_leader)
     }
 
-    /// The quorum state of the member that leads, where one does.
+    /// The quorum state of the member that leads, if any.
     pub fn leader_quorum(&self) -> Option<&QuorumNode> {
         self.members[self.leader()?].fleet()?.quorum()
     }
 
-    /// Members that run a version.
+    /// Number of running members on a version.
     pub fn running_count(&self, version: u32) -> usize {
         self.members
             .iter()
@@ -79,7 +79,7 @@
             .count()
     }
 
-    /// Starts members whose time has come, and lets all of them work.
+    /// Starts members whose start is due, and polls all members.
     pub fn poll(&mut self, environment: &mut Environment) {
         for index in 0..self.members.len() {
             if self.members[index].is_start_due(environment.now_ms) {
@@ -103,7 +103,7 @@
         member.start(fleet, environment.now_ms);
     }
 
-    /// The requests that a member gets, and how well its version answers them now.
+    /// The request rate of a member, and the success rate of its version at `now_ms`.
     fn load_of(&self, index: usize, now_ms: f64) -> RequestLoad {
         let since_release_ms = now_ms - self.release_at_ms;
         let is_degraded = self.members[index].version() == NEW_VERSION
@@ -118,7 +118,7 @@
         }
     }
 
-    /// All members read a definition with another limit of dispatchers out.
+    /// Changes the limit on dispatchers out in the definition of all members.
     pub fn change_limit(&mut self, max_out: usize) {
         self.definition.dispatchers.fleet = limit_of(max_out);
         for member in &mut self.members {
--- a/crates/testbed/src/fleet/virtual_fleet/mod.rs
+++ b/crates/testbed/src/fleet/virtual_fleet/mod.rs
@@ -1,9 +1,9 @@
-//! A fleet of dispatchers in virtual time, around the same `tansymux_rollout::FleetNode` that the program drives.
+//! A fleet of dispatchers in virtual time, around the same `tansymux_rollout::FleetNode` that the program uses.
 //!
-//! Owns: the true clock and the network (`environment`), every member's own clock and process state (`members`), the
+//! It owns true time and the network (`environment`), each member's clock and process state (`members`), the
 //! supervisors that restart dispatchers under a lease (`supervisors`) and the operators that issue commands
-//! (`operators`). It checks the limits at every step against what its own supervisors did, never against what a member
-//! reports.
+//! (`operators`). At every step it checks the limits against the actions of its own supervisors and operators, never
+//! against members' reports.
 //!
 //! Start reading at [`VirtualFleet::run_until`].
 
@@ -45,21 +45,22 @@
 const OLD_VERSION: u32 = 1;
 /// The version that the release installs.
 const NEW_VERSION: u32 = 2;
-/// Time for members to join and elect a leader before the release begins (ms), in addition to the voters' quarantine.
+/// Time for members to join and elect a leader before the release starts (ms), in addition to the voters' quarantine.
 const SETTLING_MS: f64 = 20_000.0;
-/// Factor on the voters' quarantine, whose length they measure by clocks that may be slow.
+/// Factor on the duration of the voters' quarantine, which they measure by clocks that may be slow.
 const QUARANTINE_MARGIN: f64 = 1.05;
 
-/// How well each version answers requests, and under which load: what the release's comparison sees.
+/// The success rate of each version and the load, from which the release compares the versions.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct VersionQuality {
-    /// Fraction of requests that the old version answers well.
+    /// Fraction of requests that succeed on the old version.
     pub old_success: f64,
-    /// The same of the new version, once it is degraded.
+    /// Fraction of requests that succeed on the new version, once it is degraded.
     pub new_success: f64,
-    /// Requests a second to each member.
+    /// Requests per second to each member.
     pub requests_per_s: f64,
-    /// Until then (ms after the release's begin) the new version is as good as the old one.
+    /// Time from which the new version is degraded (ms after the start of the release). Before, it is as good as the
+    /// old version.
     pub degraded_after_ms: f64,
 }
 
@@ -77,7 +78,7 @@
     supervisors: Supervisors,
     operators: Operators,
     limits: LimitsInForce,
-    /// When the release begins (true ms).
+    /// Start of the release (true ms).
     release_at_ms: f64,
     /// The number of the last halt that an operator requested.
     last_halt: Option<u32>,
@@ -86,7 +87,7 @@
     operators_resume: bool,
 }
 
-/// Whether a scenario makes links worse than good ones.
+/// Whether a scenario sets any link conditions other than `GOOD`.
 fn has_lossy_links(scenario: &Scenario) -> bool {
     scenario
         .events
@@ -117,22 +118,22 @@
         }
     }
 
-    /// Supervisors restart without a lease: the fleet without coordination, for comparison.
+    /// Sets whether supervisors restart dispatchers without a lease, for comparison.
     pub fn set_uncoordinated(&mut self, is_uncoordinated: bool) {
         self.supervisors.set_uncoordinated(is_uncoordinated);
     }
 
-    /// Whether operators resume a halted release once the faults are over; they do unless this says otherwise.
+    /// Sets whether operators resume a halted release once the faults are over. By default they do.
     pub fn set_operators_resume(&mut self, operators_resume: bool) {
         self.operators_resume = operators_resume;
     }
 
-    /// Another release is requested at this member at the same time as the scenario's own.
+    /// Requests a second release at member `at`, at the same time as the scenario's release.
     pub fn request_second_release(&mut self, at: usize, number: u32) {
         self.second_release = Some(SecondRelease { at, number });
     }
 
-    /// All but the first members start only this long after the release's begin (ms).
+    /// Delays the start of all but the first `first` members until `after_ms` after the start of the release.
     pub fn start_late(&mut self, first: usize, after_ms: f64) {
         let start_ms = self.release_at_ms + after_ms;
         for index in first..self.members.len() {
@@ -140,38 +141,38 @@
         }
     }
 
-    /// These members crash shortly before the release, for good.
+    /// Makes these members crash shortly before the release, without a restart.
     pub fn crash_before_release(&mut self, members: &[usize]) {
         self.crash_before_release = members.to_vec();
     }
 
-    /// What was observed up to now.
+    /// The observations up to now.
     pub fn report(&self) -> &FleetReport {
         &self.environment.report
     }
 
-    /// Answers that operators got, in their order.
+    /// Answers that operators received, in order.
     pub fn answers(&self) -> &[Answer] {
         self.operators.answers()
     }
 
-    /// Number of times that a supervisor stopped waiting for a lease.
+    /// Number of times that a supervisor's wait for a lease timed out.
     pub fn abandoned_waits(&self) -> usize {
         self.supervisors.abandoned_waits()
     }
 
-    /// What members know, as text for the analysis of a failed run.
+    /// Text that describes the members' state, for the analysis of a failed run.
     pub fn diagnostics(&self) -> String {
         diagnostics::describe(&self.members, self.environment.now_ms)
     }
 
-    /// Members that run the wanted version.
+    /// Number of members that run the version that supervisors want.
     pub fn released_count(&self) -> usize {
         self.members
             .running_count(self.supervisors.wanted_version())
     }
 
-    /// The release's phase as the leader knows it.
+    /// The stage of the release as the leader knows it.
     pub fn stage(&self) -> Option<ReleaseStage> {
         let quorum = self.members.leader_quorum()?;
         tansymux_rollout::active_release(quorum).map(|release| release.stage)
@@ -183,7 +184,7 @@
         tansymux_rollout::active_halt(quorum).map(|halt| halt.reason)
     }
 
-    /// An operator issues a command at a member.
+    /// Issues an operator's command at a member.
     fn issue_command(&mut self, at: usize, command: Command) {
         if matches!(command, Command::Resume { .. } | Command::RollBack { .. }) {
             self.limits.lift_halt();
@@ -192,7 +193,8 @@
             .issue(at, command, None, &self.members, &mut self.environment);
     }
 
-    /// One step of the true clock: datagrams arrive, then members, operators and supervisors run, and limits are checked.
+    /// Advances true time by one step: delivers datagrams, polls members, operators and supervisors, and checks the
+    /// limits.
     fn step(&mut self) {
         self.environment.now_ms += STEP_MS;
         self.deliver_due_datagrams();
@@ -206,8 +208,8 @@
         report.record_drained(self.operators.count_drained());
     }
 
-    /// Delivers all datagrams that are due. Supervisors and operators run on their host's clock, also while the process
-    /// is down.
+    /// Delivers all datagrams that are due. Supervisors and operators use their host's clock, and receive datagrams
+    /// also while the host's dispatcher is down.
     fn deliver_due_datagrams(&mut self) {
         let now_ms = self.environment.now_ms;
         for datagram in self.environment.network.take_arrived(now_ms) {
--- a/crates/testbed/src/fleet/virtual_fleet/network.rs
+++ b/crates/testbed/src/fleet/virtual_fleet/network.rs
@@ -7,7 +7,7 @@
 
 /// Delay of a datagram that stays on its host (ms).
 const LOCAL_DELAY_MS: f64 = 1.0;
-/// Keys that a datagram reserves for its copies; no two copies may have the same key.
+/// Number of keys that a datagram reserves for its copies. Each copy needs a unique key.
 const KEYS_PER_DATAGRAM: u64 = 4;
 
 /// A datagram in flight.
@@ -19,7 +19,7 @@
     pub bytes: Vec<u8>,
 }
 
-/// When a datagram arrives (true microseconds), and its number, which orders those of one instant.
+/// Arrival time of a datagram (true microseconds), and its unique key, which orders datagrams of the same time.
 type ArrivalKey = (u64, u64);
 
 /// A cut between some members and the others.
@@ -52,7 +52,7 @@
 }
 
 impl Network {
-    /// Sets what all links do from now on.
+    /// Sets the conditions of all links.
     pub fn set_conditions(&mut self, conditions: LinkConditions) {
         self.conditions = conditions;
     }
@@ -65,24 +65,25 @@
         });
     }
 
-    /// Ends the cut, if there is one.
+    /// Ends the cut, if any.
     pub fn heal(&mut self) {
         self.partition = None;
     }
 
-    /// Bytes that members have sent to other hosts.
+    /// Number of bytes that members have sent to other hosts.
     pub fn bytes_sent(&self) -> u64 {
         self.bytes_sent
     }
 
-    /// Sends a datagram to a port of the host that it comes from.
+    /// Sends a datagram to a port on the sender's host.
     pub fn send_locally(&mut self, datagram: Datagram, now_ms: f64) {
         let key = self.reserve_keys();
         self.in_flight
             .insert((arrival_us(now_ms + LOCAL_DELAY_MS), key), datagram);
     }
 
-    /// Sends a datagram's copies to another host, each with a delay drawn from `rng`; a late copy takes `late_ms`.
+    /// Sends a datagram's copies to another host, each with a delay drawn from `rng`. A late copy is delayed by
+    /// `late_ms`.
     pub fn send(
         &mut self,
         from: usize,
--- a/crates/testbed/src/fleet/virtual_fleet/operators.rs
+++ b/crates/testbed/src/fleet/virtual_fleet/operators.rs
@@ -1,4 +1,4 @@
-//! Operators that issue commands at members, and what they do once they are answered.
+//! Operators that issue commands at members and act on the answers.
 
 use super::environment::Environment;
 use super::limits::LimitsInForce;
@@ -13,7 +13,7 @@
     /// The member at which the command is issued.
     at: usize,
     client: FleetClient,
-    /// The engine that is drained once the answer allows it.
+    /// The engine to drain once the command is granted.
     engine_to_drain: Option<usize>,
     is_halt: bool,
     answer_recorded: bool,
@@ -28,7 +28,7 @@
 }
 
 impl Operators {
-    /// No operator yet, and no engine drained.
+    /// No operators, and no engine drained.
     pub fn new(engines: usize) -> Self {
         Operators {
             operators: Vec::new(),
@@ -37,23 +37,22 @@
         }
     }
 
-    /// Answers that operators got, in their order.
+    /// Answers that operators received, in order.
     pub fn answers(&self) -> &[Answer] {
         &self.answers
     }
 
-    /// Engines that are drained now.
+    /// Number of engines that are drained now.
     pub fn count_drained(&self) -> usize {
         self.drained.iter().filter(|drained| **drained).count()
     }
 
-    /// Takes an engine into service again.
+    /// Returns an engine to service.
     pub fn undrain(&mut self, engine: usize) {
         self.drained[engine] = false;
     }
 
-    /// An operator issues a command at a member. `engine_to_drain`: the engine that is drained once the command is
-    /// granted.
+    /// Issues an operator's command at a member. `engine_to_drain`: the engine to drain once the command is granted.
     pub fn issue(
         &mut self,
         at: usize,
@@ -80,7 +79,7 @@
         }
     }
 
-    /// Lets all operators act.
+    /// Polls all operators: sends their datagrams and acts on their answers.
     pub fn poll(
         &mut self,
         members: &Members,
@@ -111,7 +110,7 @@
             }
             self.answers.push(answer);
         }
-        // Only what an answer allows is done: without an answer the engine is not drained.
+        // An engine is drained only after an answer that grants it. Without an answer it stays in service.
         if answer == Answer::Done {
             if let Some(engine) = operator.engine_to_drain.take() {
                 self.drained[engine] = true;
--- a/crates/testbed/src/fleet/virtual_fleet/run.rs
+++ b/crates/testbed/src/fleet/virtual_fleet/run.rs
@@ -1,4 +1,4 @@
-//! Running a scenario: before the release, through its faults, and until its end.
+//! Runs a scenario: the time before the release, the release with its faults, and the checks at the end.
 
 use super::settings::member_id;
 use super::{VirtualFleet, NEW_VERSION, OLD_VERSION, RELEASE_NUMBER, STEP_MS};
@@ -7,17 +7,17 @@
 use tansymux_coordination::ReleaseStage;
 use tansymux_rollout::message::{Answer, Command};
 
-/// How long before the release members of `crash_before_release` crash (ms).
+/// Time before the release at which the members in `crash_before_release` crash (ms).
 const CRASH_LEAD_MS: f64 = 36_000.0;
-/// How long before its begin the release is requested (ms).
+/// Time before the start of the release at which it is requested (ms).
 const REQUEST_LEAD_MS: f64 = 2000.0;
-/// Operators do not check on a halted release before this long after the last fault (ms).
+/// Time after the last fault before operators start to check on the release (ms).
 const OPERATORS_RETURN_MS: f64 = 3000.0;
 /// Interval of the operators' checks on a release (ms).
 const OPERATOR_CHECK_MS: u64 = 5000;
-/// A run lasts at least this long after the last fault, also when all members are released (ms).
+/// Minimum duration of a run after the last fault, also if the release is complete (ms).
 const MIN_CALM_MS: f64 = 1000.0;
-/// Waiting supervisors that a failed run's message shows.
+/// Maximum number of waiting supervisors whose last answer a violation shows.
 const SHOWN_WAITING: usize = 5;
 
 impl VirtualFleet {
@@ -31,7 +31,7 @@
     pub fn run_until(&mut self, done: impl Fn(&VirtualFleet) -> bool) {
         self.prepare_release();
         let bytes_before = self.environment.network.bytes_sent();
-        let from_ms = self.environment.now_ms;
+        let start_ms = self.environment.now_ms;
         let mut events = self
             .environment
             .scenario
@@ -45,7 +45,7 @@
             }
             self.step();
             self.record_progress();
-            self.attend_release();
+            self.check_release();
             let report = &self.environment.report;
             let is_calm = self.since_release_ms() > report.last_fault_ms + MIN_CALM_MS
                 && events.peek().is_none();
@@ -54,9 +54,9 @@
             }
         }
         self.environment.report.released = self.released_count();
-        let lasted_s = (self.environment.now_ms - from_ms) / 1000.0;
+        let duration_s = (self.environment.now_ms - start_ms) / 1000.0;
         let bytes = self.environment.network.bytes_sent() - bytes_before;
-        self.environment.report.bytes_per_s = bytes as f64 / lasted_s / self.members.len() as f64;
+        self.environment.report.bytes_per_s = bytes as f64 / duration_s / self.members.len() as f64;
         self.check_completed_in_time();
     }
 
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Runs up to the release's begin, and requests the release.
+    /// Runs until the start of the release, and requests the release.
     fn prepare_release(&mut self) {
         self.step_until(self.release_at_ms - CRASH_LEAD_MS);
         for member in std::mem::take(&mut self.crash_before_release) {
@@ -98,7 +98,7 @@
         self.issue_command(0, command);
     }
 
-    /// Records when the release halted first and when it was complete.
+    /// Records the times of the release's first halt and of its completion.
     fn record_progress(&mut self) {
         let since_ms = self.since_release_ms();
         let is_halted = self.halt_reason().is_some();
@@ -117,9 +117,9 @@
             && (self.environment.now_ms as u64) % OPERATOR_CHECK_MS < STEP_MS as u64
     }
 
-    /// Once the faults are over, operators resume what the fleet halted on its own, and request the release again where
-    /// all members that knew of it have lost their memory.
-    fn attend_release(&mut self) {
+    /// Acts for the operators once the faults are over: resumes a release that the fleet halted by itself, and requests
+    /// the release again if all members that knew of it have lost their state.
+    fn check_release(&mut self) {
         let last_fault_ms = self.environment.report.last_fault_ms;
         let faults_over = self.since_release_ms() > last_fault_ms + OPERATORS_RETURN_MS;
         if !faults_over || !self.is_operator_check_due() {
@@ -131,7 +131,7 @@
         }
     }
 
-    /// An operator resumes the release where the leader reports that it is halted. Returns whether it is.
+    /// Resumes the release if the leader reports that it is halted. Returns whether it was halted.
     fn resume_if_halted(&mut self) -> bool {
         let halt = self
             .members
@@ -173,9 +173,9 @@
         self.environment.record_violation(description);
     }
 
-    /// Runs without further faults for a time (ms).
-    pub fn run_for(&mut self, lasts_ms: f64) {
-        let end_ms = self.environment.now_ms + lasts_ms;
+    /// Runs for `duration_ms` without further faults.
+    pub fn run_for(&mut self, duration_ms: f64) {
+        let end_ms = self.environment.now_ms + duration_ms;
         while self.environment.now_ms < end_ms {
             self.step();
             if self.is_operator_check_due() {
@@ -184,7 +184,7 @@
         }
     }
 
-    /// Requests the rollback. Returns whether all members run the old version again within that time (ms).
+    /// Requests the rollback. Returns whether it completes within `within_ms`, with all members on the old version.
     pub fn roll_back(&mut self, within_ms: f64) -> bool {
         self.inject(Fault::Back { at: 0 });
         let end_ms = self.environment.now_ms + within_ms;
@@ -199,7 +199,7 @@
         false
     }
 
-    /// Operators declare that these members do not come back, and resume what is halted because of them.
+    /// Issues commands that declare these members permanently lost, and resumes the release if it is halted.
     pub fn forget_members(&mut self, members: &[usize]) {
         for member in members {
             let id = member_id(*member);
--- a/crates/testbed/src/fleet/virtual_fleet/settings.rs
+++ b/crates/testbed/src/fleet/virtual_fleet/settings.rs
@@ -7,15 +7,15 @@
 use tansymux_membership::{member_id_of, Keys};
 use tansymux_rollout::{FleetConfig, RolloutConfig, RolloutPlan};
 
-/// Hosts in one subnet of the virtual fleet's addresses.
+/// Number of hosts in one subnet of the virtual fleet's addresses.
 const HOSTS_PER_SUBNET: usize = 250;
 /// The port on which a member receives datagrams of the fleet.
 const MEMBER_PORT: u16 = 7946;
 /// The port on which a member's supervisor receives answers.
 const SUPERVISOR_PORT: u16 = 9000;
-/// The first operator's port; the next one's is one higher.
+/// The first operator's port. Each further operator uses the next higher port.
 const FIRST_OPERATOR_PORT: u16 = 9100;
-/// The most members that each member's settings name to join by.
+/// Maximum number of join seeds in a member's settings.
 const MAX_JOIN_SEEDS: usize = 5;
 
 /// The name of a member.
@@ -35,7 +35,7 @@
     SocketAddr::from(([10, 0, subnet, host], MEMBER_PORT))
 }
 
-/// The member on whose host an address is.
+/// The index of the member on whose host an address is.
 pub(super) fn host_of(address: SocketAddr) -> Option<usize> {
     match address.ip() {
         IpAddr::V4(ip) => {
@@ -59,12 +59,12 @@
     )
 }
 
-/// Which operator listens at a port.
+/// The index of the operator that listens at a port.
 pub(super) fn operator_at(port: u16) -> usize {
     usize::from(port.saturating_sub(FIRST_OPERATOR_PORT))
 }
 
-/// The key that all datagrams of the fleet are authenticated with.
+/// The keys that authenticate all datagrams of the fleet.
 pub(super) fn keys() -> Keys {
     Keys {
         signing: Some([7; 16]),
@@ -72,7 +72,7 @@
     }
 }
 
-/// A disruption limit of `max` members or engines at a time.
+/// A disruption limit of `max` members or engines at the same time.
 pub(super) fn limit_of(max: usize) -> Limit {
     Limit {
         max_count: Some(max as u32),
@@ -80,7 +80,7 @@
     }
 }
 
-/// What the operators' file would define for a scenario.
+/// The rollout configuration that the operators' file would define for a scenario.
 pub fn fleet_definition(scenario: &Scenario) -> RolloutConfig {
     let bounds = |max: usize| DisruptionBudget {
         fleet: limit_of(max),
@@ -105,7 +105,7 @@
     }
 }
 
-/// Lease and clock bounds that a scenario's voters work with.
+/// The lease and clock bounds of a scenario's voters.
 pub fn coordination_settings(scenario: &Scenario) -> QuorumConfig {
     QuorumConfig {
         leader_lease_ms: 2000.0,
@@ -116,7 +116,7 @@
     }
 }
 
-/// The settings that a member is started with. `lease`: the restart lease under which it is started.
+/// The settings with which a member is started. `lease`: the restart lease under which it is started.
 pub(super) fn member_settings(
     scenario: &Scenario,
     definition: &RolloutConfig,
--- a/crates/testbed/src/fleet/virtual_fleet/supervisors.rs
+++ b/crates/testbed/src/fleet/virtual_fleet/supervisors.rs
@@ -1,4 +1,4 @@
-//! Supervisors: each restarts its dispatcher on the wanted version, under a restart lease of the fleet.
+//! Supervisors: each restarts its dispatcher on the wanted version, under a restart lease granted by the fleet.
 
 use super::environment::Environment;
 use super::limits::LimitsInForce;
@@ -9,37 +9,38 @@
 use tansymux_rollout::message::Answer;
 use tansymux_rollout::{ClientAction, LeaseOutcome, LeaseRequest, RestartLease};
 
-/// How far a supervisor's clock may be off, as a fraction.
+/// Maximum rate error of a supervisor's clock, as a fraction.
 const MAX_CLOCK_SKEW: f64 = 0.02;
-/// How long a supervisor waits for a lease before it pauses (host's ms).
+/// Maximum wait of a supervisor for a lease before it pauses (ms of the host's clock).
 const MAX_LEASE_WAIT_MS: f64 = 20_000.0;
-/// How long a supervisor pauses after a wait without a lease (ms).
+/// Range of a supervisor's pause after a wait without a lease (ms).
 const PAUSE_MS: std::ops::Range<f64> = 500.0..2500.0;
-/// A prompt script begins its restart this long after the grant (ms).
+/// Delay of a prompt script between the grant and the restart (ms).
 const PROMPT_RESTART_MS: f64 = 300.0;
-/// Probability that a script is slow and begins at the very end of its lease.
+/// Probability that a restart script is slow and begins the restart shortly before its lease ends.
 const SLOW_SCRIPT_PROBABILITY: f64 = 0.2;
 /// Fraction of the lease after which a slow script begins its restart.
 const SLOW_SCRIPT_LEASE_FRACTION: f64 = 0.98;
-/// Probability that a process says goodbye to the other members before it ends.
-const ORDERLY_END_PROBABILITY: f64 = 0.8;
+/// Probability that a process announces its departure to the other members before it exits.
+const GRACEFUL_EXIT_PROBABILITY: f64 = 0.8;
 
-/// What a supervisor does at the moment.
+/// The state of a supervisor.
 enum Supervisor {
-    /// Waits until a time, and then for its dispatcher to be on another version than the wanted one.
+    /// Waits until `until_ms`, and then until its dispatcher runs a version other than the wanted one.
     Idle { until_ms: f64 },
+    /// Has requested a lease and waits for the fleet's answer.
     AwaitingLease {
         lease: Box<RestartLease>,
         since_ms: f64,
         version: u32,
     },
-    /// Holds a lease, and ends the process at a time within it.
+    /// Holds a lease, and restarts the process at `restart_ms`, which is within the lease.
     HoldsLease {
         restart_ms: f64,
         version: u32,
         lease: u64,
     },
-    /// The process is down, or starting on the new version.
+    /// The process is down, or starting on `version`.
     Restarting { version: u32 },
 }
 
@@ -79,7 +80,7 @@
         self.is_uncoordinated = is_uncoordinated;
     }
 
-    /// From now on supervisors restart members on the old version.
+    /// Makes supervisors restart members on the old version from now on.
     pub fn roll_back(&mut self) {
         self.is_rolling_back = true;
     }
@@ -93,12 +94,12 @@
         }
     }
 
-    /// Number of times that a supervisor stopped waiting for a lease.
+    /// Number of times that a supervisor's wait for a lease timed out.
     pub fn abandoned_waits(&self) -> usize {
         self.abandoned_waits
     }
 
-    /// Dispatchers that are out by a restart lease, whether they still run or not.
+    /// Number of dispatchers that are out under a restart lease, whether their process still runs or not.
     pub fn count_out(&self) -> usize {
         self.supervisors
             .iter()
@@ -106,14 +107,14 @@
             .count()
     }
 
-    /// The first member whose supervisor holds a lease and has not ended the process yet.
+    /// The first member whose supervisor holds a lease and has not stopped the process yet.
     pub fn first_holder(&self) -> Option<usize> {
         self.supervisors
             .iter()
             .position(|supervisor| matches!(supervisor, Supervisor::HoldsLease { .. }))
     }
 
-    /// The last answers that waiting supervisors got.
+    /// The last answer to each supervisor that waits for a lease.
     pub fn answers_to_waiting(&self) -> impl Iterator<Item = Answer> + '_ {
         self.supervisors
             .iter()
@@ -123,14 +124,14 @@
             })
     }
 
-    /// Delivers a datagram to a member's supervisor, where it waits for an answer.
+    /// Delivers a datagram to a member's supervisor, if it waits for an answer.
     pub fn deliver(&mut self, member: usize, bytes: &[u8], host_ms: f64) {
         if let Supervisor::AwaitingLease { lease, .. } = &mut self.supervisors[member] {
             lease.handle(bytes, host_ms);
         }
     }
 
-    /// Lets all supervisors act.
+    /// Polls all supervisors.
     pub fn poll(
         &mut self,
         members: &mut Members,
@@ -182,7 +183,7 @@
         }
     }
 
-    /// Requests a lease; without coordination, draws a time for the restart instead.
+    /// Requests a lease. In an uncoordinated run, draws a time for the restart instead.
     fn begin_restart(&mut self, index: usize, members: &Members, environment: &mut Environment) {
         let version = self.wanted_version();
         if self.is_uncoordinated {
@@ -264,7 +265,8 @@
     }
 }
 
-/// How long a script takes to begin the restart (true ms). A slow script begins at the very end of its lease.
+/// Draws the delay of a script between the grant and the restart (true ms). A slow script begins the restart shortly
+/// before its lease ends.
 fn draw_restart_delay_ms(lease_left_ms: f64, environment: &mut Environment) -> f64 {
     let latest_ms = lease_left_ms.max(0.0);
     if environment.rng.random_bool(SLOW_SCRIPT_PROBABILITY) {
@@ -274,7 +276,8 @@
     }
 }
 
-/// Ends the process, in most cases after a goodbye, and has it started on another version.
+/// Stops a member's process, in most cases after it has announced its departure, and schedules its start on another
+/// version.
 fn restart_member(
     index: usize,
     version: u32,
@@ -283,7 +286,7 @@
     environment: &mut Environment,
 ) {
     let member = members.member_mut(index);
-    if environment.rng.random_bool(ORDERLY_END_PROBABILITY) {
+    if environment.rng.random_bool(GRACEFUL_EXIT_PROBABILITY) {
         member.leave(environment);
     }
     let down_ms = environment.scenario.down * environment.rng.random_range(0.5..1.5);
--- a/crates/testbed/src/fleet/zones/mod.rs
+++ b/crates/testbed/src/fleet/zones/mod.rs
@@ -1,5 +1,5 @@
-//! A zone is cut and returns, on real processes, in three variants on the same seeds: the fleet evacuates it by agreement,
-//! each dispatcher decides alone, or zones have no meaning.
+//! Cuts a zone off and heals it, on real processes. Three variants run on the same seeds: the fleet evacuates the zone
+//! by agreement, each dispatcher decides alone, or dispatchers ignore zones.
 //!
 //! Start reading at [`compare`], then at [`run`].
 
@@ -22,31 +22,31 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Zones over which dispatchers and engines are spread in turn.
+/// Number of zones, to which dispatchers and engines are assigned round-robin.
 const ZONES: usize = 3;
 /// Mean work of a look-up on one core (ms).
 const WORK_MS: f64 = 40.0;
 /// Number of clients, each with one query at a time.
 const CLIENTS: usize = 64;
-/// Time until leaders are elected, members are known and engines are warm.
+/// Time before the run starts, for the election of leaders, the discovery of members and the warm-up of engines.
 const SETTLING: Duration = Duration::from_millis(6000);
 /// Interval at which a run is observed.
 const WATCH_INTERVAL: Duration = Duration::from_millis(30);
 /// Length of the phase after the cut that is reported separately (ms).
 const RETURN_PHASE_MS: f64 = 10_000.0;
-/// The peak load of a returning engine is taken within this time after the cut's end (ms).
+/// Time after the end of the cut in which the peak load of a returning engine is measured (ms).
 const PEAK_PHASE_MS: f64 = 3000.0;
-/// The largest valid sum of the shares of returning zones; sums of floats do not reach 1 exactly.
+/// Maximum valid sum of the shares of returning zones: 1, with a tolerance for floating-point error.
 const MAX_SHARE_SUM: f64 = 1.001;
 
 /// How dispatchers treat a zone that is cut.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Variant {
-    /// The fleet evacuates and restores it by agreement.
+    /// The fleet evacuates and restores the zone by agreement.
     Agreed,
     /// Each dispatcher decides alone.
     Alone,
-    /// Zones have no meaning.
+    /// Dispatchers ignore zones.
     Neither,
 }
 
@@ -55,22 +55,22 @@
 pub struct ZoneCutPlan {
     /// The seed of all random draws.
     pub seed: u64,
-    /// Number of dispatchers, spread over zones in turn.
+    /// Number of dispatchers, which are assigned to zones round-robin.
     pub dispatchers: usize,
-    /// Requests a second to all dispatchers together.
+    /// Queries per second to all dispatchers together.
     pub queries_per_s: f64,
-    /// When the cut begins (ms).
+    /// Start of the cut (ms after the start of the run).
     pub cut_at_ms: f64,
-    /// How long the cut lasts (ms).
+    /// Duration of the cut (ms).
     pub cut_for_ms: f64,
     /// Duration of the run after the cut (ms).
     pub after_ms: f64,
-    /// Loss between dispatchers, all the time.
+    /// Probability that a datagram between dispatchers is lost, for the whole run.
     pub loss: f64,
 }
 
 impl ZoneCutPlan {
-    /// A cut of seven seconds in a run of half a minute.
+    /// A cut of 7 s in a run of 35 s.
     pub fn short(seed: u64) -> Self {
         ZoneCutPlan {
             seed,
@@ -87,11 +87,11 @@
         self.cut_at_ms + self.cut_for_ms
     }
 
-    fn lasts_ms(&self) -> f64 {
+    fn duration_ms(&self) -> f64 {
         self.cut_at_ms + self.cut_for_ms + self.after_ms
     }
 
-    /// 0 before the cut, 1 during it, 2 in the first ten seconds after it, then 3.
+    /// The phase of the run: 0 before the cut, 1 during the cut, 2 in the first 10 s after the cut, then 3.
     fn phase(&self, at_ms: f64) -> usize {
         if at_ms < self.cut_at_ms {
             0
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Dispatchers outside the zone that is cut.
+    /// Indices of the dispatchers outside the zone that is cut.
     fn outside(&self) -> Vec<usize> {
         (0..self.dispatchers)
             .filter(|dispatcher| dispatcher % ZONES != 0)
@@ -112,28 +112,28 @@
     }
 }
 
-/// What was observed in a run.
+/// The observations of one run.
 #[derive(Debug, Clone, Default)]
 pub struct ZoneCutReport {
-    /// Queries answered within their objective, by phase.
+    /// Number of queries answered within their latency objective, by phase.
     pub in_time: [u64; 4],
-    /// Queries sent, by phase.
-    pub asked: [u64; 4],
-    /// The most threads on one engine of the zone in the three seconds after its return.
+    /// Number of queries sent, by phase.
+    pub sent: [u64; 4],
+    /// Maximum number of threads on one engine of the zone in the first 3 s after the end of the cut.
     pub peak_threads: f64,
-    /// When all dispatchers outside the zone had evacuated it (ms after the cut's begin).
+    /// Time at which all dispatchers outside the zone had evacuated it (ms after the start of the cut).
     pub evacuated_after_ms: Option<f64>,
-    /// When all dispatchers used the zone fully again (ms after the cut's end).
+    /// Time at which all dispatchers outside the zone used it fully again (ms after the end of the cut).
     pub restored_after_ms: Option<f64>,
-    /// The largest sum of the shares of returning zones.
+    /// Maximum sum of the shares of returning zones.
     pub max_share_sum: f64,
-    /// Queries without an answer.
+    /// Number of queries without an answer.
     pub unanswered: u64,
 }
 
 impl ZoneCutReport {
     fn record(&mut self, phase: usize, response: Option<&ClientResponse>) {
-        self.asked[phase] += 1;
+        self.sent[phase] += 1;
         match response {
             Some(response)
                 if response.status == 200 && response.latency_ms <= LATENCY_OBJECTIVE_MS =>
@@ -145,7 +145,7 @@
         }
     }
 
-    /// Whether the agreed variant failed to evacuate or restore the zone, exceeded its shares or left a query unanswered.
+    /// Whether the zone was not evacuated or not restored, the shares were too large, or a query had no answer.
     fn is_failed(&self) -> bool {
         self.evacuated_after_ms.is_none()
             || self.restored_after_ms.is_none()
@@ -154,7 +154,7 @@
     }
 
     fn line(&self, variant: Variant, seed: u64) -> String {
-        let in_time = |phase: usize| self.in_time[phase] as f64 / self.asked[phase].max(1) as f64;
+        let in_time = |phase: usize| self.in_time[phase] as f64 / self.sent[phase].max(1) as f64;
         let time = |at_ms: Option<f64>| {
             at_ms.map_or("-".into(), |at_ms| format!("{:.1} s", at_ms / 1000.0))
         };
@@ -174,7 +174,7 @@
     }
 }
 
-/// One run: the site, its clients and what is observed.
+/// One run: the site, the state shared by its clients, and the observations.
 struct ZoneCutRun<'a> {
     exe: &'a Path,
     variant: Variant,
@@ -194,8 +194,8 @@
         self.report.lock().expect("no holder panics")
     }
 
-    /// Sends queries to dispatchers outside the zone, so that work in the zone is work that the fleet placed there. The
-    /// first dispatchers get far more queries than the last ones.
+    /// Sends queries only to dispatchers outside the zone, so that all work in the zone was placed there from outside.
+    /// The first dispatchers get far more queries than the last ones.
     fn run_client(&self, number: usize) {
         let plan = &self.site.plan;
         let outside = plan.outside();
@@ -203,19 +203,19 @@
         let record = Record::default();
         let mean_pause_s = CLIENTS as f64 / plan.queries_per_s;
         while !self.over.load(Ordering::Relaxed) {
-            let lot: f64 = rng.random();
-            let dispatcher = outside[((lot * lot) * outside.len() as f64) as usize];
+            let draw: f64 = rng.random();
+            let dispatcher = outside[((draw * draw) * outside.len() as f64) as usize];
             let id = self.next_id.fetch_add(1, Ordering::Relaxed);
             let mut query = ClientQuery::new(id, "/invoke/look", "look", "select 1", MAX_WAIT_MS);
             query.cost = Some(WORK_MS);
-            let truth = QueryWork {
+            let work = QueryWork {
                 result: ResultShape::OneRow,
                 work: WORK_MS * rng.random_range(0.5..1.5),
                 threads: 1.0,
                 changes: false,
                 tables: 0,
             };
-            self.site.context.register(query.id(), truth);
+            self.site.context.register(query.id(), work);
             let phase = plan.phase(self.elapsed_ms());
             let response = send_query(self.site.listen_addresses[dispatcher], &query, &record);
             self.report().record(phase, response.as_ref());
@@ -229,7 +229,7 @@
         let plan = self.site.plan;
         let mut cut = false;
         let mut healed = false;
-        while self.elapsed_ms() < plan.lasts_ms() {
+        while self.elapsed_ms() < plan.duration_ms() {
             thread::sleep(WATCH_INTERVAL);
             let now_ms = self.elapsed_ms();
             if !cut && now_ms >= plan.cut_at_ms {
@@ -238,7 +238,7 @@
             }
             if cut && !healed && now_ms >= plan.heal_at_ms() {
                 healed = true;
-                // The engines return cold, and without the queries that ran on them.
+                // The engines return cold and without the queries that ran on them.
                 self.site.engines_inside().for_each(Engine::restart_cold);
                 self.site.set_cut(false);
             }
@@ -255,22 +255,24 @@
         self.over.store(true, Ordering::Relaxed);
     }
 
-    /// Records when all dispatchers outside have evacuated the zone, when all use it again, and the sum of shares.
+    /// Records the times at which all dispatchers outside have evacuated the zone and use it again, and the maximum sum
+    /// of shares.
     fn observe_agreement(&self, healed: bool, now_ms: f64) {
         let plan = &self.site.plan;
-        let known = self.report().clone();
+        let observed = self.report().clone();
         if !healed {
-            if known.evacuated_after_ms.is_none() && self.site.all_outside_count(1) {
+            if observed.evacuated_after_ms.is_none() && self.site.all_outside_report(1) {
                 let after_ms = self.elapsed_ms() - plan.cut_at_ms;
                 self.report().evacuated_after_ms = Some(after_ms);
             }
             return;
         }
-        if known.restored_after_ms.is_some() {
+        if observed.restored_after_ms.is_some() {
             return;
         }
-        let is_settled = known.evacuated_after_ms.is_some() && now_ms > plan.heal_at_ms() + 1000.0;
-        if is_settled && self.site.all_outside_count(0) {
+        let is_settled =
+            observed.evacuated_after_ms.is_some() && now_ms > plan.heal_at_ms() + 1000.0;
+        if is_settled && self.site.all_outside_report(0) {
             let after_ms = self.elapsed_ms() - plan.heal_at_ms();
             self.report().restored_after_ms = Some(after_ms);
         }
@@ -324,7 +326,7 @@
     text.lines().filter_map(shares_of).fold(0.0, f64::max)
 }
 
-/// Runs all variants on the same seeds. The outcome is failed where the agreed variant did not evacuate or restore the
+/// Runs all variants on the same seeds. The outcome is failed if the agreed variant did not evacuate or restore the
 /// zone, granted shares of more than 1 in total, or left a query without an answer.
 pub fn compare(
     exe: &Path,
--- a/crates/testbed/src/fleet/zones/site.rs
+++ b/crates/testbed/src/fleet/zones/site.rs
@@ -1,4 +1,4 @@
-//! Dispatchers, engines and the links between them, in zones of which one can be cut off.
+//! The dispatchers and engines of a run and the links between them, in zones of which one can be cut off.
 
 use super::{Variant, ZoneCutPlan, ZONES};
 use crate::engine::{Engine, EngineSpec, RunContext};
@@ -16,9 +16,9 @@
 use std::time::Duration;
 use tansymux::settings::keys;
 
-/// Number of engines, spread over the zones in turn.
+/// Number of engines, which are assigned to zones round-robin.
 const ENGINES: usize = 2 * ZONES;
-/// What each engine can do.
+/// Capacity and timing of each engine.
 const ENGINE_SPEC: EngineSpec = EngineSpec {
     cores: 8.0,
     max_threads_a_core: 16.0,
@@ -26,16 +26,16 @@
     cold_from: 0.25,
     warm_after_ms: 15_000.0,
 };
-/// Age of the engines when dispatchers start.
-const ENGINE_START: Duration = Duration::from_millis(10);
+/// Delay between the start of the engines and that of the dispatchers.
+const DISPATCHER_START_DELAY: Duration = Duration::from_millis(10);
 /// Delay of a late datagram between dispatchers (ms).
 const LATE_MS: f64 = 500.0;
-/// Longest delay of other datagrams between dispatchers (ms).
+/// Maximum delay of other datagrams between dispatchers (ms).
 const RELAY_DELAY_MS: f64 = 1.0;
-/// The most dispatchers that each dispatcher's file names to join by.
+/// Maximum number of join seeds in a dispatcher's file.
 const MAX_JOIN_SEEDS: usize = 3;
 
-/// The operators' file of a dispatcher.
+/// The text of a dispatcher's operators' file.
 fn operator_text(variant: Variant, dispatcher: usize, relay: &Relay) -> String {
     let zones = "halls { route { tier { hall: \"h0\" hall: \"h1\" hall: \"h2\" } } cut { quiet_s: 0.6 } climb { first: 0.1 over_s: 8 whole: 2 } }";
     let seeds: String = relay
@@ -73,7 +73,7 @@
     config
 }
 
-/// Starts a dispatcher with its operators' file, without waiting.
+/// Starts a dispatcher with its operators' file, without waiting until it is healthy.
 fn launch(exe: &Path, setup: &DispatcherSetup, operator_file: &TempFile) -> Program {
     let path = operator_file.0.display().to_string();
     let arguments = ["--operator", path.as_str()];
@@ -110,7 +110,7 @@
     pub fn start(exe: &Path, plan: ZoneCutPlan, variant: Variant) -> Self {
         let context = Arc::new(RunContext::default());
         let engines = setup::start_engines(ENGINES, ENGINE_SPEC, plan.seed * 100, &context);
-        thread::sleep(ENGINE_START);
+        thread::sleep(DISPATCHER_START_DELAY);
         let relay = start_relay(&plan);
         let engine_links = start_engine_links(plan.dispatchers, &engines);
         let listen_addresses: Vec<SocketAddr> =
@@ -148,7 +148,7 @@
         }
     }
 
-    /// Cuts the first zone off from the others, or heals it: links to engines and links between dispatchers.
+    /// Cuts or heals all links between the first zone and the others, both to engines and between dispatchers.
     pub fn set_cut(&self, cut: bool) {
         for (dispatcher, links) in self.engine_links.iter().enumerate() {
             for (engine, link) in links.iter().enumerate() {
@@ -172,8 +172,8 @@
         self.engines.iter().step_by(ZONES)
     }
 
-    /// Whether all dispatchers outside the zone count `evacuated` zones as evacuated.
-    pub fn all_outside_count(&self, evacuated: u64) -> bool {
+    /// Whether all dispatchers outside the cut zone report that `evacuated` zones are evacuated.
+    pub fn all_outside_report(&self, evacuated: u64) -> bool {
         self.plan.outside().iter().all(|dispatcher| {
             self.programs[*dispatcher].counter("fleet_zones_out") == Some(evacuated)
         })
--- a/crates/testbed/tests/fleet.rs
+++ b/crates/testbed/tests/fleet.rs
@@ -1,5 +1,5 @@
-//! Fleets in virtual time: the hard cases of turns, drains and releases. Clocks run up to 1% apart in all of them, and
-//! another one is read after each restart.
+//! Fleets in virtual time: restart leases, drains and releases under faults. In all tests the rates of the members'
+//! clocks differ by up to 1%, and a restarted process has a different clock.
 
 use tansymux_coordination::disruption_budget::HaltReason;
 use tansymux_coordination::ReleaseStage;
@@ -8,7 +8,7 @@
 use tansymux_testbed::fleet::virtual_fleet::{fleet_definition, VersionQuality, VirtualFleet};
 use tansymux_testbed::fleet::{run_seeds, RunOptions, RunsOutcome};
 
-fn holds(seeds: std::ops::Range<u64>, scenario: impl Fn(u64) -> Scenario + Sync) {
+fn assert_runs_pass(seeds: std::ops::Range<u64>, scenario: impl Fn(u64) -> Scenario + Sync) {
     let outcome = run_seeds(seeds, scenario, RunOptions::default());
     assert!(!outcome.failed, "{}", outcome.table);
 }
@@ -21,26 +21,26 @@
 #[test]
 fn a_release_without_faults_completes_within_the_limit() {
     for members in [1, 3, 7, 30] {
-        holds(1..4, |seed| Scenario::calm(seed, members));
+        assert_runs_pass(1..4, |seed| Scenario::calm(seed, members));
     }
 }
 
 #[test]
 fn a_release_under_mixed_faults_completes_within_the_limit() {
-    holds(0..150, |seed| Scenario::mixed(seed, 5));
-    holds(0..60, |seed| Scenario::mixed(seed, 12));
+    assert_runs_pass(0..150, |seed| Scenario::mixed(seed, 5));
+    assert_runs_pass(0..60, |seed| Scenario::mixed(seed, 12));
 }
 
 #[test]
 fn each_named_scenario_passes_in_virtual_time() {
     for name in NAMES {
-        holds(0..40, |seed| Scenario::named(name, seed).unwrap());
+        assert_runs_pass(0..40, |seed| Scenario::named(name, seed).unwrap());
     }
 }
 
 #[test]
 fn a_release_completes_on_links_that_lose_duplicate_reorder_and_delay() {
-    holds(0..40, |seed| Scenario {
+    assert_runs_pass(0..40, |seed| Scenario {
         events: vec![Event {
             at: 0.0,
             what: Fault::Links(LinkConditions::BAD),
@@ -51,7 +51,7 @@
 
 #[test]
 fn without_coordination_the_same_scenario_exceeds_the_limit() {
-    // That the check above can fail.
+    // Proves that the check in `assert_runs_pass` can fail.
     let uncoordinated = RunOptions {
         uncoordinated: true,
         ..RunOptions::default()
@@ -69,12 +69,12 @@
     let running = fleet
         .answers()
         .iter()
-        .filter(|a| matches!(a, Answer::ReleaseInProgress { .. }))
+        .filter(|answer| matches!(answer, Answer::ReleaseInProgress { .. }))
         .count();
     let done = fleet
         .answers()
         .iter()
-        .filter(|a| matches!(a, Answer::Done))
+        .filter(|answer| matches!(answer, Answer::Done))
         .count();
     assert!(running == 1 && done >= 1, "{:?}", fleet.answers());
 }
@@ -124,7 +124,7 @@
 
 #[test]
 fn a_limit_lowered_below_the_members_out_grants_no_lease_and_revokes_none() {
-    holds(0..30, |seed| Scenario {
+    assert_runs_pass(0..30, |seed| Scenario {
         max_out: 4,
         events: vec![Event {
             at: 2500.0,
@@ -134,19 +134,20 @@
     });
 }
 
-/// A release whose new version is degraded from then on (ms after its begin), under this load.
-fn degraded(
+/// A release to a version that is degraded from `degraded_after_ms` after the start of the release, under a load of
+/// `requests_per_s` to each member.
+fn degraded_release(
     seed: u64,
     requests_per_s: f64,
     new_success: f64,
     degraded_after_ms: f64,
-    goes_on_untold: bool,
+    continue_if_inconclusive: bool,
 ) -> VirtualFleet {
     let mut scenario = Scenario::calm(seed, 10);
     scenario.done_within = 0.0;
     scenario.lasts = 120_000.0;
     let mut definition = fleet_definition(&scenario);
-    definition.plan.continue_if_inconclusive = goes_on_untold;
+    definition.plan.continue_if_inconclusive = continue_if_inconclusive;
     definition.plan.canary_observation_ms = 14_000.0;
     let quality = VersionQuality {
         old_success: 0.98,
@@ -162,7 +163,7 @@
 #[test]
 fn a_bad_canary_halts_the_release_and_a_rollback_restores_all_members() {
     for seed in 0..5 {
-        let mut fleet = degraded(seed, 40.0, 0.7, 0.0, true);
+        let mut fleet = degraded_release(seed, 40.0, 0.7, 0.0, true);
         fleet.run_until(|fleet| fleet.halt_reason().is_some());
         assert_eq!(
             fleet.halt_reason(),
@@ -184,8 +185,8 @@
 #[test]
 fn a_version_that_is_bad_only_under_load_is_halted_in_its_waves() {
     for seed in 0..5 {
-        // It is good while the first few are looked at, and bad once the load has come.
-        let mut fleet = degraded(seed, 40.0, 0.7, 35_000.0, true);
+        // The version is good while the canaries are observed, and degraded once the load has come, during the waves.
+        let mut fleet = degraded_release(seed, 40.0, 0.7, 35_000.0, true);
         fleet.run_until(|fleet| fleet.halt_reason().is_some());
         assert_eq!(
             fleet.halt_reason(),
@@ -199,23 +200,23 @@
 
 #[test]
 fn a_good_version_is_not_halted() {
-    let worse_ones = (0..20).filter(|seed| {
-        let mut fleet = degraded(*seed, 40.0, 0.98, 0.0, true);
+    let halted_runs = (0..20).filter(|seed| {
+        let mut fleet = degraded_release(*seed, 40.0, 0.98, 0.0, true);
         fleet.run_until(|_| false);
         fleet.halt_reason().is_some()
     });
-    assert!(worse_ones.count() <= 1);
+    assert!(halted_runs.count() <= 1);
 }
 
 #[test]
 fn canaries_with_too_few_requests_halt_the_release_unless_it_may_proceed_undecided() {
-    let mut fleet = degraded(1, 0.0, 0.5, 0.0, false);
+    let mut fleet = degraded_release(1, 0.0, 0.5, 0.0, false);
     fleet.run_until(|fleet| fleet.halt_reason().is_some());
     assert_eq!(
         (fleet.halt_reason(), fleet.stage()),
         (Some(HaltReason::Inconclusive), Some(ReleaseStage::Canaries))
     );
-    let mut fleet = degraded(1, 0.0, 0.5, 0.0, true);
+    let mut fleet = degraded_release(1, 0.0, 0.5, 0.0, true);
     fleet.run_until(|fleet| fleet.stage() == Some(ReleaseStage::Waves));
     assert_eq!(
         (fleet.halt_reason(), fleet.stage()),
@@ -271,7 +272,7 @@
     let mut fleet = virtual_fleet(scenario);
     fleet.crash_before_release(&[1, 2, 3]);
     fleet.run_until(|_| false);
-    // Three are lost and the limit is one: the last one has no turn.
+    // Three members are lost and one may be out, so the last member is granted no restart lease.
     assert!(
         fleet.report().released == 0 && fleet.report().max_out <= 1,
         "{}",
--- a/crates/testbed/tests/written_forms.rs
+++ b/crates/testbed/tests/written_forms.rs
@@ -1,11 +1,12 @@
-//! Written files keep their keys: scenarios and records that an earlier version wrote are read, and written the same.
+//! Stored files keep their keys: scenarios and records that an earlier version wrote are read and written unchanged.
 
 use tansymux_testbed::fleet::scenario::Scenario;
 use tansymux_testbed::record::Entry;
 
-/// Written by the version before the fields were renamed.
+/// A scenario file written before the scenario's fields were renamed in the code.
 const SCENARIO: &str = r#"{"name":"calm","seed":3,"members":7,"voters":3,"halls":2,"engines":8,"most":1,"most_engines":2,"turn":12000.0,"down":1500.0,"late":10000.0,"events":[],"done_within":214000.0,"lasts":314000.0}"#;
 
+/// Record entries as an earlier version wrote them.
 const ENTRIES: [&str; 10] = [
     r#"{"at":1.0,"what":"asked","id":"1","class":"look","wait":1000.0,"key":"k"}"#,
     r#"{"at":1.0,"what":"answered","id":"1","status":429,"retry_after":20.0}"#,
