--- a/crates/adapter/src/batch.rs
+++ b/crates/adapter/src/batch.rs
@@ -1,4 +1,4 @@
-//! The lines of a batch: endpoint lists, which events refer to by slot, and events, by dispatcher.
+//! Reads the lines of a batch: stores endpoint lists by slot, and groups events by dispatcher.
 
 use crate::error::{InputError, LineError};
 use crate::fields::{parse_number, to_millis, Fields};
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use std::str::Lines;
 
-/// Number of slots for endpoint lists, by the protocol.
+/// Number of slots for endpoint lists that the protocol defines.
 const LIST_SLOTS: usize = 16;
 /// Number of fields of an update: dispatcher, kind, revision and slot.
 const MAX_UPDATE_FIELDS: usize = 4;
@@ -26,11 +26,11 @@
     pub first_line: usize,
 }
 
-/// The endpoint lists by slot. They are kept from batch to batch.
+/// The endpoint lists by slot. They persist across batches.
 #[derive(Default)]
 pub struct EndpointLists([Option<Rc<EndpointList>>; LIST_SLOTS]);
 
-/// An event of a dispatcher, whose fields are not yet parsed.
+/// An event for a dispatcher, whose fields are not yet parsed.
 pub struct Event<'a> {
     /// The event's line in the batch, counted from 0.
     pub line: usize,
@@ -42,7 +42,7 @@
     pub endpoint_list: Option<Rc<EndpointList>>,
 }
 
-/// The events of a batch by dispatcher, each dispatcher's in order.
+/// The events of a batch, grouped by dispatcher and in order within each group.
 #[derive(Default)]
 pub struct Events<'a> {
     by_dispatcher: BTreeMap<u64, Vec<Event<'a>>>,
@@ -102,7 +102,7 @@
     Ok(events)
 }
 
-/// Reads an event's dispatcher, and finds the endpoint list that the event refers to.
+/// Reads the dispatcher of an event, and looks up the endpoint list that the event refers to.
 fn read_event<'a>(
     line: usize,
     token: &str,
@@ -112,7 +112,7 @@
     let kind = EventKind::parse(token)?;
     let dispatcher = parse_number(split_first(fields).0, field::DISPATCHER)?;
     let mut endpoint_list = None;
-    if kind == EventKind::Update {
+    if kind == EventKind::EndpointUpdate {
         let mut fields = Fields::new(fields, MAX_UPDATE_FIELDS);
         fields.required(field::DISPATCHER)?;
         let list_kind = fields.required(field::LIST_KIND)?;
@@ -130,13 +130,13 @@
     Ok((dispatcher, event))
 }
 
-/// A line's first word, and the rest of the line.
+/// Splits a line into its first word and the rest.
 fn split_first(text: &str) -> (&str, &str) {
     text.split_once(' ').unwrap_or((text, ""))
 }
 
 impl EndpointLists {
-    /// Reads an endpoint list with its entries, and stores it in its slot.
+    /// Reads the entries of an endpoint list, and stores the list in its slot.
     fn store(
         &mut self,
         line: usize,
@@ -169,7 +169,7 @@
     /// The endpoint list in a slot.
     fn find(&self, slot: usize) -> Result<Rc<EndpointList>, LineError> {
         let list = self.0.get(slot).and_then(Clone::clone);
-        list.ok_or(LineError::NoList { slot })
+        list.ok_or(LineError::EmptyListSlot { slot })
     }
 }
 
--- a/crates/adapter/src/decode.rs
+++ b/crates/adapter/src/decode.rs
@@ -1,12 +1,12 @@
-//! Decodes events of the wire into events of the decisions. Each kind has one function, which parses all fields before it
-//! calls the decisions.
+//! Decodes events of the wire into events of the admission controller. Each kind has one function, which parses all
+//! fields before it calls the admission controller.
 
 use crate::batch::{EndpointList, Event};
 use crate::error::LineError;
 use crate::fields::{parse_number, to_millis, Fields};
 use crate::vocabulary::{
-    field, line, parse_list_kind, parse_note_kind, parse_outcome, parse_state, EventKind, ENLIST,
-    NO_VALUE, POWER_OFF,
+    field, line, parse_list_kind, parse_note_kind, parse_outcome, parse_state, EventKind, NO_VALUE,
+    START_EVENT, STOP_EVENT,
 };
 use base64::prelude::{Engine, BASE64_STANDARD};
 use tansymux::control::Control;
@@ -21,12 +21,12 @@
 const MAX_ENTRY_FIELDS: usize = 9;
 /// Bit of a query's flags: the query has an estimate of its cost.
 const HAS_ESTIMATE: u32 = 1;
-/// Number of low bits for memory in the resources that an attempt used. The bits above hold thread time (ms).
+/// Number of low bits that hold the memory in an attempt's resource usage. The bits above hold the thread time (ms).
 const USED_MEMORY_BITS: u32 = 12;
-/// Unit of memory in the resources that an attempt used (MB).
+/// Unit of memory in an attempt's resource usage (MB).
 const USED_MEMORY_UNIT_MB: f64 = 4.0;
 
-/// Decodes an event and passes it to the dispatcher's decisions.
+/// Decodes an event and passes it to the dispatcher's admission controller.
 pub fn deliver(
     event: &Event,
     control: &mut Control,
@@ -35,28 +35,30 @@
     let mut fields = Fields::new(event.fields, MAX_EVENT_FIELDS);
     fields.required(field::DISPATCHER)?;
     match event.kind {
-        EventKind::Update => deliver_update(fields, event.endpoint_list.as_deref(), control, out),
-        EventKind::Inbound => deliver_query(fields, control, out),
-        EventKind::ClosedAttempt => deliver_attempt_end(fields, control, out),
-        EventKind::StatusNote => deliver_note(fields, control),
-        EventKind::PingResult => deliver_health_check(fields, control),
-        EventKind::Vanished => {
+        EventKind::EndpointUpdate => {
+            deliver_update(fields, event.endpoint_list.as_deref(), control, out)
+        }
+        EventKind::QueryArrived => deliver_query(fields, control, out),
+        EventKind::AttemptEnded => deliver_attempt_end(fields, control, out),
+        EventKind::ProgressNote => deliver_note(fields, control),
+        EventKind::HealthCheckEnded => deliver_health_check(fields, control),
+        EventKind::ClientDisconnected => {
             let query_id = fields.number(field::QUERY_ID)?;
             fields.finish()?;
             control.on_client_disconnected(query_id, out);
             Ok(())
         }
-        EventKind::Peer => deliver_peer_message(fields, control),
-        // A timer has no effect except the round itself.
-        EventKind::DeadlineHit => {
+        EventKind::PeerMessage => deliver_peer_message(fields, control),
+        // A due timer only triggers the round, which runs in any case.
+        EventKind::TimerDue => {
             fields.number::<u64>(field::HANDLE)?;
             fields.finish()
         }
-        // Answers are not streamed, so the first bytes have no effect.
-        EventKind::First => fields.number::<u64>(field::QUERY_ID).map(drop),
-        // The host handles starts and stops.
-        EventKind::Enlist => Err(LineError::unknown_token("event", ENLIST)),
-        EventKind::PowerOff => Err(LineError::unknown_token("event", POWER_OFF)),
+        // Results are not streamed, so the first bytes have no effect.
+        EventKind::FirstBytes => fields.number::<u64>(field::QUERY_ID).map(drop),
+        // `Host` handles the start and stop of a dispatcher before it delivers events.
+        EventKind::Start => Err(LineError::unknown_token("event", START_EVENT)),
+        EventKind::Stop => Err(LineError::unknown_token("event", STOP_EVENT)),
     }
 }
 
@@ -142,7 +144,7 @@
 
 /// Parses an ordering key of hexadecimal digits.
 fn parse_key(text: &str) -> Result<u64, LineError> {
-    u64::from_str_radix(text, 16).map_err(|_| LineError::NotAKey {
+    u64::from_str_radix(text, 16).map_err(|_| LineError::InvalidKey {
         text: text.to_owned(),
     })
 }
@@ -173,7 +175,7 @@
     Ok(())
 }
 
-/// The resources that an attempt used, from one number.
+/// Unpacks an attempt's resource usage from its wire form, a single number.
 fn resource_usage(used: u64) -> ResourceUsage {
     let memory_units = used & ((1 << USED_MEMORY_BITS) - 1);
     ResourceUsage {
@@ -225,7 +227,7 @@
     Ok(())
 }
 
-/// Checks an engine's load report, which is the last field. Its values are not used.
+/// Validates an engine's load report, which is the last field. Its values are not used.
 fn check_report(fields: &mut Fields) -> Result<(), LineError> {
     let report = fields.optional(field::REPORT)?.unwrap_or("");
     for pair in report.split(',').filter(|pair| !pair.is_empty()) {
--- a/crates/adapter/src/fields.rs
+++ b/crates/adapter/src/fields.rs
@@ -1,4 +1,4 @@
-//! The space-separated fields of a line, read one after another.
+//! Reads the space-separated fields of a line in sequence.
 
 use crate::error::LineError;
 use crate::vocabulary::NO_VALUE;
@@ -11,12 +11,12 @@
 pub struct Fields<'a>(SplitN<'a, char>);
 
 impl<'a> Fields<'a> {
-    /// The fields of `text`. The last of `max_fields` keeps its spaces.
+    /// Splits `text` into at most `max_fields` fields. The last field may contain spaces.
     pub fn new(text: &'a str, max_fields: usize) -> Self {
         Fields(text.splitn(max_fields, ' '))
     }
 
-    /// The next field, which must not be missing.
+    /// The next field; an error if it is missing.
     pub fn required(&mut self, name: &str) -> Result<&'a str, LineError> {
         match self.0.next() {
             Some(text) if !text.is_empty() => Ok(text),
@@ -50,7 +50,7 @@
         self.number(name).map(to_millis)
     }
 
-    /// The next field as 1 or 0.
+    /// The next field as a flag: 1 is true, 0 is false.
     pub fn flag(&mut self, name: &str) -> Result<bool, LineError> {
         match self.required(name)? {
             "1" => Ok(true),
@@ -73,12 +73,12 @@
     }
 }
 
-/// A time in microseconds as milliseconds.
+/// Converts microseconds to milliseconds.
 pub fn to_millis(micros: u64) -> f64 {
     micros as f64 / US_PER_MS
 }
 
-/// A field's text as a number.
+/// Parses the text of a field as a number.
 pub fn parse_number<T: FromStr>(text: &str, name: &str) -> Result<T, LineError> {
     text.parse().map_err(|_| LineError::NotANumber {
         field: name.to_owned(),
--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -1,4 +1,4 @@
-//! Runs batches: passes each dispatcher's events to its own decisions as one round.
+//! Runs batches: passes the events of each dispatcher to its admission controller as one round.
 
 use crate::batch::{read_clock, read_events, EndpointLists, Event};
 use crate::decode;
@@ -13,7 +13,7 @@
 use tansymux::events::DecisionSink;
 use tansymux::settings;
 
-/// Number of fields of a start: dispatcher, seed and settings.
+/// Number of fields of a dispatcher's start event: dispatcher, seed and settings.
 const START_FIELDS: usize = 3;
 
 /// All dispatchers that the simulator started, and the endpoint lists that it sent.
@@ -24,26 +24,26 @@
 }
 
 impl Host {
-    /// Answers one batch (all lines except `end`) with the actions and the closing line.
+    /// Processes one batch (all lines except `end`), and writes the actions and the closing line to `output`.
     ///
     /// # Errors
-    /// The first invalid line. The contents of `to` are incomplete then.
-    pub fn answer(&mut self, batch: &[u8], to: &mut Vec<u8>) -> Result<(), InputError> {
+    /// The first invalid line. The contents of `output` are incomplete then.
+    pub fn process_batch(&mut self, batch: &[u8], output: &mut Vec<u8>) -> Result<(), InputError> {
         let text = std::str::from_utf8(batch).map_err(|_| LineError::NotUtf8.at(0))?;
         let mut lines = text.lines().enumerate();
         let now_ms = read_clock(lines.next())?;
         let events = read_events(lines, &mut self.endpoint_lists)?;
         for &dispatcher in &events.order {
-            let mut reply = Reply { to, dispatcher };
+            let mut reply = Reply { output, dispatcher };
             self.run_dispatcher(now_ms, events.of(dispatcher), &mut reply)?;
         }
-        to.extend_from_slice(line::FINISHED.as_bytes());
-        to.push(b'\n');
+        output.extend_from_slice(line::FINISHED.as_bytes());
+        output.push(b'\n');
         Ok(())
     }
 
-    /// Runs the events of one dispatcher in a batch. Events before its last stop or start are dropped: they are those of an
-    /// earlier incarnation.
+    /// Runs the events of one dispatcher in a batch. Events before its last stop or start are dropped, because they belong
+    /// to an earlier incarnation.
     fn run_dispatcher(
         &mut self,
         now_ms: f64,
@@ -52,11 +52,11 @@
     ) -> Result<(), InputError> {
         let dispatcher = reply.dispatcher;
         let mut events = events;
-        if let Some(stop) = last(events, EventKind::PowerOff) {
+        if let Some(stop) = last_index(events, EventKind::Stop) {
             self.dispatchers.remove(&dispatcher);
             events = &events[stop + 1..];
         }
-        if let Some(start) = last(events, EventKind::Enlist) {
+        if let Some(start) = last_index(events, EventKind::Start) {
             let control = start_dispatcher(events[start].fields);
             let control = control.map_err(|error| error.at(events[start].line))?;
             self.dispatchers.insert(dispatcher, control);
@@ -66,14 +66,14 @@
             return Ok(());
         };
         let Some(control) = self.dispatchers.get_mut(&dispatcher) else {
-            return Err(LineError::NotEnlisted { dispatcher }.at(first.line));
+            return Err(LineError::DispatcherNotStarted { dispatcher }.at(first.line));
         };
         run_round(control, now_ms, events, reply)
     }
 }
 
 /// Index of the last event of a kind.
-fn last(events: &[Event], kind: EventKind) -> Option<usize> {
+fn last_index(events: &[Event], kind: EventKind) -> Option<usize> {
     events.iter().rposition(|event| event.kind == kind)
 }
 
@@ -85,7 +85,7 @@
     Ok(Control::new(seed, &settings)?)
 }
 
-/// Runs a round. A panic of the decisions is reported in the answer, and ends only this round.
+/// Runs a round. A panic of the admission controller is reported in the reply, and ends only this round.
 fn run_round(
     control: &mut Control,
     now_ms: f64,
@@ -101,7 +101,7 @@
         let dispatcher = reply.dispatcher;
         // Writing to a Vec cannot fail.
         let _ = writeln!(
-            reply.to,
+            reply.output,
             "{} {dispatcher} the decisions panicked, see standard error",
             line::FAULT
         );
@@ -109,7 +109,8 @@
     round.error.map_or(Ok(()), Err)
 }
 
-/// The events of a dispatcher in a batch, and the error of the first invalid event. Events after it are not delivered.
+/// The events of a dispatcher in a batch, and the error of the first invalid event. Events after the invalid one are not
+/// delivered.
 struct Round<'a> {
     events: &'a [Event<'a>],
     error: Option<InputError>,
--- a/crates/adapter/src/host/tests.rs
+++ b/crates/adapter/src/host/tests.rs
@@ -1,4 +1,4 @@
-//! Batches as the simulator writes them, and what is wrong with some.
+//! Valid and invalid batches in the form in which the simulator writes them.
 
 use super::*;
 
@@ -6,36 +6,36 @@
     limits.max-attempts=3 limits.cancelling=true services.count=1 services.0.name=look services.0.aim-us=500000 \
     services.0.effect=read_like";
 
-fn start(host: &mut Host, dispatchers: &[u64], engine_ids: &str) -> String {
+fn start_dispatchers(host: &mut Host, dispatchers: &[u64], endpoints: &str) -> String {
     let mut batch = format!(
-        "batch 1000\ncensus 0 {}\n{engine_ids}",
-        engine_ids.lines().count()
+        "batch 1000\ncensus 0 {}\n{endpoints}",
+        endpoints.lines().count()
     );
-    for d in dispatchers {
-        batch += &format!("enlist {d} 9 {SETTINGS}\nupdate {d} C 1 0\n");
+    for dispatcher in dispatchers {
+        batch += &format!("enlist {dispatcher} 9 {SETTINGS}\nupdate {dispatcher} C 1 0\n");
     }
-    answer(host, &batch).unwrap()
+    process_batch(host, &batch).unwrap()
 }
 
-fn answer(host: &mut Host, batch: &str) -> Result<String, InputError> {
-    let mut to = Vec::new();
-    host.answer(batch.as_bytes(), &mut to)
-        .map(|()| String::from_utf8(to).unwrap())
+fn process_batch(host: &mut Host, batch: &str) -> Result<String, InputError> {
+    let mut output = Vec::new();
+    host.process_batch(batch.as_bytes(), &mut output)
+        .map(|()| String::from_utf8(output).unwrap())
 }
 
 #[test]
-fn each_instance_answers_for_itself_and_knows_only_its_own_endpoint_list() {
+fn dispatchers_run_independently_and_use_only_their_own_endpoint_list() {
     let mut host = Host::default();
-    start(&mut host, &[1], "m std h ready - 0 71 1\n");
-    let both = "batch 2000\ncensus 0 1\nm std h ready - 0 72 1\nenlist 2 9 ".to_owned()
+    start_dispatchers(&mut host, &[1], "m std h ready - 0 71 1\n");
+    let batch = "batch 2000\ncensus 0 1\nm std h ready - 0 72 1\nenlist 2 9 ".to_owned()
         + SETTINGS
         + "\nupdate 2 C 1 0\ninbound 1 5 look - - 9000000 100 0 0 1\ninbound 2 6 look - - 9000000 100 0 0 1\n";
-    let said = answer(&mut host, &both).unwrap();
+    let reply = process_batch(&mut host, &batch).unwrap();
     assert!(
-        said.contains("try 1 5 71 9000000\n") && said.contains("try 2 6 72 9000000\n"),
-        "{said}"
+        reply.contains("try 1 5 71 9000000\n") && reply.contains("try 2 6 72 9000000\n"),
+        "{reply}"
     );
-    assert!(said.ends_with("finished\n"));
+    assert!(reply.ends_with("finished\n"));
 }
 
 #[test]
@@ -45,41 +45,47 @@
         "batch 1000\ncensus 0 1\nm std h ready - 0 71 1\nenlist 1 9 {SETTINGS}\nupdate 1 C 1 0\n\
          census 0 1\nm std h gone - 0 71 1\nupdate 1 D 2 0\ninbound 1 5 look - - 9000000 100 0 0 1\n"
     );
-    assert!(answer(&mut host, &batch).unwrap().contains("not_now 1 5"));
+    assert!(process_batch(&mut host, &batch)
+        .unwrap()
+        .contains("not_now 1 5"));
 }
 
 #[test]
-fn stop_and_start_in_one_batch_forget_all_events_before() {
+fn restart_within_a_batch_drops_all_earlier_events() {
     let mut host = Host::default();
-    start(&mut host, &[1], "m std h ready - 0 71 1\n");
+    start_dispatchers(&mut host, &[1], "m std h ready - 0 71 1\n");
     let batch = format!(
         "batch 2000\ninbound 1 5 look - - 9000000 100 0 0 1\npower_off 1\nenlist 1 9 {SETTINGS}\n\
          update 1 C 1 0\ninbound 1 6 look - - 9000000 100 0 0 1\n"
     );
-    let said = answer(&mut host, &batch).unwrap();
+    let reply = process_batch(&mut host, &batch).unwrap();
     assert!(
-        said.contains("try 1 6 71") && !said.contains(" 5 "),
-        "{said}"
+        reply.contains("try 1 6 71") && !reply.contains(" 5 "),
+        "{reply}"
     );
 }
 
 #[test]
-fn malformed_line_is_named_with_its_cause() {
+fn invalid_line_is_reported_with_its_number_and_cause() {
     let cases = [
-        ("vanished 1 x\n", 1, "txn \"x\" is not such a number"),
+        ("vanished 1 x\n", 1, "txn \"x\" is not a valid number"),
         ("deadline_hit 1 1 2\n", 1, "unexpected field \"2\""),
         (
             "deadline_hit 1 1\nnonsense\n",
             2,
             "unknown event \"nonsense\"",
         ),
-        ("deadline_hit 8 1\n", 1, "dispatcher 8 is not enlisted"),
+        (
+            "deadline_hit 8 1\n",
+            1,
+            "dispatcher 8 is not started (no enlist line)",
+        ),
         (
             "census 0 2\nm std h ready - 0 71 1\n",
             1,
-            "the census should hold 2 entries",
+            "the census has fewer than 2 entries",
         ),
-        ("update 1 D 1 9\n", 1, "no census has slot 9"),
+        ("update 1 D 1 9\n", 1, "census slot 9 is empty"),
         (
             "closed_attempt 1 5 2 0 - served 71 10 -\n",
             1,
@@ -91,20 +97,20 @@
             "setting services.count is missing",
         ),
     ];
-    for (lines, line, what) in cases {
+    for (lines, line, expected_cause) in cases {
         let mut host = Host::default();
-        start(&mut host, &[1], "m std h ready - 0 71 1\n");
-        let error = answer(&mut host, &format!("batch 2000\n{lines}")).unwrap_err();
+        start_dispatchers(&mut host, &[1], "m std h ready - 0 71 1\n");
+        let error = process_batch(&mut host, &format!("batch 2000\n{lines}")).unwrap_err();
         let cause = error.cause.to_string();
-        assert_eq!((error.line, cause.as_str()), (line, what));
+        assert_eq!((error.line, cause.as_str()), (line, expected_cause));
     }
 }
 
 #[test]
 fn events_of_unknown_queries_are_ignored() {
     let mut host = Host::default();
-    start(&mut host, &[1], "m std h ready - 0 71 1\n");
+    start_dispatchers(&mut host, &[1], "m std h ready - 0 71 1\n");
     let batch = "batch 2000\nvanished 1 99\nclosed_attempt 1 99 1 0 - served 71 10 -\n\
                  status_note 1 99 0.5 1 0 71\nping_result 1 served 71 1400 -\nfirst 1 99 0 71 5\n";
-    assert_eq!(answer(&mut host, batch).unwrap(), "finished\n");
+    assert_eq!(process_batch(&mut host, batch).unwrap(), "finished\n");
 }
--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -1,8 +1,8 @@
-//! Runs the decisions of `tansymux` for the simulator, with its protocol on standard input and output.
+//! Runs the admission controller of `tansymux` for a simulator, whose protocol it speaks on standard input and output.
 //!
-//! The program parses and prints, and decides nothing. Start reading at [`host`], which runs a batch. [`batch`] groups the
-//! lines of a batch, [`decode`] turns them into events, [`reply`] writes the decisions, and [`vocabulary`] has the words of
-//! the protocol. An invalid line ends the program with a message on standard error.
+//! The program only parses and prints; it makes no decisions. Start reading at [`host`], which runs a batch. [`batch`]
+//! groups the lines of a batch, [`decode`] turns them into events, [`reply`] writes the decisions, and [`vocabulary`]
+//! defines the words of the protocol. An invalid line ends the program with a message on standard error.
 
 mod batch;
 mod decode;
@@ -23,7 +23,7 @@
     let mut output = io::stdout().lock();
     let mut host = host::Host::default();
     let mut batch = Vec::new();
-    let mut answer = Vec::new();
+    let mut reply = Vec::new();
     let mut line_number = 0;
     std::panic::set_hook(Box::new(|panic| eprintln!("tansymux-adapter: {panic}")));
     loop {
@@ -34,12 +34,12 @@
             Ok(BatchRead::EndOfInput) => return ExitCode::SUCCESS,
             Err(error) => return fail(line_number, &error),
         }
-        answer.clear();
-        if let Err(error) = host.answer(&batch, &mut answer) {
+        reply.clear();
+        if let Err(error) = host.process_batch(&batch, &mut reply) {
             return fail(first_line + error.line, &error);
         }
         if output
-            .write_all(&answer)
+            .write_all(&reply)
             .and_then(|()| output.flush())
             .is_err()
         {
@@ -48,7 +48,7 @@
     }
 }
 
-/// Prints an error with its line of the input, counted from 1.
+/// Prints an error with the line number in the input, counted from 1. Returns the exit code for a failure.
 fn fail(line: usize, error: &dyn std::fmt::Display) -> ExitCode {
     eprintln!("tansymux-adapter: line {line}: {error}");
     ExitCode::FAILURE
@@ -61,14 +61,14 @@
 }
 
 /// Reads a batch up to the `end` line, which is not part of `batch`. Skips empty lines before the batch, and adds the
-/// number of lines read to `lines`.
+/// number of lines read to `line_number`.
 ///
 /// # Errors
-/// Reading failed, or the input ends within a batch.
+/// The input cannot be read, or ends within a batch.
 fn read_batch(
     input: &mut impl BufRead,
     batch: &mut Vec<u8>,
-    lines: &mut usize,
+    line_number: &mut usize,
 ) -> io::Result<BatchRead> {
     loop {
         let start = batch.len();
@@ -81,7 +81,7 @@
                 "the input ends within a batch",
             ));
         }
-        *lines += 1;
+        *line_number += 1;
         if batch.last() == Some(&b'\n') {
             batch.pop();
         }
--- a/crates/adapter/src/reply.rs
+++ b/crates/adapter/src/reply.rs
@@ -1,5 +1,5 @@
-//! Writes decisions as the wire's actions. Times are rounded so that a deadline is never later, and a timer never earlier,
-//! than decided.
+//! Writes decisions as actions of the wire. Deadlines are rounded down and timers up, so that no deadline is later and no
+//! timer is earlier than decided.
 
 use crate::fields::US_PER_MS;
 use crate::vocabulary::action;
@@ -8,31 +8,33 @@
 use std::io::Write;
 use tansymux::events::{AttemptLimits, DecisionSink};
 
-/// Tolerance for floating-point errors in the conversion of times (us).
+/// Tolerance for floating-point errors when times are converted to microseconds (us).
 const ROUNDING_TOLERANCE_US: f64 = 1e-3;
 
 /// The actions of one dispatcher.
 pub struct Reply<'a> {
-    /// The answer that actions are written to.
-    pub to: &'a mut Vec<u8>,
+    /// The buffer that actions are written to.
+    pub output: &'a mut Vec<u8>,
     /// Number of the dispatcher.
     pub dispatcher: u64,
 }
 
 impl Reply<'_> {
-    /// Writes an action with its fields after the dispatcher.
+    /// Writes an action: its word, the dispatcher, and the other fields.
     fn write(&mut self, action: &str, fields: Arguments) {
         // Writing to a Vec cannot fail.
-        let _ = writeln!(self.to, "{action} {} {fields}", self.dispatcher);
+        let _ = writeln!(self.output, "{action} {} {fields}", self.dispatcher);
     }
 }
 
-/// A time (ms) in whole microseconds, rounded down. A time just below a whole microsecond counts as that microsecond.
+/// Converts a time (ms) to whole microseconds, rounded down. A time within [`ROUNDING_TOLERANCE_US`] below a whole
+/// microsecond counts as that microsecond.
 fn micros_down(ms: f64) -> u64 {
     (ms.max(0.0) * US_PER_MS + ROUNDING_TOLERANCE_US).floor() as u64
 }
 
-/// A time (ms) in whole microseconds, rounded up. A time just above a whole microsecond counts as that microsecond.
+/// Converts a time (ms) to whole microseconds, rounded up. A time within [`ROUNDING_TOLERANCE_US`] above a whole
+/// microsecond counts as that microsecond.
 fn micros_up(ms: f64) -> u64 {
     (ms.max(0.0) * US_PER_MS - ROUNDING_TOLERANCE_US).ceil() as u64
 }
--- a/crates/adapter/src/vocabulary.rs
+++ b/crates/adapter/src/vocabulary.rs
@@ -1,11 +1,12 @@
-//! The words of the simulator's wire, mapped to the terms of the decisions. All other files use these names.
+//! Maps the words of the simulator's wire protocol to the terms of the admission controller. All other modules use the
+//! names defined here.
 
 use crate::error::LineError;
 use tansymux::events::{EndpointListKind, EndpointState, NoteKind, Outcome};
 
-/// First words of lines that are no events.
+/// First words of lines that are not events.
 pub mod line {
-    /// Begins a batch, with its clock.
+    /// Begins a batch and gives its time.
     pub const BATCH: &str = "batch";
     /// Ends a batch.
     pub const END: &str = "end";
@@ -13,13 +14,13 @@
     pub const ENDPOINT_LIST: &str = "census";
     /// An entry of an endpoint list.
     pub const ENDPOINT: &str = "m";
-    /// Ends the answer to a batch.
+    /// Ends the reply to a batch.
     pub const FINISHED: &str = "finished";
-    /// Reports a panic of the decisions.
+    /// Reports a panic of the admission controller.
     pub const FAULT: &str = "fault";
 }
 
-/// Names of fields, for error texts.
+/// Names of fields, used in error messages.
 pub mod field {
     /// Time of a batch (us).
     pub const CLOCK: &str = "clock";
@@ -43,13 +44,13 @@
     pub const ZONE: &str = "rack-zone";
     /// State of an engine.
     pub const ENGINE_STATE: &str = "status";
-    /// Start of an engine (us).
+    /// Start time of an engine (us).
     pub const STARTED_US: &str = "start-time-us";
     /// Cell of an engine.
     pub const CELL: &str = "pod";
     /// Id of an engine.
     pub const ENGINE_ID: &str = "node";
-    /// Capacity of an engine, which is ignored.
+    /// Capacity of an engine. It is validated and otherwise ignored.
     pub const CAPACITY_HINT: &str = "capacity-hint";
     /// Id of a query.
     pub const QUERY_ID: &str = "txn";
@@ -65,15 +66,15 @@
     pub const COST_US: &str = "plan-cost-us";
     /// Estimated memory of a query (MB).
     pub const MEMORY_MB: &str = "est-memory-mb";
-    /// Tables of a query.
+    /// Number of tables of a query.
     pub const TABLES: &str = "tables";
     /// Flags of a query.
     pub const FLAGS: &str = "flags";
-    /// Whether the client already has the answer.
+    /// Whether the client already has the result.
     pub const ANSWER_DELIVERED: &str = "complete";
     /// Number of an attempt.
     pub const ATTEMPT: &str = "round-no";
-    /// Resources that an attempt used.
+    /// Resource usage of an attempt.
     pub const USED: &str = "bill";
     /// Outcome of an attempt or a health check.
     pub const OUTCOME: &str = "state-code";
@@ -83,7 +84,7 @@
     pub const AMOUNT: &str = "amount";
     /// Kind of a progress note.
     pub const NOTE_KIND: &str = "sort";
-    /// Sender of a message.
+    /// Dispatcher that sent a message.
     pub const PEER: &str = "origin-peer";
     /// Content of a message.
     pub const CONTENT: &str = "content";
@@ -93,7 +94,7 @@
     pub const REPORT: &str = "report";
 }
 
-/// First words of actions in the answer.
+/// First words of actions in the reply.
 pub mod action {
     /// Submits an attempt.
     pub const SUBMIT: &str = "try";
@@ -113,61 +114,61 @@
     pub const SET_TIMER: &str = "notify_me";
     /// Requests endpoint lists.
     pub const WATCH_ENDPOINTS: &str = "track";
-    /// The peer of a message to all.
+    /// Stands for all peers in [`SEND_TO_PEER`].
     pub const ALL_PEERS: &str = "all";
 }
 
-/// The text of a field without a value.
+/// Text of a field without a value.
 pub const NO_VALUE: &str = "-";
 /// First word of an event that starts a dispatcher.
-pub const ENLIST: &str = "enlist";
+pub const START_EVENT: &str = "enlist";
 /// First word of an event that stops a dispatcher.
-pub const POWER_OFF: &str = "power_off";
-/// The endpoint list kind of an update without a list.
+pub const STOP_EVENT: &str = "power_off";
+/// Kind of an update that reports a failed request for an endpoint list, and carries no list.
 pub const FAILED_LIST: &str = "X";
 
-/// The kind of an event, by the first word of its line.
+/// The kind of an event, given by the first word of its line.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum EventKind {
     /// A dispatcher starts.
-    Enlist,
-    /// An endpoint list, or the failure of a request for one.
-    Update,
-    /// A query arrived.
-    Inbound,
-    /// The first bytes of an answer.
-    First,
-    /// A health check ended.
-    PingResult,
-    /// A query's client left.
-    Vanished,
+    Start,
+    /// An endpoint list was received, or a request for one failed.
+    EndpointUpdate,
+    /// A query arrives.
+    QueryArrived,
+    /// The first bytes of a result arrive.
+    FirstBytes,
+    /// A health check ends.
+    HealthCheckEnded,
+    /// The client of a query disconnects.
+    ClientDisconnected,
     /// A dispatcher stops.
-    PowerOff,
-    /// A progress note on an attempt.
-    StatusNote,
-    /// A message from another dispatcher.
-    Peer,
+    Stop,
+    /// A progress note for an attempt arrives.
+    ProgressNote,
+    /// A message from another dispatcher arrives.
+    PeerMessage,
     /// A timer is due.
-    DeadlineHit,
-    /// An attempt ended.
-    ClosedAttempt,
+    TimerDue,
+    /// An attempt ends.
+    AttemptEnded,
 }
 
 impl EventKind {
     /// Parses the first word of an event line.
     pub fn parse(word: &str) -> Result<Self, LineError> {
         Ok(match word {
-            ENLIST => EventKind::Enlist,
-            "update" => EventKind::Update,
-            "inbound" => EventKind::Inbound,
-            "first" => EventKind::First,
-            "ping_result" => EventKind::PingResult,
-            "vanished" => EventKind::Vanished,
-            POWER_OFF => EventKind::PowerOff,
-            "status_note" => EventKind::StatusNote,
-            "peer" => EventKind::Peer,
-            "deadline_hit" => EventKind::DeadlineHit,
-            "closed_attempt" => EventKind::ClosedAttempt,
+            START_EVENT => EventKind::Start,
+            "update" => EventKind::EndpointUpdate,
+            "inbound" => EventKind::QueryArrived,
+            "first" => EventKind::FirstBytes,
+            "ping_result" => EventKind::HealthCheckEnded,
+            "vanished" => EventKind::ClientDisconnected,
+            STOP_EVENT => EventKind::Stop,
+            "status_note" => EventKind::ProgressNote,
+            "peer" => EventKind::PeerMessage,
+            "deadline_hit" => EventKind::TimerDue,
+            "closed_attempt" => EventKind::AttemptEnded,
             other => return Err(LineError::unknown_token("event", other)),
         })
     }
@@ -194,7 +195,7 @@
     }
 }
 
-/// Parses an outcome.
+/// Parses the outcome of an attempt or a health check.
 pub fn parse_outcome(word: &str) -> Result<Outcome, LineError> {
     match word {
         "served" => Ok(Outcome::Completed),
@@ -209,12 +210,12 @@
     }
 }
 
-/// The kind of progress note with a number.
+/// Parses the kind of a progress note.
 pub fn parse_note_kind(number: i32) -> Result<NoteKind, LineError> {
     match number {
         1 => Ok(NoteKind::Progress),
         2 => Ok(NoteKind::Spilling),
         3 => Ok(NoteKind::Waiting),
-        number => Err(LineError::UnknownNote { number }),
+        number => Err(LineError::UnknownNoteKind { number }),
     }
 }
--- a/crates/fault-shim/src/lib.rs
+++ b/crates/fault-shim/src/lib.rs
@@ -1,9 +1,9 @@
-//! For tests only: a library that is loaded before the C library (LD_PRELOAD) and replaces some of its calls. They fail,
-//! are interrupted or transfer fewer bytes, and the wall clock is wrong, as the test's [`FaultTable`] defines.
+//! For tests only: a library that is loaded before the C library (LD_PRELOAD) and replaces some of its functions. As the
+//! test's [`FaultTable`] defines, the replacements fail, are interrupted or transfer fewer bytes, and the wall clock is
+//! offset.
 //!
-//! It affects calls that the program makes through the C library: the standard library's sockets, files and clocks. It
-//! does not affect system calls that a program makes directly, such as async-io's connect and epoll. Every injected fault
-//! is counted in the table.
+//! Only calls through the C library are affected: the sockets, files and clocks of the standard library. System calls that
+//! a program makes directly, such as async-io's connect and epoll, are not affected. The table counts every injected fault.
 
 use libc::{c_char, c_int, c_void, iovec, off_t, size_t, sockaddr, socklen_t, ssize_t};
 use std::sync::atomic::{AtomicBool, AtomicPtr, AtomicU64, Ordering};
@@ -11,59 +11,60 @@
 
 /// Nanoseconds in a second.
 const NANOS_PER_SECOND: i64 = 1_000_000_000;
-/// Increment of the random sequence (splitmix64).
+/// Increment of the random number generator (splitmix64).
 const RANDOM_STEP: u64 = 0x9E37_79B9_7F4A_7C15;
-/// Multiplier of the random sequence (splitmix64).
+/// Multiplier of the random number generator (splitmix64).
 const RANDOM_MIX: u64 = 0xBF58_476D_1CE4_E5B9;
 
-/// The mapped table; null before the first call and where the environment names none.
+/// The mapped table. Null before the first call, and if the environment names no table.
 static TABLE: AtomicPtr<FaultTable> = AtomicPtr::new(std::ptr::null_mut());
-/// Whether the environment names no table, or one that cannot be mapped.
-static IS_WITHOUT_TABLE: AtomicBool = AtomicBool::new(false);
-/// State of the random sequence.
-static RANDOM: AtomicU64 = AtomicU64::new(0);
+/// Whether the environment names no table or a table that cannot be mapped.
+static TABLE_UNAVAILABLE: AtomicBool = AtomicBool::new(false);
+/// State of the random number generator.
+static RANDOM_STATE: AtomicU64 = AtomicU64::new(0);
 
-/// The test's table, mapped at the first call; `None` where the environment names none.
+/// The test's table, mapped at the first call. `None` if the environment names no table that can be mapped.
 fn table() -> Option<&'static FaultTable> {
     let known = TABLE.load(Ordering::Acquire);
-    // SAFETY: the pointer is null or that of a table whose mapping is never undone.
+    // SAFETY: the pointer is null or points to a table that is never unmapped.
     if let Some(table) = unsafe { known.as_ref() } {
         return Some(table);
     }
-    if IS_WITHOUT_TABLE.load(Ordering::Relaxed) {
+    if TABLE_UNAVAILABLE.load(Ordering::Relaxed) {
         return None;
     }
-    // SAFETY: the variable's name ends in 0; the environment is not changed by the programs under test.
+    // SAFETY: the variable's name ends in 0; the programs under test do not change the environment.
     let path: *mut c_char = unsafe { libc::getenv(TABLE_VARIABLE.as_ptr()) };
     let mapped = if path.is_null() {
         None
     } else {
-        // SAFETY: a value of the environment ends in 0.
+        // SAFETY: values of the environment end in 0.
         FaultTable::map(unsafe { std::ffi::CStr::from_ptr(path) })
     };
     match mapped {
         Some(table) => TABLE.store(std::ptr::from_ref(table).cast_mut(), Ordering::Release),
-        None => IS_WITHOUT_TABLE.store(true, Ordering::Relaxed),
+        None => TABLE_UNAVAILABLE.store(true, Ordering::Relaxed),
     }
     mapped
 }
 
-/// A random number, different for each process and call.
+/// The next random number. Each process has its own sequence.
 fn random() -> u32 {
-    // SAFETY: a call without arguments.
+    // SAFETY: the call has no preconditions.
     let pid = unsafe { libc::getpid() } as u64;
-    let mut mixed = RANDOM.fetch_add(RANDOM_STEP, Ordering::Relaxed) ^ pid.wrapping_mul(RANDOM_MIX);
+    let mut mixed =
+        RANDOM_STATE.fetch_add(RANDOM_STEP, Ordering::Relaxed) ^ pid.wrapping_mul(RANDOM_MIX);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(RANDOM_MIX);
     (mixed >> 32) as u32
 }
 
-/// The error that a call is to return, if it is to fail.
+/// Decides whether a call fails, and returns the error number if so.
 fn injected_error(call: Call) -> Option<c_int> {
     table()?.draw(call, Mode::Error, random())
 }
 
-/// The reduced length of a transfer, if it is to be short.
-fn shortened(call: Call, length: size_t) -> Option<size_t> {
+/// Decides whether a transfer is short, and returns its reduced length if so.
+fn short_length(call: Call, length: size_t) -> Option<size_t> {
     if length < 2 {
         return None;
     }
@@ -78,31 +79,34 @@
     T::from(-1)
 }
 
-/// The length of a transfer, reduced if it is to be short; the error that the call is to return, if it is to fail.
+/// Returns the length of a transfer, reduced if the transfer is short.
+///
+/// # Errors
+/// The error number, if the call fails.
 fn transfer_length(call: Call, length: size_t) -> Result<size_t, c_int> {
     match injected_error(call) {
         Some(errno) => Err(errno),
-        None => Ok(shortened(call, length).unwrap_or(length)),
+        None => Ok(short_length(call, length).unwrap_or(length)),
     }
 }
 
-/// Whether a file is standard input, output or error, on which no faults are injected.
+/// Whether a file is standard input, output or error. No faults are injected on these.
 fn is_standard_stream(file: c_int) -> bool {
     file <= libc::STDERR_FILENO
 }
 
-/// Defines a call that fails as the table defines, and otherwise makes the system call with the same arguments.
+/// Defines a function that fails as the table defines, and otherwise makes the system call with the same arguments.
 macro_rules! failing {
     ($(#[$doc:meta])* $name:ident($($argument:ident: $type:ty),*) -> $result:ty, $call:expr, $number:expr) => {
         $(#[$doc])*
         ///
         /// # Safety
-        /// As the C library's call.
+        /// Same as for the C library's function.
         #[no_mangle]
         pub unsafe extern "C" fn $name($($argument: $type),*) -> $result {
             match injected_error($call) {
                 Some(errno) => failed(errno),
-                // SAFETY: the caller's arguments, unchanged.
+                // SAFETY: the caller's arguments are passed on unchanged.
                 None => unsafe { libc::syscall($number, $($argument),*) as $result },
             }
         }
@@ -169,10 +173,10 @@
     Call::Write, libc::SYS_pwrite64
 );
 
-/// Replaces `recv`, which may also be short.
+/// Replaces `recv`. The transfer may be short.
 ///
 /// # Safety
-/// As the C library's call.
+/// Same as for the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn recv(
     socket: c_int,
@@ -184,8 +188,8 @@
         Ok(length) => length,
         Err(errno) => return failed(errno),
     };
-    let none = std::ptr::null_mut::<c_void>();
-    // SAFETY: the caller's arguments, with at most the length of the buffer.
+    let null = std::ptr::null_mut::<c_void>();
+    // SAFETY: the caller's arguments are passed on, with at most the length of the buffer.
     unsafe {
         libc::syscall(
             libc::SYS_recvfrom,
@@ -193,16 +197,16 @@
             buffer,
             length,
             flags,
-            none,
-            none,
+            null,
+            null,
         ) as ssize_t
     }
 }
 
-/// Replaces `send`, which may also be short.
+/// Replaces `send`. The transfer may be short.
 ///
 /// # Safety
-/// As the C library's call.
+/// Same as for the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn send(
     socket: c_int,
@@ -214,65 +218,66 @@
         Ok(length) => length,
         Err(errno) => return failed(errno),
     };
-    let none = std::ptr::null_mut::<c_void>();
-    // SAFETY: the caller's arguments, with at most the length of the buffer.
-    unsafe { libc::syscall(libc::SYS_sendto, socket, buffer, length, flags, none, 0) as ssize_t }
+    let null = std::ptr::null_mut::<c_void>();
+    // SAFETY: the caller's arguments are passed on, with at most the length of the buffer.
+    unsafe { libc::syscall(libc::SYS_sendto, socket, buffer, length, flags, null, 0) as ssize_t }
 }
 
-/// Replaces `write`, which may also be short.
+/// Replaces `write`. The transfer may be short.
 ///
 /// # Safety
-/// As the C library's call.
+/// Same as for the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn write(file: c_int, buffer: *const c_void, length: size_t) -> ssize_t {
-    let allowed = if is_standard_stream(file) {
+    let allowed_length = if is_standard_stream(file) {
         Ok(length)
     } else {
         transfer_length(Call::Write, length)
     };
-    match allowed {
-        // SAFETY: the caller's arguments, with at most the length of the buffer.
+    match allowed_length {
+        // SAFETY: the caller's arguments are passed on, with at most the length of the buffer.
         Ok(length) => unsafe { libc::syscall(libc::SYS_write, file, buffer, length) as ssize_t },
         Err(errno) => failed(errno),
     }
 }
 
-/// Replaces `writev`, which may also be short: then only a part of the first slice is written.
+/// Replaces `writev`. A short transfer writes only a part of the first slice.
 ///
 /// # Safety
-/// As the C library's call.
+/// Same as for the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn writev(file: c_int, slices: *const iovec, count: c_int) -> ssize_t {
     if !is_standard_stream(file) {
         if let Some(errno) = injected_error(Call::Writev) {
             return failed(errno);
         }
-        // SAFETY: there is a first slice if the count is above 0.
+        // SAFETY: `slices` points to a first slice if the count is above 0.
         let first = unsafe { slices.as_ref() }.filter(|_| count > 0);
-        let short = first.and_then(|first| Some((first, shortened(Call::Writev, first.iov_len)?)));
+        let short =
+            first.and_then(|first| Some((first, short_length(Call::Writev, first.iov_len)?)));
         if let Some((first, length)) = short {
-            // SAFETY: a part of the first slice.
+            // SAFETY: writes a part of the first slice.
             let written = unsafe { libc::syscall(libc::SYS_write, file, first.iov_base, length) };
             return written as ssize_t;
         }
     }
-    // SAFETY: the caller's arguments, unchanged.
+    // SAFETY: the caller's arguments are passed on unchanged.
     unsafe { libc::syscall(libc::SYS_writev, file, slices, count) as ssize_t }
 }
 
 /// Replaces `clock_gettime`: adds the table's offset to readings of the wall clock.
 ///
 /// # Safety
-/// As the C library's call.
+/// Same as for the C library's function.
 #[no_mangle]
 pub unsafe extern "C" fn clock_gettime(clock: libc::clockid_t, to: *mut libc::timespec) -> c_int {
-    // SAFETY: the caller's arguments, unchanged.
+    // SAFETY: the caller's arguments are passed on unchanged.
     let result = unsafe { libc::syscall(libc::SYS_clock_gettime, clock, to) } as c_int;
     let is_wall_clock = matches!(clock, libc::CLOCK_REALTIME | libc::CLOCK_REALTIME_COARSE);
     if result != 0 || !is_wall_clock {
         return result;
     }
-    // SAFETY: the call above has written to it.
+    // SAFETY: the call above succeeded and has written to `to`.
     if let (Some(table), Some(reading)) = (table(), unsafe { to.as_mut() }) {
         let nanos = reading.tv_sec * NANOS_PER_SECOND + reading.tv_nsec + table.wall_offset_ns();
         reading.tv_sec = nanos.div_euclid(NANOS_PER_SECOND);
--- a/crates/fault-table/src/lib.rs
+++ b/crates/fault-table/src/lib.rs
@@ -1,17 +1,18 @@
-//! The table of faults: a file that a test maps and writes, and that the fault shim in the process under test maps and
-//! reads. It defines which system calls fail, how and how often, and the offset of the wall clock. The shim counts the
-//! faults that it has injected in it, so that a test can prove that its faults took place.
+//! The fault table: a file that a test maps and writes, and that the fault shim in the process under test maps and
+//! reads. The table defines which system calls fail, how and how often, and the offset of the wall clock. The shim
+//! counts injected faults in the table, so that a test can check that its faults took place.
+//!
+//! This package owns the layout and the mapping, and injects no faults. All fields are atomics: both processes may access
+//! them at any time.
 //!
-//! This package owns the layout and the mapping, and injects nothing. All fields are atomics: both sides may use them at
-//! any time.
 //! Start reading at [`FaultTable`].
 
 use std::ffi::CStr;
 use std::sync::atomic::{AtomicI32, AtomicI64, AtomicU32, AtomicU64, Ordering};
 
-/// Environment variable that names the table's file to the shim.
+/// Environment variable with the path of the table's file, read by the shim.
 pub const TABLE_VARIABLE: &CStr = c"TANSYMUX_FAULT_TABLE";
-/// Rates are given in this many calls.
+/// Denominator of rates: a rate is a number of faults per this many calls.
 pub const RATE_BASE: u32 = 10_000;
 
 /// A system call that the shim can make fail.
@@ -20,13 +21,13 @@
 pub enum Call {
     /// `recv`: reads from TCP connections.
     Recv,
-    /// `send`: plain writes to TCP connections.
+    /// `send`: writes of one buffer to TCP connections.
     Send,
-    /// `writev`: gathered writes to TCP connections.
+    /// `writev`: vectored writes to TCP connections.
     Writev,
-    /// `recvfrom`: datagrams in.
+    /// `recvfrom`: receives datagrams.
     RecvFrom,
-    /// `sendto`: datagrams out.
+    /// `sendto`: sends datagrams.
     SendTo,
     /// `accept4`.
     Accept,
@@ -36,7 +37,7 @@
     Bind,
     /// `listen`.
     Listen,
-    /// `read`: pipes and files.
+    /// `read` from pipes and files.
     Read,
     /// `write` to files other than the standard streams.
     Write,
@@ -60,49 +61,50 @@
     Call::Sync,
 ];
 
-/// How a call is made to fail.
+/// The kind of fault that is injected into a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 #[repr(usize)]
 pub enum Mode {
-    /// It returns the rule's error and has no effect.
+    /// The call returns the rule's error and has no effect.
     Error,
-    /// It transfers fewer bytes than requested.
+    /// The call transfers fewer bytes than requested.
     Short,
 }
 
 /// Number of variants of [`Mode`].
-const MODES: usize = 2;
+const MODE_COUNT: usize = 2;
 
-/// One call's faults of one mode.
+/// The faults of one mode that are injected into one call.
 #[derive(Debug, Default)]
 #[repr(C)]
 pub struct FaultRule {
-    /// The fault is injected into this many of [`RATE_BASE`] calls.
+    /// Number of faults per [`RATE_BASE`] calls.
     rate: AtomicU32,
-    /// The error number.
+    /// The error number that a failed call returns.
     errno: AtomicI32,
-    /// Faults that are still to be injected; negative for no limit.
+    /// Number of faults that remain to be injected; negative for no limit.
     remaining: AtomicI64,
-    /// Faults that were injected.
+    /// Number of faults that were injected.
     injected: AtomicU64,
 }
 
-/// The table of faults, as it is mapped.
+/// The fault table in its mapped layout.
 #[derive(Debug, Default)]
 #[repr(C)]
 pub struct FaultTable {
     /// Offset that is added to the wall clock (ns).
     wall_offset_ns: AtomicI64,
-    rules: [[FaultRule; MODES]; CALLS.len()],
+    rules: [[FaultRule; MODE_COUNT]; CALLS.len()],
 }
 
 impl FaultTable {
-    /// Bytes of the table's file.
+    /// Size of the table's file (bytes).
     pub const BYTES: usize = size_of::<FaultTable>();
 
-    /// Maps the table's file for the rest of the process. Returns `None` where it can't be opened or is too short.
+    /// Maps the table's file, which must have [`Self::BYTES`] bytes, until the process ends. Returns `None` if the file
+    /// cannot be opened or mapped.
     pub fn map(path: &CStr) -> Option<&'static FaultTable> {
-        // SAFETY: the C library's calls with valid arguments; the mapping is never undone.
+        // SAFETY: the C library is called with valid arguments, and the file is never unmapped.
         let mapped = unsafe {
             let file = libc::open(path.as_ptr(), libc::O_RDWR | libc::O_CLOEXEC);
             if file < 0 {
@@ -123,7 +125,8 @@
         if mapped == libc::MAP_FAILED {
             return None;
         }
-        // SAFETY: mapped for good at this length; every field is an atomic, for which any bytes are valid.
+        // SAFETY: the file is mapped at this length and never unmapped. All fields are atomics, for which any bytes are
+        // valid.
         unsafe { mapped.cast::<FaultTable>().as_ref() }
     }
 
@@ -137,7 +140,7 @@
         self.wall_offset_ns.load(Ordering::Relaxed)
     }
 
-    /// Makes `rate` of [`RATE_BASE`] calls fail with `errno`, at most `count` times.
+    /// Makes `rate` of [`RATE_BASE`] calls fail with `errno`, at most `count` times if a count is given.
     pub fn fail(&self, call: Call, errno: i32, rate: u32, count: Option<u32>) {
         self.set(call, Mode::Error, errno, rate, count);
     }
@@ -156,14 +159,14 @@
         rule.rate.store(rate, Ordering::SeqCst);
     }
 
-    /// Ends all faults of calls. The offset of the wall clock remains.
+    /// Stops the injection of faults into all calls. The offset of the wall clock remains.
     pub fn clear(&self) {
         for rule in self.rules.iter().flatten() {
             rule.rate.store(0, Ordering::SeqCst);
         }
     }
 
-    /// Number of faults of both modes that were injected into a call.
+    /// Number of faults of both modes injected into a call.
     pub fn injected(&self, call: Call) -> u64 {
         let rules = self.rules[call as usize].iter();
         rules
@@ -171,27 +174,27 @@
             .sum()
     }
 
-    /// Number of faults that were injected into all calls.
+    /// Number of faults injected into all calls together.
     pub fn injected_in_all(&self) -> u64 {
         CALLS.iter().map(|call| self.injected(*call)).sum()
     }
 
-    /// For the shim: decides by a random number whether this call is to fail in this mode. Returns the error number and
-    /// counts the fault if so.
+    /// For the shim: decides by a random number whether a fault of this mode is injected into a call. If so, counts the
+    /// fault and returns the error number.
     pub fn draw(&self, call: Call, mode: Mode, random: u32) -> Option<i32> {
         let rule = &self.rules[call as usize][mode as usize];
         if random % RATE_BASE >= rule.rate.load(Ordering::Relaxed) {
             return None;
         }
-        let take = |left: i64| match left {
+        let decrement = |remaining: i64| match remaining {
             0 => None,
-            1.. => Some(left - 1),
-            _ => Some(left),
+            1.. => Some(remaining - 1),
+            _ => Some(remaining),
         };
-        let taken = rule
-            .remaining
-            .fetch_update(Ordering::Relaxed, Ordering::Relaxed, take);
-        taken.ok()?;
+        let decremented =
+            rule.remaining
+                .fetch_update(Ordering::Relaxed, Ordering::Relaxed, decrement);
+        decremented.ok()?;
         rule.injected.fetch_add(1, Ordering::Relaxed);
         Some(rule.errno.load(Ordering::Relaxed))
     }
