--- a/crates/adapter/src/host.rs
+++ b/crates/adapter/src/host.rs
@@ -42,8 +42,8 @@
         Ok(())
     }
 
-    /// Runs the events of one dispatcher in a batch. Events before its last stop or start are dropped, because they belong
-    /// to an earlier incarnation.
+    /// Runs the events of one dispatcher in a batch. Events before its last stop or start are dropped, because they
+    /// belong to an earlier incarnation.
     fn run_dispatcher(
         &mut self,
         now_ms: f64,
@@ -109,8 +109,8 @@
     round.error.map_or(Ok(()), Err)
 }
 
-/// The events of a dispatcher in a batch, and the error of the first invalid event. Events after the invalid one are not
-/// delivered.
+/// The events of a dispatcher in a batch, and the error of the first invalid event. Events after the invalid one are
+/// not delivered.
 struct Round<'a> {
     events: &'a [Event<'a>],
     error: Option<InputError>,
--- a/crates/adapter/src/reply.rs
+++ b/crates/adapter/src/reply.rs
@@ -1,5 +1,5 @@
-//! Writes decisions as actions of the wire. Deadlines are rounded down and timers up, so that no deadline is later and no
-//! timer is earlier than decided.
+//! Writes decisions as actions of the wire. Deadlines are rounded down and timers up, so that no deadline is later and
+//! no timer is earlier than decided.
 
 use crate::fields::US_PER_MS;
 use crate::vocabulary::action;
--- a/crates/fault-shim/src/lib.rs
+++ b/crates/fault-shim/src/lib.rs
@@ -1,9 +1,10 @@
-//! For tests only: a library that is loaded before the C library (LD_PRELOAD) and replaces some of its functions. As the
-//! test's [`FaultTable`] defines, the replacements fail, are interrupted or transfer fewer bytes, and the wall clock is
-//! offset.
+//! For tests only: a library that is loaded before the C library (LD_PRELOAD) and replaces some of its functions. As
+//! the test's [`FaultTable`] defines, the replacements fail, are interrupted or transfer fewer bytes, and the wall
+//! clock is offset.
 //!
-//! Only calls through the C library are affected: the sockets, files and clocks of the standard library. System calls that
-//! a program makes directly, such as async-io's connect and epoll, are not affected. The table counts every injected fault.
+//! Only calls through the C library are affected: the sockets, files and clocks of the standard library. System calls
+//! that a program makes directly, such as async-io's connect and epoll, are not affected. The table counts every
+//! injected fault.
 
 use libc::{c_char, c_int, c_void, iovec, off_t, size_t, sockaddr, socklen_t, ssize_t};
 use std::sync::atomic::{AtomicBool, AtomicPtr, AtomicU64, Ordering};
--- a/crates/fault-table/src/lib.rs
+++ b/crates/fault-table/src/lib.rs
@@ -2,8 +2,8 @@
 //! reads. The table defines which system calls fail, how and how often, and the offset of the wall clock. The shim
 //! counts injected faults in the table, so that a test can check that its faults took place.
 //!
-//! This package owns the layout and the mapping, and injects no faults. All fields are atomics: both processes may access
-//! them at any time.
+//! This package owns the layout and the mapping, and injects no faults. All fields are atomics: both processes may
+//! access them at any time.
 //!
 //! Start reading at [`FaultTable`].
 
--- a/crates/simulator/build.rs
+++ b/crates/simulator/build.rs
@@ -1,4 +1,4 @@
-//! Compiles the schema of experiments, without a protobuf compiler on the machine.
+//! Compiles the protobuf schema of experiments in Rust, so that no `protoc` needs to be installed.
 
 use prost::Message;
 
--- a/crates/simulator/src/engine.rs
+++ b/crates/simulator/src/engine.rs
@@ -1,5 +1,5 @@
-//! An engine that shares its cores evenly (processor sharing in virtual service time): every thread runs at the same speed,
-//! so that a job ends when the service attained by a thread reaches the service that the job needs.
+//! An engine that shares its cores evenly: processor sharing, computed in virtual service time. All threads run at the
+//! same speed, so a job completes when the service attained per thread has grown by the service that the job needs.
 
 use std::cmp::Ordering;
 use std::collections::{BinaryHeap, HashMap};
@@ -7,14 +7,14 @@
 #[cfg(test)]
 mod tests;
 
-/// The time over which the speed of an engine that warms up is assumed to be constant (ms).
+/// Longest interval over which the speed of an engine that is warming up is treated as constant (ms).
 const WARM_UP_STEP_MS: f64 = 50.0;
-/// Tolerance with which a job has attained its service (ms): sums of floats do not reach it exactly.
+/// Tolerance for the attained service of a completed job (ms), because sums of floats do not reach the exact value.
 const SERVICE_TOLERANCE_MS: f64 = 1e-6;
-/// Replaces 0 threads and speed 0 in divisions.
-const SMALLEST: f64 = 1e-9;
+/// Lower bound for divisors, which avoids divisions by 0 threads and by speed 0.
+const MIN_DIVISOR: f64 = 1e-9;
 
-/// When a job ends, in service attained by a thread (ms).
+/// The completion of a job, in service attained per thread (ms).
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct Completion {
     at_service_ms: f64,
@@ -39,30 +39,30 @@
     }
 }
 
-/// A job that runs.
+/// A running job.
 #[derive(Debug, Clone, Copy)]
 pub struct Job {
-    /// Its id.
+    /// Id of the job.
     pub job: u64,
-    /// Threads that it runs on.
+    /// Number of threads that the job runs on.
     pub threads: f64,
-    /// Service that each thread needs (ms).
+    /// Service that each of the job's threads needs (ms).
     pub service_ms: f64,
-    began_at_service_ms: f64,
+    started_at_service_ms: f64,
 }
 
-/// An engine.
+/// An engine of the simulation.
 #[derive(Debug, Clone)]
 pub struct Engine {
-    /// Its cores.
+    /// Number of cores.
     pub cores: f64,
-    /// When it started (ms); from then on it warms up.
+    /// Time at which the engine started (ms). It warms up from then on.
     pub started_ms: f64,
-    /// Counts changes, by which a completion that was scheduled before a change is recognised.
+    /// Number of changes so far. Identifies completions that were scheduled before the last change and are stale.
     pub generation: u64,
     slowdown: f64,
     warm_up_ms: f64,
-    /// The initial speed as a fraction of the full speed.
+    /// Speed at the start as a fraction of the full speed.
     initial_speed: f64,
     service_ms: f64,
     advanced_to_ms: f64,
@@ -72,8 +72,8 @@
 }
 
 impl Engine {
-    /// An engine that is warm. After a start it takes `warm_up_ms` to reach its full speed from `initial_speed`, a fraction of
-    /// it.
+    /// A warm engine. After a restart, its speed rises within `warm_up_ms` from `initial_speed`, a fraction of the full
+    /// speed, to the full speed.
     pub fn new(cores: f64, warm_up_ms: f64, initial_speed: f64) -> Self {
         Engine {
             cores,
@@ -90,24 +90,24 @@
         }
     }
 
-    /// Threads that run.
+    /// Number of running threads.
     pub fn threads(&self) -> f64 {
         self.threads
     }
 
-    /// Service that a thread attains in a millisecond (ms).
+    /// Service that each thread attains per millisecond (ms).
     fn speed(&self, now_ms: f64) -> f64 {
         let age_ms = now_ms - self.started_ms;
-        let warmth = if age_ms >= self.warm_up_ms {
+        let warm_up_progress = if age_ms >= self.warm_up_ms {
             1.0
         } else {
             (age_ms / self.warm_up_ms).max(0.0)
         };
-        let warm_speed = self.initial_speed + (1.0 - self.initial_speed) * warmth;
-        warm_speed * (self.cores / self.threads.max(SMALLEST)).min(1.0) / self.slowdown
+        let unshared_speed = self.initial_speed + (1.0 - self.initial_speed) * warm_up_progress;
+        unshared_speed * (self.cores / self.threads.max(MIN_DIVISOR)).min(1.0) / self.slowdown
     }
 
-    /// Brings the attained service up to now.
+    /// Updates the attained service to `now_ms`.
     pub fn advance(&mut self, now_ms: f64) {
         if self.threads > 0.0 && now_ms > self.advanced_to_ms {
             self.service_ms += (now_ms - self.advanced_to_ms) * self.speed(now_ms);
@@ -115,14 +115,14 @@
         self.advanced_to_ms = self.advanced_to_ms.max(now_ms);
     }
 
-    /// From now on all jobs take `slowdown` times as long.
+    /// Makes all jobs take `slowdown` times as long from `now_ms` on.
     pub fn set_slowdown(&mut self, now_ms: f64, slowdown: f64) {
         self.advance(now_ms);
         self.slowdown = slowdown;
         self.generation += 1;
     }
 
-    /// Starts a job. `work_ms` is its work on one core, spread evenly over its threads.
+    /// Starts a job. `work_ms` is the job's work on one core, spread evenly over its threads.
     pub fn add(&mut self, now_ms: f64, job: u64, work_ms: f64, threads: f64) {
         self.advance(now_ms);
         let service_ms = work_ms / threads;
@@ -132,7 +132,7 @@
                 job,
                 threads,
                 service_ms,
-                began_at_service_ms: self.service_ms,
+                started_at_service_ms: self.service_ms,
             },
         );
         self.completions.push(Completion {
@@ -143,7 +143,7 @@
         self.generation += 1;
     }
 
-    /// Removes a job; returns none if it does not run.
+    /// Removes a job and returns it; `None` if the job is not running.
     pub fn remove(&mut self, now_ms: f64, job: u64) -> Option<Job> {
         self.advance(now_ms);
         let removed = self.jobs.remove(&job)?;
@@ -156,15 +156,16 @@
         Some(removed)
     }
 
-    /// The fraction of a job that is done.
+    /// The completed fraction of a job.
     pub fn done_fraction(&self, job: u64) -> Option<f64> {
         let job = self.jobs.get(&job)?;
-        let attained_ms = self.service_ms - job.began_at_service_ms;
+        let attained_ms = self.service_ms - job.started_at_service_ms;
         Some((attained_ms / job.service_ms).clamp(0.0, 1.0))
     }
 
-    /// When the next job ends if nothing changes. For an engine that warms up, at most `WARM_UP_STEP_MS` from now: a time
-    /// at which the completion must be computed again, because the engine has become faster.
+    /// The time of the next completion if nothing changes (ms). For an engine that is warming up, the time is at most
+    /// `WARM_UP_STEP_MS` from now, and the completion must then be computed again, because the engine has become
+    /// faster.
     pub fn next_completion_ms(&mut self, now_ms: f64) -> Option<f64> {
         while self
             .completions
@@ -174,7 +175,7 @@
             self.completions.pop();
         }
         let completion = self.completions.peek()?;
-        let speed = self.speed(now_ms).max(SMALLEST);
+        let speed = self.speed(now_ms).max(MIN_DIVISOR);
         let wait_ms = ((completion.at_service_ms - self.service_ms) / speed).max(0.0);
         let is_warming_up = now_ms - self.started_ms < self.warm_up_ms;
         Some(
@@ -187,7 +188,7 @@
         )
     }
 
-    /// The jobs that have ended by now. They count as running until they are removed.
+    /// Returns the jobs that have completed by `now_ms`. They count as running until they are removed.
     pub fn take_completed(&mut self, now_ms: f64) -> Vec<u64> {
         self.advance(now_ms);
         let mut completed = Vec::new();
@@ -203,14 +204,14 @@
         completed
     }
 
-    /// Ends all jobs without a result, and returns their ids in ascending order.
+    /// Drops all jobs without a result, and returns their ids in ascending order.
     pub fn drop_all(&mut self, now_ms: f64) -> Vec<u64> {
         self.advance(now_ms);
-        let mut lost: Vec<u64> = self.jobs.drain().map(|(job, _)| job).collect();
-        lost.sort_unstable();
+        let mut dropped: Vec<u64> = self.jobs.drain().map(|(job, _)| job).collect();
+        dropped.sort_unstable();
         self.completions.clear();
         self.threads = 0.0;
         self.generation += 1;
-        lost
+        dropped
     }
 }
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -8,7 +8,7 @@
 use tansymux_simulator::simulation::{self, Outcomes};
 use tansymux_simulator::{compare, report};
 
-/// A discrete-event simulator around the real decisions: runs experiments, compares arms, plots.
+/// A discrete-event simulator around the real admission controller: runs experiments, compares arms, plots.
 #[derive(Debug, Parser)]
 #[command(name = "tansymux-simulator", version)]
 struct Cli {
@@ -18,50 +18,50 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Runs all arms and seeds of an experiment; exit 1 if a rule was broken
+    /// Runs all arms and seeds of an experiment; exits with 1 if a rule was broken
     Run {
-        /// The experiment
+        /// The experiment file
         file: PathBuf,
-        /// The folder for table, JSON lines, plots and page
+        /// The directory for table, JSON lines, plots and page
         #[arg(long)]
         to: Option<PathBuf>,
         /// Number of concurrent runs
         #[arg(long, default_value_t = 4)]
         threads: usize,
-        /// Another number of seeds than the file's
+        /// Number of seeds; overrides the experiment file
         #[arg(long)]
         seeds: Option<u32>,
-        /// Another number of dispatchers than the file's
+        /// Number of dispatchers; overrides the experiment file
         #[arg(long)]
         dispatchers: Option<u32>,
     },
-    /// Compares the arms of runs that were written as JSON lines
+    /// Compares the arms of earlier runs, read from JSON lines
     Compare {
-        /// The JSON lines
+        /// The file of JSON lines
         file: PathBuf,
     },
     /// Plots one seed of one arm
     Plot {
-        /// The experiment
+        /// The experiment file
         file: PathBuf,
         /// The arm, counted from 0
         #[arg(long, default_value_t = 0)]
-        // readability: --arm is the program's flag, after the experiment file's key
+        // readability: --arm is the program's flag, named like the experiment file's key
         arm: usize,
-        /// The seed; the experiment's first one unless given
+        /// The seed; defaults to the experiment's first seed
         #[arg(long)]
         seed: Option<u64>,
-        /// The plot's file
+        /// The SVG file to write
         #[arg(long)]
         svg: PathBuf,
     },
-    /// Repeats one seed of one arm and prints all of its figures
+    /// Runs one seed of one arm and prints all of its figures
     Replay {
-        /// The experiment
+        /// The experiment file
         file: PathBuf,
         /// The arm, counted from 0
         #[arg(long, default_value_t = 0)]
-        // readability: --arm is the program's flag, after the experiment file's key
+        // readability: --arm is the program's flag, named like the experiment file's key
         arm: usize,
         /// The seed
         #[arg(long)]
@@ -69,14 +69,14 @@
     },
 }
 
-/// The figures that `compare` shows, by their keys in the JSON lines.
+/// Keys in the JSON lines of the figures that `compare` shows.
 const COMPARED_KEYS: [&str; 9] = [
     "in_time", "late", "deferred", "killed", "p99_fast", "spill", "cold", "fell", "broken",
 ];
-/// `replay` shows one sample a second.
+/// `replay` shows every fourth sample, which is one per second.
 const REPLAY_SAMPLE_STEP: usize = 4;
 
-/// Why a command failed.
+/// The reason why a command failed.
 #[derive(Debug, thiserror::Error)]
 enum CommandError {
     #[error("{}: {source}", path.display())]
@@ -89,7 +89,7 @@
         path: PathBuf,
         source: ExperimentError,
     },
-    #[error("there are {arms} arms")]
+    #[error("no such arm: the experiment has {arms} arms")]
     NoSuchArm { arms: usize },
     #[error("{0}")]
     Json(#[from] serde_json::Error),
@@ -99,7 +99,7 @@
     Plot { path: PathBuf, reason: String },
 }
 
-/// An experiment, and the text that it was read from.
+/// An experiment and its source text.
 struct ExperimentFile {
     experiment: Experiment,
     text: String,
@@ -130,7 +130,7 @@
     })
 }
 
-fn write_svg(experiment: &Experiment, run: &Outcomes, path: &Path) -> Result<(), CommandError> {
+fn write_plot(experiment: &Experiment, run: &Outcomes, path: &Path) -> Result<(), CommandError> {
     report::write_svg(experiment, run, path).map_err(|error| CommandError::Plot {
         path: path.to_owned(),
         reason: error.to_string(),
@@ -148,7 +148,7 @@
     }
 }
 
-/// Executes a command. Returns whether no rule was broken.
+/// Executes a command. Returns whether all rules hold.
 fn execute(command: Command) -> Result<bool, CommandError> {
     match command {
         Command::Run {
@@ -164,7 +164,7 @@
             run_experiment(&file, threads, to.as_deref())
         }
         Command::Compare { file } => {
-            compare_lines(&read_file(&file)?)?;
+            print_comparison(&read_file(&file)?)?;
             Ok(true)
         }
         Command::Plot {
@@ -175,13 +175,13 @@
         } => {
             let experiment = read_experiment(&file)?.experiment;
             let seed = seed.unwrap_or(experiment.first_seed());
-            let run = simulation::run(&experiment, check_variant(&experiment, arm)?, seed);
-            write_svg(&experiment, &run, &svg)?;
+            let run = simulation::run(&experiment, variant_index(&experiment, arm)?, seed);
+            write_plot(&experiment, &run, &svg)?;
             Ok(true)
         }
         Command::Replay { file, arm, seed } => {
             let experiment = read_experiment(&file)?.experiment;
-            let run = simulation::run(&experiment, check_variant(&experiment, arm)?, seed);
+            let run = simulation::run(&experiment, variant_index(&experiment, arm)?, seed);
             println!("{}", serde_json::to_string_pretty(&run)?);
             print_samples(&run);
             Ok(run.violations == 0)
@@ -189,7 +189,7 @@
     }
 }
 
-/// Runs an experiment, prints its table and writes its results to a folder. Returns whether no rule was broken.
+/// Runs an experiment, prints its table and writes its results to a folder. Returns whether all rules hold.
 fn run_experiment(
     file: &ExperimentFile,
     threads: usize,
@@ -204,7 +204,7 @@
     Ok(runs.iter().flatten().all(|run| run.violations == 0))
 }
 
-fn check_variant(experiment: &Experiment, arm: usize) -> Result<usize, CommandError> {
+fn variant_index(experiment: &Experiment, arm: usize) -> Result<usize, CommandError> {
     let arms = experiment.arm.len();
     if arm < arms {
         Ok(arm)
@@ -213,7 +213,7 @@
     }
 }
 
-/// Writes table, JSON lines, a plot of each arm's first seed, and a page with all of it.
+/// Writes the table, the JSON lines, a plot of each variant's first seed, and a page with all of them.
 fn write_results(
     directory: &Path,
     file: &ExperimentFile,
@@ -232,20 +232,20 @@
     let mut plots = Vec::new();
     for run in runs.iter().filter_map(|variant| variant.first()) {
         let svg = directory.join(format!("{name}-{}.svg", run.variant));
-        write_svg(experiment, run, &svg)?;
+        write_plot(experiment, run, &svg)?;
         plots.push(read_file(&svg)?);
     }
     let page = report::html_page(experiment, &file.text, table, &plots)?;
     write_file(&directory.join(format!("{name}.html")), &page)
 }
 
-/// Prints the means of the arms' runs in JSON lines, arms in the order of their first line.
-fn compare_lines(text: &str) -> Result<(), CommandError> {
+/// Prints the mean of each compared figure for each arm in the JSON lines. Arms keep the order of their first line.
+fn print_comparison(text: &str) -> Result<(), CommandError> {
     let mut arms: Vec<(String, Vec<serde_json::Value>)> = Vec::new();
     for line in text.lines() {
         let run: serde_json::Value = serde_json::from_str(line)?;
         let name = run["arm"].as_str().unwrap_or("").to_owned();
-        match arms.iter_mut().find(|(known, _)| *known == name) {
+        match arms.iter_mut().find(|(arm_name, _)| *arm_name == name) {
             Some((_, runs)) => runs.push(run),
             None => arms.push((name, vec![run])),
         }
--- a/crates/simulator/src/report.rs
+++ b/crates/simulator/src/report.rs
@@ -1,6 +1,6 @@
-//! Reports on an experiment: tables, JSON lines, plots and a page.
+//! Reports on an experiment: table, JSON lines, plots and an HTML page.
 
-use crate::compare::{mean, paired, Mean};
+use crate::compare::{mean, paired_difference, Mean};
 use crate::schema::Experiment;
 use crate::simulation::{Outcomes, Sample};
 use minijinja::{context, Environment};
@@ -8,20 +8,20 @@
 use std::path::Path;
 use tansymux_testbed::plot::{plot, Line};
 
-/// Violations that a table shows.
-const SHOWN_VIOLATIONS: usize = 5;
-/// Number of samples over which a plot's lines are smoothed.
-const SMOOTHED_SAMPLES: usize = 4;
-/// Samples a second in a run.
+/// Maximum number of violations that a table shows.
+const MAX_SHOWN_VIOLATIONS: usize = 5;
+/// Number of samples in the moving average of a plot's lines.
+const SMOOTHING_WINDOW: usize = 4;
+/// Samples per second in a run.
 const SAMPLES_PER_S: f64 = 4.0;
 
-/// The points of a plot's line: time (s) and value.
+/// The points of a plotted line: time (s) and value.
 type Points = Vec<(f64, f64)>;
 
 /// A row of the table: its name, and its value in a run's outcomes.
 pub type Figure = (&'static str, fn(&Outcomes) -> f64);
 
-fn fraction_of_asked(outcomes: &Outcomes, count: u64) -> f64 {
+fn fraction_of_queries(outcomes: &Outcomes, count: u64) -> f64 {
     count as f64 / outcomes.asked.max(1) as f64
 }
 
@@ -31,15 +31,15 @@
     ("value during faults", |run| run.value[1]),
     ("value in the minute after", |run| run.value[2]),
     ("deferred (part)", |run| {
-        fraction_of_asked(run, run.rejected)
+        fraction_of_queries(run, run.rejected)
     }),
-    ("late (part)", |run| fraction_of_asked(run, run.late)),
+    ("late (part)", |run| fraction_of_queries(run, run.late)),
     ("p99 of the fast lane (ms)", |run| run.fast_p99_ms as f64),
     ("most spilled (part of the limit)", |run| run.max_spill),
     ("most sent to a cold engine (part of its fall)", |run| {
         run.max_cold_load
     }),
-    ("engines that fell", |run| run.engines_fallen as f64),
+    ("engines that fell", |run| run.engine_failures as f64),
     ("full service after (ms)", |run| {
         run.full_service_after_ms.unwrap_or(f64::NAN)
     }),
@@ -57,7 +57,7 @@
     }
 }
 
-/// A table of all variants, and how each differs from the first, seed by seed.
+/// The table of all variants: the mean of each figure, and its mean difference from the first variant, paired by seed.
 pub fn table(experiment: &Experiment, runs: &[Vec<Outcomes>]) -> String {
     let mut text = heading(experiment);
     for (name, figure) in FIGURES {
@@ -73,22 +73,22 @@
             let _ = write!(
                 text,
                 "{:>22}",
-                format_mean(paired(&runs[0], variant, figure))
+                format_mean(paired_difference(&runs[0], variant, figure))
             );
         }
         text.push('\n');
     }
-    let pace = mean(runs.iter().flatten().map(|run| run.virtual_s_per_s));
+    let speed = mean(runs.iter().flatten().map(|run| run.virtual_s_per_s));
     let _ = writeln!(
         text,
         "virtual seconds simulated in a real one, each on one core: {}",
-        format_mean(pace)
+        format_mean(speed)
     );
     text += &violations(runs);
     text
 }
 
-/// A line for each of the first violations.
+/// One line with the first violation of a run, for at most [`MAX_SHOWN_VIOLATIONS`] runs.
 fn violations(runs: &[Vec<Outcomes>]) -> String {
     let mut text = String::new();
     let mut shown = 0;
@@ -96,7 +96,7 @@
         if let Some(violation) = run
             .first_violation
             .as_ref()
-            .filter(|_| shown < SHOWN_VIOLATIONS)
+            .filter(|_| shown < MAX_SHOWN_VIOLATIONS)
         {
             shown += 1;
             let _ = writeln!(
@@ -109,7 +109,7 @@
     text
 }
 
-/// The experiment's parameters, and the names of the columns.
+/// The experiment's parameters and the column names.
 fn heading(experiment: &Experiment) -> String {
     let mut text = format!(
         "{}: {} dispatchers, {} zones, {} engines, {} s, {} seeds (simulated)\n{:<46}",
@@ -136,7 +136,7 @@
     text
 }
 
-/// One JSON object for each run.
+/// One JSON object per run and line.
 pub fn json_lines(runs: &[Vec<Outcomes>]) -> String {
     runs.iter()
         .flatten()
@@ -144,28 +144,28 @@
         .collect()
 }
 
-/// For each sample, its time and the mean of a figure over this sample and those just before.
+/// The moving average of a figure, with the time of each sample.
 fn smoothed(samples: &[Sample], figure: impl Fn(&Sample) -> f64) -> Points {
     (0..samples.len())
         .map(|last| {
-            let window = &samples[last.saturating_sub(SMOOTHED_SAMPLES - 1)..=last];
+            let window = &samples[last.saturating_sub(SMOOTHING_WINDOW - 1)..=last];
             let sum: f64 = window.iter().map(&figure).sum();
             (samples[last].at_s, sum / window.len() as f64)
         })
         .collect()
 }
 
-/// Plots one run: the value of answers, rejections, and threads and spilled threads of each zone.
+/// Plots one run: value of answers, rejections, and threads and spilled threads per zone.
 ///
 /// # Errors
-/// The file can't be written.
+/// The file cannot be written.
 pub fn write_svg(
     experiment: &Experiment,
     run: &Outcomes,
-    to: &Path,
+    path: &Path,
 ) -> Result<(), Box<dyn std::error::Error>> {
-    let named = plotted_figures(experiment, &run.samples);
-    let lines: Vec<Line> = named
+    let named_points = plotted_figures(experiment, &run.samples);
+    let lines: Vec<Line> = named_points
         .iter()
         .map(|(name, points)| Line {
             name,
@@ -178,16 +178,16 @@
         run.variant,
         run.seed
     );
-    plot(to, &title, "s", &lines)
+    plot(path, &title, "s", &lines)
 }
 
-/// The lines of a run's plot, by their names.
+/// The names and points of the lines in a run's plot.
 fn plotted_figures(experiment: &Experiment, samples: &[Sample]) -> Vec<(String, Points)> {
     let max_threads = samples
         .iter()
         .flat_map(|sample| sample.threads.iter().copied())
         .fold(1.0, f64::max);
-    let mut named: Vec<(String, Points)> = vec![
+    let mut named_points: Vec<(String, Points)> = vec![
         (
             "value (part of the worth asked)".into(),
             smoothed(samples, |sample| sample.value / sample.max_value.max(1e-9)),
@@ -200,29 +200,29 @@
         ),
     ];
     for (index, zone) in experiment.hall.iter().enumerate() {
-        named.push((
+        named_points.push((
             format!("threads in {} / {max_threads:.0}", zone.name()),
             smoothed(samples, |sample| sample.threads[index] / max_threads),
         ));
-        named.push((
+        named_points.push((
             format!("spilled into {} / {max_threads:.0}", zone.name()),
             smoothed(samples, |sample| sample.spilled[index] / max_threads),
         ));
     }
-    named
+    named_points
 }
 
 /// The template of the page with an experiment's results.
 const PAGE: &str = "<!doctype html><html lang=en><meta charset=utf-8><title>{{ name }}</title>\
 <style>body{font:15px sans-serif;max-width:70em;margin:2em auto}pre{background:#f4f4f4;padding:1em;overflow:auto}</style>\
-<h1>{{ name }}</h1><p>Figures of a simulation around the real decisions. Intervals hold the mean in 95 of 100 \
-cases; differences are taken seed by seed.</p><pre>{{ table }}</pre>{% for svg in plots %}<p>{{ svg|safe }}</p>\
+<h1>{{ name }}</h1><p>Figures of a simulation around the real admission controller. Intervals are 95% confidence \
+intervals; differences are paired by seed.</p><pre>{{ table }}</pre>{% for svg in plots %}<p>{{ svg|safe }}</p>\
 {% endfor %}<h2>The experiment</h2><pre>{{ text }}</pre></html>";
 
-/// One page with table, plots and the experiment itself.
+/// The HTML page with table, plots and the text of the experiment.
 ///
 /// # Errors
-/// The template can't be filled.
+/// The template cannot be rendered.
 pub fn html_page(
     experiment: &Experiment,
     text: &str,
--- a/crates/simulator/src/simulation/attempts.rs
+++ b/crates/simulator/src/simulation/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: on their way to an engine, running, cancelled or past their deadline, and on their way back.
+//! The lifecycle of attempts: submission, arrival at the engine, progress notes, completion, cancellation and deadline.
 
 use super::engines::{engine_id, engine_name, OUTAGE_MS};
 use super::events::Event;
@@ -7,11 +7,12 @@
 use tansymux::events::{AttemptEnded, NoteKind, Outcome, ProgressNote};
 use tansymux_testbed::record::EventKind;
 
-/// The most progress that an engine reports of an attempt that still runs.
+/// Maximum progress that an engine reports for a running attempt.
 const MAX_REPORTED_PROGRESS: f64 = 0.9999;
 
 impl Simulation<'_> {
-    /// A dispatcher sends an attempt. An attempt on a dead connection that is not known to be dead gets no answer.
+    /// Sends an attempt from a dispatcher to an engine. If the connections to the engine are dead and the dispatcher
+    /// does not know it, the attempt gets no answer before its deadline.
     pub(super) fn submit(
         &mut self,
         dispatcher: usize,
@@ -35,7 +36,7 @@
             let latency_ms = self.environment.draw_latency_ms();
             self.schedule_in(latency_ms, refused);
         } else if self.dispatchers[dispatcher].knows_dead(engine) {
-            // The dead connections were closed, and no new one can be established.
+            // The dead connections were closed, and a new connection cannot be established.
             let timeout_ms = self.environment.network().connect_timeout_ms();
             self.schedule_in(timeout_ms, refused);
         }
@@ -43,7 +44,7 @@
             .schedule(deadline_ms, Event::AttemptDeadline { attempt });
     }
 
-    /// Adds the next attempt of a query. Returns its id; none if the query is over.
+    /// Adds the next attempt of a query. Returns the attempt's id; `None` if the query is over.
     fn add_attempt(&mut self, query_id: u64, engine: usize) -> Option<u64> {
         let query = self.queries.get_mut(&query_id)?;
         let number = query.attempts;
@@ -72,7 +73,8 @@
         }
     }
 
-    /// A dispatcher stops waiting for an attempt; its decisions get the outcome after `delay_ms`.
+    /// Ends an attempt on the dispatcher's side. The dispatcher's admission controller gets the outcome after
+    /// `delay_ms`.
     pub(super) fn end_attempt(&mut self, attempt_id: u64, outcome: Outcome, delay_ms: f64) {
         let Some(attempt) = self.attempts.get_mut(&attempt_id) else {
             return;
@@ -103,7 +105,7 @@
         self.schedule_in(delay_ms, end);
     }
 
-    /// An attempt's end reaches its dispatcher.
+    /// Handles the end of an attempt at its dispatcher.
     pub(super) fn on_attempt_end(&mut self, attempt_id: u64, outcome: Outcome) {
         let Some(attempt) = self.attempts.remove(&attempt_id) else {
             return;
@@ -116,7 +118,7 @@
         if outcome == Outcome::Completed {
             self.answer(query_id, 200, None);
         }
-        let clock_ms = self.environment.decision_clock_ms();
+        let clock_ms = self.environment.controller_clock_ms();
         let observer = &mut self.dispatchers[dispatcher];
         observer.observe_engine(attempt.engine, outcome, clock_ms);
         observer.push(Incoming::AttemptEnded(AttemptEnded {
@@ -129,7 +131,7 @@
             used: None,
         }));
         self.run_round(dispatcher);
-        // Nothing refers to a query any more once it is answered and this was its last attempt.
+        // A query can be removed once it is answered and its last attempt has ended.
         let is_over = self
             .queries
             .get(&query_id)
@@ -139,7 +141,7 @@
         }
     }
 
-    /// An attempt reaches its engine, which may have failed or been cut off in the meantime.
+    /// Handles the arrival of an attempt at its engine, which may have failed or been cut off in the meantime.
     pub(super) fn on_attempt_arrival(&mut self, attempt_id: u64) {
         let attempt = self.attempts.get(&attempt_id);
         let Some(attempt) = attempt.filter(|attempt| !attempt.cancelled) else {
@@ -184,7 +186,7 @@
         self.schedule_in(NOTE_INTERVAL_MS, Event::ProgressNote { attempt });
     }
 
-    /// An engine reports an attempt's progress, and schedules its next report.
+    /// Sends a progress note of an attempt to its dispatcher, and schedules the next note.
     pub(super) fn on_progress_note(&mut self, attempt_id: u64) {
         let attempt = self.attempts.get(&attempt_id);
         let Some(attempt) = attempt.filter(|attempt| attempt.running && !attempt.cancelled) else {
@@ -204,7 +206,7 @@
         if self.is_cut(dispatcher, engine) {
             return;
         }
-        let clock_ms = self.environment.decision_clock_ms();
+        let clock_ms = self.environment.controller_clock_ms();
         let observer = &mut self.dispatchers[dispatcher];
         observer.observe_engine(engine, Outcome::Completed, clock_ms);
         observer.push(Incoming::Progress(ProgressNote {
@@ -216,7 +218,7 @@
         self.run_round(dispatcher);
     }
 
-    /// Attempts on an engine have run to their end.
+    /// Completes the attempts on an engine whose work is done.
     pub(super) fn on_engine_completion(&mut self, engine: usize) {
         let now_ms = self.environment.now_ms;
         for attempt_id in self.engines.take_completed(engine, now_ms) {
@@ -257,7 +259,7 @@
         }
     }
 
-    /// Lets an engine that warms up fail if it was sent more than it sustains.
+    /// Makes an engine that is warming up fail if it received more work than it sustains.
     fn check_cold_load(&mut self, engine: usize, work_ms: f64) {
         let load = self
             .engines
@@ -270,7 +272,7 @@
         }
     }
 
-    /// An engine fails under its load, and restarts cold.
+    /// Makes an engine fail under its load, and schedules its cold restart.
     fn fail_engine(&mut self, engine: usize) {
         self.results.record_engine_failure();
         let now_ms = self.environment.now_ms;
@@ -288,7 +290,7 @@
             };
             self.schedule_in(latency_ms, reset);
         }
-        let restart_ms = self.environment.decision_clock_ms() + OUTAGE_MS;
-        self.announce_start(engine, restart_ms);
+        let restart_ms = self.environment.controller_clock_ms() + OUTAGE_MS;
+        self.publish_engine_start(engine, restart_ms);
     }
 }
--- a/crates/simulator/src/simulation/clients.rs
+++ b/crates/simulator/src/simulation/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: queries by the classes' rates, and their answers.
+//! Clients: send queries at the rates of their classes, and receive answers.
 
 use super::events::Event;
 use super::inbox::{Incoming, IncomingQuery};
@@ -8,15 +8,15 @@
 use rand_distr::{Distribution, Exp, LogNormal};
 use tansymux_testbed::record::EventKind;
 
-/// How long before its client's timeout a dispatcher must have answered a query (ms).
+/// Time by which a query's deadline precedes its client's timeout (ms).
 const ANSWER_MARGIN_MS: f64 = 10.0;
 
 impl Simulation<'_> {
-    /// A query of a class arrives, and the arrival of the next one is scheduled.
+    /// Sends a query of a class to a random dispatcher, and schedules the arrival of the next query.
     pub(super) fn on_query_arrival(&mut self, class_number: usize) {
         let class = &self.environment.experiment.class[class_number];
         let gap_ms = Exp::new(class.rate() / 1000.0)
-            .expect("a rate above 0")
+            .expect("the rate is above 0")
             .sample(&mut self.environment.rng);
         let next = Event::QueryArrival {
             class: class_number,
@@ -34,7 +34,7 @@
             answered: false,
         };
         let id = self.add_query(query, class);
-        let clock_ms = self.environment.decision_clock_ms();
+        let clock_ms = self.environment.controller_clock_ms();
         self.dispatchers[dispatcher].push(Incoming::Query(IncomingQuery {
             id,
             class: class_number,
@@ -46,11 +46,11 @@
 
     fn draw_log_normal(&mut self, mean_log: f64, log_deviation: f64) -> f64 {
         LogNormal::new(mean_log, log_deviation)
-            .expect("a finite spread")
+            .expect("the standard deviation is finite")
             .sample(&mut self.environment.rng)
     }
 
-    /// Adds a query to those in flight and to the record. Returns its id.
+    /// Adds a query to the queries in flight and to the record. Returns the query's id.
     fn add_query(&mut self, query: Query, class: &Class) -> u64 {
         let id = self.next_query_id;
         self.next_query_id += 1;
@@ -67,7 +67,7 @@
         id
     }
 
-    /// A client gets an answer. A second answer is only recorded, for the checker.
+    /// Delivers an answer to the client. A second answer to a query is only recorded, so that the checker reports it.
     pub(super) fn answer(&mut self, id: u64, status: u16, retry_after_ms: Option<f64>) {
         let query = self.queries.get_mut(&id).filter(|query| !query.answered);
         if let Some(query) = query {
--- a/crates/simulator/src/simulation/dispatcher.rs
+++ b/crates/simulator/src/simulation/dispatcher.rs
@@ -1,4 +1,4 @@
-//! A dispatcher: its decisions, its view of zones, and what happened to it since its last round.
+//! A dispatcher: its admission controller, its view of the zones' health, and the events since its last round.
 
 use super::engines::engine_id;
 use super::inbox::{Decision, Decisions, Endpoint, Inbox, Incoming};
@@ -14,18 +14,18 @@
 /// A dispatcher of the simulation.
 pub(super) struct Dispatcher {
     control: Control,
-    /// None where the variant's operators' file defines no zones.
+    /// `None` if the variant's operators' file defines no zones.
     zone_health: Option<ZoneHealthDetector>,
     /// Index of its zone.
     zone: usize,
-    /// The time of the next round if no event comes before (ms).
+    /// Time of the next round if no event arrives before (ms).
     timer_ms: f64,
-    /// For each engine, whether its connections are known to be dead.
+    /// For each engine, whether the dispatcher knows that its connections to it are dead.
     known_dead: Vec<bool>,
     inbox: Vec<Incoming>,
 }
 
-/// The dispatchers of a variant, spread over zones in turn.
+/// Creates the dispatchers of a variant, assigned to zones round-robin.
 pub(super) fn start(
     experiment: &Experiment,
     variant: &Arm,
@@ -46,7 +46,7 @@
             let control_seed = seed.wrapping_mul(1000) + index as u64;
             Dispatcher {
                 control: Control::new(control_seed, &settings)
-                    .expect("the simulator's own settings are complete"),
+                    .expect("the settings that the simulator generates are valid"),
                 zone_health: zone_config
                     .clone()
                     .map(|config| ZoneHealthDetector::new(config, f64::from(dispatcher_count))),
@@ -65,12 +65,12 @@
         self.zone
     }
 
-    /// Adds an event for the next round.
+    /// Queues an event for the next round.
     pub fn push(&mut self, event: Incoming) {
         self.inbox.push(event);
     }
 
-    /// Delivers all events since the last round to the decisions, and returns what they decide.
+    /// Delivers all events since the last round to the admission controller, and returns its decisions.
     pub fn run_round(
         &mut self,
         clock_ms: f64,
@@ -88,7 +88,7 @@
         decisions.0
     }
 
-    /// Sets the timer, unless it is due earlier already. Returns whether it was set.
+    /// Sets the timer, unless it is already due earlier. Returns whether it was set.
     pub fn set_timer(&mut self, at_ms: f64) -> bool {
         let is_earlier = at_ms < self.timer_ms;
         if is_earlier {
@@ -106,17 +106,17 @@
         is_due
     }
 
-    /// Whether the dispatcher's connections to an engine are known to be dead.
+    /// Whether the dispatcher knows that its connections to an engine are dead.
     pub fn knows_dead(&self, engine: usize) -> bool {
         self.known_dead[engine]
     }
 
-    /// Sets whether the dispatcher's connections to an engine are known to be dead.
+    /// Sets whether the dispatcher knows that its connections to an engine are dead.
     pub fn set_known_dead(&mut self, engine: usize, is_dead: bool) {
         self.known_dead[engine] = is_dead;
     }
 
-    /// Reports to zone health what an outcome shows about an engine.
+    /// Passes the outcome of an attempt or a health check to the detector of zone health.
     pub fn observe_engine(&mut self, engine: usize, outcome: Outcome, clock_ms: f64) {
         let kind = match outcome {
             Outcome::Completed | Outcome::Error | Outcome::Full => ObservationKind::Answered,
@@ -132,7 +132,8 @@
         }
     }
 
-    /// Evaluates the health of zones and plans by it. Returns an engine whose health is to be checked.
+    /// Evaluates the health of zones and updates the zone plan. Returns the id of an engine whose health must be
+    /// checked.
     pub fn evaluate_zones(
         &mut self,
         zones: &[String],
@@ -146,7 +147,7 @@
         zone_health.poll_health_check(clock_ms)
     }
 
-    /// Gets the endpoint list, whose engines are these.
+    /// Receives the endpoint list, which contains `engines`.
     pub fn update_endpoints(&mut self, engines: &[tansymux_zone_routing::Engine], clock_ms: f64) {
         if let Some(zone_health) = &mut self.zone_health {
             zone_health.handle(ZoneEvent::EnginesListed(engines), clock_ms);
@@ -154,19 +155,19 @@
         self.inbox.push(Incoming::EndpointList);
     }
 
-    /// Threads of the low lane that the dispatcher runs in a zone beyond its nearest tier.
+    /// Number of low-lane threads that the dispatcher runs in a zone outside its nearest tier.
     pub fn spilled_threads(&self, zone: &str) -> f64 {
         self.control.spilled_threads(zone)
     }
 
-    /// The limit of spilled threads in a zone as a fraction of its cores; none where zones are not defined.
+    /// The limit of spilled threads in a zone as a fraction of the zone's cores; `None` if no zones are defined.
     pub fn spill_limit(&self, zone: &str) -> Option<f64> {
         let zone_health = self.zone_health.as_ref()?;
         Some(zone_health.config().spill_limit(zone, None))
     }
 }
 
-/// The routing plan in the form that the decisions take.
+/// Converts a routing plan to the zone plan of the admission controller.
 fn zone_plan(plan: &RoutingPlan) -> ZonePlan {
     let limits = |zone: &tansymux_zone_routing::ZonePlan| ZoneLimits {
         name: zone.name.clone(),
--- a/crates/simulator/src/simulation/dispatchers.rs
+++ b/crates/simulator/src/simulation/dispatchers.rs
@@ -1,15 +1,16 @@
-//! The rounds of dispatchers: their decisions are applied to attempts, answers, health checks and timers.
+//! Runs the rounds of dispatchers, and applies their decisions to attempts, answers, health checks and timers.
 
-use super::engines::{engine_id, engine_of};
+use super::engines::{engine_id, engine_index};
 use super::environment::simulation_time_ms;
 use super::events::Event;
 use super::inbox::{Decision, Incoming};
 use super::Simulation;
 use tansymux::events::{EndpointState, HealthCheckEnded, Outcome};
 
-/// How much later than its cancellation an attempt's end is reported to the decisions, as in the program (ms).
+/// Delay between the cancellation of an attempt and its end at the admission controller, as in the real dispatcher
+/// (ms).
 const CANCEL_DELAY_MS: f64 = 40.0;
-/// The shortest delay of a timer (ms).
+/// Minimum delay of a timer (ms).
 const MIN_TIMER_MS: f64 = 1.0;
 
 impl Simulation<'_> {
@@ -22,7 +23,7 @@
 
     /// Runs a round of a dispatcher and applies its decisions.
     pub(super) fn run_round(&mut self, dispatcher: usize) {
-        let clock_ms = self.environment.decision_clock_ms();
+        let clock_ms = self.environment.controller_clock_ms();
         let decisions =
             self.dispatchers[dispatcher].run_round(clock_ms, &self.groups, &self.endpoints);
         for decision in decisions {
@@ -37,7 +38,7 @@
                 engine_id,
                 deadline_ms,
             } => {
-                let engine = engine_of(engine_id);
+                let engine = engine_index(engine_id);
                 let deadline_ms = simulation_time_ms(deadline_ms);
                 self.submit(dispatcher, query_id, engine, deadline_ms);
             }
@@ -48,7 +49,7 @@
             Decision::Fail { query_id } => self.answer(query_id, 500, None),
             Decision::Cancel { query_id, attempt } => self.cancel(query_id, attempt),
             Decision::CheckHealth { engine_id } => {
-                self.check_health(dispatcher, engine_of(engine_id));
+                self.check_health(dispatcher, engine_index(engine_id));
             }
             Decision::SetTimer { delay_ms } => {
                 let at_ms = self.environment.now_ms + delay_ms.max(MIN_TIMER_MS);
@@ -70,8 +71,8 @@
     }
 
     fn check_health(&mut self, dispatcher: usize, engine: usize) {
-        let is_lost = self.is_cut(dispatcher, engine) || self.is_down(engine);
-        let (after_ms, outcome) = if is_lost {
+        let is_unreachable = self.is_cut(dispatcher, engine) || self.is_down(engine);
+        let (delay_ms, outcome) = if is_unreachable {
             let timeout_ms = self.environment.network().connect_timeout_ms();
             (timeout_ms, Outcome::Timeout)
         } else {
@@ -83,7 +84,7 @@
             engine,
             outcome,
         };
-        self.schedule_in(after_ms, end);
+        self.schedule_in(delay_ms, end);
     }
 
     pub(super) fn on_health_check_end(
@@ -92,7 +93,7 @@
         engine: usize,
         outcome: Outcome,
     ) {
-        let clock_ms = self.environment.decision_clock_ms();
+        let clock_ms = self.environment.controller_clock_ms();
         let observer = &mut self.dispatchers[dispatcher];
         observer.observe_engine(engine, outcome, clock_ms);
         observer.push(Incoming::HealthCheckEnded(HealthCheckEnded {
@@ -102,20 +103,20 @@
         self.run_round(dispatcher);
     }
 
-    /// All dispatchers evaluate the health of zones.
+    /// Evaluates the health of zones at all dispatchers, and starts the health checks that they request.
     pub(super) fn evaluate_zones(&mut self) {
-        let clock_ms = self.environment.decision_clock_ms();
+        let clock_ms = self.environment.controller_clock_ms();
         for dispatcher in 0..self.dispatchers.len() {
             let engine_to_check =
                 self.dispatchers[dispatcher].evaluate_zones(&self.zones, &self.groups, clock_ms);
             if let Some(engine_id) = engine_to_check {
-                self.check_health(dispatcher, engine_of(engine_id));
+                self.check_health(dispatcher, engine_index(engine_id));
             }
         }
     }
 
-    /// A dispatcher gets the current endpoint list.
-    pub(super) fn announce_endpoints(&mut self, dispatcher: usize) {
+    /// Delivers the current endpoint list to a dispatcher.
+    pub(super) fn deliver_endpoint_list(&mut self, dispatcher: usize) {
         let engines: Vec<tansymux_zone_routing::Engine> = self
             .endpoints
             .iter()
@@ -127,7 +128,7 @@
                 ready: endpoint.state == EndpointState::Ready,
             })
             .collect();
-        let clock_ms = self.environment.decision_clock_ms();
+        let clock_ms = self.environment.controller_clock_ms();
         self.dispatchers[dispatcher].update_endpoints(&engines, clock_ms);
         self.run_round(dispatcher);
     }
--- a/crates/simulator/src/simulation/engines.rs
+++ b/crates/simulator/src/simulation/engines.rs
@@ -1,20 +1,20 @@
-//! The pool's engines: their zones and outages, and the limit of work for engines that warm up.
+//! The engines of the pool: their zones and outages, and the limit of work while they warm up.
 
 use super::environment::Environment;
 use super::events::Event;
 use crate::engine::Engine;
 use crate::schema::Experiment;
 
-/// How long an engine is down after it failed under its load (ms).
+/// Time for which an engine is down after it failed under its load (ms).
 pub(super) const OUTAGE_MS: f64 = 3000.0;
 
-/// The id by which decisions know an engine.
+/// The admission controller's id of an engine, given the engine's index.
 pub(super) fn engine_id(engine: usize) -> u64 {
     engine as u64 + 1
 }
 
-/// The engine of an id.
-pub(super) fn engine_of(engine_id: u64) -> usize {
+/// The index of an engine, given its id.
+pub(super) fn engine_index(engine_id: u64) -> usize {
     engine_id as usize - 1
 }
 
@@ -23,7 +23,7 @@
     format!("s-{engine}")
 }
 
-/// Work that reached an engine which warms up.
+/// An arrival of work at an engine that is warming up.
 struct ColdArrival {
     at_ms: f64,
     work_ms: f64,
@@ -35,17 +35,17 @@
     /// Index of its zone.
     zone: usize,
     down_until_ms: f64,
-    /// Arrivals within the span of the limit.
+    /// Arrivals within the span of the work limit, while the engine warms up.
     cold_arrivals: Vec<ColdArrival>,
 }
 
-/// All engines of an experiment, by their indices.
+/// All engines of an experiment, identified by their indices.
 pub(super) struct EnginePool {
     engines: Vec<PooledEngine>,
 }
 
 impl EnginePool {
-    /// The engines of an experiment, all warm and idle, in the order of their zones.
+    /// Creates the engines of an experiment, all warm and idle, in the order of their zones.
     pub fn new(experiment: &Experiment) -> Self {
         let cold = experiment.cold.unwrap_or_default();
         let warm_up_ms = cold.warm_s() * 1000.0;
@@ -73,12 +73,12 @@
         self.engines[engine].zone
     }
 
-    /// An engine's cores.
+    /// Number of cores of an engine.
     pub fn cores(&self, engine: usize) -> f64 {
         self.engines[engine].engine.cores
     }
 
-    /// The cores of all engines of a zone.
+    /// Number of cores of all engines of a zone.
     pub fn zone_cores(&self, zone: usize) -> f64 {
         self.engines
             .iter()
@@ -87,9 +87,9 @@
             .sum()
     }
 
-    /// Threads that run, by zone.
-    pub fn threads_by_zone(&self, zones: usize) -> Vec<f64> {
-        let mut threads = vec![0.0; zones];
+    /// Number of running threads by zone.
+    pub fn threads_by_zone(&self, zone_count: usize) -> Vec<f64> {
+        let mut threads = vec![0.0; zone_count];
         for pooled in &self.engines {
             threads[pooled.zone] += pooled.engine.threads();
         }
@@ -101,7 +101,7 @@
         now_ms < self.engines[engine].down_until_ms
     }
 
-    /// Whether nothing changed on an engine since a completion of this generation was scheduled.
+    /// Whether an engine is unchanged since a completion of this generation was scheduled.
     pub fn is_current(&self, engine: usize, generation: u64) -> bool {
         self.engines[engine].engine.generation == generation
     }
@@ -113,12 +113,12 @@
             .add(now_ms, job, work_ms, threads);
     }
 
-    /// Removes a job from an engine. Returns whether it ran there.
+    /// Removes a job from an engine. Returns whether the job was running there.
     pub fn remove(&mut self, engine: usize, job: u64, now_ms: f64) -> bool {
         self.engines[engine].engine.remove(now_ms, job).is_some()
     }
 
-    /// Removes the jobs of an engine that have ended by now, and returns their ids.
+    /// Removes the jobs of an engine that have completed by `now_ms`, and returns their ids.
     pub fn take_completed(&mut self, engine: usize, now_ms: f64) -> Vec<u64> {
         let engine = &mut self.engines[engine].engine;
         let completed = engine.take_completed(now_ms);
@@ -128,24 +128,24 @@
         completed
     }
 
-    /// The fraction of a job that is done by now.
+    /// The fraction of a job that is completed by `now_ms`.
     pub fn done_fraction(&mut self, engine: usize, job: u64, now_ms: f64) -> Option<f64> {
         let engine = &mut self.engines[engine].engine;
         engine.advance(now_ms);
         engine.done_fraction(job)
     }
 
-    /// From now on all jobs of an engine take `slowdown` times as long.
+    /// Makes all jobs of an engine take `slowdown` times as long from `now_ms` on.
     pub fn set_slowdown(&mut self, engine: usize, slowdown: f64, now_ms: f64) {
         self.engines[engine].engine.set_slowdown(now_ms, slowdown);
     }
 
-    /// An engine restarts and warms up from now on.
+    /// Restarts an engine, which then warms up from `now_ms` on. Running jobs continue.
     pub fn restart_cold(&mut self, engine: usize, now_ms: f64) {
         self.engines[engine].engine.started_ms = now_ms;
     }
 
-    /// Schedules an engine's next completion; a completion that was scheduled before is no longer current.
+    /// Schedules the next completion on an engine, if a job is running. Completions of earlier generations are stale.
     pub fn schedule_completion(&mut self, engine: usize, environment: &mut Environment) {
         let now_ms = environment.now_ms;
         let index = engine;
@@ -159,8 +159,9 @@
         }
     }
 
-    /// Records work that reached an engine. Returns the work within the limit's span as a fraction of what the engine
-    /// sustains, while it warms up. A single query never exceeds the limit.
+    /// Records the arrival of work at an engine. While the engine warms up, returns the work that arrived within the
+    /// limit's span as a fraction of the work that the engine sustains. Returns `None` for a single arrival within the
+    /// span, so that a single query never exceeds the limit.
     pub fn record_arrival(
         &mut self,
         engine: usize,
@@ -179,12 +180,14 @@
             work_ms,
         });
         arrivals.retain(|arrival| now_ms - arrival.at_ms < cold.span_ms());
-        let sent_ms: f64 = arrivals.iter().map(|arrival| arrival.work_ms).sum();
-        let sustained_ms = cold.multiple() * cold.from() * pooled.engine.cores * cold.span_ms();
-        (arrivals.len() >= 2).then_some(sent_ms / sustained_ms)
+        let arrived_work_ms: f64 = arrivals.iter().map(|arrival| arrival.work_ms).sum();
+        let sustained_work_ms =
+            cold.multiple() * cold.from() * pooled.engine.cores * cold.span_ms();
+        (arrivals.len() >= 2).then_some(arrived_work_ms / sustained_work_ms)
     }
 
-    /// Ends an engine for [`OUTAGE_MS`], after which it is cold. Returns the jobs that ran on it.
+    /// Takes an engine down for [`OUTAGE_MS`], after which it is cold. Returns the ids of the jobs that were running
+    /// on it.
     pub fn fail(&mut self, engine: usize, now_ms: f64) -> Vec<u64> {
         let pooled = &mut self.engines[engine];
         pooled.down_until_ms = now_ms + OUTAGE_MS;
--- a/crates/simulator/src/simulation/environment.rs
+++ b/crates/simulator/src/simulation/environment.rs
@@ -1,5 +1,5 @@
-//! What all parts of a simulation share: the experiment, the virtual clock, the event queue, the random draws and the
-//! record.
+//! The environment that all parts of a simulation share: the experiment, the virtual clock, the event queue, the random
+//! number generator and the record of events.
 
 use super::events::{Event, EventQueue};
 use crate::schema::{Cold, Experiment, Network};
@@ -7,30 +7,31 @@
 use rand_pcg::Pcg64;
 use tansymux_testbed::record::{Entry, EventKind};
 
-/// The decisions' clock begins here (ms), so that none of their times is before 0.
+/// Time on the admission controller's clock at the start of a run (ms). Prevents times below 0.
 const EPOCH_MS: f64 = 1e6;
-/// A run of more queries than this keeps no record for the checker, which would not fit into memory.
+/// Maximum expected number of queries of a run that is recorded for the checker. The record of a longer run would not
+/// fit into memory.
 const MAX_RECORDED_QUERIES: f64 = 400_000.0;
-/// A one-way delay is at least this fraction of the usual one.
+/// Minimum one-way delay as a fraction of the configured latency.
 const MIN_LATENCY_FRACTION: f64 = 0.7;
-/// Width of the range of one-way delays, as a fraction of the usual one.
+/// Width of the range of one-way delays as a fraction of the configured latency.
 const LATENCY_RANGE_FRACTION: f64 = 0.6;
-/// Length of the phase after the last fault that is reported separately (s).
+/// Length of the phase after the last fault, whose value is reported separately (s).
 const RECOVERY_PHASE_S: f64 = 60.0;
 
-/// The surroundings of a simulation's dispatchers, engines and clients.
+/// The environment of a simulation's dispatchers, engines and clients.
 pub(super) struct Environment<'a> {
     pub experiment: &'a Experiment,
     pub now_ms: f64,
-    /// The source of all random draws.
+    /// Source of all random numbers.
     pub rng: Pcg64,
     events: EventQueue,
-    /// None for a run that is too long to be checked.
+    /// `None` for a run that is too long to be checked.
     record: Option<Vec<Entry>>,
 }
 
 impl<'a> Environment<'a> {
-    /// The environment of a run at time 0, with no event scheduled.
+    /// Creates the environment of a run at time 0, with no event scheduled.
     pub fn new(experiment: &'a Experiment, seed: u64) -> Self {
         let queries_per_s: f64 = experiment.class.iter().map(|class| class.rate()).sum();
         let is_recorded = queries_per_s * experiment.seconds() <= MAX_RECORDED_QUERIES;
@@ -43,12 +44,12 @@
         }
     }
 
-    /// Schedules an event. Events of the same time happen in the order in which they were scheduled.
+    /// Schedules an event. Events with the same time are handled in the order in which they were scheduled.
     pub fn schedule(&mut self, at_ms: f64, event: Event) {
         self.events.push(at_ms, event);
     }
 
-    /// Advances the clock to the next event and returns it; returns none if there is none until `end_ms`.
+    /// Advances the clock to the next event and returns the event; `None` if no event is scheduled up to `end_ms`.
     pub fn next_event(&mut self, end_ms: f64) -> Option<Event> {
         let (at_ms, event) = self.events.pop()?;
         if at_ms > end_ms {
@@ -58,8 +59,8 @@
         Some(event)
     }
 
-    /// The time on the decisions' clock.
-    pub fn decision_clock_ms(&self) -> f64 {
+    /// The current time on the admission controller's clock (ms).
+    pub fn controller_clock_ms(&self) -> f64 {
         EPOCH_MS + self.now_ms
     }
 
@@ -78,40 +79,41 @@
         self.record.take()
     }
 
-    /// The experiment's network.
+    /// The network of the experiment.
     pub fn network(&self) -> Network {
         self.experiment.network.unwrap_or_default()
     }
 
-    /// The experiment's limits for engines that warm up.
+    /// The experiment's parameters for engines that are warming up.
     pub fn warm_up(&self) -> Cold {
         self.experiment.cold.unwrap_or_default()
     }
 
-    /// Draws a one-way delay of the network around the usual one (ms).
+    /// Draws a one-way delay around the configured latency of the network (ms).
     pub fn draw_latency_ms(&mut self) -> f64 {
-        let usual_ms = self.network().latency_ms();
+        let configured_ms = self.network().latency_ms();
         let range = LATENCY_RANGE_FRACTION * self.rng.random::<f64>();
-        usual_ms * (MIN_LATENCY_FRACTION + range)
+        configured_ms * (MIN_LATENCY_FRACTION + range)
     }
 
-    /// 0 before the first fault, 1 during faults, 2 for a minute after the last one, then 3.
+    /// The phase of the run: 0 before the first fault, 1 during faults, 2 for [`RECOVERY_PHASE_S`] after the last
+    /// fault, then 3.
     pub fn phase(&self) -> usize {
         let now_s = self.now_ms / 1000.0;
         let faults = &self.experiment.fault;
-        let first_s = faults
+        let first_fault_begin_s = faults
             .iter()
             .map(|fault| fault.begins_s())
             .fold(f64::INFINITY, f64::min);
-        let last_s = faults
+        let last_fault_end_s = faults
             .iter()
             .map(|fault| fault.ends_s())
             .fold(f64::NEG_INFINITY, f64::max);
-        if now_s < first_s {
+        if now_s < first_fault_begin_s {
             0
-        } else if now_s < last_s {
+        } else if now_s < last_fault_end_s {
             1
-        } else if now_s < last_s + RECOVERY_PHASE_S {
+        } else if now_s < last_fault_end_s + RECOVERY_PHASE_S {
             2
         } else {
             3
@@ -119,7 +121,7 @@
     }
 }
 
-/// A time of the decisions' clock as a time of the simulation (ms).
-pub(super) fn simulation_time_ms(decision_clock_ms: f64) -> f64 {
-    decision_clock_ms - EPOCH_MS
+/// Converts a time on the admission controller's clock to a time of the simulation (ms).
+pub(super) fn simulation_time_ms(controller_clock_ms: f64) -> f64 {
+    controller_clock_ms - EPOCH_MS
 }
--- a/crates/simulator/src/simulation/events.rs
+++ b/crates/simulator/src/simulation/events.rs
@@ -1,4 +1,5 @@
-//! Events and their queue: by time, and for those of one time in the order in which they were scheduled.
+//! Events and their queue, which is ordered by time. Events with the same time keep the order in which they were
+//! scheduled.
 
 use std::cmp::Ordering;
 use std::collections::BinaryHeap;
@@ -11,14 +12,14 @@
     End,
 }
 
-/// Something that happens at a time of the simulation.
+/// An event at a time of the simulation.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum Event {
     /// A client's query arrives at a dispatcher, and the next arrival of its class is scheduled.
     QueryArrival {
         class: usize,
     },
-    /// The time of a round that a dispatcher's decisions requested.
+    /// A timer set by a dispatcher's admission controller is due.
     DispatcherTimer {
         dispatcher: usize,
     },
@@ -26,20 +27,20 @@
     AttemptArrival {
         attempt: u64,
     },
-    /// An attempt's end reaches its dispatcher.
+    /// The end of an attempt reaches its dispatcher.
     AttemptEnd {
         attempt: u64,
         outcome: Outcome,
     },
-    /// An attempt's deadline has passed.
+    /// The deadline of an attempt passes.
     AttemptDeadline {
         attempt: u64,
     },
-    /// An engine reports an attempt's progress.
+    /// An engine reports the progress of an attempt.
     ProgressNote {
         attempt: u64,
     },
-    /// An engine's next job ends, unless the engine has changed since this was scheduled.
+    /// The next job on an engine completes. Stale if the engine has changed since the event was scheduled.
     EngineCompletion {
         engine: usize,
         generation: u64,
@@ -55,18 +56,18 @@
         fault: usize,
         edge: FaultEdge,
     },
-    /// A dispatcher gets the endpoint list.
+    /// A dispatcher receives the endpoint list.
     EndpointUpdate {
         dispatcher: usize,
     },
-    /// All dispatchers evaluate the zones' health.
+    /// All dispatchers evaluate the health of zones.
     ZoneCheck,
     Sample,
 }
 
 struct Scheduled {
     at_ms: f64,
-    number: u64,
+    sequence: u64,
     event: Event,
 }
 
@@ -84,7 +85,7 @@
         other
             .at_ms
             .total_cmp(&self.at_ms)
-            .then(other.number.cmp(&self.number))
+            .then(other.sequence.cmp(&self.sequence))
     }
 }
 
@@ -101,17 +102,17 @@
 }
 
 impl EventQueue {
-    /// Schedules an event. Events of the same time are taken in the order in which they were scheduled.
+    /// Schedules an event. Events with the same time are returned in the order in which they were scheduled.
     pub fn push(&mut self, at_ms: f64, event: Event) {
         self.scheduled_count += 1;
         self.heap.push(Scheduled {
             at_ms,
-            number: self.scheduled_count,
+            sequence: self.scheduled_count,
             event,
         });
     }
 
-    /// The next event and its time.
+    /// Removes and returns the next event with its time.
     pub fn pop(&mut self) -> Option<(f64, Event)> {
         self.heap
             .pop()
--- a/crates/simulator/src/simulation/faults.rs
+++ b/crates/simulator/src/simulation/faults.rs
@@ -1,16 +1,16 @@
-//! The experiment's faults that are in force.
+//! The active faults of the experiment.
 
 use super::events::FaultEdge;
 use crate::schema::{fault, Experiment, Fault};
 
-/// Which faults of an experiment are in force.
+/// The faults of an experiment, and whether each is active.
 pub(super) struct ActiveFaults<'a> {
     faults: &'a [Fault],
     active: Vec<bool>,
 }
 
 impl<'a> ActiveFaults<'a> {
-    /// None of the experiment's faults is in force.
+    /// Creates the faults of an experiment, all inactive.
     pub fn new(experiment: &'a Experiment) -> Self {
         ActiveFaults {
             faults: &experiment.fault,
@@ -18,23 +18,24 @@
         }
     }
 
-    /// A fault begins or ends.
-    pub fn apply(&mut self, number: usize, edge: FaultEdge) {
-        self.active[number] = edge == FaultEdge::Begin;
+    /// Activates or deactivates a fault.
+    pub fn apply(&mut self, index: usize, edge: FaultEdge) {
+        self.active[index] = edge == FaultEdge::Begin;
     }
 
-    /// Whether nothing gets through from one zone to the engines of another, or of the same.
-    pub fn is_cut(&self, from_zone: &str, engine_zone: &str) -> bool {
+    /// Whether the dispatchers of `dispatcher_zone` cannot reach the engines of `engine_zone`, which may be the same
+    /// zone.
+    pub fn is_cut(&self, dispatcher_zone: &str, engine_zone: &str) -> bool {
         let faults = self.faults.iter().zip(&self.active);
         faults.into_iter().any(|(fault, is_active)| {
-            let applies_to_sender = match fault.from.as_deref() {
-                Some(name) => name == from_zone,
-                None => from_zone != engine_zone,
+            let applies_to_dispatcher = match fault.from.as_deref() {
+                Some(name) => name == dispatcher_zone,
+                None => dispatcher_zone != engine_zone,
             };
             *is_active
                 && fault.kind() == fault::Kind::Cut
                 && fault.hall() == engine_zone
-                && applies_to_sender
+                && applies_to_dispatcher
         })
     }
 }
--- a/crates/simulator/src/simulation/inbox.rs
+++ b/crates/simulator/src/simulation/inbox.rs
@@ -1,4 +1,4 @@
-//! The events that a round delivers to a dispatcher's decisions, and the decisions of the round.
+//! The events that a round delivers to a dispatcher's admission controller, and the decisions of the round.
 
 use tansymux::control::{Control, EventSource};
 use tansymux::events::{
@@ -6,31 +6,32 @@
     HealthCheckEnded, ProgressNote, QueryArrived, StatementTraits,
 };
 
-/// The declared memory of each query (MB).
+/// Declared memory of each query (MB).
 const QUERY_MEMORY_MB: f64 = 10.0;
-/// Groups of tables, over which queries are spread in turn.
-const TABLE_GROUPS: u32 = 24;
+/// Number of distinct table sets, assigned to queries round-robin.
+const TABLE_SETS: u32 = 24;
 
-/// An engine as the endpoint list has it.
+/// An entry of the endpoint list.
 pub(super) struct Endpoint {
     pub engine_id: u64,
     pub zone: String,
     pub state: EndpointState,
-    /// When the engine started; none for an engine that was there at the begin (decisions' clock, ms).
+    /// Time of the engine's last start on the admission controller's clock (ms); `None` if the engine has not started
+    /// since the beginning of the run.
     pub started_ms: Option<f64>,
 }
 
-/// A query as its client sends it.
+/// A query at its arrival at a dispatcher.
 pub(super) struct IncomingQuery {
     pub id: u64,
-    /// Index of its class, and so of its group.
+    /// Index of the query's class, which is also the index of its resource group.
     pub class: usize,
     pub estimated_cost_ms: f64,
-    /// On the decisions' clock.
+    /// Deadline on the admission controller's clock (ms).
     pub deadline_ms: f64,
 }
 
-/// What happened to a dispatcher since its last round.
+/// An event that reached a dispatcher since its last round.
 pub(super) enum Incoming {
     Query(IncomingQuery),
     AttemptEnded(AttemptEnded),
@@ -39,12 +40,12 @@
     EndpointList,
 }
 
-/// What a dispatcher decided.
+/// A decision of a dispatcher's admission controller.
 pub(super) enum Decision {
     Submit {
         query_id: u64,
         engine_id: u64,
-        /// On the decisions' clock.
+        /// Deadline on the admission controller's clock (ms).
         deadline_ms: f64,
     },
     Reject {
@@ -66,7 +67,7 @@
     },
 }
 
-/// The decisions of one round, in their order.
+/// The decisions of one round, in order.
 #[derive(Default)]
 pub(super) struct Decisions(pub Vec<Decision>);
 
@@ -111,12 +112,12 @@
 impl EventSource for Inbox<'_> {
     fn deliver(&mut self, control: &mut Control, out: &mut dyn DecisionSink) {
         for event in self.events.drain(..) {
-            deliver_one(&event, self.groups, self.endpoints, control, out);
+            deliver_event(&event, self.groups, self.endpoints, control, out);
         }
     }
 }
 
-fn deliver_one(
+fn deliver_event(
     event: &Incoming,
     groups: &[String],
     endpoints: &[Endpoint],
@@ -146,7 +147,7 @@
         deadline_ms: query.deadline_ms,
         estimated_cost_ms: query.estimated_cost_ms,
         memory_mb: QUERY_MEMORY_MB,
-        tables: query.id as u32 % TABLE_GROUPS,
+        tables: query.id as u32 % TABLE_SETS,
         statement: StatementTraits::UNKNOWN,
     };
     let accepted = control.on_query_arrived(&arrived, out);
--- a/crates/simulator/src/simulation/mod.rs
+++ b/crates/simulator/src/simulation/mod.rs
@@ -1,5 +1,5 @@
-//! A pool in virtual time. Everything that happens is an event with a time; dispatchers are the real decisions, called
-//! as the program calls them.
+//! Simulates a pool in virtual time by discrete events. Dispatchers run the real admission controller, called in the
+//! same way as in the real dispatcher.
 //!
 //! Start reading at [`run`], then at `Simulation::handle`.
 
@@ -31,16 +31,16 @@
 use tansymux::events::EndpointState;
 use tansymux_testbed::record::{EventKind, Status};
 
-/// Time between two progress notes of an attempt (ms).
+/// Interval between progress notes of an attempt (ms).
 const NOTE_INTERVAL_MS: f64 = 100.0;
-/// Time between two evaluations of the zones' health (ms).
+/// Interval between evaluations of the zones' health (ms).
 const ZONE_CHECK_INTERVAL_MS: f64 = 100.0;
-/// Time between two samples (ms).
+/// Interval between samples (ms).
 const SAMPLE_INTERVAL_MS: f64 = 250.0;
-/// How long a run continues after its last arrival, so that all queries get their answer (ms).
+/// Time for which a run continues after the last arrival, so that all queries are answered (ms).
 const DRAIN_MS: f64 = 6000.0;
 
-/// A query, from its arrival until nothing refers to it.
+/// A query, kept from its arrival until it is answered and its last attempt has ended.
 struct Query {
     dispatcher: usize,
     class: usize,
@@ -63,7 +63,7 @@
 /// A run of one variant with one seed.
 struct Simulation<'a> {
     environment: Environment<'a>,
-    /// The endpoint list follows faults at once.
+    /// Whether the endpoint list follows faults immediately.
     ideal: bool,
     zones: Vec<String>,
     groups: Vec<String>,
@@ -81,19 +81,19 @@
 
 /// Runs one seed of one variant.
 pub fn run(experiment: &Experiment, variant: usize, seed: u64) -> Outcomes {
-    let from = Instant::now();
+    let started = Instant::now();
     let mut simulation = Simulation::new(experiment, variant, seed);
-    simulation.begin();
+    simulation.initialize();
     let end_ms = experiment.seconds() * 1000.0;
     while let Some(event) = simulation.environment.next_event(end_ms + DRAIN_MS) {
         simulation.handle(event, end_ms);
     }
     let record = simulation.environment.take_record();
-    let real_s = from.elapsed().as_secs_f64();
-    simulation.results.finish(experiment, record, real_s)
+    let elapsed_s = started.elapsed().as_secs_f64();
+    simulation.results.finish(experiment, record, elapsed_s)
 }
 
-/// The endpoint list at the begin: all engines are ready, and none started late.
+/// The endpoint list at the beginning of a run: all engines are ready, and none has a start time.
 fn initial_endpoints(zones: &[String], engines: &EnginePool) -> Vec<Endpoint> {
     (0..engines.len())
         .map(|engine| Endpoint {
@@ -142,8 +142,8 @@
         self.environment.schedule(at_ms, event);
     }
 
-    /// Announces all engines, and schedules the first event of each kind.
-    fn begin(&mut self) {
+    /// Delivers the endpoint list to all dispatchers, and schedules the first recurring events and all faults.
+    fn initialize(&mut self) {
         for engine in 0..self.engines.len() {
             let zone = self.zones[self.engines.zone(engine)].clone();
             self.environment.record(|| EventKind::Listed {
@@ -155,7 +155,7 @@
             });
         }
         for dispatcher in 0..self.dispatchers.len() {
-            self.announce_endpoints(dispatcher);
+            self.deliver_endpoint_list(dispatcher);
         }
         let experiment = self.environment.experiment;
         for class in 0..experiment.class.len() {
@@ -176,7 +176,7 @@
         self.environment.schedule(SAMPLE_INTERVAL_MS, Event::Sample);
     }
 
-    /// Handles an event. No query arrives, and nothing recurs, after `end_ms`.
+    /// Handles an event. After `end_ms`, no queries arrive and no recurring events are scheduled.
     fn handle(&mut self, event: Event, end_ms: f64) {
         let is_before_end = self.environment.now_ms < end_ms;
         match event {
@@ -201,7 +201,7 @@
                 outcome,
             } => self.on_health_check_end(dispatcher, engine, outcome),
             Event::Fault { fault, edge } => self.on_fault(fault, edge),
-            Event::EndpointUpdate { dispatcher } => self.announce_endpoints(dispatcher),
+            Event::EndpointUpdate { dispatcher } => self.deliver_endpoint_list(dispatcher),
             Event::ZoneCheck => {
                 self.evaluate_zones();
                 if is_before_end {
@@ -222,19 +222,19 @@
         self.engines.is_down(engine, self.environment.now_ms)
     }
 
-    /// Whether nothing gets through between a dispatcher and an engine.
+    /// Whether a dispatcher cannot reach an engine.
     fn is_cut(&self, dispatcher: usize, engine: usize) -> bool {
         let dispatcher_zone = &self.zones[self.dispatchers[dispatcher].zone()];
         let engine_zone = &self.zones[self.engines.zone(engine)];
         self.faults.is_cut(dispatcher_zone, engine_zone)
     }
 
-    /// A fault begins or ends.
-    fn on_fault(&mut self, number: usize, edge: FaultEdge) {
-        self.faults.apply(number, edge);
-        let fault = &self.environment.experiment.fault[number];
+    /// Handles the beginning or end of a fault.
+    fn on_fault(&mut self, index: usize, edge: FaultEdge) {
+        self.faults.apply(index, edge);
+        let fault = &self.environment.experiment.fault[index];
         if self.ideal && fault.kind() == fault::Kind::Cut {
-            self.announce_reachable_engines();
+            self.publish_reachability();
         }
         let now_ms = self.environment.now_ms;
         for engine in 0..self.engines.len() {
@@ -264,12 +264,13 @@
             engine: engine_name(engine),
             cores,
         });
-        let started_ms = self.environment.decision_clock_ms();
-        self.announce_start(engine, started_ms);
+        let started_ms = self.environment.controller_clock_ms();
+        self.publish_engine_start(engine, started_ms);
     }
 
-    /// Enters an engine's new start (decisions' clock) into the endpoint list, which each dispatcher gets after a delay.
-    fn announce_start(&mut self, engine: usize, started_ms: f64) {
+    /// Sets an engine's start time (on the admission controller's clock) in the endpoint list, which each dispatcher
+    /// receives after a random delay.
+    fn publish_engine_start(&mut self, engine: usize, started_ms: f64) {
         self.endpoints[engine].started_ms = Some(started_ms);
         let max_delay_ms = self.environment.network().list_ms();
         for dispatcher in 0..self.dispatchers.len() {
@@ -278,12 +279,13 @@
         }
     }
 
-    /// Enters into the endpoint list that engines which no dispatcher reaches are gone. All dispatchers get it at once.
-    fn announce_reachable_engines(&mut self) {
+    /// Marks the engines that no dispatcher reaches as gone in the endpoint list, and delivers the list to all
+    /// dispatchers immediately.
+    fn publish_reachability(&mut self) {
         for engine in 0..self.engines.len() {
-            let is_reached =
+            let is_reachable =
                 (0..self.dispatchers.len()).any(|dispatcher| !self.is_cut(dispatcher, engine));
-            self.endpoints[engine].state = if is_reached {
+            self.endpoints[engine].state = if is_reachable {
                 EndpointState::Ready
             } else {
                 EndpointState::Gone
@@ -307,7 +309,7 @@
             .take_sample(self.environment.now_ms, threads, spilled);
     }
 
-    /// Records how near spilled threads are to the limit of each zone.
+    /// Records the spilled threads of each zone as a fraction of the zone's limit.
     fn record_spill(&mut self, spilled: &[f64]) {
         for (index, zone) in self.zones.iter().enumerate() {
             let Some(limit_fraction) = self.dispatchers[0].spill_limit(zone) else {
--- a/crates/simulator/src/simulation/results.rs
+++ b/crates/simulator/src/simulation/results.rs
@@ -1,4 +1,4 @@
-//! The results of a run: samples, figures and violations. Outcomes are written as JSON, whose keys must stay.
+//! The results of a run: samples, figures and violations. Outcomes are written as JSON with fixed keys.
 
 use crate::schema::{Class, Cold, Experiment};
 use hdrhistogram::Histogram;
@@ -8,39 +8,39 @@
 };
 use tansymux_testbed::record::Entry;
 
-/// Number of consecutive samples over which full service is determined.
+/// Number of consecutive samples over which the value is averaged to determine full service.
 const FULL_SERVICE_SAMPLES: usize = 8;
-/// Full service is at least this fraction of the value served before the faults.
+/// Full service: the value is at least this fraction of the value before the faults.
 const FULL_SERVICE_FRACTION: f64 = 0.95;
-/// An answer in time has this many times the value of a late one.
+/// Ratio of the value of an answer in time to the value of a late answer.
 const LATE_VALUE_DIVISOR: f64 = 3.0;
-/// Phases of a run: before the first fault, during faults, a minute after the last one, later.
+/// Number of phases of a run: before the first fault, during faults, the minute after the last fault, later.
 const PHASES: usize = 4;
 
-/// The value of answers, and its maximum.
+/// The value of the answers, and its maximum.
 #[derive(Debug, Clone, Copy, Default)]
 struct Value {
-    got: f64,
+    achieved: f64,
     max: f64,
 }
 
-/// The state of a run at one moment, with the counts since the sample before.
+/// The state of a run at a point in time, with the counts since the previous sample.
 #[derive(Debug, Clone, Serialize, Default)]
 pub struct Sample {
-    /// Seconds since the run's begin.
+    /// Time since the beginning of the run (s).
     #[serde(rename = "at")]
     pub at_s: f64,
-    /// Value of answers.
+    /// Value of the answers.
     pub value: f64,
-    /// Value if all queries that arrived had been answered in time.
+    /// Maximum value: the value if all queries that arrived had been answered in time.
     #[serde(rename = "most")]
     pub max_value: f64,
-    /// Rejections.
+    /// Number of rejections.
     #[serde(rename = "deferred")]
     pub rejected: u64,
-    /// Threads by zone.
+    /// Number of running threads by zone.
     pub threads: Vec<f64>,
-    /// Threads of the low lane from other zones, by zone.
+    /// Number of spilled low-lane threads by the zone that they run in.
     pub spilled: Vec<f64>,
 }
 
@@ -52,42 +52,43 @@
     /// The name of the variant.
     #[serde(rename = "arm")]
     pub variant: String,
-    /// Queries sent.
+    /// Number of queries sent.
     pub asked: u64,
-    /// Answers in time.
+    /// Number of answers in time.
     pub in_time: u64,
-    /// Answers that came late.
+    /// Number of late answers.
     pub late: u64,
-    /// Rejections.
+    /// Number of rejections.
     #[serde(rename = "deferred")]
     pub rejected: u64,
-    /// Final errors.
+    /// Number of queries that failed.
     #[serde(rename = "killed")]
     pub failed: u64,
-    /// Value as a fraction of its maximum, by phase: before the first fault, during faults, a minute after, later.
+    /// Value as a fraction of its maximum, by phase: before the first fault, during faults, the minute after the last
+    /// fault, later.
     pub value: [f64; PHASES],
     /// The 99th percentile of the latencies of fast queries (ms).
     #[serde(rename = "p99_fast")]
     pub fast_p99_ms: u64,
-    /// The most spilled threads as a fraction of the limit, where there is one.
+    /// Maximum of the spilled threads as a fraction of the limit, over zones with a limit.
     #[serde(rename = "spill")]
     pub max_spill: f64,
-    /// The most work sent to an engine that warms up, as a fraction of what it sustains.
+    /// Maximum work sent to an engine that is warming up, as a fraction of the work that it sustains.
     #[serde(rename = "cold")]
     pub max_cold_load: f64,
-    /// How often an engine failed under its load.
+    /// Number of engine failures under load.
     #[serde(rename = "fell")]
-    pub engines_fallen: u64,
+    pub engine_failures: u64,
     /// Time from the end of the last fault to full service (ms), if it was reached.
     #[serde(rename = "full_after")]
     pub full_service_after_ms: Option<f64>,
-    /// Number of violations of the rules.
+    /// Number of rule violations.
     #[serde(rename = "broken")]
     pub violations: usize,
     /// The first violation.
     #[serde(rename = "first_broken")]
     pub first_violation: Option<String>,
-    /// Virtual seconds simulated in a real second.
+    /// Virtual seconds simulated per real second.
     #[serde(rename = "pace")]
     pub virtual_s_per_s: f64,
     /// Samples, in the order of their times.
@@ -99,13 +100,13 @@
 pub(super) struct Results {
     outcomes: Outcomes,
     fast_latencies_ms: Histogram<u64>,
-    /// The counts since the last sample.
+    /// Counts since the last sample.
     sample: Sample,
     values: [Value; PHASES],
 }
 
 impl Results {
-    /// No results yet of a variant's run.
+    /// Creates empty results for a run of a variant.
     pub fn new(variant: &str, seed: u64) -> Self {
         Results {
             outcomes: Outcomes {
@@ -113,20 +114,21 @@
                 variant: variant.to_owned(),
                 ..Outcomes::default()
             },
-            fast_latencies_ms: Histogram::new_with_bounds(1, 600_000, 3).expect("bounds in order"),
+            fast_latencies_ms: Histogram::new_with_bounds(1, 600_000, 3)
+                .expect("the bounds are valid"),
             sample: Sample::default(),
             values: [Value::default(); PHASES],
         }
     }
 
-    /// A query of a class arrived.
+    /// Records the arrival of a query of a class.
     pub fn record_query(&mut self, class: &Class, phase: usize) {
         self.outcomes.asked += 1;
         self.values[phase].max += class.worth();
         self.sample.max_value += class.worth();
     }
 
-    /// A query of a class got its answer.
+    /// Records the answer to a query of a class.
     pub fn record_answer(&mut self, class: &Class, status: u16, latency_ms: f64, phase: usize) {
         match status {
             200 if latency_ms <= class.target_ms() => self.outcomes.in_time += 1,
@@ -141,7 +143,7 @@
             return;
         }
         let value = value_of(class, latency_ms);
-        self.values[phase].got += value;
+        self.values[phase].achieved += value;
         self.sample.value += value;
         let is_fast = class.threads() <= 1.0 && !class.changes();
         if is_fast {
@@ -149,17 +151,17 @@
         }
     }
 
-    /// Work reached an engine that warms up: a fraction of what it sustains.
+    /// Records the load of an engine that is warming up, as a fraction of the load that it sustains.
     pub fn record_cold_load(&mut self, fraction: f64) {
         self.outcomes.max_cold_load = self.outcomes.max_cold_load.max(fraction);
     }
 
-    /// An engine failed under its load.
+    /// Records the failure of an engine under its load.
     pub fn record_engine_failure(&mut self) {
-        self.outcomes.engines_fallen += 1;
+        self.outcomes.engine_failures += 1;
     }
 
-    /// Threads spilled into a zone: a fraction of the limit.
+    /// Records the threads spilled into a zone, as a fraction of the limit.
     pub fn record_spill(&mut self, fraction: f64) {
         self.outcomes.max_spill = self.outcomes.max_spill.max(fraction);
     }
@@ -175,18 +177,18 @@
         });
     }
 
-    /// The outcomes, with the figures over all queries. `real_s`: how long the simulation took.
+    /// Returns the outcomes with the figures over all queries. `elapsed_s` is the real time that the simulation took.
     pub fn finish(
         mut self,
         experiment: &Experiment,
         record: Option<Vec<Entry>>,
-        real_s: f64,
+        elapsed_s: f64,
     ) -> Outcomes {
-        self.outcomes.virtual_s_per_s = experiment.seconds() / real_s.max(1e-9);
+        self.outcomes.virtual_s_per_s = experiment.seconds() / elapsed_s.max(1e-9);
         self.outcomes.fast_p99_ms = self.fast_latencies_ms.value_at_quantile(0.99);
         self.outcomes.value = self.values.map(|value| {
             if value.max > 0.0 {
-                value.got / value.max
+                value.achieved / value.max
             } else {
                 f64::NAN
             }
@@ -202,7 +204,7 @@
 
     /// Time from the end of the last fault to the first samples with full service.
     fn full_service_after_ms(&self, experiment: &Experiment) -> Option<f64> {
-        let last_s = experiment
+        let last_fault_end_s = experiment
             .fault
             .iter()
             .map(|fault| fault.ends_s())
@@ -212,19 +214,20 @@
             .iter()
             .map(|sample| sample.value / sample.max_value.max(1e-9))
             .collect();
-        let before = self.outcomes.value[0];
+        let value_before = self.outcomes.value[0];
         let is_full = |first: usize| {
             let window = fractions[first..].iter().take(FULL_SERVICE_SAMPLES);
-            window.sum::<f64>() / FULL_SERVICE_SAMPLES as f64 >= FULL_SERVICE_FRACTION * before
+            window.sum::<f64>() / FULL_SERVICE_SAMPLES as f64
+                >= FULL_SERVICE_FRACTION * value_before
         };
         (0..samples.len().saturating_sub(FULL_SERVICE_SAMPLES))
-            .find(|first| samples[*first].at_s >= last_s && is_full(*first))
-            .map(|first| (samples[first].at_s - last_s) * 1000.0)
-            .filter(|_| before.is_finite() && last_s > 0.0)
+            .find(|first| samples[*first].at_s >= last_fault_end_s && is_full(*first))
+            .map(|first| (samples[first].at_s - last_fault_end_s) * 1000.0)
+            .filter(|_| value_before.is_finite() && last_fault_end_s > 0.0)
     }
 }
 
-/// The value of an answer: all of the class's worth in time, a third of it later.
+/// The value of an answer: the class's worth if the answer is in time, or a third of it if late.
 fn value_of(class: &Class, latency_ms: f64) -> f64 {
     if latency_ms <= class.target_ms() {
         class.worth()
