--- a/crates/codec/src/lib.rs
+++ b/crates/codec/src/lib.rs
@@ -1,6 +1,6 @@
 //! Reads and writes the fields of datagrams: fixed-size, big-endian, without padding.
 //!
-//! # What it owns
+//! # Contents
 //! - [`ByteReader`] and [`ByteWriter`]: read fields from the front of a datagram, and append fields to a datagram.
 //! - [`wire_enum!`]: defines enums that are one byte on the wire.
 //! - `test_support`: hexadecimal digits and fixture files, for the tests of other packages (feature `test-support`).
--- a/crates/coordination/src/event.rs
+++ b/crates/coordination/src/event.rs
@@ -42,7 +42,7 @@
 
 impl Proposal {
     /// A record that does not expire.
-    pub fn lasting(key: u64, value: RecordValue) -> Self {
+    pub fn without_expiry(key: u64, value: RecordValue) -> Self {
         Proposal {
             key,
             value,
@@ -52,7 +52,7 @@
 
     /// A tombstone, which ends the record of a key.
     pub fn tombstone(key: u64) -> Self {
-        Proposal::lasting(key, RecordValue::Tombstone)
+        Proposal::without_expiry(key, RecordValue::Tombstone)
     }
 }
 
--- a/crates/coordination/src/quorum_node.rs
+++ b/crates/coordination/src/quorum_node.rs
@@ -140,14 +140,14 @@
     }
 
     /// Whether the voter has a tombstone for this key, chosen or not.
-    pub fn is_ending(&self, key: u64) -> bool {
+    pub fn has_tombstone(&self, key: u64) -> bool {
         self.records
             .get(key)
             .is_some_and(|stored| stored.record.is_tombstone())
     }
 
     /// Whether the voter has a record with this key, tombstones included.
-    pub fn holds(&self, key: u64) -> bool {
+    pub fn contains_key(&self, key: u64) -> bool {
         self.records.get(key).is_some()
     }
 
@@ -172,7 +172,7 @@
         let only_chosen = leadership
             .into_iter()
             .flat_map(|leadership| leadership.chosen_keys())
-            .filter(|key| !self.holds(*key));
+            .filter(|key| !self.contains_key(*key));
         self.records
             .keys()
             .chain(only_chosen)
--- a/crates/dispatcher/src/subsystems/zone_routing.rs
+++ b/crates/dispatcher/src/subsystems/zone_routing.rs
@@ -116,7 +116,7 @@
                 engine_id: entry.engine_id,
                 zone: entry.zone.clone(),
                 cores: self.settings.engine_kind(&entry.kind).cores,
-                ready: entry.state == EndpointState::Ready,
+                is_ready: entry.state == EndpointState::Ready,
             },
         );
         if let Some(detector) = self.detector.borrow_mut().as_mut() {
--- a/crates/engine-state/src/cache.rs
+++ b/crates/engine-state/src/cache.rs
@@ -31,7 +31,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Default)]
 pub struct EngineView {
     /// Whether the engine is draining or gone: no query may be sent to it.
-    pub is_closed: bool,
+    pub is_draining_or_gone: bool,
     /// Evidence of recent unresponsiveness or errors, from 0 to 1. A suspected engine can be ejected until it has
     /// answered this dispatcher.
     pub suspicion: f64,
@@ -269,7 +269,7 @@
             .filter(|mean| mean.weight > MIN_LOCK_WEIGHT)
             .map(|mean| mean.value as u32);
         EngineView {
-            is_closed: engine.is_reported(ObservationKind::Draining)
+            is_draining_or_gone: engine.is_reported(ObservationKind::Draining)
                 || engine.is_reported(ObservationKind::Gone),
             suspicion: unresponsive.max(error_rate).clamp(0.0, 1.0),
             slowdown: mean(ObservationKind::Slowdown),
--- a/crates/engine-state/tests/merge.rs
+++ b/crates/engine-state/tests/merge.rs
@@ -38,15 +38,15 @@
     // engine.
     (0..50).for_each(|_| cache.record_verification(PEER, Verification::Refuted));
     cache.record(9, 1, ObservationKind::Unresponsive, 0.0, 1000.0);
-    assert!(cache.view(9, 1000.0).is_closed && cache.view(9, 1e9).is_closed);
+    assert!(cache.view(9, 1000.0).is_draining_or_gone && cache.view(9, 1e9).is_draining_or_gone);
     cache.record(9, 2, ObservationKind::Unresponsive, 0.0, 2000.0);
-    assert!(!cache.view(9, 2000.0).is_closed);
+    assert!(!cache.view(9, 2000.0).is_draining_or_gone);
     // Late observations of the previous incarnation are ignored.
     cache.merge(
         &observation(ObservationKind::Draining, 1.0, OTHER_PEER, 7, 0.0),
         3000.0,
     );
-    assert!(!cache.view(9, 3000.0).is_closed);
+    assert!(!cache.view(9, 3000.0).is_draining_or_gone);
 }
 
 #[test]
--- a/crates/operator-config/src/zone_routing.rs
+++ b/crates/operator-config/src/zone_routing.rs
@@ -2,7 +2,9 @@
 
 use crate::schema;
 use crate::units::MS_PER_S;
-use tansymux_zone_routing::{Config, CutDetection, RecoveryRamp, Route, SpillLimit, Tier};
+use tansymux_zone_routing::{
+    Config, RecoveryRamp, Route, SpillLimit, Tier, UnreachabilityThresholds,
+};
 
 /// The configuration of zone routing. [`parse`](crate::parse) checks the values, this conversion does not.
 pub fn zone_routing_config(halls: &schema::Halls) -> Config {
@@ -11,7 +13,7 @@
     Config {
         routes: halls.route.iter().map(route).collect(),
         spill_limits: halls.spill.iter().map(spill_limit).collect(),
-        cut_detection: CutDetection {
+        unreachability_thresholds: UnreachabilityThresholds {
             silent_ms: cut.quiet_s() * MS_PER_S,
             failing_fraction: cut.part(),
         },
--- a/crates/rollout/src/fleet_node/messages.rs
+++ b/crates/rollout/src/fleet_node/messages.rs
@@ -186,12 +186,12 @@
             return;
         };
         for LeasedRecord { record, .. } in records {
-            let is_lost = !quorum.holds(record.key) && !record.is_tombstone();
+            let is_lost = !quorum.contains_key(record.key) && !record.is_tombstone();
             if !quorum.is_leader(self.now_ms) || !is_lost {
                 continue;
             }
             let proposal = if does_not_expire(&record.value) {
-                Proposal::lasting(record.key, record.value)
+                Proposal::without_expiry(record.key, record.value)
             } else {
                 Proposal::tombstone(record.key)
             };
--- a/crates/rollout/src/quorum_records.rs
+++ b/crates/rollout/src/quorum_records.rs
@@ -64,7 +64,7 @@
         from: release.from,
         stage: release.stage,
     };
-    Proposal::lasting(RELEASE_KEY, value)
+    Proposal::without_expiry(RELEASE_KEY, value)
 }
 
 /// Proposes records. A rejected proposal is not an error: the next evaluation or the retransmitted command proposes the
@@ -87,7 +87,7 @@
     if node.active(key).is_none() {
         return Answer::Done;
     }
-    if !node.is_ending(key) {
+    if !node.has_tombstone(key) {
         propose(node, &[Proposal::tombstone(key)], now_ms);
     }
     Answer::Pending
@@ -105,6 +105,6 @@
         by: node.id(),
         reason: reason.code(),
     };
-    propose(node, &[Proposal::lasting(HALT_KEY, value)], now_ms);
+    propose(node, &[Proposal::without_expiry(HALT_KEY, value)], now_ms);
     when_chosen(node, HALT_KEY, Answer::Done)
 }
--- a/crates/rollout/src/rollout_controller/disruption_upkeep.rs
+++ b/crates/rollout/src/rollout_controller/disruption_upkeep.rs
@@ -93,7 +93,7 @@
             session: self.session,
             grant_id: self.grant_id,
         };
-        Proposal::lasting(self.key, value)
+        Proposal::without_expiry(self.key, value)
     }
 
     /// Whether the reporting dispatcher was started under this lease. A new session alone does not prove that: the
@@ -111,7 +111,7 @@
         self.node
             .all_active()
             .filter_map(|leased| self.change(&ids, leased))
-            .filter(|change| !self.node.is_ending(change.key))
+            .filter(|change| !self.node.has_tombstone(change.key))
             .collect()
     }
 
@@ -194,7 +194,7 @@
         let report = self.fleet.report_of(id)?;
         let has_left = state == MemberState::Left;
         // A member that left no longer belongs to the fleet once its record has ended.
-        if has_left && self.node.is_ending(key) {
+        if has_left && self.node.has_tombstone(key) {
             return None;
         }
         Some(Proposal {
--- a/crates/rollout/src/rollout_controller/grants.rs
+++ b/crates/rollout/src/rollout_controller/grants.rs
@@ -138,7 +138,7 @@
     match decision {
         Decision::Granted => granted(node, key),
         // A disruption that is being ended is not granted again.
-        Decision::AlreadyGranted if node.is_ending(key) => Answer::AlreadyOut {
+        Decision::AlreadyGranted if node.has_tombstone(key) => Answer::AlreadyOut {
             reason: request.reason,
         },
         Decision::AlreadyGranted => granted(node, key),
--- a/crates/rollout/src/zone_coordinator/commands.rs
+++ b/crates/rollout/src/zone_coordinator/commands.rs
@@ -8,7 +8,7 @@
 use tansymux_coordination::QuorumNode;
 use tansymux_zone_evacuation::codec::ZoneEntry;
 use tansymux_zone_evacuation::{
-    EvacuationController, EvacuationRefused, Initiator, Reason, Stage, ZoneId, ZoneStatus,
+    EvacuationController, EvacuationError, Initiator, Reason, Stage, ZoneId, ZoneStatus,
 };
 
 /// Unit of the time from which the decision number of an operator's evacuation is derived (ms). Numbers derived from
@@ -74,17 +74,17 @@
     }
 }
 
-impl From<EvacuationRefused> for Answer {
-    fn from(refused: EvacuationRefused) -> Self {
+impl From<EvacuationError> for Answer {
+    fn from(refused: EvacuationError) -> Self {
         match refused {
-            EvacuationRefused::InsufficientCapacity {
+            EvacuationError::InsufficientCapacity {
                 load_threads,
                 capacity_threads,
             } => Answer::InsufficientCapacity {
                 load: load_threads as f32,
                 remaining: capacity_threads as f32,
             },
-            EvacuationRefused::TooManyCores { fraction } => Answer::TooManyCoresEvacuated {
+            EvacuationError::TooManyCores { fraction } => Answer::TooManyCoresEvacuated {
                 fraction: fraction as f32,
             },
         }
--- a/crates/rollout/src/zone_coordinator/zone_records.rs
+++ b/crates/rollout/src/zone_coordinator/zone_records.rs
@@ -41,7 +41,7 @@
 ) {
     let key = Record::zone_key(zone);
     let proposal = match status {
-        Some(status) => Proposal::lasting(
+        Some(status) => Proposal::without_expiry(
             key,
             RecordValue::Zone {
                 zone,
--- a/crates/rollout/tests/datagram_fixtures.rs
+++ b/crates/rollout/tests/datagram_fixtures.rs
@@ -1,4 +1,4 @@
-//! Datagrams of the previous version: each is decoded, and the same values are encoded to the same bytes.
+//! Datagrams of commit 0fd3fce: each is decoded, and the same values are encoded to the same bytes.
 
 use tansymux_codec::test_support::{fixture_lines, from_hex, to_hex};
 use tansymux_coordination::disruption_budget::{HaltReason, Scope};
@@ -304,7 +304,7 @@
 }
 
 #[test]
-fn datagrams_of_the_previous_version_are_decoded_and_encoded_to_the_same_bytes() {
+fn datagrams_of_commit_0fd3fce_are_decoded_and_encoded_to_the_same_bytes() {
     let fixtures = fixture_lines(FIXTURES);
     let samples = samples();
     assert_eq!(fixtures.len(), samples.len());
--- a/crates/simulator/src/simulation/dispatchers.rs
+++ b/crates/simulator/src/simulation/dispatchers.rs
@@ -124,7 +124,7 @@
                 engine_id: endpoint.engine_id,
                 zone: endpoint.zone.clone(),
                 cores: self.engines.cores(engine),
-                ready: endpoint.state == EndpointState::Ready,
+                is_ready: endpoint.state == EndpointState::Ready,
             })
             .collect();
         let clock_ms = self.environment.decision_clock_ms();
--- a/crates/zone-evacuation/src/controller.rs
+++ b/crates/zone-evacuation/src/controller.rs
@@ -11,7 +11,7 @@
     Config, Decision, MemberId, MemberReport, QuotaRequest, Reason, Stage, ZoneHealth, ZoneId,
     ZoneStatus, MAX_ZONES,
 };
-pub use limits::{EvacuationRefused, Initiator};
+pub use limits::{EvacuationError, Initiator};
 use std::collections::BTreeMap;
 pub use witnesses::MemberPresence;
 use witnesses::Witnesses;
--- a/crates/zone-evacuation/src/controller/limits.rs
+++ b/crates/zone-evacuation/src/controller/limits.rs
@@ -15,7 +15,7 @@
 
 /// The reason why a zone may not be evacuated.
 #[derive(Debug, Clone, Copy, PartialEq, thiserror::Error)]
-pub enum EvacuationRefused {
+pub enum EvacuationError {
     /// The remaining zones could not carry the load.
     #[error(
         "the load is {load_threads} threads, the remaining zones can carry {capacity_threads}"
@@ -46,7 +46,7 @@
         agreed: &BTreeMap<ZoneId, ZoneStatus>,
         initiator: Initiator,
         now_ms: f64,
-    ) -> Result<(), EvacuationRefused> {
+    ) -> Result<(), EvacuationError> {
         match initiator {
             Initiator::Controller => self.check_evacuated_cores(zone, agreed),
             // The controller does not check the capacity: excess load is shed with or without the evacuation.
@@ -58,7 +58,7 @@
         &self,
         zone: ZoneId,
         agreed: &BTreeMap<ZoneId, ZoneStatus>,
-    ) -> Result<(), EvacuationRefused> {
+    ) -> Result<(), EvacuationError> {
         let is_other_evacuated =
             |other: ZoneId| other != zone && is_evacuated(agreed.get(&other).copied());
         let all_cores: f64 = self.zones.values().map(ZoneState::cores).sum();
@@ -75,7 +75,7 @@
         };
         let is_second_zone = agreed.keys().any(|other| is_other_evacuated(*other));
         if fraction > self.config.max_evacuated_fraction || is_second_zone {
-            return Err(EvacuationRefused::TooManyCores { fraction });
+            return Err(EvacuationError::TooManyCores { fraction });
         }
         Ok(())
     }
@@ -85,7 +85,7 @@
         zone: ZoneId,
         agreed: &BTreeMap<ZoneId, ZoneStatus>,
         now_ms: f64,
-    ) -> Result<(), EvacuationRefused> {
+    ) -> Result<(), EvacuationError> {
         let is_remaining =
             |other: ZoneId| other != zone && !is_evacuated(agreed.get(&other).copied());
         let capacity_threads: f64 = self
@@ -104,7 +104,7 @@
             .map(|id| self.witnesses.load_threads(*id, now_ms))
             .sum();
         if load_threads > capacity_threads {
-            return Err(EvacuationRefused::InsufficientCapacity {
+            return Err(EvacuationError::InsufficientCapacity {
                 load_threads,
                 capacity_threads,
             });
--- a/crates/zone-evacuation/src/follower.rs
+++ b/crates/zone-evacuation/src/follower.rs
@@ -61,7 +61,7 @@
 /// A member's view of evacuations.
 #[derive(Debug, Clone)]
 pub struct EvacuationFollower {
-    own_zone: ZoneId,
+    local_zone: ZoneId,
     started_ms: f64,
     /// Time of the leader's last message (ms).
     leader_contact_ms: f64,
@@ -70,10 +70,11 @@
 }
 
 impl EvacuationFollower {
-    /// Creates the view of a member of `own_zone` that has just started. For `autonomy_after_ms` see [`crate::Config`].
-    pub fn new(own_zone: ZoneId, autonomy_after_ms: f64, now_ms: f64) -> Self {
+    /// Creates the view of a member of `local_zone` that has just started. For `autonomy_after_ms` see
+    /// [`crate::Config`].
+    pub fn new(local_zone: ZoneId, autonomy_after_ms: f64, now_ms: f64) -> Self {
         EvacuationFollower {
-            own_zone,
+            local_zone,
             started_ms: now_ms,
             leader_contact_ms: f64::NEG_INFINITY,
             autonomy_after_ms,
@@ -129,7 +130,7 @@
     /// The permitted use of a zone at `now_ms`.
     pub fn zone_use(&self, zone: ZoneId, now_ms: f64) -> ZoneUse {
         // Members inside a zone continue to use it.
-        if zone == self.own_zone {
+        if zone == self.local_zone {
             return ZoneUse::LocalDecision;
         }
         let Some(known) = self.zones.get(&zone) else {
@@ -160,7 +161,7 @@
     }
 
     /// Time since the leader's last message, or since the start (ms).
-    pub fn leader_silent_ms(&self, now_ms: f64) -> f64 {
+    pub fn time_since_leader_contact_ms(&self, now_ms: f64) -> f64 {
         now_ms - self.leader_contact_ms.max(self.started_ms)
     }
 }
--- a/crates/zone-evacuation/src/lib.rs
+++ b/crates/zone-evacuation/src/lib.rs
@@ -28,7 +28,7 @@
 mod ramp_quotas;
 
 pub use config::Config;
-pub use controller::{EvacuationController, EvacuationRefused, Initiator, MemberPresence};
+pub use controller::{EvacuationController, EvacuationError, Initiator, MemberPresence};
 pub use follower::{EvacuationFollower, FollowerEvent, QuotaGrant, ZoneUse};
 pub use model::{
     Decision, Evidence, MemberId, MemberReport, Reachability, Reason, Stage, ZoneHealth, ZoneId,
--- a/crates/zone-evacuation/tests/codec.rs
+++ b/crates/zone-evacuation/tests/codec.rs
@@ -1,5 +1,4 @@
-//! Messages of the previous version (commit 7790f50) decode to the expected values, and the same values encode to the
-//! same bytes.
+//! Messages of commit 7790f50 decode to the expected values, and the same values encode to the same bytes.
 
 use tansymux_codec::test_support::from_hex;
 use tansymux_zone_evacuation::codec::{self, DecodeError, LeaderReply, ZoneEntry};
@@ -36,7 +35,7 @@
 }
 
 #[test]
-fn report_of_the_previous_version_is_decoded_and_encoded_to_the_same_bytes() {
+fn report_of_commit_7790f50_is_decoded_and_encoded_to_the_same_bytes() {
     let bytes = from_hex(
         "010203040506070801000000010000000000000000000000000201402000000011000300000003023dcccccd\
         ffff0001deadbeef034480000001000200",
@@ -57,7 +56,7 @@
 }
 
 #[test]
-fn reply_of_the_previous_version_is_decoded_and_encoded_to_the_same_bytes() {
+fn reply_of_commit_7790f50_is_decoded_and_encoded_to_the_same_bytes() {
     let bytes = from_hex(
         "05060708000000010000000000070000000000000000020000000000080100000000000000030000000000090200000000\
         0000000401030000000a033e8000000000000501010000000b043e0000000000000601080000000c053f800000",
--- a/crates/zone-evacuation/tests/evacuation/main.rs
+++ b/crates/zone-evacuation/tests/evacuation/main.rs
@@ -8,7 +8,7 @@
 
 use leader::{short_step_config, Leader, EAST, WEST};
 use tansymux_zone_evacuation::{
-    Config, EvacuationRefused, Initiator, Reachability, Reason, Stage, ZoneHealth, ZoneStatus,
+    Config, EvacuationError, Initiator, Reachability, Reason, Stage, ZoneHealth, ZoneStatus,
 };
 
 /// The status of a recovering zone.
@@ -132,7 +132,7 @@
             .controller
             .check_evacuation(WEST, &agreed, Initiator::Controller, leader.now_ms);
     assert!(
-        matches!(result, Err(EvacuationRefused::TooManyCores { fraction }) if fraction > 0.6),
+        matches!(result, Err(EvacuationError::TooManyCores { fraction }) if fraction > 0.6),
         "{result:?}"
     );
     // For an operator only the capacity of the remaining zones counts. A refusal contains the figures.
@@ -153,7 +153,7 @@
             .controller
             .check_evacuation(WEST, &agreed, Initiator::Operator, leader.now_ms);
     assert!(
-        matches!(result, Err(EvacuationRefused::InsufficientCapacity { load_threads, capacity_threads }) if load_threads > capacity_threads),
+        matches!(result, Err(EvacuationError::InsufficientCapacity { load_threads, capacity_threads }) if load_threads > capacity_threads),
         "{result:?}"
     );
 }
--- a/crates/zone-routing/src/config.rs
+++ b/crates/zone-routing/src/config.rs
@@ -40,16 +40,16 @@
 
 /// The thresholds for declaring a zone unreachable: enough of its engines fail, and none has answered for `silent_ms`.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct CutDetection {
+pub struct UnreachabilityThresholds {
     /// Minimum time without an answer of any engine of the zone, from its first missing answer (ms).
     pub silent_ms: f64,
     /// Minimum fraction of the recently tried engines that must be failing.
     pub failing_fraction: f64,
 }
 
-impl Default for CutDetection {
+impl Default for UnreachabilityThresholds {
     fn default() -> Self {
-        CutDetection {
+        UnreachabilityThresholds {
             silent_ms: 1200.0,
             failing_fraction: 0.75,
         }
@@ -85,7 +85,7 @@
     /// Limits on spill between zones.
     pub spill_limits: Vec<SpillLimit>,
     /// The thresholds for declaring a zone unreachable.
-    pub cut_detection: CutDetection,
+    pub unreachability_thresholds: UnreachabilityThresholds,
     /// The ramp of a recovering zone.
     pub recovery_ramp: RecoveryRamp,
     /// Maximum fraction of retries that may be sent to a zone other than that of the previous attempt.
--- a/crates/zone-routing/src/detector.rs
+++ b/crates/zone-routing/src/detector.rs
@@ -158,7 +158,7 @@
         let candidates: Vec<u64> = self
             .engines
             .iter()
-            .filter(|(_, engine)| engine.zone == zone && engine.ready)
+            .filter(|(_, engine)| engine.zone == zone && engine.is_ready)
             .map(|(engine_id, _)| *engine_id)
             .collect();
         let record = &mut self.zones[zone];
@@ -171,19 +171,19 @@
     fn ready_engines(&self, zone: usize) -> impl Iterator<Item = &EngineRecord> {
         self.engines
             .values()
-            .filter(move |engine| engine.zone == zone && engine.ready)
+            .filter(move |engine| engine.zone == zone && engine.is_ready)
     }
 
     fn on_engines_listed(&mut self, engines: &[Engine]) {
         let mut ready_before = vec![0_usize; self.zones.len()];
-        for engine in self.engines.values().filter(|engine| engine.ready) {
+        for engine in self.engines.values().filter(|engine| engine.is_ready) {
             ready_before[engine.zone] += 1;
         }
         let dropped = self.replace_engines(engines);
         let mut dropped_answering = vec![0_usize; ready_before.len()];
         for engine in dropped.values() {
             let answered_recently = self.now_ms - engine.answered_ms < ANSWERED_RECENTLY_MS;
-            if engine.ready && engine.failures_in_row == 0 && answered_recently {
+            if engine.is_ready && engine.failures_in_row == 0 && answered_recently {
                 dropped_answering[engine.zone] += 1;
             }
         }
@@ -208,7 +208,7 @@
                 _ => EngineRecord::new(zone),
             };
             record.cores = engine.cores;
-            record.ready = engine.ready;
+            record.is_ready = engine.is_ready;
             listed.insert(engine.engine_id, record);
         }
         std::mem::replace(&mut self.engines, listed)
--- a/crates/zone-routing/src/detector/evaluation.rs
+++ b/crates/zone-routing/src/detector/evaluation.rs
@@ -89,7 +89,7 @@
         if tried == 0 || 2 * tried < ready {
             return None;
         }
-        let detection = &self.config.cut_detection;
+        let detection = &self.config.unreachability_thresholds;
         let is_silent = self.zones[zone]
             .failing_since_ms
             .is_some_and(|since_ms| self.now_ms - since_ms >= detection.silent_ms);
--- a/crates/zone-routing/src/detector/records.rs
+++ b/crates/zone-routing/src/detector/records.rs
@@ -13,7 +13,7 @@
     /// Index of the engine's zone.
     pub(super) zone: usize,
     pub(super) cores: f64,
-    pub(super) ready: bool,
+    pub(super) is_ready: bool,
     /// Number of missing answers since the last answer.
     pub(super) failures_in_row: u32,
     pub(super) answered_ms: f64,
@@ -25,7 +25,7 @@
         EngineRecord {
             zone,
             cores: 0.0,
-            ready: false,
+            is_ready: false,
             failures_in_row: 0,
             answered_ms: NEVER_MS,
             failed_ms: NEVER_MS,
--- a/crates/zone-routing/src/lib.rs
+++ b/crates/zone-routing/src/lib.rs
@@ -25,7 +25,9 @@
 mod model;
 mod routing_plan;
 
-pub use config::{Config, ConfigError, CutDetection, RecoveryRamp, Route, SpillLimit, Tier};
+pub use config::{
+    Config, ConfigError, RecoveryRamp, Route, SpillLimit, Tier, UnreachabilityThresholds,
+};
 pub use detector::{Event, ZoneHealthDetector};
 pub use model::{
     Engine, Observation, ObservationKind, Reachability, Reason, ZoneChange, ZoneEvidence, ZoneState,
--- a/crates/zone-routing/src/model.rs
+++ b/crates/zone-routing/src/model.rs
@@ -12,7 +12,7 @@
     /// Number of cores of the engine.
     pub cores: f64,
     /// Whether the list reports the engine as ready.
-    pub ready: bool,
+    pub is_ready: bool,
 }
 
 /// The result of an attempt or a health check.
@@ -53,7 +53,7 @@
 /// The reason for a zone's change of state, or for a history entry without one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reason {
-    /// Most of the zone's engines fail, and none has answered for [`crate::CutDetection::silent_ms`].
+    /// Most of the zone's engines fail, and none has answered for [`crate::UnreachabilityThresholds::silent_ms`].
     Lost,
     /// As [`Reason::Lost`], but peers reach the zone, so the network path from this dispatcher to the zone has failed.
     LostFromHere,
--- a/crates/zone-routing/tests/zone_failures/world.rs
+++ b/crates/zone-routing/tests/zone_failures/world.rs
@@ -1,8 +1,8 @@
 //! Simulation of a detector with its zones and engines in virtual time.
 
 use tansymux_zone_routing::{
-    Config, CutDetection, Engine, Event, Observation, ObservationKind, Reason, RecoveryRamp, Route,
-    RoutingPlan, SpillLimit, Tier, ZoneChange, ZoneHealthDetector,
+    Config, Engine, Event, Observation, ObservationKind, Reason, RecoveryRamp, Route, RoutingPlan,
+    SpillLimit, Tier, UnreachabilityThresholds, ZoneChange, ZoneHealthDetector,
 };
 
 /// Interval between evaluations (ms).
@@ -42,7 +42,7 @@
                 max_threads_per_core: 0.1,
             },
         ],
-        cut_detection: CutDetection::default(),
+        unreachability_thresholds: UnreachabilityThresholds::default(),
         recovery_ramp: RecoveryRamp {
             initial_fraction: 0.1,
             duration_ms: 10_000.0,
@@ -80,7 +80,7 @@
                 engine_id: engine_id(zone, n),
                 zone: name.to_string(),
                 cores: 8.0,
-                ready: ready(zone, n),
+                is_ready: ready(zone, n),
             };
             (0..*engine_count).map(engine).collect::<Vec<_>>()
         };
--- a/src/model/query.rs
+++ b/src/model/query.rs
@@ -66,7 +66,7 @@
     }
 
     /// The cost of a query without an estimate.
-    pub(crate) fn guessed(usual_cost_ms: f64, threads: f64, event: &QueryArrived) -> Self {
+    pub(crate) fn without_estimate(usual_cost_ms: f64, threads: f64, event: &QueryArrived) -> Self {
         QueryCost {
             has_no_estimate: true,
             ..QueryCost::estimated(usual_cost_ms, threads, event)
--- a/src/model/resource_group.rs
+++ b/src/model/resource_group.rs
@@ -128,7 +128,7 @@
         demotion_factor: f64,
     ) -> (Lane, QueryCost) {
         if event.estimated_cost_ms <= 0.0 {
-            let cost = QueryCost::guessed(self.usual_cost_ms(), self.threads(), event);
+            let cost = QueryCost::without_estimate(self.usual_cost_ms(), self.threads(), event);
             return (self.lane(), cost);
         }
         let mut max_cost_ms = f64::INFINITY;
--- a/src/model/tests/query_table.rs
+++ b/src/model/tests/query_table.rs
@@ -16,7 +16,7 @@
         tables: 0,
         statement: StatementTraits::UNKNOWN,
     };
-    let cost = QueryCost::guessed(1.0, 1.0, &event);
+    let cost = QueryCost::without_estimate(1.0, 1.0, &event);
     Query::new(&event, GroupIndex(0), Lane::Fast, Effect::ReadOnly, cost)
 }
 
