--- a/crates/dispatcher/tests/fault_injection/attempt_ends.rs
+++ b/crates/dispatcher/tests/fault_injection/attempt_ends.rs
@@ -9,7 +9,7 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::{Duration, Instant};
-use tansymux_testbed::engine::{scripted, write_result_of, ReceivedFrame};
+use tansymux_testbed::engine::{start_scripted_engine, write_result_of, ReceivedFrame};
 use tansymux_testbed::wire::{read_response, write_frame};
 
 /// Interval between the error replies of an engine to requests for pages that it has lost.
@@ -98,7 +98,7 @@
             _ => {}
         }
     };
-    scripted(answer)
+    start_scripted_engine(answer)
 }
 
 /// Sends a query on a new connection, and returns the status and body of the answer.
@@ -188,7 +188,7 @@
             write_frame(&mut to, &[&id, late.kind, late.fields, late.rows]);
         });
     };
-    scripted(answer).0
+    start_scripted_engine(answer).0
 }
 
 #[test]
@@ -226,7 +226,7 @@
         let _ = to.read_to_end(&mut rest);
         log.record_end(number);
     };
-    scripted(answer).0
+    start_scripted_engine(answer).0
 }
 
 #[test]
@@ -279,7 +279,7 @@
             write_frame(to, &[id, denial, "-", ""]);
         }
     };
-    scripted(answer).0
+    start_scripted_engine(answer).0
 }
 
 #[test]
--- a/crates/dispatcher/tests/fault_injection/engine_deadline.rs
+++ b/crates/dispatcher/tests/fault_injection/engine_deadline.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 use tansymux::settings::keys;
-use tansymux_testbed::engine::refuse_silently;
+use tansymux_testbed::engine::fill_accept_backlog;
 use tansymux_testbed::program::{Program, TIMEOUT};
 use tansymux_testbed::wire::{list_value, read_frame};
 
@@ -57,7 +57,7 @@
     // The accept backlog is full: the connection is established once the backlog has room, a second or more later.
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let backlog = refuse_silently(&listener);
+    let backlog = fill_accept_backlog(&listener);
     let config = two_group_config(&[address])
         .with_setting(keys::CONNECT_TIMEOUT_US, 30_000_000)
         .with_setting(keys::CANCELLATION, false);
--- a/crates/dispatcher/tests/fault_injection/forgotten_connections.rs
+++ b/crates/dispatcher/tests/fault_injection/forgotten_connections.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 use tansymux::settings::keys;
-use tansymux_testbed::engine::{scripted, write_result};
+use tansymux_testbed::engine::{start_scripted_engine, write_result};
 use tansymux_testbed::program::Program;
 
 /// Idle time after which an engine silently drops a connection.
@@ -33,7 +33,7 @@
             write_result(to, &parts[1]);
         }
     };
-    scripted(answers).0
+    start_scripted_engine(answers).0
 }
 
 /// Starts the program without progress notes, health checks and cost estimates.
@@ -112,7 +112,7 @@
 #[test]
 fn long_queries_on_reused_connections_are_not_taken_for_lost() {
     // Each query runs for longer than an engine is usually silent; no connection is dropped.
-    let (engine, requests) = engine_answering_after(Duration::from_millis(700));
+    let (engine, requests) = start_delayed_engine(Duration::from_millis(700));
     let program = start_without_signals(&[engine]);
     for id in 1..6 {
         assert_eq!(
--- a/crates/dispatcher/tests/fault_injection/interrupted_calls.rs
+++ b/crates/dispatcher/tests/fault_injection/interrupted_calls.rs
@@ -90,14 +90,14 @@
     // A single failure, because the next read is that of the configuration file.
     shim.table().fail(Call::Read, libc::EIO, 10_000, Some(1));
     program.signal("-HUP");
-    program.wait_for_count("configurations_read 1\n");
+    program.wait_for_counter_line("configurations_read 1\n");
     assert_eq!(shim.table().injected(Call::Read), 1);
     assert_eq!(
         query_status(program.listen, &query("look", 1, 9000.0)),
         Some(200)
     );
     program.terminate();
-    program.end();
+    program.wait_for_exit();
 }
 
 #[test]
@@ -106,9 +106,9 @@
     let mut program = start_under(&shim, &two_group_config(&[instant_engine()]));
     shim.table().fail(Call::Read, libc::EINTR, 10_000, Some(3));
     program.signal("-HUP");
-    program.wait_for_count("configurations_read 1\n");
+    program.wait_for_counter_line("configurations_read 1\n");
     assert_eq!(shim.table().injected(Call::Read), 3);
     shim.table().fail(Call::Read, libc::EINTR, 10_000, Some(3));
     program.terminate();
-    program.end();
+    program.wait_for_exit();
 }
--- a/crates/dispatcher/tests/fault_injection/large_list.rs
+++ b/crates/dispatcher/tests/fault_injection/large_list.rs
@@ -25,14 +25,14 @@
         } else {
             Status::Draining
         },
-        started: 0.0,
+        started_ms: 0.0,
     };
     let names = NameService::start(
         (0..ENGINES).map(endpoint).collect(),
         Arc::new(Record::default()),
     );
     // A change, so that the list supersedes the list of the configuration.
-    names.set("s-1", Status::Gone);
+    names.set_status("s-1", Status::Gone);
     // The configuration names another engine, at whose address no process listens.
     let config = two_group_config(&[unused_address]).with("resolver", names.address.to_string());
     let program = start(&config);
--- a/crates/dispatcher/tests/fault_injection/local_faults.rs
+++ b/crates/dispatcher/tests/fault_injection/local_faults.rs
@@ -38,7 +38,7 @@
 #[test]
 fn queries_beyond_the_connection_limit_wait_and_are_served() {
     let engines: Vec<SocketAddr> = (0..36)
-        .map(|_| engine_answering_after(Duration::from_millis(80)).0)
+        .map(|_| start_delayed_engine(Duration::from_millis(80)).0)
         .collect();
     let limits = json!({"sockets": 64, "memory_mb": 16});
     let program = start(&two_group_config(&engines).with("limits", limits));
@@ -57,7 +57,7 @@
 
 #[test]
 fn local_faults_at_connect_do_not_eject_an_engine() {
-    let (engine, _requests) = engine_answering_after(Duration::ZERO);
+    let (engine, _requests) = start_delayed_engine(Duration::ZERO);
     let program = start(&two_group_config(&[engine]));
     // The clients are connected and the program can open no further descriptor, so it cannot connect to the engine.
     let mut clients: Vec<TcpStream> = (0..8).map(|_| connect(program.listen)).collect();
--- a/crates/dispatcher/tests/fault_injection/logging.rs
+++ b/crates/dispatcher/tests/fault_injection/logging.rs
@@ -3,7 +3,7 @@
 use super::support::*;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
-use tansymux_testbed::engine::{scripted, write_result};
+use tansymux_testbed::engine::{start_scripted_engine, write_result};
 use tansymux_testbed::wire::write_frame;
 
 #[test]
@@ -19,7 +19,7 @@
         Some(200)
     );
     program.terminate();
-    let log = program.end();
+    let log = program.wait_for_exit();
     let events = [
         "query_id=1 attempt=0 engine_id=00000000 event=Admitted",
         "event=Submitted",
@@ -43,7 +43,7 @@
         query_status(program.listen, &query("look", 1, 9000.0)),
         Some(429)
     );
-    program.wait_for_count("ended_no_engine 1\n");
+    program.wait_for_counter_line("ended_no_engine 1\n");
     assert!(program.counter("client_closed_by_client") > Some(0));
     for rule in [1, 2, 3, 6, 7] {
         let name = format!("violations_rule_{rule}");
@@ -56,7 +56,7 @@
     // The first attempt fails. The second completes, and a failure reply follows its result.
     let fetches = AtomicUsize::new(0);
     let fetches = Arc::new(fetches);
-    let (engine, _received) = scripted(move |parts, to| {
+    let (engine, _received) = start_scripted_engine(move |parts, to| {
         let id = &parts[1];
         if parts[0] != "fetch" {
             return;
@@ -73,11 +73,11 @@
         query_status(program.listen, &query("look", 1, 9000.0)),
         Some(200)
     );
-    program.wait_for_count("replies_ignored_not_in_flight 1\n");
-    program.wait_for_count("attempts_ended_final_reply 2\n");
-    program.wait_for_count("retries_after_final_reply 1\n");
+    program.wait_for_counter_line("replies_ignored_not_in_flight 1\n");
+    program.wait_for_counter_line("attempts_ended_final_reply 2\n");
+    program.wait_for_counter_line("retries_after_final_reply 1\n");
     program.terminate();
-    let log = program.end();
+    let log = program.wait_for_exit();
     let line_with = |message: &str| log.lines().find(|line| line.contains(message));
     let id = r#"client_id="0000000000000001""#;
     for (message, fields) in [
--- a/crates/dispatcher/tests/fault_injection/start.rs
+++ b/crates/dispatcher/tests/fault_injection/start.rs
@@ -43,7 +43,7 @@
         let status = query_status(program.listen, &query("look", 1, 9000.0));
         assert_eq!(status, Some(200), "{call:?} {errno}");
         program.terminate();
-        let log = program.end();
+        let log = program.wait_for_exit();
         assert!(log.contains("address not bound"), "{log}");
     }
 }
--- a/crates/dispatcher/tests/fault_injection/support.rs
+++ b/crates/dispatcher/tests/fault_injection/support.rs
@@ -5,12 +5,12 @@
 use std::path::Path;
 use std::process::Stdio;
 use tansymux_testbed::client::ClientQuery;
-use tansymux_testbed::engine::{scripted, write_result};
+use tansymux_testbed::engine::{start_scripted_engine, write_result};
 use tansymux_testbed::fault_shim::{locate_library, FaultShim};
 use tansymux_testbed::program::{Config, Program, TIMEOUT};
 use tansymux_testbed::wire::read_response;
 
-pub use tansymux_testbed::engine::engine_answering_after;
+pub use tansymux_testbed::engine::start_delayed_engine;
 
 /// The program under test.
 pub const EXE: &str = env!("CARGO_BIN_EXE_tansymux");
@@ -18,7 +18,7 @@
 /// Returns a configuration with these engines and two resource groups with a deadline of 9 s: `look` reads, `load`
 /// writes.
 pub fn two_group_config(engines: &[SocketAddr]) -> Config {
-    Config::with_two_classes(engines)
+    Config::with_two_groups(engines)
 }
 
 /// Returns the fault shim with an empty fault table.
@@ -28,7 +28,7 @@
 
 /// Starts the program under the shim without waiting until it is healthy.
 pub fn launch_under(shim: &FaultShim, config: &Config) -> Program {
-    Program::prepared(Path::new(EXE), config, &[], Stdio::piped(), |command| {
+    Program::launch_with(Path::new(EXE), config, &[], Stdio::piped(), |command| {
         shim.apply(command);
     })
 }
@@ -47,7 +47,7 @@
             write_result(to, &parts[1]);
         }
     };
-    scripted(answers).0
+    start_scripted_engine(answers).0
 }
 
 /// Returns a query of a resource group whose client waits for `wait_ms`.
--- a/crates/dispatcher/tests/fault_injection/wall_clock.rs
+++ b/crates/dispatcher/tests/fault_injection/wall_clock.rs
@@ -41,7 +41,7 @@
     now.as_secs_f64() * 1000.0 + offset_s as f64 * 1000.0
 }
 
-fn list_engine(names: &NameService, id: &str, address: SocketAddr, started: f64) {
+fn list_engine(names: &NameService, id: &str, address: SocketAddr, started_ms: f64) {
     names.add(Endpoint {
         id: id.into(),
         zone: "h".into(),
@@ -49,7 +49,7 @@
         cell: 0,
         address,
         status: Status::Ready,
-        started,
+        started_ms,
     });
 }
 
@@ -97,12 +97,12 @@
     fn start(offset_s: i64) -> Self {
         let shim = fault_shim();
         shim.table().set_wall_offset_ns(offset_s * 1_000_000_000);
-        let (old_engine, _) = engine_answering_after(Duration::ZERO);
-        let (new_engine, requests) = engine_answering_after(Duration::ZERO);
+        let (old_engine, _) = start_delayed_engine(Duration::ZERO);
+        let (new_engine, requests) = start_delayed_engine(Duration::ZERO);
         let names = NameService::start(Vec::new(), Arc::new(Record::default()));
         list_engine(&names, "s-0", old_engine, 0.0);
         let program = start_under(&shim, &slow_start_config(old_engine, &names));
-        program.wait_for_count("lists 1\n");
+        program.wait_for_counter_line("lists 1\n");
         SlowStartRun {
             shim,
             names,
@@ -116,7 +116,7 @@
     /// Lists the new engine with its start time (Unix ms), and waits until the program has the list.
     fn list_new_engine(&self, started_ms: f64) {
         list_engine(&self.names, "s-9", self.new_engine, started_ms);
-        self.program.wait_for_count("lists 2\n");
+        self.program.wait_for_counter_line("lists 2\n");
     }
 
     /// Sends queries for `duration`. Returns the number that the new engine received.
@@ -173,7 +173,7 @@
             // Neither a step during slow start nor a repeated list changes the slow start.
             step_wall_clock(&run.shim, -step_s);
             list_engine(&run.names, "s-0", run.old_engine, 0.0);
-            run.program.wait_for_count("lists 3\n");
+            run.program.wait_for_counter_line("lists 3\n");
             thread::sleep(Duration::from_millis(WARM_AFTER_MS));
             let late = run.count_queries_to_new_engine(1000, Duration::from_millis(1000));
             assert!(late > MAX_IN_SLOW_START, "step {step_s} s: {late}");
@@ -187,17 +187,17 @@
 #[test]
 fn engine_replaced_at_its_address_after_a_step_back_gets_its_slow_start() {
     let shim = fault_shim();
-    let (address, requests) = engine_answering_after(Duration::ZERO);
+    let (address, requests) = start_delayed_engine(Duration::ZERO);
     let names = NameService::start(Vec::new(), Arc::new(Record::default()));
-    let (other, _) = engine_answering_after(Duration::ZERO);
+    let (other, _) = start_delayed_engine(Duration::ZERO);
     list_engine(&names, "s-0", address, unix_ms(0) - 60_000.0);
     list_engine(&names, "s-1", other, 0.0);
     let program = start_under(&shim, &slow_start_config(address, &names));
-    program.wait_for_count("lists 1\n");
+    program.wait_for_counter_line("lists 1\n");
     step_wall_clock(&shim, -3600);
     // The newer engine has the earlier start in Unix time, and the address of an engine that is still listed.
     list_engine(&names, "s-9", address, unix_ms(-3600));
-    program.wait_for_count("lists 2\n");
+    program.wait_for_counter_line("lists 2\n");
     let received = count_queries_to_engine(&program, &requests, 1, Duration::from_millis(500));
     assert!(received <= MAX_IN_SLOW_START, "{received}");
 }
--- a/crates/dispatcher/tests/fleet.rs
+++ b/crates/dispatcher/tests/fleet.rs
@@ -12,11 +12,11 @@
 use std::time::{Duration, Instant};
 use tansymux::settings::keys;
 use tansymux_testbed::client::{send_query, ClientQuery};
-use tansymux_testbed::engine::{scripted, write_result};
+use tansymux_testbed::engine::{start_scripted_engine, write_result};
 use tansymux_testbed::fleet::processes::{run, ProcessOptions};
 use tansymux_testbed::fleet::scenario::Scenario;
 use tansymux_testbed::program::{
-    class, free_address, free_udp_address, Config, Program, TempFile, TIMEOUT,
+    free_address, free_udp_address, resource_group, Config, Program, TempFile, TIMEOUT,
 };
 use tansymux_testbed::record::Record;
 
@@ -131,7 +131,7 @@
             write_result(to, &parts[1]);
         }
     };
-    scripted(answers).0
+    start_scripted_engine(answers).0
 }
 
 /// Two dispatchers with their operators' files, and the number of queries that each of their engines received.
@@ -165,7 +165,12 @@
         .iter()
         .map(|text| TempFile::new("fleet.textproto", text))
         .collect();
-    let classes = [class("look", 300.0, 2000.0, keys::effect::READ_ONLY)];
+    let classes = [resource_group(
+        "look",
+        300.0,
+        2000.0,
+        keys::effect::READ_ONLY,
+    )];
     let programs = operator_files
         .iter()
         .map(|file| {
@@ -237,7 +242,7 @@
     }
 
     fn wait_for_counter(&self, member: usize, line: &str) {
-        self.programs[member].wait_for_count(line);
+        self.programs[member].wait_for_counter_line(line);
     }
 }
 
--- a/crates/dispatcher/tests/levels.rs
+++ b/crates/dispatcher/tests/levels.rs
@@ -11,10 +11,10 @@
 use std::time::{Duration, Instant};
 use tansymux::settings::keys;
 use tansymux_testbed::client::ClientQuery;
-use tansymux_testbed::engine::scripted;
+use tansymux_testbed::engine::start_scripted_engine;
 use tansymux_testbed::program::{
-    class, free_address, free_udp_address, get, numbered_engines, Config, Program, TempFile,
-    TIMEOUT,
+    free_address, free_udp_address, get, numbered_engines, resource_group, Config, Program,
+    TempFile, TIMEOUT,
 };
 use tansymux_testbed::wire::{field, read_response, write_frame, HttpResponse};
 
@@ -34,9 +34,9 @@
 fn config(engines: &[SocketAddr]) -> Config {
     let engines = numbered_engines(engines);
     let classes = [
-        class("look", 300.0, 9000.0, keys::effect::READ_ONLY),
-        class("report", 900.0, 9000.0, keys::effect::READ_ONLY),
-        class("load", 900.0, 9000.0, keys::effect::NON_IDEMPOTENT),
+        resource_group("look", 300.0, 9000.0, keys::effect::READ_ONLY),
+        resource_group("report", 900.0, 9000.0, keys::effect::READ_ONLY),
+        resource_group("load", 900.0, 9000.0, keys::effect::NON_IDEMPOTENT),
     ];
     Config::new(free_address(), &engines, &classes, &[1, 4, 2])
         .with_setting(
@@ -68,7 +68,7 @@
             write_frame(to, &[&parts[1], reply, "batches=1", ""]);
         }
     };
-    scripted(answer).0
+    start_scripted_engine(answer).0
 }
 
 /// Sends a query on a new connection. Returns the status of its answer and the retry time (ms), if there is one.
@@ -177,7 +177,7 @@
     thread::sleep(Duration::from_millis(4000));
     assert_eq!(get_json(&program, "/_levels")["depth"], 1);
     program.terminate();
-    let log = program.end();
+    let log = program.wait_for_exit();
     assert!(
         log.contains("service level changed") && log.contains("to=\"short\""),
         "{log}"
@@ -191,7 +191,7 @@
     thread::sleep(Duration::from_millis(3800));
     operator.write(&LEVELS.replace("levels {", "levels { pin: \"short\" pin_for_s: 300"));
     program.signal("-HUP");
-    program.wait_for_count("level_depth 1\n");
+    program.wait_for_counter_line("level_depth 1\n");
     assert_eq!(send_query(&program, "report", 1).0, 429);
     assert!(get_json(&program, "/_levels")["pinned_until"].is_number());
     // An invalid definition changes nothing.
@@ -208,7 +208,7 @@
     // The level is removed while it is in force.
     operator.write("");
     program.signal("-HUP");
-    program.wait_for_count("operator_files_read 2\n");
+    program.wait_for_counter_line("operator_files_read 2\n");
     let levels = get_json(&program, "/_levels");
     assert_eq!(
         (levels["depth"].as_u64(), levels["defined"].as_bool()),
@@ -237,7 +237,7 @@
     enter_level_by_pressure(&first);
     // The second dispatcher has observed no pressure itself: it starts at its peer's level.
     let (mut second, _second_file) = start(&config_of(1), LEVELS);
-    second.wait_for_count("level_depth 1\n");
+    second.wait_for_counter_line("level_depth 1\n");
     let why = get_json(&second, "/_levels")["why"]["why"]
         .as_str()
         .unwrap_or("")
@@ -266,5 +266,5 @@
     assert!(clients
         .into_iter()
         .all(|client| client.join().unwrap().is_some()));
-    assert!(second.end().contains("unanswered 0\n"));
+    assert!(second.wait_for_exit().contains("unanswered 0\n"));
 }
--- a/crates/dispatcher/tests/life_cycle/clients.rs
+++ b/crates/dispatcher/tests/life_cycle/clients.rs
@@ -7,13 +7,13 @@
 use std::thread;
 use std::time::{Duration, Instant};
 use tansymux_testbed::client::ClientQuery;
-use tansymux_testbed::engine::scripted;
+use tansymux_testbed::engine::start_scripted_engine;
 use tansymux_testbed::program::TIMEOUT;
 use tansymux_testbed::wire::{read_response, HttpResponse};
 
 #[test]
 fn client_disconnect_is_noticed_behind_unread_pipelined_bytes() {
-    let (address, requests) = scripted(|_, _| {});
+    let (address, requests) = start_scripted_engine(|_, _| {});
     let program = start(&two_group_config(&[address]));
     let mut client = send_query(&program, "look", 1);
     assert_eq!(requests.recv_timeout(TIMEOUT).unwrap().0[0], "fetch");
@@ -22,12 +22,12 @@
     client.shutdown(Shutdown::Write).unwrap();
     let (parts, _) = requests.recv_timeout(TIMEOUT).unwrap();
     assert_eq!(parts[..2], ["abort", "0000000000000001"]);
-    program.wait_for_count("vanished 1\n");
+    program.wait_for_counter_line("vanished 1\n");
 }
 
 #[test]
 fn client_that_pipelines_many_requests_gets_an_answer_to_each() {
-    let (address, requests) = engine_answering_after(300);
+    let (address, requests) = start_delayed_engine(300);
     let program = start(&two_group_config(&[address]));
     let mut client = send_query(&program, "look", 1);
     assert_eq!(requests.recv_timeout(TIMEOUT).unwrap().0[0], "fetch");
@@ -58,7 +58,7 @@
 
 #[test]
 fn client_that_floods_requests_does_not_starve_other_clients() {
-    let (address, _requests) = engine_answering_after(0);
+    let (address, _requests) = start_delayed_engine(0);
     let program = start(&two_group_config(&[address]));
     let flooding_client = connect_client(&program);
     let (mut writer, mut reader) = (
@@ -87,7 +87,7 @@
 
 #[test]
 fn query_beyond_the_memory_bound_gets_503_with_a_retry_time() {
-    let (address, requests) = scripted(|_, _| {});
+    let (address, requests) = start_scripted_engine(|_, _| {});
     // The bound on memory for queries, a fifth of 16 MB, holds 52 statements of 64 KB that wait for a stalled engine.
     let config =
         two_group_config(&[address]).with("limits", json!({"sockets": 1024, "memory_mb": 16}));
--- a/crates/dispatcher/tests/life_cycle/engines.rs
+++ b/crates/dispatcher/tests/life_cycle/engines.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 use tansymux::settings::keys;
 use tansymux_testbed::client::ClientQuery;
-use tansymux_testbed::engine::{refuse_silently, write_result, write_result_of};
+use tansymux_testbed::engine::{fill_accept_backlog, write_result, write_result_of};
 use tansymux_testbed::program::{get, TIMEOUT};
 use tansymux_testbed::wire::{self, read_response, write_frame, HttpResponse};
 
@@ -107,16 +107,16 @@
     // The accept backlog is full: connections are established once the backlog has room, a second or more later.
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let backlog = refuse_silently(&listener);
+    let backlog = fill_accept_backlog(&listener);
     let config = two_group_config(&[address]).with_setting(keys::CONNECT_TIMEOUT_US, 30_000_000);
     let program = start(&config.with_setting(keys::CANCELLATION, false));
     let leaving_client = send_query(&program, "look", 1);
-    program.wait_for_count("submissions 1\n");
+    program.wait_for_counter_line("submissions 1\n");
     drop(leaving_client);
-    program.wait_for_count("vanished 1\n");
+    program.wait_for_counter_line("vanished 1\n");
     // The attempt is withdrawn at once, not at its deadline after 9 s.
     let started = Instant::now();
-    program.wait_for_count("submissions_out 0\n");
+    program.wait_for_counter_line("submissions_out 0\n");
     assert!(
         started.elapsed() < Duration::from_secs(3),
         "{:?}",
@@ -143,7 +143,7 @@
     // The accept backlog is full: attempts that wait for a connection time out after 250 ms, by the settings.
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let backlog = refuse_silently(&listener);
+    let backlog = fill_accept_backlog(&listener);
     let program = start(&two_group_config(&[address]));
     assert_eq!(answer_status(&send_query(&program, "load", 1)), Some(429));
     let opened = program.counter("connections_to_engines").unwrap();
@@ -183,7 +183,7 @@
 #[test]
 fn engine_that_floods_does_not_starve_other_engines() {
     let (flooding_engine, connections) = engine_with_held_connections();
-    let (serving_engine, _requests) = engine_answering_after(0);
+    let (serving_engine, _requests) = start_delayed_engine(0);
     let program = start(&two_group_config(&[flooding_engine, serving_engine]));
     thread::spawn(move || {
         while let Ok(stream) = connections.recv_timeout(TIMEOUT) {
@@ -207,7 +207,7 @@
 #[test]
 fn forty_flooding_connections_are_closed_and_do_not_starve_other_engines() {
     let (flooding_engine, connections) = engine_with_held_connections();
-    let (serving_engine, _requests) = engine_answering_after(0);
+    let (serving_engine, _requests) = start_delayed_engine(0);
     let program = start(&two_group_config(&[flooding_engine, serving_engine]));
     thread::spawn(move || {
         while let Ok(stream) = connections.recv_timeout(TIMEOUT) {
--- a/crates/dispatcher/tests/life_cycle/process.rs
+++ b/crates/dispatcher/tests/life_cycle/process.rs
@@ -11,8 +11,8 @@
 use std::time::{Duration, Instant};
 use tansymux::settings::keys;
 use tansymux_testbed::client::ClientQuery;
-use tansymux_testbed::engine::scripted;
-use tansymux_testbed::program::{class, free_address, get, Config, TempFile, TIMEOUT};
+use tansymux_testbed::engine::start_scripted_engine;
+use tansymux_testbed::program::{free_address, get, resource_group, Config, TempFile, TIMEOUT};
 
 #[test]
 fn signals_sent_before_the_configuration_is_read_take_effect_afterwards() {
@@ -63,7 +63,7 @@
 
 #[test]
 fn requests_received_by_sigterm_are_answered_even_if_not_yet_read() {
-    let (address, requests) = engine_answering_after(20);
+    let (address, requests) = start_delayed_engine(20);
     let mut program = start(&two_group_config(&[address]));
     let mut idle_client = send_query(&program, "look", 1);
     assert_eq!(answer_status(&idle_client), Some(200));
@@ -79,7 +79,7 @@
     backlog
         .iter()
         .for_each(|stream| assert_eq!(answer_status(stream), Some(200)));
-    let report = program.end();
+    let report = program.wait_for_exit();
     assert!(
         report.contains("taken 5\n") && report.contains("finished 5\n"),
         "{report}"
@@ -89,7 +89,7 @@
 
 #[test]
 fn connections_in_the_backlog_when_the_listener_closes_are_answered() {
-    let (address, _requests) = engine_answering_after(20);
+    let (address, _requests) = start_delayed_engine(20);
     let mut program = start(&two_group_config(&[address]));
     let started = Instant::now();
     program.terminate();
@@ -104,12 +104,12 @@
     backlog
         .iter()
         .for_each(|stream| assert_eq!(answer_status(stream), Some(200)));
-    assert!(program.end().contains("finished 3\n"));
+    assert!(program.wait_for_exit().contains("finished 3\n"));
 }
 
 #[test]
 fn backlog_is_answered_at_shutdown_even_with_a_full_connection_table() {
-    let (address, _requests) = engine_answering_after(900);
+    let (address, _requests) = start_delayed_engine(900);
     let config =
         two_group_config(&[address]).with("limits", json!({"sockets": 64, "memory_mb": 32}));
     let mut program = start(&config);
@@ -124,7 +124,7 @@
             "{nth}"
         );
     }
-    let report = program.end();
+    let report = program.wait_for_exit();
     assert!(
         report.contains("taken 40\n") && report.contains("unanswered 0\n"),
         "{report}"
@@ -133,7 +133,7 @@
 
 #[test]
 fn idle_connection_is_half_closed_at_shutdown_and_a_crossing_request_is_discarded() {
-    let (address, requests) = engine_answering_after(0);
+    let (address, requests) = start_delayed_engine(0);
     let mut program = start(&two_group_config(&[address]));
     let mut idle_client = send_query(&program, "look", 1);
     assert_eq!(answer_status(&idle_client), Some(200));
@@ -144,14 +144,14 @@
     assert!(started.elapsed() >= ACCEPT_GRACE, "{:?}", started.elapsed());
     // A request that crosses the half-close is read, so that the connection is not reset, and discarded.
     idle_client.write_all(&query_bytes("look", 2)).unwrap();
-    assert!(program.end().contains("taken 1\n"));
+    assert!(program.wait_for_exit().contains("taken 1\n"));
     assert_eq!(idle_client.read(&mut [0; 64]).unwrap(), 0);
     assert_eq!(fetched_ids(&requests), ["0000000000000001"]);
 }
 
 #[test]
 fn partial_and_imminent_requests_at_sigterm_are_served() {
-    let (address, _requests) = engine_answering_after(20);
+    let (address, _requests) = start_delayed_engine(20);
     let mut program = start(&two_group_config(&[address]));
     let request = query_bytes("look", 1);
     let (mut partial_client, mut imminent_client) =
@@ -171,15 +171,15 @@
     thread::sleep((ACCEPT_GRACE + Duration::from_millis(100)).saturating_sub(started.elapsed()));
     partial_client.write_all(&request[50..]).unwrap();
     assert_eq!(answer_status(&partial_client), Some(200));
-    assert!(program.end().contains("finished 2\n"));
+    assert!(program.wait_for_exit().contains("finished 2\n"));
 }
 
 #[test]
 fn shutdown_with_short_deadlines_finishes_before_the_kill_timeout() {
-    let (address, requests) = scripted(|_, _| {});
+    let (address, requests) = start_scripted_engine(|_, _| {});
     let classes = [
-        class("look", 100.0, 1000.0, keys::effect::READ_ONLY),
-        class("load", 100.0, 1000.0, keys::effect::NON_IDEMPOTENT),
+        resource_group("look", 100.0, 1000.0, keys::effect::READ_ONLY),
+        resource_group("load", 100.0, 1000.0, keys::effect::NON_IDEMPOTENT),
     ];
     let config = Config::new(
         free_address(),
@@ -207,7 +207,7 @@
     program.terminate();
     assert_eq!(answer_status(&client), Some(500));
     drop(client);
-    program.end();
+    program.wait_for_exit();
     // The longest deadline plus the accept grace of 0.7 s.
     assert!(
         started.elapsed() < Duration::from_millis(1700),
--- a/crates/dispatcher/tests/life_cycle/support.rs
+++ b/crates/dispatcher/tests/life_cycle/support.rs
@@ -21,7 +21,7 @@
 /// Returns a configuration with these engines and two resource groups with a deadline of 9 s: `look` reads, `load`
 /// writes.
 pub fn two_group_config(engines: &[SocketAddr]) -> Config {
-    Config::with_two_classes(engines)
+    Config::with_two_groups(engines)
 }
 
 /// Starts the program, and waits until it is healthy.
@@ -30,8 +30,8 @@
 }
 
 /// Starts an engine that answers each query after `delay_ms`. Returns its address and the frames that it receives.
-pub fn engine_answering_after(delay_ms: u64) -> (SocketAddr, Receiver<ReceivedFrame>) {
-    engine::engine_answering_after(Duration::from_millis(delay_ms))
+pub fn start_delayed_engine(delay_ms: u64) -> (SocketAddr, Receiver<ReceivedFrame>) {
+    engine::start_delayed_engine(Duration::from_millis(delay_ms))
 }
 
 /// Connects a client whose reads time out after [`TIMEOUT`].
--- a/crates/dispatcher/tests/platform_limits/clocks.rs
+++ b/crates/dispatcher/tests/platform_limits/clocks.rs
@@ -8,8 +8,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 use tansymux_testbed::client::{send_query_in_two_writes, ClientQuery};
-use tansymux_testbed::engine::scripted;
-use tansymux_testbed::program::{used, Config, Program, TempFile};
+use tansymux_testbed::engine::start_scripted_engine;
+use tansymux_testbed::program::{resource_usage, Config, Program, TempFile};
 use tansymux_testbed::wire::read_response;
 
 /// The library that replaces the C library's clocks, and the file with the adjustments that it applies.
@@ -64,11 +64,12 @@
     }
 
     fn start(&self, config: &Config) -> Program {
-        let program = Program::prepared(Path::new(EXE), config, &[], Stdio::piped(), |command| {
-            command
-                .env("LD_PRELOAD", &self.library)
-                .env("TANSYMUX_CLOCK_SHIM", &self.adjustments.0);
-        });
+        let program =
+            Program::launch_with(Path::new(EXE), config, &[], Stdio::piped(), |command| {
+                command
+                    .env("LD_PRELOAD", &self.library)
+                    .env("TANSYMUX_CLOCK_SHIM", &self.adjustments.0);
+            });
         program.wait_until_healthy();
         program
     }
@@ -88,7 +89,7 @@
 #[test]
 fn stopped_or_jumping_clock_ends_no_query_early() {
     let shim = ClockShim::new();
-    let (silent_engine, _requests) = scripted(|_, _| ());
+    let (silent_engine, _requests) = start_scripted_engine(|_, _| ());
     let mut program = shim.start(&config(&[silent_engine]));
     // The wall clock jumps an hour ahead and back: nothing depends on it after the start.
     for hours in [1, -1, 0] {
@@ -110,13 +111,13 @@
     // The monotonic clock stops for twice a query's wait time: the query stays in flight, and the program serves
     // requests and does not spin.
     let client = send_query(1, 600.0);
-    program.wait_for_count("submissions 1\n");
+    program.wait_for_counter_line("submissions 1\n");
     shim.set(Adjustment::MonotonicStop, monotonic_ns());
-    let (_, before) = used(program.child.id()).unwrap();
+    let (_, before) = resource_usage(program.child.id()).unwrap();
     let rounds = program.counter("rounds").unwrap();
     thread::sleep(Duration::from_millis(1200));
     assert_eq!(program.counter("unanswered"), Some(1));
-    let (_, after) = used(program.child.id()).unwrap();
+    let (_, after) = resource_usage(program.child.id()).unwrap();
     let new_rounds = program.counter("rounds").unwrap() - rounds;
     assert!(
         after - before < 300.0 && new_rounds < 400,
@@ -131,7 +132,7 @@
         Some(500)
     );
     let client = send_query(2, 8000.0);
-    program.wait_for_count("submissions 2\n");
+    program.wait_for_counter_line("submissions 2\n");
     let started = Instant::now();
     shim.set(Adjustment::MonotonicOffset, 10 * NANOS_PER_SECOND);
     assert_eq!(
@@ -144,5 +145,5 @@
         started.elapsed()
     );
     program.terminate();
-    program.end();
+    program.wait_for_exit();
 }
--- a/crates/dispatcher/tests/platform_limits/resources.rs
+++ b/crates/dispatcher/tests/platform_limits/resources.rs
@@ -10,9 +10,11 @@
 use std::time::{Duration, Instant};
 use tansymux::settings::keys;
 use tansymux_testbed::client::{send_query_in_two_writes, ClientQuery};
-use tansymux_testbed::engine::scripted;
+use tansymux_testbed::engine::start_scripted_engine;
 use tansymux_testbed::name_service::{Endpoint, NameService};
-use tansymux_testbed::program::{free_udp_address, own_memory, used, Program, TIMEOUT};
+use tansymux_testbed::program::{
+    anonymous_memory_kb, free_udp_address, resource_usage, Program, TIMEOUT,
+};
 use tansymux_testbed::record::{Record, Status};
 use tansymux_testbed::wire::read_response;
 
@@ -32,9 +34,10 @@
 #[test]
 fn clients_that_use_up_descriptors_block_neither_discovery_nor_reload() {
     // The configured engines never answer and hold one connection per query, and the name service is silent.
-    let silent_engines: Vec<SocketAddr> = (0..4).map(|_| scripted(|_, _| {}).0).collect();
+    let silent_engines: Vec<SocketAddr> =
+        (0..4).map(|_| start_scripted_engine(|_, _| {}).0).collect();
     let names = NameService::start(Vec::new(), Arc::new(Record::default()));
-    names.silent(true);
+    names.set_silent(true);
     let config = config(&silent_engines).with("limits", json!({"sockets": 64, "memory_mb": 16}));
     let config = config
         .with("resolver", names.address.to_string())
@@ -54,7 +57,7 @@
     program.wait_until_healthy();
     // An endpoint list over another socket and the configuration file at SIGHUP each need a descriptor while clients
     // hold theirs.
-    program.wait_for_count("lists 0\n");
+    program.wait_for_counter_line("lists 0\n");
     names.add(Endpoint {
         id: "s-9".into(),
         zone: "h".into(),
@@ -62,17 +65,17 @@
         cell: 0,
         address: instant_engine(),
         status: Status::Ready,
-        started: 0.0,
+        started_ms: 0.0,
     });
-    names.silent(false);
+    names.set_silent(false);
     program.signal("-HUP");
-    program.wait_for_count("configurations_read 1\n");
-    program.wait_for_count("lists 1\n");
+    program.wait_for_counter_line("configurations_read 1\n");
+    program.wait_for_counter_line("lists 1\n");
     drop(waiting);
-    program.wait_for_count("submissions_out 0\n");
+    program.wait_for_counter_line("submissions_out 0\n");
     assert_eq!(answer_status(&program, 99, 9000.0), Some(200));
     program.terminate();
-    let log = program.end();
+    let log = program.wait_for_exit();
     assert!(!log.contains("Too many open files"), "{log}");
 }
 
@@ -90,7 +93,7 @@
             assert_eq!(response.map(|response| response.status), Some(200));
         }
     }
-    let (resident_kb, _) = used(program.child.id()).unwrap();
+    let (resident_kb, _) = resource_usage(program.child.id()).unwrap();
     assert!(resident_kb < 16 << 10, "{resident_kb} kB");
 }
 
@@ -120,8 +123,8 @@
         started.elapsed()
     );
     (1..20).for_each(|id| assert_eq!(answer_status(&program, id, 9000.0), Some(200)));
-    let own_kb = own_memory(program.child.id()).unwrap();
+    let own_kb = anonymous_memory_kb(program.child.id()).unwrap();
     assert!(own_kb < 1600, "{own_kb} kB");
     program.terminate();
-    program.end();
+    program.wait_for_exit();
 }
--- a/crates/dispatcher/tests/platform_limits/support.rs
+++ b/crates/dispatcher/tests/platform_limits/support.rs
@@ -7,7 +7,7 @@
 use std::process::Stdio;
 use std::time::Duration;
 use tansymux_testbed::client::{send_query_in_two_writes, ClientQuery};
-use tansymux_testbed::engine::{scripted, write_result};
+use tansymux_testbed::engine::{start_scripted_engine, write_result};
 use tansymux_testbed::program::{Config, Program};
 use tansymux_testbed::wire::read_response;
 
@@ -16,7 +16,7 @@
 
 /// Returns a configuration with these engines and two resource groups.
 pub fn config(engines: &[SocketAddr]) -> Config {
-    Config::with_two_classes(engines)
+    Config::with_two_groups(engines)
 }
 
 /// Starts an engine that completes each query at once, and returns its address.
@@ -24,7 +24,7 @@
     let answers = |parts: &[String], to: &mut std::net::TcpStream| {
         write_result(to, &parts[1]);
     };
-    scripted(answers).0
+    start_scripted_engine(answers).0
 }
 
 /// Sends a query on a new connection, and returns the status of its answer.
@@ -44,7 +44,7 @@
 /// Starts the program with at most 64 descriptors and 64 MB of address space, without waiting until it is healthy.
 pub fn start_limited(config: &Config) -> Program {
     let limits = [(libc::RLIMIT_NOFILE, 64), (libc::RLIMIT_AS, 64 << 20)];
-    Program::prepared(Path::new(EXE), config, &[], Stdio::piped(), |command| {
+    Program::launch_with(Path::new(EXE), config, &[], Stdio::piped(), |command| {
         let set_limits = move || {
             limits.iter().try_for_each(|&(resource, limit)| {
                 let new = libc::rlimit {
--- a/crates/dispatcher/tests/platform_limits/system_calls.rs
+++ b/crates/dispatcher/tests/platform_limits/system_calls.rs
@@ -86,21 +86,22 @@
     let config = config(&[instant_engine()])
         .with("peer_listen", peer.clone())
         .with("peers", json!([peer]));
-    let mut program = Program::prepared(Path::new(EXE), &config, &[], Stdio::piped(), |command| {
-        // SAFETY: two system calls per filter, on memory that was filled before the fork.
-        unsafe { command.pre_exec(move || apply(&filters)) };
-    });
+    let mut program =
+        Program::launch_with(Path::new(EXE), &config, &[], Stdio::piped(), |command| {
+            // SAFETY: two system calls per filter, on memory that was filled before the fork.
+            unsafe { command.pre_exec(move || apply(&filters)) };
+        });
     program.wait_until_healthy();
     (1..40).for_each(|id| assert_eq!(answer_status(&program, id, 9000.0), Some(200)));
     program.signal("-HUP");
-    program.wait_for_count("configurations_read 1\n");
+    program.wait_for_counter_line("configurations_read 1\n");
     assert_eq!(answer_status(&program, 41, 9000.0), Some(200));
     let pid = program.child.id();
     let threads = std::fs::read_dir(format!("/proc/{pid}/task"));
     let threads = threads.map(Iterator::count).unwrap_or(0);
     assert_eq!((child_processes(pid), threads), (0, 2));
     program.terminate();
-    let log = program.end();
+    let log = program.wait_for_exit();
     assert!(log.contains("finished 40\n"), "{log}");
 }
 
--- a/crates/dispatcher/tests/sockets/endpoint_list.rs
+++ b/crates/dispatcher/tests/sockets/endpoint_list.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::thread;
 use std::time::Duration;
-use tansymux_testbed::engine::{scripted as engine, write_result};
+use tansymux_testbed::engine::{start_scripted_engine as engine, write_result};
 use tansymux_testbed::name_service::{Endpoint, NameService};
 use tansymux_testbed::program::{free_address, TIMEOUT};
 use tansymux_testbed::record::{Record, Status};
@@ -19,7 +19,7 @@
         cell: 0,
         address: engine,
         status: Status::Ready,
-        started: 0.0,
+        started_ms: 0.0,
     };
     let names = NameService::start(Vec::new(), Arc::new(Record::default()));
     names.add(listed);
@@ -33,7 +33,7 @@
     let program = start_with(&[free_address()], |config| {
         config.with("resolver", resolver.to_string())
     });
-    program.wait_for_count("lists 1\n");
+    program.wait_for_counter_line("lists 1\n");
     // The engine of the configuration is no longer listed: all queries are sent to the new engine.
     for id in 1..9 {
         assert_eq!(answer_status(post_query(program.listen, "load", id)), 200);
@@ -65,11 +65,11 @@
     let new = format!(r#""resolver":"{resolver}","limits":{{"sockets":512}}"#);
     program.config.write(&text.replace(&old, &new));
     (0..3).for_each(|_| program.signal("-HUP"));
-    program.wait_for_count("lists 1\n");
+    program.wait_for_counter_line("lists 1\n");
     assert_eq!(answer_status(open_query), 200);
     program.terminate();
     program.signal("-HUP");
-    let log = program.end();
+    let log = program.wait_for_exit();
     assert!(
         log.contains("configuration reload rejected")
             && log.contains("key resolver is 7, expected a text"),
--- a/crates/dispatcher/tests/sockets/engine_connections.rs
+++ b/crates/dispatcher/tests/sockets/engine_connections.rs
@@ -10,7 +10,7 @@
 use tansymux::settings::keys;
 use tansymux_testbed::client::{send_query_in_two_writes as post_in_two, ClientQuery};
 use tansymux_testbed::engine::{
-    refuse_silently, scripted as engine, write_result, write_result_of,
+    fill_accept_backlog, start_scripted_engine as engine, write_result, write_result_of,
 };
 use tansymux_testbed::program::{Program, TIMEOUT};
 use tansymux_testbed::wire::{self, read_response};
@@ -102,7 +102,7 @@
         "{:?}",
         started.elapsed()
     );
-    program.wait_for_count("connections_spoilt 3\n");
+    program.wait_for_counter_line("connections_spoilt 3\n");
 }
 
 /// Starts an engine that completes each request, but closes a connection on which a request arrives after a pause of
@@ -229,7 +229,7 @@
     };
     (1..9).for_each(|id| assert!(run_query(id) < TIMEOUT));
     thread::sleep(Duration::from_millis(150));
-    let _backlog = refuse_silently(&listener_clone);
+    let _backlog = fill_accept_backlog(&listener_clone);
     unreachable.store(true, Ordering::Relaxed);
     // Without the check, each query at that engine waits for 900 ms: 400 ms plus five times its run time.
     let longest = (9..25).map(run_query).max().unwrap();
@@ -263,7 +263,7 @@
     assert_eq!(answer_status(send_query(2)), 200);
     thread::sleep(Duration::from_millis(400));
     drop(leaving_client);
-    program.wait_for_count("vanished 1\n");
+    program.wait_for_counter_line("vanished 1\n");
     assert_eq!(answer_status(send_query(3)), 200);
     assert_eq!(program.counter("connections_to_engines"), Some(2));
 }
--- a/crates/dispatcher/tests/sockets/queries.rs
+++ b/crates/dispatcher/tests/sockets/queries.rs
@@ -7,7 +7,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 use tansymux::settings::keys;
-use tansymux_testbed::engine::{scripted as engine, write_result_of};
+use tansymux_testbed::engine::{start_scripted_engine as engine, write_result_of};
 use tansymux_testbed::program::{free_address, get, TIMEOUT};
 use tansymux_testbed::wire::read_response;
 
@@ -63,7 +63,7 @@
     );
     assert_eq!(fetch[3], "SELECT a FROM sales_17.orders");
     program.terminate();
-    assert!(program.end().contains("taken 1\n"));
+    assert!(program.wait_for_exit().contains("taken 1\n"));
 }
 
 #[test]
@@ -92,7 +92,7 @@
         .collect();
     // The engine is silent: read-only queries are rejected, and the query that may have changed tables fails.
     assert_eq!(statuses, [429, 500, 429]);
-    let report = program.end();
+    let report = program.wait_for_exit();
     assert!(
         started.elapsed() < Duration::from_millis(4200),
         "{:?}",
--- a/crates/dispatcher/tests/sockets/support.rs
+++ b/crates/dispatcher/tests/sockets/support.rs
@@ -6,7 +6,7 @@
 use std::sync::mpsc::Receiver;
 use std::time::Duration;
 use tansymux_testbed::client::{send_query_in_two_writes as post_in_two, ClientQuery};
-use tansymux_testbed::engine::{scripted, write_result, ReceivedFrame};
+use tansymux_testbed::engine::{start_scripted_engine, write_result, ReceivedFrame};
 use tansymux_testbed::program::{Config, Program};
 use tansymux_testbed::wire::{self, read_response};
 
@@ -20,7 +20,7 @@
 
 /// Starts the program as [`start`] does, with a configuration that `change` has modified.
 pub fn start_with(engines: &[SocketAddr], change: impl Fn(Config) -> Config) -> Program {
-    let config = Config::with_two_classes(engines);
+    let config = Config::with_two_groups(engines);
     Program::start(
         Path::new(env!("CARGO_BIN_EXE_tansymux")),
         &change(config),
@@ -30,7 +30,7 @@
 
 /// Starts an engine that completes each request at once. Returns its address and the frames that it receives.
 pub fn instant_engine() -> (SocketAddr, Receiver<ReceivedFrame>) {
-    scripted(|parts, to| write_result(to, &parts[1]))
+    start_scripted_engine(|parts, to| write_result(to, &parts[1]))
 }
 
 /// Reads the next answer on a client's connection, and returns its status.
--- a/crates/dispatcher/tests/statements.rs
+++ b/crates/dispatcher/tests/statements.rs
@@ -13,7 +13,8 @@
 use tansymux_testbed::client::{send_query, ClientQuery};
 use tansymux_testbed::corpus::{corpus, mutated};
 use tansymux_testbed::engine::{
-    scripted, write_result, write_result_of, Engine, EngineSpec, QueryWork, ResultShape, RunContext,
+    start_scripted_engine, write_result, write_result_of, Engine, EngineSpec, QueryWork,
+    ResultShape, RunContext,
 };
 use tansymux_testbed::invariants::{find_violations, ClassRules, Effect, Rules};
 use tansymux_testbed::program::{Config, Program, TempFile, TIMEOUT};
@@ -35,7 +36,7 @@
     (
         Program::start(
             Path::new(EXE),
-            &Config::with_two_classes(engines),
+            &Config::with_two_groups(engines),
             &["--operator", &path],
         ),
         operator,
@@ -79,7 +80,7 @@
 
 #[test]
 fn statement_without_a_group_runs_in_the_group_of_its_class_and_is_rejected_without_the_path() {
-    let (address, requests) = scripted(|parts, to| {
+    let (address, requests) = start_scripted_engine(|parts, to| {
         write_result_of(to, &parts[1], "");
     });
     let (program, _operator) = start(&[address], CLASSIFY_ALL);
@@ -111,7 +112,8 @@
 fn statement_that_may_write_is_not_retried_whatever_its_class_promises() {
     // The engine closes each connection on which a request arrives: whether the query ran is unknown, and only a
     // read-only query may be retried.
-    let (address, requests) = scripted(|_, to| drop(to.shutdown(std::net::Shutdown::Both)));
+    let (address, requests) =
+        start_scripted_engine(|_, to| drop(to.shutdown(std::net::Shutdown::Both)));
     let hidden = "select 1 -- x\n; delete from sales_17.orders";
     let send_and_count_attempts = |program: &Program, query: &ClientQuery| {
         let status = status(post(program.listen, query));
@@ -145,7 +147,7 @@
     assert_eq!(program.counter("statements_milder_class_named"), Some(1));
     program.terminate();
     assert!(program
-        .end()
+        .wait_for_exit()
         .contains("class promises read-only, statement does not"));
     let (program, _operator) = start(&[address], "check: ENFORCE");
     assert_eq!(send_and_count_attempts(&program, &named(5)), (500, 1));
@@ -153,7 +155,7 @@
 
 #[test]
 fn reloaded_rules_apply_to_new_queries_and_not_to_queries_in_flight() {
-    let (address, requests) = scripted(|parts, to| {
+    let (address, requests) = start_scripted_engine(|parts, to| {
         if parts[0] == "fetch" {
             thread::sleep(Duration::from_millis(400));
             write_result(to, &parts[1]);
@@ -176,7 +178,7 @@
     let changed = CLASSIFY_ALL.replace("look_up: \"look\"", "look_up: \"load\"");
     operator.write(&format!("statements {{ {changed} }}"));
     program.signal("-HUP");
-    program.wait_for_count("operator_files_read 1\n");
+    program.wait_for_counter_line("operator_files_read 1\n");
     let later = post(
         program.listen,
         &unclassified_query(2, "select a from sales_17.orders where id = 2"),
@@ -186,14 +188,14 @@
     // Classification is disabled: its path is unknown.
     operator.write("");
     program.signal("-HUP");
-    program.wait_for_count("operator_files_read 2\n");
+    program.wait_for_counter_line("operator_files_read 2\n");
     assert_eq!(
         status(post(program.listen, &unclassified_query(3, "select 1"))),
         404
     );
     let mut program = program;
     program.terminate();
-    let log = program.end();
+    let log = program.wait_for_exit();
     for expected in [
         "operators' file reload rejected",
         "look_up is \"nobody\"",
@@ -234,12 +236,12 @@
         };
         let work = QueryWork {
             result: ResultShape::OneRow,
-            work: 2.0,
+            work_ms: 2.0,
             threads: 1.0,
-            changes: labelled.effect != "read-only",
+            changes_tables: labelled.effect != "read-only",
             tables: 0,
         };
-        context.works.lock().unwrap().insert(query.id(), work);
+        context.query_work.lock().unwrap().insert(query.id(), work);
         let (context, listen) = (context.clone(), program.listen);
         clients.push(thread::spawn(move || {
             send_query(listen, &query, &context.record).is_some()
@@ -255,15 +257,15 @@
         .count();
     assert_eq!(answered, all.len());
     program.terminate();
-    let report = program.end();
+    let report = program.wait_for_exit();
     assert!(report.contains("unanswered 0\n"), "{report}");
     let effect = |class: &str| match class {
         "look-up" | "report" | "fuzzed" => Effect::ReadOnly,
         _ => Effect::NonIdempotent,
     };
     let classes = ["look-up", "report", "load", "unknown", "fuzzed"];
-    let classes = classes.map(|class| (class.to_owned(), ClassRules::of(effect(class))));
-    let rules = Rules::of_classes(classes);
+    let classes = classes.map(|class| (class.to_owned(), ClassRules::for_effect(effect(class))));
+    let rules = Rules::for_classes(classes);
     let violations = find_violations(&context.record.entries(), &rules);
     assert!(violations.is_empty(), "{violations:?}");
 }
@@ -279,7 +281,7 @@
         "o",
         "log {\n lines_a_second: 0 }\nstatements { cache { shapes: 1 } }",
     );
-    let good = TempFile::new("c", &Config::with_two_classes(&[]).0.to_string());
+    let good = TempFile::new("c", &Config::with_two_groups(&[]).0.to_string());
     let bad = TempFile::new("d", "{\n\"seed\": 7 }");
     let path = |file: &TempFile| file.0.display().to_string();
     let (code, out, _) = run_program(
@@ -339,7 +341,7 @@
 
 #[test]
 fn log_lines_are_text_or_json_with_fields_and_a_level() {
-    let (address, _requests) = scripted(|parts, to| {
+    let (address, _requests) = start_scripted_engine(|parts, to| {
         write_result_of(to, &parts[1], "");
     });
     for (arguments, expected) in [
@@ -354,13 +356,13 @@
     ] {
         let mut program = Program::start(
             Path::new(EXE),
-            &Config::with_two_classes(&[address]),
+            &Config::with_two_groups(&[address]),
             &arguments,
         );
         let query = ClientQuery::new(1, "/invoke/look", "look", "select 1", 9000.0);
         assert_eq!(status(post(program.listen, &query)), 200);
         program.terminate();
-        let log = program.end();
+        let log = program.wait_for_exit();
         assert!(log.contains(expected) && log.contains("query"), "{log}");
         if arguments[1] == "json" {
             let is_json = |line: &str| serde_json::from_str::<serde_json::Value>(line).is_ok();
--- a/crates/dispatcher/tests/zone_routing.rs
+++ b/crates/dispatcher/tests/zone_routing.rs
@@ -12,7 +12,7 @@
 use tansymux_testbed::client::{send_query, ClientQuery, ClientResponse};
 use tansymux_testbed::engine::{Engine, EngineSpec, Fault, QueryWork, ResultShape, RunContext};
 use tansymux_testbed::invariants::{find_violations, ClassRules, Effect, Rules};
-use tansymux_testbed::program::{class, free_address, get, Config, Program, TempFile};
+use tansymux_testbed::program::{free_address, get, resource_group, Config, Program, TempFile};
 use tansymux_testbed::record::EventKind;
 
 /// The operators' file of these tests.
@@ -46,10 +46,10 @@
         .map(|engine| (engine.id.clone(), engine.address))
         .collect();
     let classes = [
-        class("look", 300.0, 2000.0, keys::effect::READ_ONLY),
-        class("report", 1500.0, 3000.0, keys::effect::READ_ONLY),
-        class("load", 1500.0, 3000.0, keys::effect::NON_IDEMPOTENT),
-        class("bound", 300.0, 2000.0, keys::effect::READ_ONLY),
+        resource_group("look", 300.0, 2000.0, keys::effect::READ_ONLY),
+        resource_group("report", 1500.0, 3000.0, keys::effect::READ_ONLY),
+        resource_group("load", 1500.0, 3000.0, keys::effect::NON_IDEMPOTENT),
+        resource_group("bound", 300.0, 2000.0, keys::effect::READ_ONLY),
     ];
     let mut config = Config::new(free_address(), &known, &classes, &[1, 4, 2, 1])
         .with_setting(keys::LOCAL_ZONE, "east")
@@ -81,8 +81,8 @@
 }
 
 impl TestSetup {
-    /// Sends a query of a resource group with `work` ms of work on one core. Returns its answer, if there is one.
-    fn send_query(&self, group: &str, work: f64) -> Option<ClientResponse> {
+    /// Sends a query of a resource group with `work_ms` of work on one core. Returns its answer, if there is one.
+    fn send_query(&self, group: &str, work_ms: f64) -> Option<ClientResponse> {
         let id = self.next_query_id.fetch_add(1, Ordering::Relaxed);
         let wait_ms = if group == "look" || group == "bound" {
             2000.0
@@ -91,17 +91,17 @@
         };
         let mut query =
             ClientQuery::new(id, &format!("/invoke/{group}"), group, "select 1", wait_ms);
-        query.cost = Some(work);
+        query.cost = Some(work_ms);
         let threads = if group == "report" { 4.0 } else { 1.0 };
         let query_work = QueryWork {
             result: ResultShape::OneRow,
-            work,
+            work_ms,
             threads,
-            changes: group == "load",
+            changes_tables: group == "load",
             tables: 0,
         };
         self.context
-            .works
+            .query_work
             .lock()
             .unwrap()
             .insert(query.id(), query_work);
@@ -129,7 +129,7 @@
     fn inject_into_east(&self, fault: Fault) {
         self.engines[..2]
             .iter()
-            .for_each(|engine| engine.fault(fault));
+            .for_each(|engine| engine.inject_fault(fault));
     }
 
     /// Sends look-ups until a zone is in this state. Returns the elapsed time.
@@ -232,7 +232,7 @@
     (0..20).for_each(|_| assert_eq!(setup.send_query("look", 5.0).unwrap().status, 200));
     assert_eq!(setup.attempts_by_zone(record_length), (20, 0));
     setup.program.terminate();
-    let log = setup.program.end();
+    let log = setup.program.wait_for_exit();
     for expected in [
         "state=cut",
         "state=climbing",
@@ -249,8 +249,8 @@
         }
     };
     let classes = ["look", "report", "load", "bound"]
-        .map(|group| (group.to_owned(), ClassRules::of(effect(group))));
-    let rules = Rules::of_classes(classes);
+        .map(|group| (group.to_owned(), ClassRules::for_effect(effect(group))));
+    let rules = Rules::for_classes(classes);
     let violations = find_violations(&setup.context.record.entries(), &rules);
     assert!(violations.is_empty(), "{violations:?}");
 }
@@ -300,7 +300,7 @@
     setup
         .engines
         .iter()
-        .for_each(|engine| engine.fault(Fault::Silent));
+        .for_each(|engine| engine.inject_fault(Fault::Silent));
     let started = Instant::now();
     while setup.zones()["alone"] != true {
         thread::scope(|scope| {
--- a/crates/simulator/src/simulation/results.rs
+++ b/crates/simulator/src/simulation/results.rs
@@ -242,7 +242,7 @@
         .map(|class| (class.name().to_owned(), class_rules(class)));
     Rules {
         warm_up: Some(warm_up_rule(&cold)),
-        ..Rules::of_classes(classes)
+        ..Rules::for_classes(classes)
     }
 }
 
@@ -263,6 +263,6 @@
     };
     ClassRules {
         zones: class.bound_to.clone().map(|zone| vec![zone]),
-        ..ClassRules::of(effect)
+        ..ClassRules::for_effect(effect)
     }
 }
--- a/crates/testbed/src/client.rs
+++ b/crates/testbed/src/client.rs
@@ -23,9 +23,9 @@
     /// The statement.
     pub statement: String,
     /// Maximum time that the client waits for an answer (ms).
-    pub wait: f64,
+    pub max_wait_ms: f64,
     /// The tenant.
-    pub owner: String,
+    pub tenant: String,
     /// The declared cost (ms on one core).
     pub cost: Option<f64>,
     /// The declared memory need (MB).
@@ -33,15 +33,15 @@
 }
 
 impl ClientQuery {
-    /// A query of the tenant `acme`, with no declared cost or memory need; `wait` in ms.
-    pub fn new(id: u64, path: &str, class: &str, statement: &str, wait: f64) -> Self {
+    /// A query of the tenant `acme`, with no declared cost or memory need.
+    pub fn new(id: u64, path: &str, class: &str, statement: &str, max_wait_ms: f64) -> Self {
         ClientQuery {
             id,
             path: path.to_owned(),
             class: class.to_owned(),
             statement: statement.to_owned(),
-            wait,
-            owner: "acme".into(),
+            max_wait_ms,
+            tenant: "acme".into(),
             cost: None,
             memory: None,
         }
@@ -58,8 +58,8 @@
             "POST {} HTTP/1.1\r\nHost: b\r\nReq-Id: {}\r\nReq-Wait-Ms: {}\r\nReq-Owner: {}\r\n",
             self.path,
             self.id(),
-            self.wait,
-            self.owner
+            self.max_wait_ms,
+            self.tenant
         );
         if let Some(cost) = self.cost {
             head += &format!("Req-Cost: {cost:.3}\r\n");
@@ -92,7 +92,7 @@
     stream.set_nodelay(true).ok()?;
     stream
         .set_read_timeout(Some(
-            Duration::from_secs_f64(query.wait / 1000.0) + ANSWER_GRACE,
+            Duration::from_secs_f64(query.max_wait_ms / 1000.0) + ANSWER_GRACE,
         ))
         .ok()?;
     let sent_ms = record.now_ms();
@@ -102,7 +102,7 @@
         EventKind::Asked {
             id: id.clone(),
             class: query.class.clone(),
-            max_wait_ms: query.wait,
+            max_wait_ms: query.max_wait_ms,
             key: None,
         },
     );
--- a/crates/testbed/src/commands.rs
+++ b/crates/testbed/src/commands.rs
@@ -62,24 +62,28 @@
             seeds,
             svg,
         } => run_zone_routing(seconds, seeds, svg.as_deref()),
-        Command::Reaction { seconds, seeds } => {
-            Ok(print(&levels::reaction(&locate_program()?, seconds, seeds)))
-        }
-        Command::Quarters { seconds, seeds } => {
-            Ok(print(&levels::quarters(&locate_program()?, seconds, seeds)))
-        }
+        Command::Reaction { seconds, seeds } => Ok(print(&levels::run_load_step(
+            &locate_program()?,
+            seconds,
+            seeds,
+        ))),
+        Command::Quarters { seconds, seeds } => Ok(print(&levels::run_quarter_starts(
+            &locate_program()?,
+            seconds,
+            seeds,
+        ))),
         Command::Fleet(arguments) => run_fleet(&arguments),
         Command::Soak(arguments) => run_soak(&arguments),
         Command::Zones(arguments) => run_zones(&arguments),
         Command::FleetVirtual(arguments) => Ok(run_fleet_virtual(&arguments)),
         Command::Accuracy { seed, show } => Ok(print(&measure::accuracy(seed, show))),
         Command::Mutations { many, seed } => {
-            let report = measure::mutations(many, seed);
+            let report = measure::mutation_report(many, seed);
             Ok(print_checked(&report.table, report.has_false_proofs))
         }
-        Command::Cache { many } => Ok(print(&measure::cache(many, 1))),
-        Command::Time { many } => Ok(print(&measure::time(many, 1))),
-        Command::Learning { seed } => Ok(print(&measure::learning(seed))),
+        Command::Cache { many } => Ok(print(&measure::cache_table(many, 1))),
+        Command::Time { many } => Ok(print(&measure::time_table(many, 1))),
+        Command::Learning { seed } => Ok(print(&measure::learning_table(seed))),
         Command::Replay {
             seconds,
             rate,
@@ -110,7 +114,7 @@
 }
 
 fn run_levels(seconds: f64, svg: Option<&Path>) -> Result<Outcome, CommandError> {
-    let (table, has_failed) = levels::swing(&locate_program()?, seconds, svg);
+    let (table, has_failed) = levels::run_oscillating_load(&locate_program()?, seconds, svg);
     Ok(print_checked(&table, has_failed))
 }
 
@@ -181,12 +185,12 @@
         exe: locate_program()?,
         shim: fault_shim::locate_library()?,
         seeds: arguments.seeds.clone(),
-        processes: processes.start as usize..=processes.end as usize,
+        dispatchers: processes.start as usize..=processes.end as usize,
         seconds: arguments.seconds,
         families,
         jobs: arguments.jobs,
-        keep: arguments.keep.clone(),
-        shrinks: arguments.shrink,
+        artifact_dir: arguments.keep.clone(),
+        shrink_failures: arguments.shrink,
     });
     Ok(print_checked(&report.table, report.failed_seeds > 0))
 }
--- a/crates/testbed/src/demo.rs
+++ b/crates/testbed/src/demo.rs
@@ -133,14 +133,17 @@
     let failing = &engines[FAILING_ENGINE];
     let timed = |at_fraction, act: Box<dyn Fn() + 'a>| TimedAction { at_fraction, act };
     vec![
-        timed(0.25, Box::new(|| failing.fault(Fault::Errors(0.7)))),
-        timed(0.40, Box::new(|| failing.fault(Fault::Silent))),
+        timed(0.25, Box::new(|| failing.inject_fault(Fault::Errors(0.7)))),
+        timed(0.40, Box::new(|| failing.inject_fault(Fault::Silent))),
         timed(
             0.50,
-            Box::new(|| names.set(DRAINING_ENGINE, Status::Draining)),
+            Box::new(|| names.set_status(DRAINING_ENGINE, Status::Draining)),
+        ),
+        timed(0.60, Box::new(|| failing.inject_fault(Fault::None))),
+        timed(
+            0.75,
+            Box::new(|| names.set_status(DRAINING_ENGINE, Status::Gone)),
         ),
-        timed(0.60, Box::new(|| failing.fault(Fault::None))),
-        timed(0.75, Box::new(|| names.set(DRAINING_ENGINE, Status::Gone))),
     ]
 }
 
@@ -186,7 +189,7 @@
     }
     setup::join_all(clients);
     program.terminate();
-    let _ = program.end();
+    let _ = program.wait_for_exit();
     let duration_ms = start.elapsed().as_secs_f64() * 1000.0;
     report(&context.record.entries(), &outcomes, &engines, duration_ms)
 }
@@ -291,7 +294,7 @@
         let name = self.class.traffic.name;
         thread::spawn(move || {
             let response = send_query(dispatcher, &query, &context.record);
-            let mut outcomes = outcomes.lock().expect("no holder panics");
+            let mut outcomes = outcomes.lock().expect("the lock is not poisoned");
             let Some(outcome) = outcomes.get_mut(name) else {
                 return;
             };
@@ -322,11 +325,11 @@
 }
 
 fn progress(elapsed_s: u64, outcomes: &Outcomes, engines: &[Engine]) -> String {
-    let outcomes = outcomes.lock().expect("no holder panics");
+    let outcomes = outcomes.lock().expect("the lock is not poisoned");
     let sum = |count: fn(&ClassOutcome) -> u64| outcomes.values().map(count).sum::<u64>();
     let threads: Vec<String> = engines
         .iter()
-        .map(|engine| format!("{}:{:>2.0}", engine.id, engine.threads()))
+        .map(|engine| format!("{}:{:>2.0}", engine.id, engine.running_threads()))
         .collect();
     format!(
         "{elapsed_s:>3} s  received {:>5}  completed {:>5}  rejected {:>4}  failed {:>3}  threads {}",
@@ -343,7 +346,7 @@
         "{:<8} {:>7} {:>9} {:>9} {:>7} {:>8} {:>8}\n",
         "class", "received", "completed", "rejected", "failed", "p50 ms", "p99 ms"
     );
-    for (name, outcome) in &*outcomes.lock().expect("no holder panics") {
+    for (name, outcome) in &*outcomes.lock().expect("the lock is not poisoned") {
         let p50 = outcome.latencies_ms.value_at_quantile(0.5);
         let p99 = outcome.latencies_ms.value_at_quantile(0.99);
         let _ = writeln!(
@@ -364,7 +367,7 @@
     }
     let mut table = format!("{:<8} {:>12} {:>12}\n", "engine", "attempts", "load");
     for engine in engines {
-        let load = engine.busy() / (CORES * duration_ms);
+        let load = engine.used_core_ms() / (CORES * duration_ms);
         let count = attempts.get(engine.id.as_str()).copied().unwrap_or(0);
         let _ = writeln!(
             table,
--- a/crates/testbed/src/engine/attempt.rs
+++ b/crates/testbed/src/engine/attempt.rs
@@ -119,7 +119,7 @@
         self.context.record.push(EventKind::Arrived {
             engine: self.id.clone(),
             id: attempt.id.clone(),
-            work_ms: work.work,
+            work_ms: work.work_ms,
         });
         if limit_ms < NO_LIMIT_MS {
             self.context.record.push(EventKind::Told {
@@ -134,7 +134,7 @@
     fn admit(&self, work: &QueryWork) -> Admission {
         let mut state = self.state();
         let draw: f64 = state.rng.random();
-        let max_threads = self.spec.cores * self.spec.max_threads_a_core;
+        let max_threads = self.spec.cores * self.spec.max_threads_per_core;
         let is_full = state.threads + work.threads > max_threads;
         if !is_full {
             state.threads += work.threads;
@@ -217,7 +217,7 @@
     /// Executes the query until it is complete. Returns false if the attempt is cancelled or exceeds its limit by
     /// [`LIMIT_GRACE_MS`] first.
     fn run_to_completion(&self) -> bool {
-        let needed_ms = self.work.work / self.work.threads;
+        let needed_ms = self.work.work_ms / self.work.threads;
         let started = Instant::now();
         let mut done_ms = 0.0;
         let mut last_step = started;
@@ -244,7 +244,7 @@
     }
 
     fn complete(&self) {
-        if self.work.changes {
+        if self.work.changes_tables {
             self.engine.context.record.push(EventKind::Applied {
                 engine: self.engine.id.clone(),
                 id: self.attempt.id.clone(),
@@ -257,7 +257,11 @@
         }
         match self.work.result {
             ResultShape::OneRow => {
-                let rows = if self.work.changes { "" } else { "a\tb\tc\n" };
+                let rows = if self.work.changes_tables {
+                    ""
+                } else {
+                    "a\tb\tc\n"
+                };
                 self.write(Reply::Done, ONE_PAGE, rows);
             }
             ResultShape::Numbered { pages } => {
--- a/crates/testbed/src/engine/mod.rs
+++ b/crates/testbed/src/engine/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-in engines. [`scripted`] starts an engine that answers each frame with a closure. [`Engine`] has cores, runs
-//! queries concurrently, sends progress notes, records events, and simulates injected faults.
+//! Stand-in engines. [`start_scripted_engine`] starts an engine that answers each frame with a closure. [`Engine`] has
+//! cores, runs queries concurrently, sends progress notes, records events, and simulates injected faults.
 //!
 //! Start reading at [`Engine::start`], then at the `attempt` module.
 
@@ -14,7 +14,8 @@
 pub use result_pages::ResultShape;
 
 pub use scripted::{
-    engine_answering_after, refuse_silently, scripted, write_result, write_result_of, ReceivedFrame,
+    fill_accept_backlog, start_delayed_engine, start_scripted_engine, write_result,
+    write_result_of, ReceivedFrame,
 };
 
 use crate::record::{EventKind, Record};
@@ -57,11 +58,11 @@
 #[derive(Debug, Clone, Copy)]
 pub struct QueryWork {
     /// Work on one core (ms).
-    pub work: f64,
+    pub work_ms: f64,
     /// Number of threads that the query runs on.
     pub threads: f64,
     /// Whether the query changes tables.
-    pub changes: bool,
+    pub changes_tables: bool,
     /// The group of tables that a load locks.
     pub tables: u32,
     /// The form of the result.
@@ -72,9 +73,9 @@
     /// The work assumed for a query that was not registered.
     fn default() -> Self {
         QueryWork {
-            work: 1.0,
+            work_ms: 1.0,
             threads: 1.0,
-            changes: false,
+            changes_tables: false,
             tables: 0,
             result: ResultShape::OneRow,
         }
@@ -87,15 +88,15 @@
     /// Record of the observed events.
     pub record: Arc<Record>,
     /// Work of the registered queries, by query id.
-    pub works: Mutex<HashMap<String, QueryWork>>,
+    pub query_work: Mutex<HashMap<String, QueryWork>>,
 }
 
 impl RunContext {
     /// Registers the work of a query for the engines. Must be called before the query is sent.
     pub fn register(&self, query_id: String, work: QueryWork) {
-        self.works
+        self.query_work
             .lock()
-            .expect("no holder panics")
+            .expect("the lock is not poisoned")
             .insert(query_id, work);
     }
 
@@ -108,8 +109,8 @@
     }
 
     fn work_of(&self, query_id: &str) -> QueryWork {
-        let works = self.works.lock().expect("no holder panics");
-        works.get(query_id).copied().unwrap_or_default()
+        let query_work = self.query_work.lock().expect("the lock is not poisoned");
+        query_work.get(query_id).copied().unwrap_or_default()
     }
 }
 
@@ -119,23 +120,23 @@
     /// Number of cores.
     pub cores: f64,
     /// Maximum number of running threads per core; a query that needs more is rejected as full.
-    pub max_threads_a_core: f64,
+    pub max_threads_per_core: f64,
     /// Interval between progress notes (ms).
     pub progress_interval_ms: f64,
     /// Fraction of its full speed at which a cold engine starts.
-    pub cold_from: f64,
+    pub cold_speed_fraction: f64,
     /// Time from the start until full speed (ms).
-    pub warm_after_ms: f64,
+    pub warm_up_ms: f64,
 }
 
 impl Default for EngineSpec {
     fn default() -> Self {
         EngineSpec {
             cores: 8.0,
-            max_threads_a_core: 16.0,
+            max_threads_per_core: 16.0,
             progress_interval_ms: 100.0,
-            cold_from: 1.0,
-            warm_after_ms: 0.0,
+            cold_speed_fraction: 1.0,
+            warm_up_ms: 0.0,
         }
     }
 }
@@ -204,15 +205,15 @@
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("no holder panics")
+        self.state.lock().expect("the lock is not poisoned")
     }
 
     fn streams(&self) -> MutexGuard<'_, HashMap<SocketAddr, TcpStream>> {
-        self.streams.lock().expect("no holder panics")
+        self.streams.lock().expect("the lock is not poisoned")
     }
 
     /// Injects a fault, which replaces the previous one.
-    pub fn fault(&self, fault: Fault) {
+    pub fn inject_fault(&self, fault: Fault) {
         self.state().fault = fault;
         self.context.record.push(EventKind::Fault {
             engine: self.id.clone(),
@@ -240,12 +241,12 @@
     }
 
     /// Core time that queries have used since the engine was started (ms).
-    pub fn busy(&self) -> f64 {
+    pub fn used_core_ms(&self) -> f64 {
         self.state().busy_ms
     }
 
     /// Number of running threads.
-    pub fn threads(&self) -> f64 {
+    pub fn running_threads(&self) -> f64 {
         self.state().threads
     }
 
@@ -314,12 +315,13 @@
         let state = self.state();
         let core_share = (self.spec.cores / state.threads.max(1.0)).min(1.0);
         let age_ms = state.started.elapsed().as_secs_f64() * 1000.0;
-        let warm_up_fraction = if self.spec.warm_after_ms > 0.0 {
-            (age_ms / self.spec.warm_after_ms).min(1.0)
+        let warm_up_fraction = if self.spec.warm_up_ms > 0.0 {
+            (age_ms / self.spec.warm_up_ms).min(1.0)
         } else {
             1.0
         };
-        let warm_speed = self.spec.cold_from + (1.0 - self.spec.cold_from) * warm_up_fraction;
+        let warm_speed = self.spec.cold_speed_fraction
+            + (1.0 - self.spec.cold_speed_fraction) * warm_up_fraction;
         let slowdown = if let Fault::Slow(factor) = state.fault {
             factor
         } else {
--- a/crates/testbed/src/engine/reply_channel.rs
+++ b/crates/testbed/src/engine/reply_channel.rs
@@ -34,7 +34,7 @@
     }
 
     fn stream(&self) -> MutexGuard<'_, TcpStream> {
-        self.stream.lock().expect("no holder panics")
+        self.stream.lock().expect("the lock is not poisoned")
     }
 
     fn reply_fault(&self) -> Option<ReplyFault> {
@@ -139,7 +139,7 @@
     // ---- Results ----
 
     fn results(&self) -> MutexGuard<'_, HashMap<String, Vec<String>>> {
-        self.results.lock().expect("no holder panics")
+        self.results.lock().expect("the lock is not poisoned")
     }
 
     /// Sends the first page of a result. A result of several pages is held until it is released.
--- a/crates/testbed/src/engine/scripted.rs
+++ b/crates/testbed/src/engine/scripted.rs
@@ -16,7 +16,7 @@
 ///
 /// # Panics
 /// The loopback has no free port.
-pub fn scripted(
+pub fn start_scripted_engine(
     handler: impl Fn(&[String], &mut TcpStream) + Send + Clone + 'static,
 ) -> (SocketAddr, Receiver<ReceivedFrame>) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("loopback has a free port");
@@ -59,8 +59,8 @@
 ///
 /// # Panics
 /// The loopback has no free port.
-pub fn engine_answering_after(delay: Duration) -> (SocketAddr, Receiver<ReceivedFrame>) {
-    scripted(move |fields, to| {
+pub fn start_delayed_engine(delay: Duration) -> (SocketAddr, Receiver<ReceivedFrame>) {
+    start_scripted_engine(move |fields, to| {
         let Ok(mut to) = to.try_clone() else {
             return;
         };
@@ -79,7 +79,7 @@
 ///
 /// # Panics
 /// The listener has no address or can't listen.
-pub fn refuse_silently(listener: &TcpListener) -> Vec<TcpStream> {
+pub fn fill_accept_backlog(listener: &TcpListener) -> Vec<TcpStream> {
     let address = listener
         .local_addr()
         .expect("a bound socket has an address");
--- a/crates/testbed/src/fleet/dispatcher_setup.rs
+++ b/crates/testbed/src/fleet/dispatcher_setup.rs
@@ -3,7 +3,7 @@
 
 use super::relay::EngineLink;
 use crate::engine::Engine;
-use crate::program::{class, Config};
+use crate::program::{resource_group, Config};
 use std::net::SocketAddr;
 use tansymux::settings::keys;
 
@@ -38,7 +38,7 @@
             .zip(self.links)
             .map(|(engine, link)| (engine.id.clone(), link.address))
             .collect();
-        let classes = [class(
+        let classes = [resource_group(
             "look",
             LATENCY_OBJECTIVE_MS,
             MAX_WAIT_MS,
--- a/crates/testbed/src/fleet/mod.rs
+++ b/crates/testbed/src/fleet/mod.rs
@@ -177,7 +177,10 @@
                 let mut fleet = VirtualFleet::new(scenario, definition, VersionQuality::default());
                 fleet.set_uncoordinated(options.uncoordinated);
                 let report = fleet.run();
-                reports.lock().expect("no holder panics").push(report);
+                reports
+                    .lock()
+                    .expect("the lock is not poisoned")
+                    .push(report);
             });
         }
     });
--- a/crates/testbed/src/fleet/processes/faults.rs
+++ b/crates/testbed/src/fleet/processes/faults.rs
@@ -74,7 +74,7 @@
         match action {
             Fault::Drain { engines } => self.drain(&engines),
             Fault::Undrain { engine, at } => {
-                self.drained.lock().expect("no holder panics")[engine] = false;
+                self.drained.lock().expect("the lock is not poisoned")[engine] = false;
                 self.processes
                     .fleet_command(at, &["undrain", &engine_name(engine)]);
             }
@@ -115,7 +115,7 @@
     }
 
     fn first_out(&self) -> Option<usize> {
-        let out = self.out.lock().expect("no holder panics");
+        let out = self.out.lock().expect("the lock is not poisoned");
         out.iter().position(|is_out| *is_out)
     }
 
@@ -128,7 +128,7 @@
                     let arguments = ["drain", &engine_name(engine)];
                     let answer = self.processes.fleet_command(at, &arguments);
                     if answer.code == Some(0) {
-                        let mut drained = self.drained.lock().expect("no holder panics");
+                        let mut drained = self.drained.lock().expect("the lock is not poisoned");
                         drained[engine] = true;
                         let count = drained.iter().filter(|drained| **drained).count();
                         self.report().record_drained(count);
--- a/crates/testbed/src/fleet/processes/members.rs
+++ b/crates/testbed/src/fleet/processes/members.rs
@@ -70,7 +70,7 @@
 
     /// The slot of a member.
     pub fn slot(&self, member: usize) -> MutexGuard<'_, DispatcherSlot> {
-        self.slots[member].lock().expect("no holder panics")
+        self.slots[member].lock().expect("the lock is not poisoned")
     }
 
     /// The address at which a member accepts queries.
@@ -87,7 +87,7 @@
         let operator_path = self.operator_files[member].0.display().to_string();
         let arguments = ["--operator", operator_path.as_str()];
         let config = &self.configs[member];
-        let program = Program::prepared(&self.exe, config, &arguments, log, |command| {
+        let program = Program::launch_with(&self.exe, config, &arguments, log, |command| {
             command.env_remove(LEASE_VARIABLE);
             if let Some(lease) = lease {
                 command.env(LEASE_VARIABLE, lease);
--- a/crates/testbed/src/fleet/processes/mod.rs
+++ b/crates/testbed/src/fleet/processes/mod.rs
@@ -157,7 +157,7 @@
     }
 
     fn report(&self) -> MutexGuard<'_, FleetReport> {
-        self.report.lock().expect("no holder panics")
+        self.report.lock().expect("the lock is not poisoned")
     }
 
     fn record_violation(&self, description: String) {
--- a/crates/testbed/src/fleet/processes/supervisor.rs
+++ b/crates/testbed/src/fleet/processes/supervisor.rs
@@ -111,7 +111,7 @@
     /// Records whether a member is out. In an uncoordinated run only the maximum is recorded, without a check of the
     /// limit.
     fn set_out(&self, member: usize, is_out: bool) {
-        let mut out = self.out.lock().expect("no holder panics");
+        let mut out = self.out.lock().expect("the lock is not poisoned");
         out[member] = is_out;
         let count = out.iter().filter(|is_out| **is_out).count();
         let mut report = self.report();
--- a/crates/testbed/src/fleet/relay.rs
+++ b/crates/testbed/src/fleet/relay.rs
@@ -3,7 +3,7 @@
 //! member knows each engine by a separate address.
 
 use super::links::LinkConditions;
-use crate::engine::{refuse_silently, Engine};
+use crate::engine::{fill_accept_backlog, Engine};
 use crate::program::free_udp_address;
 use rand::SeedableRng;
 use rand_pcg::Pcg32;
@@ -135,7 +135,7 @@
                 bytes.fetch_add(count as u64, Ordering::Relaxed);
                 state
                     .lock()
-                    .expect("no holder panics")
+                    .expect("the lock is not poisoned")
                     .enqueue(from, to, &buffer[..count]);
             }
         });
@@ -149,7 +149,7 @@
         thread::spawn(move || {
             while !stopped.load(Ordering::Relaxed) {
                 thread::sleep(POLL_INTERVAL);
-                let due = state.lock().expect("no holder panics").take_due();
+                let due = state.lock().expect("the lock is not poisoned").take_due();
                 for datagram in due.into_values() {
                     let _ = sockets[datagram.from].send_to(&datagram.bytes, private[datagram.to]);
                 }
@@ -158,7 +158,7 @@
     }
 
     fn state(&self) -> MutexGuard<'_, LinkState> {
-        self.state.lock().expect("no holder panics")
+        self.state.lock().expect("the lock is not poisoned")
     }
 
     /// Sets the conditions of all links between members.
@@ -243,7 +243,7 @@
             if self.cut.load(Ordering::Relaxed) {
                 // No connection is established, as in a network partition.
                 // A relay that still accepted connections would behave differently.
-                let pending_connections = refuse_silently(listener);
+                let pending_connections = fill_accept_backlog(listener);
                 while self.is_cut() {
                     thread::sleep(POLL_INTERVAL);
                 }
--- a/crates/testbed/src/fleet/zones/mod.rs
+++ b/crates/testbed/src/fleet/zones/mod.rs
@@ -191,7 +191,7 @@
     }
 
     fn report(&self) -> MutexGuard<'_, ZoneCutReport> {
-        self.report.lock().expect("no holder panics")
+        self.report.lock().expect("the lock is not poisoned")
     }
 
     /// Sends queries only to dispatchers outside the zone, so that all work in the zone was placed there from outside.
@@ -210,9 +210,9 @@
             query.cost = Some(WORK_MS);
             let work = QueryWork {
                 result: ResultShape::OneRow,
-                work: WORK_MS * rng.random_range(0.5..1.5),
+                work_ms: WORK_MS * rng.random_range(0.5..1.5),
                 threads: 1.0,
-                changes: false,
+                changes_tables: false,
                 tables: 0,
             };
             self.site.context.register(query.id(), work);
@@ -243,7 +243,7 @@
                 self.site.set_cut(false);
             }
             if healed && now_ms < plan.heal_at_ms() + PEAK_PHASE_MS {
-                let threads = self.site.engines_inside().map(Engine::threads);
+                let threads = self.site.engines_inside().map(Engine::running_threads);
                 let peak = threads.fold(0.0, f64::max);
                 let mut report = self.report();
                 report.peak_threads = report.peak_threads.max(peak);
--- a/crates/testbed/src/fleet/zones/site.rs
+++ b/crates/testbed/src/fleet/zones/site.rs
@@ -21,10 +21,10 @@
 /// Capacity and timing of each engine.
 const ENGINE_SPEC: EngineSpec = EngineSpec {
     cores: 8.0,
-    max_threads_a_core: 16.0,
+    max_threads_per_core: 16.0,
     progress_interval_ms: 100.0,
-    cold_from: 0.25,
-    warm_after_ms: 15_000.0,
+    cold_speed_fraction: 0.25,
+    warm_up_ms: 15_000.0,
 };
 /// Delay between the start of the engines and that of the dispatchers.
 const DISPATCHER_START_DELAY: Duration = Duration::from_millis(10);
--- a/crates/testbed/src/free_address.rs
+++ b/crates/testbed/src/free_address.rs
@@ -60,7 +60,7 @@
         let reservation = try_reserve(candidate).ok()?;
         RESERVATIONS
             .lock()
-            .expect("no holder panics")
+            .expect("the lock is not poisoned")
             .push(reservation);
         Some(candidate)
     };
--- a/crates/testbed/src/invariants/rules.rs
+++ b/crates/testbed/src/invariants/rules.rs
@@ -93,7 +93,7 @@
 impl Rules {
     /// The rules of a run on loopback with these classes. Slow start, the cooldown of ordering keys and the retry budget
     /// are not checked.
-    pub fn of_classes(classes: impl IntoIterator<Item = (String, ClassRules)>) -> Self {
+    pub fn for_classes(classes: impl IntoIterator<Item = (String, ClassRules)>) -> Self {
         Rules {
             slack_ms: LOOPBACK_SLACK_MS,
             late_answer_ms: 0.0,
@@ -108,7 +108,7 @@
 
 impl ClassRules {
     /// A class that may run on all engines and in any order, with a dedup window of zero.
-    pub fn of(effect: Effect) -> Self {
+    pub fn for_effect(effect: Effect) -> Self {
         ClassRules {
             effect,
             dedup_scope: DedupScope::All,
--- a/crates/testbed/src/invariants/tests.rs
+++ b/crates/testbed/src/invariants/tests.rs
@@ -6,16 +6,16 @@
 fn rules() -> Rules {
     let zone_bound = ClassRules {
         zones: Some(vec!["east".into()]),
-        ..ClassRules::of(Effect::ReadOnly)
+        ..ClassRules::for_effect(Effect::ReadOnly)
     };
     let ordered = ClassRules {
         in_order: true,
-        ..ClassRules::of(Effect::NonIdempotent)
+        ..ClassRules::for_effect(Effect::NonIdempotent)
     };
     let idempotent = ClassRules {
         dedup_scope: DedupScope::Zone,
         dedup_window_ms: 1000.0,
-        ..ClassRules::of(Effect::IdempotencyKey)
+        ..ClassRules::for_effect(Effect::IdempotencyKey)
     };
     Rules {
         slack_ms: 50.0,
@@ -34,8 +34,11 @@
             query_fraction: 0.1,
         }),
         classes: HashMap::from([
-            ("look".to_owned(), ClassRules::of(Effect::ReadOnly)),
-            ("load".to_owned(), ClassRules::of(Effect::NonIdempotent)),
+            ("look".to_owned(), ClassRules::for_effect(Effect::ReadOnly)),
+            (
+                "load".to_owned(),
+                ClassRules::for_effect(Effect::NonIdempotent),
+            ),
             ("ordered".to_owned(), ordered),
             ("idempotent".to_owned(), idempotent),
             ("zone_bound".to_owned(), zone_bound),
--- a/crates/testbed/src/levels/clients.rs
+++ b/crates/testbed/src/levels/clients.rs
@@ -197,7 +197,7 @@
             self.context.register(pending.query.id(), true_work);
             let response = send_query(self.dispatcher, &pending.query, &self.context.record);
             let next = {
-                let mut tally = self.tally.lock().expect("no holder panics");
+                let mut tally = self.tally.lock().expect("the lock is not poisoned");
                 if request_count == 1 {
                     tally.outcome.sent += 1;
                     tally.outcome.max_value += pending.class.traffic.weight;
--- a/crates/testbed/src/levels/mod.rs
+++ b/crates/testbed/src/levels/mod.rs
@@ -1,13 +1,14 @@
 //! Runs of service levels on loopback: loads that oscillate across the levels' thresholds, a step of load, and the load
 //! peak of a quarter start with and without levels on the same seeds.
 //!
-//! Start reading at [`run`]; [`swing`], [`reaction`] and [`quarters`] run it and report the results.
+//! Start reading at [`run`]; [`run_oscillating_load`], [`run_load_step`] and [`run_quarter_starts`] run it and report the
+//! results.
 
 mod clients;
 mod loads;
 mod reports;
 
-pub use reports::{quarters, reaction, swing};
+pub use reports::{run_load_step, run_oscillating_load, run_quarter_starts};
 
 use crate::engine::{Engine, EngineSpec, Fault, RunContext};
 use crate::invariants::{find_violations, Violation};
@@ -174,7 +175,7 @@
     let context = Arc::new(RunContext::default());
     let spec = EngineSpec {
         cores: CORES,
-        max_threads_a_core: 6.0,
+        max_threads_per_core: 6.0,
         ..EngineSpec::default()
     };
     let engines = setup::start_engines(ENGINES, spec, plan.seed, &context);
@@ -202,9 +203,12 @@
     }
     let _ = clients.join();
     program.terminate();
-    let _ = program.end();
-    let used_core_ms: f64 = engines.iter().map(Engine::busy).sum();
-    let mut outcome = tally.lock().expect("no holder panics").finish(used_core_ms);
+    let _ = program.wait_for_exit();
+    let used_core_ms: f64 = engines.iter().map(Engine::used_core_ms).sum();
+    let mut outcome = tally
+        .lock()
+        .expect("the lock is not poisoned")
+        .finish(used_core_ms);
     outcome.violations = find_violations(
         &context.record.entries(),
         &setup::rules(&traffic_classes(), Some(RETRY_BUDGET)),
@@ -236,7 +240,7 @@
         let fraction = at_s / plan.seconds;
         if plan.failing && self.failing != (0.33..0.66).contains(&fraction) {
             self.failing = !self.failing;
-            engines[FAILING_ENGINE].fault(if self.failing {
+            engines[FAILING_ENGINE].inject_fault(if self.failing {
                 Fault::Errors(0.6)
             } else {
                 Fault::None
@@ -251,7 +255,10 @@
             });
             self.depth = depth;
         }
-        let interval = tally.lock().expect("no holder panics").take_interval();
+        let interval = tally
+            .lock()
+            .expect("the lock is not poisoned")
+            .take_interval();
         self.samples.push(Sample {
             at_s,
             load: (plan.load)(fraction, plan.peak),
--- a/crates/testbed/src/levels/reports.rs
+++ b/crates/testbed/src/levels/reports.rs
@@ -19,7 +19,7 @@
 
 /// Runs a step of load with each seed. Returns a table of the times from the rise of the load until each level was
 /// entered, and from its fall until full service was restored.
-pub fn reaction(exe: &Path, seconds: f64, seeds: u64) -> String {
+pub fn run_load_step(exe: &Path, seconds: f64, seeds: u64) -> String {
     let mut table = format!(
         "{:<6} {:>12} {:>12} {:>12} {:>12}\n",
         "seed", "level 1 (s)", "level 2 (s)", "level 3 (s)", "full (s)"
@@ -112,7 +112,7 @@
 }
 
 /// Runs a load that oscillates across the thresholds of all levels. Returns a table, and whether a check failed.
-pub fn swing(exe: &Path, seconds: f64, svg: Option<&Path>) -> (String, bool) {
+pub fn run_oscillating_load(exe: &Path, seconds: f64, svg: Option<&Path>) -> (String, bool) {
     let outcome = run(
         exe,
         RunPlan {
@@ -190,7 +190,7 @@
 
 /// Runs the load of a quarter start with and without levels on the same seeds, for several peaks, with and without a
 /// failing engine. Returns a table.
-pub fn quarters(exe: &Path, seconds: f64, seeds: u64) -> String {
+pub fn run_quarter_starts(exe: &Path, seconds: f64, seeds: u64) -> String {
     let mut table = format!(
         "{:<7} {:<8} {:<7} {:>8} {:>8} {:>6} {:>9} {:>7} {:>9} {:>7} {:>9} {:>7} {:>7}\n",
         "height",
--- a/crates/testbed/src/measure/learning.rs
+++ b/crates/testbed/src/measure/learning.rs
@@ -116,7 +116,7 @@
 
 /// Returns a table of the errors of learned costs, before and after the cost of one shape in five changes by a factor
 /// of 100.
-pub fn learning(seed: u64) -> String {
+pub fn learning_table(seed: u64) -> String {
     let mut statements = costed_statements(seed);
     let mut workload = Workload::new(seed);
     let mut table = String::new();
--- a/crates/testbed/src/measure/mod.rs
+++ b/crates/testbed/src/measure/mod.rs
@@ -1,11 +1,12 @@
-//! Measurements of statement analysis: accuracy ([`accuracy`]), statements falsely proven read-only ([`mutations`]),
-//! cache ([`cache`]), analysis time ([`time`]) and learned costs ([`learning`]). Each returns a table as text.
+//! Measurements of statement analysis: accuracy ([`accuracy`]), statements falsely proven read-only
+//! ([`mutation_report`]), cache ([`cache_table`]), analysis time ([`time_table`]) and learned costs
+//! ([`learning_table`]). Each returns a table as text.
 
 mod learning;
 mod speed;
 
-pub use learning::learning;
-pub use speed::{cache, time};
+pub use learning::learning_table;
+pub use speed::{cache_table, time_table};
 
 use crate::corpus::{corpus, may_change, mutated, LabelledStatement, Split};
 use rand::{RngExt, SeedableRng};
@@ -19,7 +20,7 @@
 pub const STATEMENTS_PER_SHAPE: usize = 10;
 /// Key of the analyzer's shape hashes. It is fixed so that runs are comparable.
 const SHAPE_KEY: [u8; 16] = [3; 16];
-/// Maximum false proofs that the table of [`mutations`] shows.
+/// Maximum false proofs that the table of [`mutation_report`] shows.
 const MAX_SHOWN_FALSE_PROOFS: usize = 20;
 
 fn analyzer() -> StatementAnalyzer {
@@ -169,7 +170,7 @@
     proofs
 }
 
-/// The report of [`mutations`].
+/// The report of [`mutation_report`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MutationReport {
     /// Counts, followed by the first false proofs.
@@ -179,7 +180,7 @@
 }
 
 /// Counts the false proofs among at least `statement_count` mutated statements.
-pub fn mutations(statement_count: usize, seed: u64) -> MutationReport {
+pub fn mutation_report(statement_count: usize, seed: u64) -> MutationReport {
     let proofs = false_proofs(statement_count, seed);
     let mut table = format!(
         "{statement_count} mutated statements, {} proven read-only, {} of them falsely\n",
--- a/crates/testbed/src/measure/speed.rs
+++ b/crates/testbed/src/measure/speed.rs
@@ -64,7 +64,7 @@
 
 /// Returns a table of hit rates on shapes whose popularity follows Zipf's law, with and without one-off shapes between
 /// them. Runs evict different shapes, so the last digits of the rates differ from run to run.
-pub fn cache(statement_count: usize, seed: u64) -> String {
+pub fn cache_table(statement_count: usize, seed: u64) -> String {
     let mut table = format!(
         "{:<22} {:>7} {:>9} {:>9} {:>9} {:>9}\n",
         "traffic", "hits", "shapes", "kB", "costs", "RSS kB"
@@ -73,7 +73,8 @@
         let mut analyzer = analyzer();
         let hit_rate = hit_rate(&mut analyzer, traffic, statement_count, seed);
         let counts = analyzer.counts();
-        let resident_kb = crate::program::used(std::process::id()).map_or(0, |(kb, _)| kb);
+        let resident_kb =
+            crate::program::resource_usage(std::process::id()).map_or(0, |(kb, _)| kb);
         let _ = writeln!(
             table,
             "{:<22} {hit_rate:>7.4} {:>9} {:>9} {:>9} {resident_kb:>9}",
@@ -122,7 +123,7 @@
 
 /// Returns a table of the analysis times of hits and misses, for statements of about 300 bytes, and the parse
 /// throughput of one core.
-pub fn time(statement_count: usize, seed: u64) -> String {
+pub fn time_table(statement_count: usize, seed: u64) -> String {
     let mut rng = Pcg64::seed_from_u64(seed);
     let mut analyzer = analyzer();
     let texts: Vec<String> = (0..statement_count)
--- a/crates/testbed/src/name_service.rs
+++ b/crates/testbed/src/name_service.rs
@@ -34,7 +34,7 @@
     /// Ready, draining or gone.
     pub status: Status,
     /// The engine's start time (Unix ms); 0 if it is unknown.
-    pub started: f64,
+    pub started_ms: f64,
 }
 
 #[derive(Debug, Default)]
@@ -75,7 +75,7 @@
         thread::spawn(move || {
             let mut request = [0; 512];
             while let Ok((length, from)) = socket.recv_from(&mut request) {
-                let mut list = shared.lock().expect("no holder panics");
+                let mut list = shared.lock().expect("the lock is not poisoned");
                 if list.silent || length < 12 {
                     continue;
                 }
@@ -94,13 +94,13 @@
     }
 
     /// Changes an engine's status. Answers have no records of an engine that is gone.
-    pub fn set(&self, id: &str, status: Status) {
+    pub fn set_status(&self, id: &str, status: Status) {
         self.change(id, |engine| engine.status = status);
     }
 
     /// Changes the entry of an engine, if it has one.
     pub fn change(&self, id: &str, change: impl FnOnce(&mut Endpoint)) {
-        let mut list = self.list.lock().expect("no holder panics");
+        let mut list = self.list.lock().expect("the lock is not poisoned");
         if let Some(index) = list.engines.iter().position(|engine| engine.id == id) {
             change(&mut list.engines[index]);
             let engine = list.engines[index].clone();
@@ -111,7 +111,7 @@
 
     /// Adds an entry, replacing any entry of the same engine.
     pub fn add(&self, engine: Endpoint) {
-        let mut list = self.list.lock().expect("no holder panics");
+        let mut list = self.list.lock().expect("the lock is not poisoned");
         list.engines.retain(|other| other.id != engine.id);
         list.engines.push(engine.clone());
         list.unannounced.push(engine);
@@ -119,8 +119,8 @@
     }
 
     /// Sets whether requests remain unanswered.
-    pub fn silent(&self, silent: bool) {
-        self.list.lock().expect("no holder panics").silent = silent;
+    pub fn set_silent(&self, silent: bool) {
+        self.list.lock().expect("the lock is not poisoned").silent = silent;
     }
 }
 
@@ -213,7 +213,7 @@
     let texts = [
         format!("kind={}", engine.kind),
         format!("cell={}", engine.cell),
-        format!("started={}", engine.started),
+        format!("started={}", engine.started_ms),
     ];
     let with_length = |text: &String| [&[text.len() as u8], text.as_bytes()].concat();
     texts.iter().flat_map(with_length).collect()
--- a/crates/testbed/src/program.rs
+++ b/crates/testbed/src/program.rs
@@ -5,7 +5,7 @@
 mod config;
 
 pub use crate::free_address::{free_address, free_udp_address};
-pub use config::{class, numbered_engines, Config};
+pub use config::{numbered_engines, resource_group, Config};
 
 use crate::wire::{read_response, HttpResponse};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
@@ -111,11 +111,11 @@
 
     /// Starts `exe` with its standard error sent to `log`, and does not wait.
     pub fn launch(exe: &Path, config: &Config, arguments: &[&str], log: Stdio) -> Self {
-        Program::prepared(exe, config, arguments, log, |_| ())
+        Program::launch_with(exe, config, arguments, log, |_| ())
     }
 
     /// Like [`Program::launch`], but calls `prepare` on the command before it runs.
-    pub fn prepared(
+    pub fn launch_with(
         exe: &Path,
         config: &Config,
         arguments: &[&str],
@@ -200,7 +200,7 @@
     ///
     /// # Panics
     /// It does not within [`TIMEOUT`].
-    pub fn wait_for_count(&self, line: &str) {
+    pub fn wait_for_counter_line(&self, line: &str) {
         let started = Instant::now();
         while !self.counters().contains(line) {
             assert!(
@@ -215,7 +215,7 @@
     ///
     /// # Panics
     /// It does not exit within [`TIMEOUT`], exits with an error, or its guard has logged a violation.
-    pub fn end(&mut self) -> String {
+    pub fn wait_for_exit(&mut self) -> String {
         let started = Instant::now();
         let status = loop {
             match self
@@ -243,7 +243,7 @@
 
 /// Anonymous resident memory of a process (kB). Pages of the program's file are excluded, because the number of them in
 /// memory depends on other reads on the machine.
-pub fn own_memory(pid: u32) -> Option<u64> {
+pub fn anonymous_memory_kb(pid: u32) -> Option<u64> {
     status_kb(pid, "RssAnon:")
 }
 
@@ -261,7 +261,7 @@
 }
 
 /// Resident memory (kB) and processor time (user and system, ms) of a process.
-pub fn used(pid: u32) -> Option<(u64, f64)> {
+pub fn resource_usage(pid: u32) -> Option<(u64, f64)> {
     let resident = status_kb(pid, "VmRSS:")?;
     let stat = std::fs::read_to_string(format!("/proc/{pid}/stat")).ok()?;
     let fields: Vec<&str> = stat.rsplit(')').next()?.split_whitespace().collect();
--- a/crates/testbed/src/program/config.rs
+++ b/crates/testbed/src/program/config.rs
@@ -7,7 +7,7 @@
 
 /// The settings of a resource group, with its latency objective and maximum wait. `effect` is one of the values in
 /// [`keys::effect`].
-pub fn class(name: &str, objective_ms: f64, max_wait_ms: f64, effect: &str) -> Value {
+pub fn resource_group(name: &str, objective_ms: f64, max_wait_ms: f64, effect: &str) -> Value {
     json!({
         keys::group::NAME: name,
         keys::group::OBJECTIVE_US: objective_ms * 1e3,
@@ -53,13 +53,13 @@
         .with_setting(keys::MAX_RETRY_AFTER_US, 500_000)
     }
 
-    /// Configures a fleet of one dispatcher, with these engines and two classes with a deadline of 9 s: `look` is
-    /// read-only, `load` is not idempotent.
-    pub fn with_two_classes(engines: &[SocketAddr]) -> Self {
+    /// Configures a fleet of one dispatcher, with these engines and two resource groups with a deadline of 9 s: `look`
+    /// is read-only, `load` is not idempotent.
+    pub fn with_two_groups(engines: &[SocketAddr]) -> Self {
         let engines = numbered_engines(engines);
         let classes = [
-            class("look", 300.0, 9000.0, keys::effect::READ_ONLY),
-            class("load", 300.0, 9000.0, keys::effect::NON_IDEMPOTENT),
+            resource_group("look", 300.0, 9000.0, keys::effect::READ_ONLY),
+            resource_group("load", 300.0, 9000.0, keys::effect::NON_IDEMPOTENT),
         ];
         Config::new(free_address(), &engines, &classes, &[1, 1])
     }
--- a/crates/testbed/src/replay.rs
+++ b/crates/testbed/src/replay.rs
@@ -8,7 +8,7 @@
 use crate::corpus::{corpus, LabelledStatement, Split};
 use crate::engine::{Engine, EngineSpec, QueryWork, ResultShape, RunContext};
 use crate::invariants::{find_violations, ClassRules, Effect, Rules, Violation};
-use crate::program::{class, free_address, used, Config, TempFile};
+use crate::program::{free_address, resource_group, resource_usage, Config, TempFile};
 use crate::setup;
 use rand::seq::IndexedRandom;
 use rand::{RngExt, SeedableRng};
@@ -139,9 +139,9 @@
 
 fn configuration(engines: &[Engine]) -> Config {
     let classes = [
-        class("look", 150.0, 3000.0, keys::effect::READ_ONLY),
-        class("report", 1500.0, 3000.0, keys::effect::READ_ONLY),
-        class("load", 1500.0, 3000.0, keys::effect::NON_IDEMPOTENT),
+        resource_group("look", 150.0, 3000.0, keys::effect::READ_ONLY),
+        resource_group("report", 1500.0, 3000.0, keys::effect::READ_ONLY),
+        resource_group("load", 1500.0, 3000.0, keys::effect::NON_IDEMPOTENT),
     ];
     let known = setup::known_engines(engines);
     Config::new(free_address(), &known, &classes, &[1, 4, 2])
@@ -213,7 +213,7 @@
     let context = Arc::new(RunContext::default());
     let spec = EngineSpec {
         cores: 8.0,
-        max_threads_a_core: 8.0,
+        max_threads_per_core: 8.0,
         ..EngineSpec::default()
     };
     let engines = setup::start_engines(ENGINES, spec, seed, &context);
@@ -229,10 +229,14 @@
         outcome: Arc::default(),
     };
     let query_count = traffic.send_all(seed);
-    let (resident_kb, cpu_ms) = used(program.child.id()).unwrap_or((0, 0.0));
+    let (resident_kb, cpu_ms) = resource_usage(program.child.id()).unwrap_or((0, 0.0));
     program.terminate();
-    let _ = program.end();
-    let mut outcome = traffic.outcome.lock().expect("no holder panics").clone();
+    let _ = program.wait_for_exit();
+    let mut outcome = traffic
+        .outcome
+        .lock()
+        .expect("the lock is not poisoned")
+        .clone();
     outcome.violations = find_violations(&context.record.entries(), &rules(variant));
     outcome.resident_kb = resident_kb;
     outcome.cpu_ms_per_query = cpu_ms / query_count as f64;
@@ -283,7 +287,7 @@
         let dispatcher = self.dispatcher;
         thread::spawn(move || {
             let response = send_query(dispatcher, &query, &context.record);
-            let mut outcome = outcome.lock().expect("no holder panics");
+            let mut outcome = outcome.lock().expect("the lock is not poisoned");
             outcome.record(expected, response);
         })
     }
@@ -292,9 +296,9 @@
 fn query_work(labelled: &LabelledStatement) -> QueryWork {
     QueryWork {
         result: ResultShape::OneRow,
-        work: labelled.work_ms,
+        work_ms: labelled.work_ms,
         threads: labelled.threads,
-        changes: labelled.effect != "read-only",
+        changes_tables: labelled.effect != "read-only",
         tables: 0,
     }
 }
@@ -310,8 +314,8 @@
     };
     let classes = ["look-up", "report", "load", "unknown"]
         .into_iter()
-        .map(|class| (class.to_owned(), ClassRules::of(effect(class))));
-    Rules::of_classes(classes)
+        .map(|class| (class.to_owned(), ClassRules::for_effect(effect(class))));
+    Rules::for_classes(classes)
 }
 
 /// Runs all variants with the same seeds. Returns a table.
--- a/crates/testbed/src/setup.rs
+++ b/crates/testbed/src/setup.rs
@@ -3,7 +3,7 @@
 use crate::engine::{Engine, EngineSpec, QueryWork, ResultShape, RunContext};
 use crate::invariants::{ClassRules, Effect, RetryBudget, Rules};
 use crate::name_service::{Endpoint, NameService};
-use crate::program::{class, Config, Program, TempFile};
+use crate::program::{resource_group, Config, Program, TempFile};
 use crate::record::Status;
 use serde_json::{json, Value};
 use std::net::SocketAddr;
@@ -41,11 +41,11 @@
     }
 
     /// The work of a query of this class.
-    pub fn query_work(&self, work_ms: f64, tables: u32) -> QueryWork {
+    pub fn query_work(&self, drawn_work_ms: f64, tables: u32) -> QueryWork {
         QueryWork {
-            work: work_ms,
+            work_ms: drawn_work_ms,
             threads: self.threads,
-            changes: self.changes_tables,
+            changes_tables: self.changes_tables,
             tables,
             result: ResultShape::OneRow,
         }
@@ -61,7 +61,7 @@
 
     fn group_settings(&self) -> Value {
         let effect = effect_value(self.effect());
-        class(self.name, self.objective_ms, self.max_wait_ms, effect)
+        resource_group(self.name, self.objective_ms, self.max_wait_ms, effect)
     }
 }
 
@@ -116,12 +116,15 @@
 
 /// The checker's rules for a run with these classes.
 pub(crate) fn rules(classes: &[TrafficClass], retry_budget: Option<RetryBudget>) -> Rules {
-    let classes = classes
-        .iter()
-        .map(|class| (class.name.to_owned(), ClassRules::of(class.effect())));
+    let classes = classes.iter().map(|class| {
+        (
+            class.name.to_owned(),
+            ClassRules::for_effect(class.effect()),
+        )
+    });
     Rules {
         retry_budget,
-        ..Rules::of_classes(classes)
+        ..Rules::for_classes(classes)
     }
 }
 
@@ -163,7 +166,7 @@
             cell: 0,
             address: engine.address,
             status: Status::Ready,
-            started: 0.0,
+            started_ms: 0.0,
         })
         .collect();
     NameService::start(endpoints, context.record.clone())
--- a/crates/testbed/src/soak/clients.rs
+++ b/crates/testbed/src/soak/clients.rs
@@ -207,7 +207,7 @@
                 break;
             }
         }
-        let work = MEAN_WORK_MS * rng.random_range(0.3..1.7);
+        let work_ms = MEAN_WORK_MS * rng.random_range(0.3..1.7);
         let deadline_ms = class.deadline_ms(self.max_deadline_ms) * rng.random_range(0.25..1.0);
         let tables: u32 = rng.random_range(1..30);
         let statement = match class.name {
@@ -217,14 +217,14 @@
         let path = format!("/invoke/{}", class.name);
         let mut query = ClientQuery::new(id, &path, class.name, &statement, deadline_ms.floor());
         if self.has_estimates {
-            query.cost = Some(work * rng.random_range(0.7..1.4));
+            query.cost = Some(work_ms * rng.random_range(0.7..1.4));
         }
         self.context.register(
             query.id(),
             QueryWork {
-                work,
+                work_ms,
                 threads: 1.0,
-                changes: class.effect != Effect::ReadOnly,
+                changes_tables: class.effect != Effect::ReadOnly,
                 tables,
                 result: ResultShape::Numbered {
                     pages: draw_page_count(rng),
@@ -239,7 +239,7 @@
     fn record_asked(&self, queries: &[ClientQuery]) {
         let mut max_wait_ms = 0.0;
         for query in queries {
-            max_wait_ms += query.wait;
+            max_wait_ms += query.max_wait_ms;
             self.context.record.push(EventKind::Asked {
                 id: query.id(),
                 class: query.class.clone(),
@@ -312,7 +312,7 @@
         let generation = self.disconnect_generation.load(Ordering::SeqCst);
         let mut wait_until = sent + ANSWER_MARGIN;
         for (nth, query) in queries.iter().enumerate() {
-            wait_until += Duration::from_secs_f64(query.wait / 1000.0);
+            wait_until += Duration::from_secs_f64(query.max_wait_ms / 1000.0);
             match self.await_answer(&connection, query, wait_until, generation) {
                 WaitOutcome::Answered { keeps_alive: true } => connection.is_used = true,
                 WaitOutcome::Answered { keeps_alive: false } => {
--- a/crates/testbed/src/soak/dispatcher.rs
+++ b/crates/testbed/src/soak/dispatcher.rs
@@ -110,7 +110,7 @@
     }
 
     fn state(&self) -> MutexGuard<'_, State> {
-        self.state.lock().expect("no holder panics")
+        self.state.lock().expect("the lock is not poisoned")
     }
 
     fn record_failure(&self, how: String) {
@@ -134,7 +134,7 @@
         state.log = self.logs.join(format!("{}-{}.log", self.name, state.epoch));
         let log = File::create(&state.log).map_or(Stdio::null(), Stdio::from);
         let arguments = ["--log-level", "info"];
-        let program = Program::prepared(&self.exe, &self.config, &arguments, log, |command| {
+        let program = Program::launch_with(&self.exe, &self.config, &arguments, log, |command| {
             self.shim.apply(command);
         });
         state.program = Some(program);
--- a/crates/testbed/src/soak/environment.rs
+++ b/crates/testbed/src/soak/environment.rs
@@ -50,7 +50,7 @@
 /// Runs a plan and evaluates its record. Keeps the dispatchers' logs if there are violations.
 pub(super) fn run(plan: SoakPlan, options: &SoakOptions) -> SoakOutcome {
     let lag = LagMonitor::start();
-    let logs = options.keep.join(format!("logs-{}", plan.seed));
+    let logs = options.artifact_dir.join(format!("logs-{}", plan.seed));
     let _ = std::fs::create_dir_all(&logs);
     let environment = Arc::new(Environment::start(plan, options, &logs));
     thread::scope(|scope| {
@@ -141,7 +141,7 @@
     }
 
     pub(super) fn engines(&self) -> MutexGuard<'_, Vec<EngineSlot>> {
-        self.engines.lock().expect("no holder panics")
+        self.engines.lock().expect("the lock is not poisoned")
     }
 
     fn start_clients(&self) -> Vec<thread::JoinHandle<()>> {
@@ -203,7 +203,7 @@
     Engine::start(id, spec, plan.seed, context.clone())
 }
 
-pub(super) fn endpoint(id: &str, address: SocketAddr, started: f64) -> Endpoint {
+pub(super) fn endpoint(id: &str, address: SocketAddr, started_ms: f64) -> Endpoint {
     Endpoint {
         id: id.to_owned(),
         zone: "h".into(),
@@ -211,6 +211,6 @@
         cell: 0,
         address,
         status: Status::Ready,
-        started,
+        started_ms,
     }
 }
--- a/crates/testbed/src/soak/evaluation.rs
+++ b/crates/testbed/src/soak/evaluation.rs
@@ -120,7 +120,7 @@
         let classes = CLASSES.iter().map(|class| {
             let rules = ClassRules {
                 dedup_window_ms: DEDUP_WINDOW_MS,
-                ..ClassRules::of(class.effect)
+                ..ClassRules::for_effect(class.effect)
             };
             (class.name.to_owned(), rules)
         });
--- a/crates/testbed/src/soak/faults.rs
+++ b/crates/testbed/src/soak/faults.rs
@@ -151,7 +151,7 @@
     }
 
     fn set_engine_fault(&self, engine: usize, fault: Fault) {
-        self.engines()[engine].engine.fault(fault);
+        self.engines()[engine].engine.inject_fault(fault);
     }
 
     fn with_link_fault(
@@ -176,9 +176,9 @@
     /// Drains an engine, removes it and starts a cold replacement at its address.
     fn drain_engine(&self, engine: usize, duration: Duration) {
         let id = self.engines()[engine].engine.id.clone();
-        self.names.set(&id, Status::Draining);
+        self.names.set_status(&id, Status::Draining);
         thread::sleep(duration);
-        self.names.set(&id, Status::Gone);
+        self.names.set_status(&id, Status::Gone);
         thread::sleep(duration / 2);
         self.replace_engine(engine);
     }
@@ -197,7 +197,7 @@
             (old, engine, slot.link.address)
         };
         old.stop();
-        self.names.set(&old.id, Status::Gone);
+        self.names.set_status(&old.id, Status::Gone);
         self.names.add(endpoint(&new.id, address, unix_ms()));
         thread::sleep(Duration::from_millis(REPLACEMENT_GRACE_MS));
         // Dispatchers that have not received the update send as to the old, warm engine. The slow-start rule applies only
--- a/crates/testbed/src/soak/link.rs
+++ b/crates/testbed/src/soak/link.rs
@@ -3,7 +3,7 @@
 //! It delays bytes towards the engine by a few milliseconds at most, because the checker takes an attempt's arrival at the
 //! engine for its start. Bytes that are sent during a cut are lost.
 
-use crate::engine::refuse_silently;
+use crate::engine::fill_accept_backlog;
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
 use std::io::{Read, Write};
@@ -79,7 +79,7 @@
 
     /// Changes the faults of the link.
     pub fn change(&self, change: impl FnOnce(&mut LinkFaults)) {
-        change(&mut self.shared.faults.lock().expect("no holder panics"));
+        change(&mut self.shared.faults.lock().expect("the lock is not poisoned"));
     }
 
     /// Resets all connections that are open.
@@ -89,7 +89,7 @@
 
     /// Sets the address of the engine to which new connections are forwarded.
     pub fn set_target(&self, target: SocketAddr) {
-        *self.shared.target.lock().expect("no holder panics") = target;
+        *self.shared.target.lock().expect("the lock is not poisoned") = target;
     }
 }
 
@@ -118,13 +118,13 @@
         match listener.accept() {
             Ok((stream, _)) => {
                 let _ = stream.set_nonblocking(false);
-                let target = *shared.target.lock().expect("no holder panics");
+                let target = *shared.target.lock().expect("the lock is not poisoned");
                 let connection_shared = shared.clone();
                 let connection_seed = rng.random();
                 thread::spawn(move || connection_shared.serve(stream, target, connection_seed));
             }
             // All established connections have been accepted, so that the backlog can be filled.
-            Err(_) if blocks_connects => fillers = refuse_silently(listener),
+            Err(_) if blocks_connects => fillers = fill_accept_backlog(listener),
             Err(_) => thread::sleep(ACCEPT_POLL),
         }
     }
@@ -138,7 +138,7 @@
 
 impl Shared {
     fn faults(&self) -> LinkFaults {
-        *self.faults.lock().expect("no holder panics")
+        *self.faults.lock().expect("the lock is not poisoned")
     }
 
     fn serve(self: Arc<Self>, client: TcpStream, target: SocketAddr, seed: u64) {
@@ -226,7 +226,7 @@
     fn forward(&mut self, bytes: &[u8]) -> bool {
         let faults = self.shared.faults();
         let idle = {
-            let mut last_use = self.last_use.lock().expect("no holder panics");
+            let mut last_use = self.last_use.lock().expect("the lock is not poisoned");
             std::mem::replace(&mut *last_use, Instant::now()).elapsed()
         };
         if faults.drops_idle && idle > IDLE_TIMEOUT {
--- a/crates/testbed/src/soak/mod.rs
+++ b/crates/testbed/src/soak/mod.rs
@@ -43,7 +43,7 @@
     /// The seeds; each is one run.
     pub seeds: Range<u64>,
     /// The number of dispatchers of a run, drawn from this range.
-    pub processes: RangeInclusive<usize>,
+    pub dispatchers: RangeInclusive<usize>,
     /// How long clients send queries (s).
     pub seconds: f64,
     /// The families of faults that are injected.
@@ -51,9 +51,9 @@
     /// Number of concurrent runs.
     pub jobs: usize,
     /// The folder for the records and logs of failed runs.
-    pub keep: PathBuf,
+    pub artifact_dir: PathBuf,
     /// Whether the plan of a failed run is reduced to the faults without which it passes.
-    pub shrinks: bool,
+    pub shrink_failures: bool,
 }
 
 /// The outcome of one run.
@@ -120,19 +120,26 @@
                 let outcome = run_seed(*seed, options);
                 let line = seed_line(&outcome, options);
                 println!("{line}");
-                runs.lock().expect("no holder panics").push(FinishedRun {
-                    has_failed: !outcome.violations.is_empty(),
-                    counts: outcome.counts,
-                });
+                runs.lock()
+                    .expect("the lock is not poisoned")
+                    .push(FinishedRun {
+                        has_failed: !outcome.violations.is_empty(),
+                        counts: outcome.counts,
+                    });
             });
         }
     });
-    let runs = runs.into_inner().expect("no holder panics");
+    let runs = runs.into_inner().expect("the lock is not poisoned");
     summary(&runs)
 }
 
 fn run_seed(seed: u64, options: &SoakOptions) -> SoakOutcome {
-    let plan = SoakPlan::draw(seed, &options.processes, options.seconds, &options.families);
+    let plan = SoakPlan::draw(
+        seed,
+        &options.dispatchers,
+        options.seconds,
+        &options.families,
+    );
     let mut outcome = environment::run(plan, options);
     for _ in 0..MAX_REPETITIONS {
         if outcome.violations.is_empty() || outcome.max_lag_ms < BUSY_LAG_MS {
@@ -148,10 +155,10 @@
     if outcome.violations.is_empty() {
         return outcome;
     }
-    if options.shrinks {
+    if options.shrink_failures {
         outcome = shrink(outcome, options);
     }
-    write_files(&outcome, &options.keep);
+    write_files(&outcome, &options.artifact_dir);
     outcome
 }
 
@@ -212,14 +219,14 @@
         let _ = write!(line, "\n  {violation}");
     }
     if !outcome.violations.is_empty() {
-        let (first, last) = (options.processes.start(), options.processes.end());
+        let (first, last) = (options.dispatchers.start(), options.dispatchers.end());
         let _ = write!(
             line,
             "\n  again: tansymux-testbed soak --seeds {0}..{1} --processes {first}..{last} --seconds {2} (record in {3})",
             plan.seed,
             plan.seed + 1,
             plan.seconds,
-            options.keep.display()
+            options.artifact_dir.display()
         );
     }
     line
--- a/crates/testbed/src/soak/site.rs
+++ b/crates/testbed/src/soak/site.rs
@@ -5,7 +5,7 @@
 use super::peers::PeerRelay;
 use super::plan::{SoakPlan, SoakSettings};
 use crate::invariants::{RetryBudget, WarmUpRule};
-use crate::program::{class, Config};
+use crate::program::{resource_group, Config};
 use crate::setup::effect_value;
 use serde_json::{json, Value};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -46,7 +46,7 @@
 /// The configuration of all classes, whose longest deadline is `max_deadline_ms`.
 fn services(max_deadline_ms: f64) -> Vec<Value> {
     let service = |soak_class: &SoakClass| {
-        let mut value = class(
+        let mut value = resource_group(
             soak_class.name,
             soak_class.objective_ms,
             soak_class.deadline_ms(max_deadline_ms),
--- a/crates/testbed/src/zone_routing.rs
+++ b/crates/testbed/src/zone_routing.rs
@@ -153,8 +153,8 @@
 fn engine_spec() -> EngineSpec {
     EngineSpec {
         cores: CORES,
-        cold_from: 0.25,
-        warm_after_ms: 8000.0,
+        cold_speed_fraction: 0.25,
+        warm_up_ms: 8000.0,
         ..EngineSpec::default()
     }
 }
@@ -187,15 +187,15 @@
         thread::sleep(SAMPLE_INTERVAL);
         let at_s = start.elapsed().as_secs_f64();
         monitor.cut_zone(at_s / seconds, &engines[..ENGINES_PER_ZONE]);
-        let mut outcome = outcome.lock().expect("no holder panics");
+        let mut outcome = outcome.lock().expect("the lock is not poisoned");
         monitor.sample(at_s, &engines, &mut outcome);
     }
     setup::join_all(clients);
     programs.iter().for_each(Program::terminate);
     for program in &mut programs {
-        let _ = program.end();
+        let _ = program.wait_for_exit();
     }
-    let outcome = outcome.lock().expect("no holder panics").clone();
+    let outcome = outcome.lock().expect("the lock is not poisoned").clone();
     Outcome {
         violations: find_violations(&context.record.entries(), &rules()),
         ..outcome
@@ -221,13 +221,13 @@
         if fraction >= CUT_BEGIN && !self.is_cut {
             self.is_cut = true;
             for engine in engines {
-                engine.fault(Fault::Silent);
+                engine.inject_fault(Fault::Silent);
             }
         }
         if fraction >= CUT_END && !self.is_restored {
             self.is_restored = true;
             for engine in engines {
-                engine.fault(Fault::None);
+                engine.inject_fault(Fault::None);
                 engine.restart_cold();
             }
         }
@@ -242,7 +242,7 @@
         let rejected = outcome.rejected as f64;
         outcome.samples.push(Sample {
             at_s,
-            threads: engines.iter().map(Engine::threads).collect(),
+            threads: engines.iter().map(Engine::running_threads).collect(),
             value: Value {
                 achieved: total.achieved - self.last_value.achieved,
                 max: total.max - self.last_value.max,
@@ -299,7 +299,7 @@
             let phase = self.phase(at_s);
             query_threads.push(thread::spawn(move || {
                 let response = send_query(dispatcher, &query, &context.record);
-                let mut outcome = outcome.lock().expect("no holder panics");
+                let mut outcome = outcome.lock().expect("the lock is not poisoned");
                 outcome.record(&traffic, phase, response);
             }));
             query_threads.retain(|thread| !thread.is_finished());
