--- a/crates/dispatcher/src/dispatcher.rs
+++ b/crates/dispatcher/src/dispatcher.rs
@@ -101,7 +101,7 @@
         loop {
             let next_round_ms = self.run_round();
             if self.phase == Phase::Ended {
-                // Queries that are still unanswered cannot be answered any more. Reports the violation.
+                // Queries without an answer can no longer be answered, which is reported as a violation.
                 if let Err(violation) = self.registry.may_end() {
                     self.registry.report_violation(violation, None);
                 }
--- a/crates/dispatcher/src/engine/pool/commands.rs
+++ b/crates/dispatcher/src/engine/pool/commands.rs
@@ -27,7 +27,7 @@
 }
 
 /// The content of an [`EngineCommand::Submit`].
-struct Submission {
+struct AttemptRequest {
     query_id: u64,
     number: usize,
     engine_id: u64,
@@ -55,7 +55,7 @@
                     attempt,
                     engine_id,
                     limits,
-                } => self.submit(&Submission {
+                } => self.submit(&AttemptRequest {
                     query_id,
                     number: attempt,
                     engine_id,
@@ -71,18 +71,18 @@
         }
     }
 
-    fn submit(self: &Rc<Self>, submission: &Submission) {
+    fn submit(self: &Rc<Self>, attempt_request: &AttemptRequest) {
         let now_ms = self.clock.now();
-        let Some(request) = self.request_for(submission) else {
+        let Some(request) = self.request_for(attempt_request) else {
             return;
         };
-        let limits = submission.limits;
+        let limits = attempt_request.limits;
         // An update of the endpoint list in the same round may have marked the engine as not ready after it was chosen.
-        if !self.accepts_attempts(submission.engine_id) {
-            return self.report_not_sent(submission, Outcome::Withdrawn);
+        if !self.accepts_attempts(attempt_request.engine_id) {
+            return self.report_not_sent(attempt_request, Outcome::Withdrawn);
         }
         let channel_request = ChannelRequest {
-            engine_id: submission.engine_id,
+            engine_id: attempt_request.engine_id,
             id: &request.id,
             used_connections: &request.used_connections,
             side_effect_free: limits.side_effect_free,
@@ -95,9 +95,14 @@
             } else {
                 Outcome::Withdrawn
             };
-            return self.report_not_sent(submission, outcome);
+            return self.report_not_sent(attempt_request, outcome);
         };
-        let attempt = Attempt::new(submission.query_id, submission.number, now_ms, limits);
+        let attempt = Attempt::new(
+            attempt_request.query_id,
+            attempt_request.number,
+            now_ms,
+            limits,
+        );
         let mut connection = channel.connection.borrow_mut();
         connection.submit(&request.id, request.fields, request.statement, attempt);
         let is_reused_by_this = |reuse: &IdleReuse| reuse.sent_ms == now_ms;
@@ -116,23 +121,23 @@
         is_ready.unwrap_or(false)
     }
 
-    fn report_not_sent(&self, submission: &Submission, outcome: Outcome) {
+    fn report_not_sent(&self, attempt_request: &AttemptRequest, outcome: Outcome) {
         self.reporter.report(AttemptReport {
-            query_id: submission.query_id,
-            attempt: submission.number,
+            query_id: attempt_request.query_id,
+            attempt: attempt_request.number,
             outcome,
             cause: EndCause::NotBegun,
             connection: None,
-            engine_id: submission.engine_id,
-            deadline_ms: submission.limits.deadline_ms,
+            engine_id: attempt_request.engine_id,
+            deadline_ms: attempt_request.limits.deadline_ms,
             latency_ms: 0.0,
             pages: Pages::new(),
         });
     }
 
-    fn request_for(&self, submission: &Submission) -> Option<Request> {
+    fn request_for(&self, attempt_request: &AttemptRequest) -> Option<Request> {
         self.registry
-            .with_query(submission.query_id, |query| Request {
+            .with_query(attempt_request.query_id, |query| Request {
                 id: query.id.clone(),
                 used_connections: query.used_connections.clone(),
                 fields: RequestFields::of(query),
--- a/crates/dispatcher/src/query_registry/mod.rs
+++ b/crates/dispatcher/src/query_registry/mod.rs
@@ -193,7 +193,7 @@
             return;
         };
         self.counters.attempts.increment();
-        self.log_submission(&AttemptKey {
+        self.log_attempt_submitted(&AttemptKey {
             query_id,
             attempt,
             engine_id,
@@ -207,7 +207,7 @@
     }
 
     /// Logs that an attempt was submitted. A retry is logged with the cause that ended the previous attempt.
-    fn log_submission(&self, key: &AttemptKey) {
+    fn log_attempt_submitted(&self, key: &AttemptKey) {
         self.trace_attempt(key, TraceEvent::Submitted);
         let last_end = self.with_query(key.query_id, |query| query.last_end);
         let engine_id = EngineId(key.engine_id);
--- a/crates/dispatcher/src/subsystems/service_levels.rs
+++ b/crates/dispatcher/src/subsystems/service_levels.rs
@@ -25,6 +25,7 @@
 use tansymux_operator_config::schema;
 use tansymux_service_levels::{Config, LevelStateMachine, OutcomeWindows, QueryOutcome, Signal};
 
+/// Milliseconds in a second.
 const MS_PER_S: f64 = 1000.0;
 /// Interval (ms) between readings of the signals.
 const TICK_INTERVAL_MS: f64 = 250.0;
--- a/crates/dispatcher/src/subsystems/statement_classifier/definition.rs
+++ b/crates/dispatcher/src/subsystems/statement_classifier/definition.rs
@@ -4,6 +4,7 @@
 use tansymux_operator_config::schema::{self, Class as SchemaClass};
 use tansymux_sql_analysis::{BaseCosts, Class, Config, CostModelConfig, Dialect, Rule};
 
+/// Milliseconds in a second.
 const MS_PER_S: f64 = 1000.0;
 
 /// Returns the configuration of the analysis. Keys that the file omits have their defaults.
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -11,15 +11,16 @@
 //! - [`message`] and [`codec`]: the messages of members.
 //!
 //! The crate does no I/O and reads no clock: datagrams and times come in, datagrams go out. It neither starts nor ends
-//! processes, and takes no decisions about queries.
+//! processes, and makes no decisions about queries.
 //!
 //! # Sources and differences
 //! - Rolling updates and disruption budgets as in Kubernetes (Deployment, PodDisruptionBudget). Differences: each
 //!   dispatcher is restarted by its own supervisor, under a lease; waves proceed zone by zone; an operator resumes a
 //!   halt by its number.
 //! - Leases and sessions after M. Burrows, "The Chubby lock service" (2006); see crates/coordination.
-//! - Canary analysis with Student's paired t test ("The probable error of a mean", 1908), and a significance that is
-//!   spent over repeated evaluations, as in the alpha spending of Lan and DeMets (1983), here by 1/(n(n+1)).
+//! - Canary analysis with Student's paired t test ("The probable error of a mean", 1908). The significance level is
+//!   divided among repeated evaluations, as in the alpha spending of Lan and DeMets (1983): the n-th evaluation uses
+//!   the fraction 1/(n(n+1)).
 //!
 //! # Invariants, checked in `tests/`
 //! - A lease is granted only once a majority has accepted it, and ends for its holder before it ends for the leader.
--- a/crates/service-levels/src/lib.rs
+++ b/crates/service-levels/src/lib.rs
@@ -8,8 +8,8 @@
 //!
 //! Owns: the changes of level ([`LevelStateMachine`]), the counts of outcomes for two of the signals
 //! ([`OutcomeWindows`]), the messages between dispatchers ([`codec`]) and the validation of configurations
-//! ([`Config::validate`]). The crate does no I/O, reads no clock, draws no random numbers and decides on no query: the
-//! level in force gives a [`Degradation`] to the admission controller.
+//! ([`Config::validate`]). The crate does no I/O, reads no clock, draws no random numbers and makes no decisions about
+//! queries: the level in force gives a [`Degradation`] to the admission controller.
 //!
 //! Invariants, by construction and checked in `tests/`:
 //! - after the initial depth and except for a new configuration, the depth changes by one step at a time; level n is in
--- a/crates/simulator/tests/small.rs
+++ b/crates/simulator/tests/small.rs
@@ -1,10 +1,7 @@
 //! Tests of the simulator: runs of one seed are equal, a zone is cut off and recovers, and reports contain a run's
 //! figures.
 
-#![allow(
-    clippy::unwrap_used,
-    reason = "a test ends at the first thing that is not as it should be"
-)]
+#![allow(clippy::unwrap_used, reason = "a panic fails the test")]
 
 use tansymux_simulator::schema::Experiment;
 use tansymux_simulator::{compare, experiment, report, simulation};
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -2,8 +2,8 @@
 //! migrated, cancelled or failed.
 //!
 //! A program calls [`Control::run_round`] once per round. Its [`EventSource`] calls the handlers with the events that
-//! arrived, and the [`DecisionSink`] receives each decision as it is made. Times are milliseconds; "rule N" is the
-//! platform's rule of that number. docs/design.md gives the reasons for the mechanism.
+//! arrived, and the [`DecisionSink`] receives each decision as it is made. Times are milliseconds. "Rule 1" to "rule 7"
+//! are the platform's rules for queries and their attempts. docs/design.md gives the reasons for the design.
 //!
 //! `Control` composes the components of `model`, which own their state and the constants of their rules and do not
 //! depend on `Control`. This module has the logic that needs several components. Its files follow the life of a query:
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,12 +1,12 @@
-//! Decides which engine runs which query, and when a query is better rejected.
+//! Decides which engine runs which query, and which queries are rejected.
 //!
 //! This package makes all decisions on the query path of one dispatcher and owns the state behind them. It does no I/O,
 //! reads no clock and starts no thread: the caller passes events in and carries out the decisions.
 //!
 //! Start reading at [`control`], the admission controller, which makes the decisions in the order of a query's life
-//! cycle. `model` has the components that own the state and the tuned rules. [`events`] defines the input events and
-//! the sink for decisions. [`settings`] holds the rules and limits that apply, and [`zone_plan`] the limits that zone
-//! routing sets.
+//! cycle. `model` has the components that own the state, with the rules and constants that apply to it. [`events`]
+//! defines the input events and the sink for decisions. [`settings`] holds the rules and limits that apply, and
+//! [`zone_plan`] the limits that zone routing sets.
 
 pub mod control;
 pub mod events;
