--- a/crates/testbed/src/zone_routing.rs
+++ b/crates/testbed/src/zone_routing.rs
@@ -159,7 +159,7 @@
     }
 }
 
-/// Runs once, with the first zone cut from [`CUT_BEGIN`] to [`CUT_END`].
+/// Runs once, with the first zone cut from `CUT_BEGIN` to `CUT_END`.
 pub fn run_once(exe: &Path, seconds: f64, seed: u64, tiers: bool) -> Outcome {
     let context = Arc::new(RunContext::default());
     let engine_count = ZONES.len() * ENGINES_PER_ZONE;
