--- a/crates/dispatcher/tests/fault_injection/logging.rs
+++ b/crates/dispatcher/tests/fault_injection/logging.rs
@@ -3,17 +3,23 @@
 use super::support::*;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
-use tansymux_testbed::engine::{scripted, write_result};
+use tansymux_testbed::engine::{start_scripted_engine, write_result};
 use tansymux_testbed::wire::write_frame;
 
 #[test]
 fn sigusr1_writes_the_last_events_of_queries_to_the_log() {
     let mut program = start(&two_group_config(&[instant_engine()]));
-    assert_eq!(ask(program.listen, &query("look", 1, 9000.0)), Some(200));
+    assert_eq!(
+        query_status(program.listen, &query("look", 1, 9000.0)),
+        Some(200)
+    );
     program.signal("-USR1");
-    assert_eq!(ask(program.listen, &query("look", 2, 9000.0)), Some(200));
+    assert_eq!(
+        query_status(program.listen, &query("look", 2, 9000.0)),
+        Some(200)
+    );
     program.terminate();
-    let log = program.end();
+    let log = program.wait_for_exit();
     let events = [
         "query_id=1 attempt=0 engine_id=00000000 event=Admitted",
         "event=Submitted",
@@ -24,20 +30,20 @@
     let mut rest = log.as_str();
     for event in events {
         let found = rest.find(event);
-        assert!(
-            found.is_some(),
-            "{event} is not there, or not in its place: {log}"
-        );
+        assert!(found.is_some(), "{event} is missing or out of order: {log}");
         rest = &rest[found.unwrap_or_default()..];
     }
 }
 
 #[test]
-fn ends_and_closes_are_counted_by_reason() {
-    // Without any engine a query is rejected, with a reason.
+fn rejections_and_closed_connections_are_counted_by_reason() {
+    // Without an engine, a query is rejected, and the rejection is counted by its reason.
     let program = start(&two_group_config(&[]));
-    assert_eq!(ask(program.listen, &query("look", 1, 9000.0)), Some(429));
-    program.wait_for_count("ended_no_engine 1\n");
+    assert_eq!(
+        query_status(program.listen, &query("look", 1, 9000.0)),
+        Some(429)
+    );
+    program.wait_for_counter_line("ended_no_engine 1\n");
     assert!(program.counter("client_closed_by_client") > Some(0));
     for rule in [1, 2, 3, 6, 7] {
         let name = format!("violations_rule_{rule}");
@@ -47,10 +53,10 @@
 
 #[test]
 fn retry_and_ignored_reply_are_logged_with_the_ids_that_clients_and_engines_know() {
-    // The first attempt fails, twice; the second one completes.
+    // The first attempt fails. The second completes, and a failure reply follows its result.
     let fetches = AtomicUsize::new(0);
     let fetches = Arc::new(fetches);
-    let (engine, _received) = scripted(move |parts, to| {
+    let (engine, _received) = start_scripted_engine(move |parts, to| {
         let id = &parts[1];
         if parts[0] != "fetch" {
             return;
@@ -63,12 +69,15 @@
         write_frame(to, &[id, "BROKE", "-", ""]);
     });
     let mut program = start(&two_group_config(&[engine]));
-    assert_eq!(ask(program.listen, &query("look", 1, 9000.0)), Some(200));
-    program.wait_for_count("replies_ignored_not_in_flight 1\n");
-    program.wait_for_count("attempts_ended_final_reply 2\n");
-    program.wait_for_count("retries_after_final_reply 1\n");
+    assert_eq!(
+        query_status(program.listen, &query("look", 1, 9000.0)),
+        Some(200)
+    );
+    program.wait_for_counter_line("replies_ignored_not_in_flight 1\n");
+    program.wait_for_counter_line("attempts_ended_final_reply 2\n");
+    program.wait_for_counter_line("retries_after_final_reply 1\n");
     program.terminate();
-    let log = program.end();
+    let log = program.wait_for_exit();
     let line_with = |message: &str| log.lines().find(|line| line.contains(message));
     let id = r#"client_id="0000000000000001""#;
     for (message, fields) in [
@@ -97,7 +106,7 @@
     ] {
         let line = line_with(message).unwrap_or_default();
         for field in fields.iter().chain([&id]) {
-            assert!(line.contains(field), "{field} is not in {line:?}");
+            assert!(line.contains(field), "{field} is missing in {line:?}");
         }
     }
 }
--- a/crates/dispatcher/tests/statements.rs
+++ b/crates/dispatcher/tests/statements.rs
@@ -1,9 +1,7 @@
-//! Statement classification on the real program (queries without a group, checks of those with one), and its command line.
+//! Statement classification by the program: queries without a group, checks of queries with a group, and the command
+//! line.
 
-#![allow(
-    clippy::unwrap_used,
-    reason = "a test ends at the first thing that is not as it should be"
-)]
+#![allow(clippy::unwrap_used, reason = "a panic fails the test")]
 
 use std::io::{BufReader, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -15,7 +13,8 @@
 use tansymux_testbed::client::{send_query, ClientQuery};
 use tansymux_testbed::corpus::{corpus, mutated};
 use tansymux_testbed::engine::{
-    scripted, write_result, write_result_of, Engine, EngineSpec, QueryWork, ResultShape, RunContext,
+    start_scripted_engine, write_result, write_result_of, Engine, EngineSpec, QueryWork,
+    ResultShape, RunContext,
 };
 use tansymux_testbed::invariants::{find_violations, ClassRules, Effect, Rules};
 use tansymux_testbed::program::{Config, Program, TempFile, TIMEOUT};
@@ -27,6 +26,7 @@
 const CLASSIFY_ALL: &str =
     "path: \"/statement\" groups { look_up: \"look\" report: \"look\" load: \"load\" }";
 
+/// Starts the program with this `statements` block in its operators' file, and returns both.
 fn start(engines: &[SocketAddr], statements: &str) -> (Program, TempFile) {
     let operator = TempFile::new(
         "operator.textproto",
@@ -36,7 +36,7 @@
     (
         Program::start(
             Path::new(EXE),
-            &Config::with_two_classes(engines),
+            &Config::with_two_groups(engines),
             &["--operator", &path],
         ),
         operator,
@@ -54,10 +54,11 @@
     read_response(&mut BufReader::new(stream)).unwrap().status
 }
 
-fn unclassed_query(id: u64, statement: &str) -> ClientQuery {
+fn unclassified_query(id: u64, statement: &str) -> ClientQuery {
     ClientQuery::new(id, "/statement", "bare", statement, 9000.0)
 }
 
+/// Runs the program with `input` on its standard input. Returns its exit code, standard output and standard error.
 fn run_program(arguments: &[&str], input: &str) -> (i32, String, String) {
     let mut child = Command::new(EXE)
         .args(arguments)
@@ -79,7 +80,7 @@
 
 #[test]
 fn statement_without_a_group_runs_in_the_group_of_its_class_and_is_rejected_without_the_path() {
-    let (address, requests) = scripted(|parts, to| {
+    let (address, requests) = start_scripted_engine(|parts, to| {
         write_result_of(to, &parts[1], "");
     });
     let (program, _operator) = start(&[address], CLASSIFY_ALL);
@@ -89,7 +90,7 @@
         (3, "nonsense of some kind", "cls=load,"),
     ] {
         assert_eq!(
-            status(post(program.listen, &unclassed_query(id, statement))),
+            status(post(program.listen, &unclassified_query(id, statement))),
             200
         );
         let fetch = requests.recv_timeout(TIMEOUT).unwrap().0;
@@ -102,15 +103,17 @@
     assert_eq!(program.counter("statements_unknown"), Some(1));
     let (program, _operator) = start(&[address], "check: LOG");
     assert_eq!(
-        status(post(program.listen, &unclassed_query(4, "select 1"))),
+        status(post(program.listen, &unclassified_query(4, "select 1"))),
         404
     );
 }
 
 #[test]
 fn statement_that_may_write_is_not_retried_whatever_its_class_promises() {
-    // Each connection is reset once a request came: what ran is unknown, and only a read-only query may be retried.
-    let (address, requests) = scripted(|_, to| drop(to.shutdown(std::net::Shutdown::Both)));
+    // The engine closes each connection on which a request arrives: whether the query ran is unknown, and only a
+    // read-only query may be retried.
+    let (address, requests) =
+        start_scripted_engine(|_, to| drop(to.shutdown(std::net::Shutdown::Both)));
     let hidden = "select 1 -- x\n; delete from sales_17.orders";
     let send_and_count_attempts = |program: &Program, query: &ClientQuery| {
         let status = status(post(program.listen, query));
@@ -122,28 +125,29 @@
     };
     let (program, _operator) = start(&[address], CLASSIFY_ALL);
     assert_eq!(
-        send_and_count_attempts(&program, &unclassed_query(1, hidden)),
+        send_and_count_attempts(&program, &unclassified_query(1, hidden)),
         (500, 1)
     );
     assert!(
         send_and_count_attempts(
             &program,
-            &unclassed_query(2, "select a from sales_17.orders where id = 1")
+            &unclassified_query(2, "select a from sales_17.orders where id = 1")
         )
         .1 > 1
     );
     assert_eq!(
-        send_and_count_attempts(&program, &unclassed_query(3, "select local_function(1)")),
+        send_and_count_attempts(&program, &unclassified_query(3, "select local_function(1)")),
         (500, 1)
     );
-    // A class that promises read-only: logged and run as promised, or held to its text.
+    // The class promises read-only, but the statement is not: with LOG the program logs this and treats the query as
+    // read-only, and with ENFORCE it treats the query as the statement requires.
     let named = |id| ClientQuery::new(id, "/invoke/look", "look", hidden, 9000.0);
     let (mut program, _operator) = start(&[address], "check: LOG");
     assert!(send_and_count_attempts(&program, &named(4)).1 > 1);
     assert_eq!(program.counter("statements_milder_class_named"), Some(1));
     program.terminate();
     assert!(program
-        .end()
+        .wait_for_exit()
         .contains("class promises read-only, statement does not"));
     let (program, _operator) = start(&[address], "check: ENFORCE");
     assert_eq!(send_and_count_attempts(&program, &named(5)), (500, 1));
@@ -151,7 +155,7 @@
 
 #[test]
 fn reloaded_rules_apply_to_new_queries_and_not_to_queries_in_flight() {
-    let (address, requests) = scripted(|parts, to| {
+    let (address, requests) = start_scripted_engine(|parts, to| {
         if parts[0] == "fetch" {
             thread::sleep(Duration::from_millis(400));
             write_result(to, &parts[1]);
@@ -160,10 +164,10 @@
     let (program, operator) = start(&[address], CLASSIFY_ALL);
     let in_flight = post(
         program.listen,
-        &unclassed_query(1, "select a from sales_17.orders where id = 1"),
+        &unclassified_query(1, "select a from sales_17.orders where id = 1"),
     );
     assert!(requests.recv_timeout(TIMEOUT).unwrap().0[2].starts_with("cls=look,"));
-    // A file with a fault changes nothing, and its fault is logged.
+    // An invalid file changes nothing, and its error is logged.
     operator.write("statements { path: \"/statement\"\n groups { look_up: \"nobody\" report: \"look\" load: \"load\" } }");
     program.signal("-HUP");
     thread::sleep(Duration::from_millis(50));
@@ -174,24 +178,24 @@
     let changed = CLASSIFY_ALL.replace("look_up: \"look\"", "look_up: \"load\"");
     operator.write(&format!("statements {{ {changed} }}"));
     program.signal("-HUP");
-    program.wait_for_count("operator_files_read 1\n");
+    program.wait_for_counter_line("operator_files_read 1\n");
     let later = post(
         program.listen,
-        &unclassed_query(2, "select a from sales_17.orders where id = 2"),
+        &unclassified_query(2, "select a from sales_17.orders where id = 2"),
     );
     assert!(requests.recv_timeout(TIMEOUT).unwrap().0[2].starts_with("cls=load,"));
     assert_eq!((status(in_flight), status(later)), (200, 200));
-    // Classification is off again: its path is unknown.
+    // Classification is disabled: its path is unknown.
     operator.write("");
     program.signal("-HUP");
-    program.wait_for_count("operator_files_read 2\n");
+    program.wait_for_counter_line("operator_files_read 2\n");
     assert_eq!(
-        status(post(program.listen, &unclassed_query(3, "select 1"))),
+        status(post(program.listen, &unclassified_query(3, "select 1"))),
         404
     );
     let mut program = program;
     program.terminate();
-    let log = program.end();
+    let log = program.wait_for_exit();
     for expected in [
         "operators' file reload rejected",
         "look_up is \"nobody\"",
@@ -215,7 +219,7 @@
     let (mut program, _operator) = start(&addresses, CLASSIFY_ALL);
     let mut rng = rand_pcg::Pcg64::seed_from_u64(7);
     let all = corpus(1, 4, 7);
-    let mut waiting = Vec::new();
+    let mut clients = Vec::new();
     for (index, labelled) in all.iter().enumerate() {
         let other = &all[(index * 7 + 3) % all.len()].statement;
         let is_mutated = index % 3 == 0;
@@ -224,51 +228,51 @@
         } else {
             labelled.statement.clone()
         };
-        // A mutated statement may be anything: only that it gets one answer is checked.
-        let class = if is_mutated { "spoilt" } else { labelled.class };
+        // The effect of a mutated statement is unknown: the test checks only that it gets exactly one answer.
+        let class = if is_mutated { "fuzzed" } else { labelled.class };
         let query = ClientQuery {
             class: class.into(),
-            ..unclassed_query(index as u64 + 1, &text)
+            ..unclassified_query(index as u64 + 1, &text)
         };
         let work = QueryWork {
             result: ResultShape::OneRow,
-            work: 2.0,
+            work_ms: 2.0,
             threads: 1.0,
-            changes: labelled.effect != "read-only",
+            changes_tables: labelled.effect != "read-only",
             tables: 0,
         };
-        context.works.lock().unwrap().insert(query.id(), work);
+        context.query_work.lock().unwrap().insert(query.id(), work);
         let (context, listen) = (context.clone(), program.listen);
-        waiting.push(thread::spawn(move || {
+        clients.push(thread::spawn(move || {
             send_query(listen, &query, &context.record).is_some()
         }));
-        if waiting.len() % 24 == 0 {
+        if clients.len() % 24 == 0 {
             thread::sleep(Duration::from_millis(20));
         }
     }
-    let answered = waiting
+    let answered = clients
         .into_iter()
         .map(|thread| thread.join().unwrap())
-        .filter(|got| *got)
+        .filter(|is_answered| *is_answered)
         .count();
     assert_eq!(answered, all.len());
     program.terminate();
-    let report = program.end();
+    let report = program.wait_for_exit();
     assert!(report.contains("unanswered 0\n"), "{report}");
     let effect = |class: &str| match class {
-        "look-up" | "report" | "spoilt" => Effect::ReadOnly,
+        "look-up" | "report" | "fuzzed" => Effect::ReadOnly,
         _ => Effect::NonIdempotent,
     };
-    let classes = ["look-up", "report", "load", "unknown", "spoilt"];
-    let classes = classes.map(|class| (class.to_owned(), ClassRules::of(effect(class))));
-    let rules = Rules::of_classes(classes);
+    let classes = ["look-up", "report", "load", "unknown", "fuzzed"];
+    let classes = classes.map(|class| (class.to_owned(), ClassRules::for_effect(effect(class))));
+    let rules = Rules::for_classes(classes);
     let violations = find_violations(&context.record.entries(), &rules);
     assert!(violations.is_empty(), "{violations:?}");
 }
 
 #[test]
 #[expect(clippy::too_many_lines, reason = "one scenario from start to end")]
-fn exit_codes_tell_success_from_faults_and_wrong_usage() {
+fn exit_codes_distinguish_success_errors_and_wrong_usage() {
     assert_eq!(run_program(&["--version"], "").0, 0);
     assert_eq!(run_program(&["--help"], "").0, 0);
     assert_eq!(run_program(&["nonsense"], "").0, 2);
@@ -277,7 +281,7 @@
         "o",
         "log {\n lines_a_second: 0 }\nstatements { cache { shapes: 1 } }",
     );
-    let good = TempFile::new("c", &Config::with_two_classes(&[]).0.to_string());
+    let good = TempFile::new("c", &Config::with_two_groups(&[]).0.to_string());
     let bad = TempFile::new("d", "{\n\"seed\": 7 }");
     let path = |file: &TempFile| file.0.display().to_string();
     let (code, out, _) = run_program(
@@ -305,8 +309,11 @@
     ] {
         assert!(out.contains(expected), "{expected} in {out}");
     }
-    let fits = TempFile::new("f", &format!("statements {{ {CLASSIFY_ALL} }}"));
-    assert_eq!(run_program(&["check", &path(&good), &path(&fits)], "").0, 0);
+    let matching = TempFile::new("f", &format!("statements {{ {CLASSIFY_ALL} }}"));
+    assert_eq!(
+        run_program(&["check", &path(&good), &path(&matching)], "").0,
+        0
+    );
     let mismatched = TempFile::new(
         "u",
         &format!(
@@ -334,7 +341,7 @@
 
 #[test]
 fn log_lines_are_text_or_json_with_fields_and_a_level() {
-    let (address, _requests) = scripted(|parts, to| {
+    let (address, _requests) = start_scripted_engine(|parts, to| {
         write_result_of(to, &parts[1], "");
     });
     for (arguments, expected) in [
@@ -349,18 +356,20 @@
     ] {
         let mut program = Program::start(
             Path::new(EXE),
-            &Config::with_two_classes(&[address]),
+            &Config::with_two_groups(&[address]),
             &arguments,
         );
         let query = ClientQuery::new(1, "/invoke/look", "look", "select 1", 9000.0);
         assert_eq!(status(post(program.listen, &query)), 200);
         program.terminate();
-        let log = program.end();
+        let log = program.wait_for_exit();
         assert!(log.contains(expected) && log.contains("query"), "{log}");
         if arguments[1] == "json" {
-            let json = |line: &str| serde_json::from_str::<serde_json::Value>(line).is_ok();
+            let is_json = |line: &str| serde_json::from_str::<serde_json::Value>(line).is_ok();
             assert!(
-                log.lines().filter(|line| line.starts_with('{')).all(json),
+                log.lines()
+                    .filter(|line| line.starts_with('{'))
+                    .all(is_json),
                 "{log}"
             );
         }
--- a/crates/operator-config/src/zone_routing.rs
+++ b/crates/operator-config/src/zone_routing.rs
@@ -2,16 +2,18 @@
 
 use crate::schema;
 use crate::units::MS_PER_S;
-use tansymux_zone_routing::{Config, CutDetection, RecoveryRamp, Route, SpillLimit, Tier};
+use tansymux_zone_routing::{
+    Config, RecoveryRamp, Route, SpillLimit, Tier, UnreachabilityThresholds,
+};
 
-/// The configuration of zone routing. [`parse`](crate::parse) checks its values, this conversion does not.
+/// The configuration of zone routing. [`parse`](crate::parse) checks the values, this conversion does not.
 pub fn zone_routing_config(halls: &schema::Halls) -> Config {
     let cut = halls.cut.unwrap_or_default();
     let ramp = halls.climb.unwrap_or_default();
     Config {
         routes: halls.route.iter().map(route).collect(),
         spill_limits: halls.spill.iter().map(spill_limit).collect(),
-        cut_detection: CutDetection {
+        unreachability_thresholds: UnreachabilityThresholds {
             silent_ms: cut.quiet_s() * MS_PER_S,
             failing_fraction: cut.part(),
         },
