--- a/src/control/periodic.rs
+++ b/src/control/periodic.rs
@@ -22,12 +22,12 @@
 /// Ratio of an attempt's remaining time to the time until its deadline above which it cannot meet the deadline.
 const UNATTAINABLE_FACTOR: f64 = 1.25;
 
-/// Times of the last and the next periodic checks.
+/// Time of the last periodic checks, and expiry of the timer for the next ones.
 #[derive(Debug, Default)]
 pub(super) struct CheckSchedule {
     /// Time at which the checks last ran (ms).
     checked_ms: f64,
-    /// Time at which the last timer that was set expires (ms).
+    /// Time at which the most recently set timer expires (ms).
     timer_due_ms: f64,
 }
 
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Sends health checks to engines that have been silent for longer than usual.
+    /// Sends health checks to ready engines that have been silent for longer than usual or are ejected for silence.
     fn check_engines(&mut self, out: &mut dyn DecisionSink) {
         if !self.settings.capabilities.health_checks {
             return;
@@ -91,7 +91,7 @@
         let Some(query) = self.queries.get(index) else {
             return;
         };
-        if query.is_settled() {
+        if query.is_over_or_migrating() {
             return;
         }
         if let Some(attempt) = query.attempt_in_flight().copied() {
@@ -151,8 +151,8 @@
         self.cancel_in_flight(query, out);
     }
 
-    /// Returns whether an attempt has sent no note for [`OVERDUE_NOTE_INTERVALS`], or has made no progress in the time
-    /// in which a run should complete: its answer was lost, or no engine is running it.
+    /// Returns whether an attempt has sent no note for [`OVERDUE_NOTE_INTERVALS`] note intervals, or has made no
+    /// progress in the time in which a run should complete: its answer was lost, or no engine is running it.
     fn is_overdue(&self, attempt: &Attempt, new_run_ms: f64) -> bool {
         let interval_ms = self.settings.engine_features.note_interval_ms;
         let silent_ms = self.now_ms - attempt.progress.last_note_ms();
--- a/src/control/placement.rs
+++ b/src/control/placement.rs
@@ -21,7 +21,7 @@
 }
 
 impl Control {
-    /// Submits a query to an engine, or ends the query if no engine may take it.
+    /// Submits a query to an engine, or ends the query if no engine may run it.
     pub(super) fn place(&mut self, query: QueryIndex, out: &mut dyn DecisionSink) {
         match self.choose_engine(query) {
             Some(engine) => self.submit(query, engine, out),
@@ -44,7 +44,7 @@
                 if !self.is_candidate(query, engine, set) || !self.may_submit(query, engine) {
                     continue;
                 }
-                has_eligible |= self.is_eligible(query, engine);
+                has_eligible |= self.health_admits(query, engine);
                 if !is_low || self.has_headroom(query, engine, pool_has_room) {
                     candidates.push(engine);
                 }
@@ -63,14 +63,14 @@
             return false;
         }
         if set < CandidateSet::Allowed {
-            return self.is_eligible(query, engine) && self.plan_admits(query, engine);
+            return self.health_admits(query, engine) && self.plan_admits(query, engine);
         }
         // The zone plan always binds low work. It binds the fast lane only while it admits an eligible engine.
         self.queries[query].lane == Lane::Fast || self.plan_admits(query, engine)
     }
 
     /// Returns whether outlier detection admits a query to an engine.
-    fn is_eligible(&self, query: QueryIndex, engine: EngineIndex) -> bool {
+    fn health_admits(&self, query: QueryIndex, engine: EngineIndex) -> bool {
         let has_health_checks = self.settings.capabilities.health_checks;
         let health = &self.engines[engine].health;
         health.admits(&self.queries[query], has_health_checks, self.now_ms)
@@ -174,8 +174,8 @@
 
     /// Returns whether the sum of this dispatcher's concurrency limits has room for a low query.
     ///
-    /// If the sum is less than one query, a query may start while no other is in flight and the token bucket is not in
-    /// debt. On average over time this keeps within the sum.
+    /// If the sum is less than one query needs, a query may start while no other low query is in flight and the token
+    /// bucket is not in debt. On average over time, the low lane's threads then stay within the sum.
     fn pool_has_room(&self, query: QueryIndex) -> bool {
         let may_start_one = self.low_lane.has_tokens() && !self.engines.has_low_attempts();
         let threads = self.group_of(&self.queries[query]).threads();
--- a/src/control/tests/pressure.rs
+++ b/src/control/tests/pressure.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn slow_answers_a_full_outcome_granted_memory_and_many_peer_threads_are_pressure() {
+fn slow_answers_refusals_as_full_estimated_memory_and_peer_threads_show_pressure() {
     let causes: [fn(&mut Control); 4] = [
         |control| {
             control.engines[EngineIndex(0)]
@@ -15,7 +15,7 @@
                 .limit
                 .set_last_full_ms(START_MS + 1.0)
         },
-        |control| control.engines[EngineIndex(0)].load.set_granted_mb(900.0),
+        |control| control.engines[EngineIndex(0)].load.set_memory_mb(900.0),
         |control| control.engines[EngineIndex(0)].load.set_peer_threads(12.0),
     ];
     for cause in causes {
--- a/src/model/engine_load.rs
+++ b/src/model/engine_load.rs
@@ -19,7 +19,7 @@
     /// Estimated work of these attempts (ms).
     work_ms: f64,
     /// Estimated memory of these attempts (MB).
-    granted_mb: f64,
+    memory_mb: f64,
     /// Number of this dispatcher's low-lane attempts in flight.
     low_attempts: u32,
     /// Threads of these low-lane attempts.
@@ -36,7 +36,7 @@
         EngineLoad {
             attempts: 0,
             work_ms: 0.0,
-            granted_mb: 0.0,
+            memory_mb: 0.0,
             low_attempts: 0,
             low_threads: 0.0,
             peer_threads: 0.0,
@@ -62,7 +62,7 @@
         }
         self.attempts += 1;
         self.work_ms += attempt.work_ms;
-        self.granted_mb += attempt.memory_mb;
+        self.memory_mb += attempt.memory_mb;
         if lane == Lane::Low {
             self.low_attempts += 1;
             self.low_threads += threads;
@@ -82,10 +82,10 @@
         self.attempts = self.attempts.saturating_sub(1);
         if self.attempts == 0 {
             self.work_ms = 0.0;
-            self.granted_mb = 0.0;
+            self.memory_mb = 0.0;
         } else {
             self.work_ms -= attempt.work_ms;
-            self.granted_mb -= attempt.memory_mb;
+            self.memory_mb -= attempt.memory_mb;
         }
         if lane == Lane::Fast {
             return;
@@ -122,8 +122,8 @@
     }
 
     /// Estimated memory of the attempts (MB).
-    pub(crate) fn granted_mb(&self) -> f64 {
-        self.granted_mb
+    pub(crate) fn memory_mb(&self) -> f64 {
+        self.memory_mb
     }
 
     /// Since when at least one attempt has been in flight (ms); `None` if no attempt is in flight.
@@ -186,8 +186,8 @@
 
     /// Sets the estimated memory (MB).
     #[cfg(test)]
-    pub(crate) fn set_granted_mb(&mut self, granted_mb: f64) {
-        self.granted_mb = granted_mb;
+    pub(crate) fn set_memory_mb(&mut self, memory_mb: f64) {
+        self.memory_mb = memory_mb;
     }
 
     /// Sets the number of low-lane attempts.
--- a/src/model/group_slowdown.rs
+++ b/src/model/group_slowdown.rs
@@ -1,13 +1,13 @@
-//! The ratio of a resource group's run times to its estimates, and the step sizes of all learned values.
+//! The ratio of a resource group's run times to its estimates, and the learning parameters of all groups and engines.
 
 use crate::model::decaying_median::step_towards;
 
 /// Fraction of the lowest scatter by which a ratio may exceed the best without showing a slowdown.
 const TOLERATED_SCATTER_FRACTION: f64 = 0.5;
 
-/// The step sizes with which run times, costs and slowdowns are learned.
+/// The parameters with which run times, costs and slowdowns are learned.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct LearningSteps {
+pub(crate) struct LearningParams {
     /// Step of a running median for each sample (log ratio).
     pub(crate) median: f64,
     /// Weight of a new sample in an exponential moving mean.
@@ -18,8 +18,8 @@
     pub(crate) min_time_ms: f64,
 }
 
-/// The step sizes of all groups and engines.
-pub(crate) const LEARNING: LearningSteps = LearningSteps {
+/// The learning parameters of all groups and engines.
+pub(crate) const LEARNING: LearningParams = LearningParams {
     median: 0.05,
     mean: 0.02,
     min_samples: 20,
--- a/src/model/pool_view.rs
+++ b/src/model/pool_view.rs
@@ -29,7 +29,7 @@
         self.slowdowns.is_slow(engine, Lane::Low, self.now_ms)
             || self.slowdowns.is_slow(engine, Lane::Fast, self.now_ms)
             || engine.load.known_low_threads() >= max_threads
-            || engine.memory_mb > 0.0 && engine.load.granted_mb() >= max_memory_mb
+            || engine.memory_mb > 0.0 && engine.load.memory_mb() >= max_memory_mb
             || engine.limit.was_recently_full(self.now_ms)
     }
 
@@ -65,8 +65,8 @@
         fraction(pressured, ready)
     }
 
-    /// Low-lane threads on all ready engines as a fraction of their concurrency limits at full service, at most 1; NaN
-    /// without a limit.
+    /// Low-lane threads on all ready engines as a fraction of the concurrency limits that apply to this dispatcher at
+    /// full service, at most 1; NaN without a limit.
     pub(crate) fn concurrency_used_fraction(&self) -> f64 {
         let share = self.peer_load.pool_share(self.now_ms);
         let mut used = 0.0;
--- a/src/model/query.rs
+++ b/src/model/query.rs
@@ -7,7 +7,7 @@
 /// The lane in which a query runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Lane {
-    /// The lane of short queries, which are never rejected for load.
+    /// The lane of short queries, which are never rejected because engines are busy.
     Fast,
     /// The lane of loads, parallel queries and demoted queries, which is subject to the concurrency limits.
     Low,
@@ -105,7 +105,7 @@
     }
 
     /// Whether the query needs no periodic check, because it is over or migrating.
-    pub(crate) fn is_settled(&self) -> bool {
+    pub(crate) fn is_over_or_migrating(&self) -> bool {
         self.is_over || self.is_migrating
     }
 
--- a/src/model/slow_start.rs
+++ b/src/model/slow_start.rs
@@ -46,11 +46,11 @@
         let Some(budget_ms) = self.budget_ms(engine, now_ms) else {
             return true;
         };
-        let sent_ms = engine.warm_up.sent_ms();
+        let sent_work_ms = engine.warm_up.sent_work_ms();
         let usual_work_ms = group.usual_work_ms();
         let is_drawn =
             engine.warm_up.random_draw * usual_work_ms < RANDOM_ADMISSION_FRACTION * budget_ms;
-        sent_ms + usual_work_ms <= budget_ms || sent_ms <= 0.0 && is_drawn
+        sent_work_ms + usual_work_ms <= budget_ms || sent_work_ms <= 0.0 && is_drawn
     }
 
     /// Whether the rule currently limits the work that may be sent to an engine.
@@ -65,6 +65,8 @@
     }
 
     /// The work (ms) that this dispatcher may send to an engine within the span; `None` if the rule does not limit it.
+    ///
+    /// The budget is a multiple of the engine's initial capacity, the lowest that it has while it is warming up.
     fn budget_ms(&self, engine: &Engine, now_ms: f64) -> Option<f64> {
         let rule = self.rule?;
         let started_ms = engine.endpoint.started_ms;
@@ -125,7 +127,7 @@
     }
 
     /// The total work (ms) that was sent within the span.
-    fn sent_ms(&self) -> f64 {
+    fn sent_work_ms(&self) -> f64 {
         self.sent.iter().map(|sent| sent.work_ms).sum()
     }
 
--- a/src/model/tenant_quotas.rs
+++ b/src/model/tenant_quotas.rs
@@ -4,7 +4,7 @@
 use crate::settings::Settings;
 
 /// Time constant of the tenants' decaying query counts (ms).
-const RATE_SPAN_MS: f64 = 2000.0;
+const RATE_DECAY_MS: f64 = 2000.0;
 /// Factor by which a tenant's use of its quota may exceed the use of all quotas by all tenants.
 const QUOTA_SLACK: f64 = 1.35;
 
@@ -61,7 +61,7 @@
 
     /// Counts a query of a tenant. The use is 0 for a tenant without a quota.
     fn count_query(&mut self, tenant: u32, now_ms: f64) -> QuotaUse {
-        let remaining = ((self.updated_ms - now_ms) / RATE_SPAN_MS).exp();
+        let remaining = ((self.updated_ms - now_ms) / RATE_DECAY_MS).exp();
         self.updated_ms = now_ms;
         for tenant in &mut self.tenants {
             tenant.count *= remaining;
@@ -78,8 +78,8 @@
             all_counts += tenant.count;
         }
         QuotaUse {
-            own: own / RATE_SPAN_MS,
-            all: all_counts / all_quotas / RATE_SPAN_MS,
+            own: own / RATE_DECAY_MS,
+            all: all_counts / all_quotas / RATE_DECAY_MS,
         }
     }
 }
