--- a/src/control/admission.rs
+++ b/src/control/admission.rs
@@ -1,6 +1,7 @@
 //! Admission: determines the lane, cost and quota of an arriving query, and rejects it if it cannot meet its deadline.
 //!
-//! Uses the retry budget, the tenants' quotas, the low lane's mean work, the key queues and the resource groups.
+//! Uses the retry budget, the tenants' quotas, the low lane's mean work, the key queues, the resource groups and the
+//! service level.
 
 use crate::control::Control;
 use crate::events::{DecisionSink, EndReason, QueryArrived, UnknownResourceGroup};
--- a/src/control/completion.rs
+++ b/src/control/completion.rs
@@ -180,8 +180,8 @@
         }
     }
 
-    /// Records that a load locks the tables of a query on an engine. The lock expires [`LOCK_NOTE_INTERVALS`] from now,
-    /// so that it lasts until the next note has had time to arrive.
+    /// Records that a load locks the tables of a query on an engine. The lock expires [`LOCK_NOTE_INTERVALS`] note
+    /// intervals from now, so that it lasts until the next note arrives.
     fn lock_tables(&mut self, query: QueryIndex, engine: EngineIndex) {
         let lock_ms = LOCK_NOTE_INTERVALS * self.settings.engine_features.note_interval_ms;
         let lock = TableLock {
@@ -203,7 +203,8 @@
         let run_time_ms = progress.run_time_ms().unwrap_or(0.0);
         let group = &mut self.groups[query.group];
         let slowdown_over_best = group.learn_progress(query.cost, run_time_ms);
-        // Only the first prediction counts: if the query has a bad plan, later ones say nothing new about the engine.
+        // Only the first prediction updates the engine's slowdown: if the query has a bad plan, later predictions say
+        // nothing new about the engine.
         if let Some(slowdown_over_best) = slowdown_over_best.filter(|_| is_first_prediction) {
             let engine = &mut self.engines[attempt.engine];
             self.slowdowns
--- a/src/control/dispatch.rs
+++ b/src/control/dispatch.rs
@@ -1,7 +1,7 @@
 //! Dispatch: checks each attempt of a query against rules 1 to 7 and submits it.
 //!
-//! Uses the retry budget, slow start, the key queues, the zone plan, engine health, the peer load and the service
-//! level.
+//! Uses the resource groups, the retry budget, slow start, the key queues, the zone plan, the load and health of
+//! engines, the peer load and the service level.
 
 use crate::control::Control;
 use crate::events::{AttemptLimits, DecisionSink, EndReason};
@@ -24,10 +24,10 @@
         }
         let state = &self.queries[query];
         let group = state.group;
-        !state.is_over // Rule 1: no attempt after the final answer or after the client has disconnected,
-            && self.now_ms < state.deadline_ms // and none after the deadline.
-            && state.in_flight().is_none() // Rule 2: at most one attempt in flight,
-            && state.attempts.count() < self.settings.max_attempts // and no more attempts than the settings allow.
+        !state.is_over // Rule 1: no attempt after the final answer or after the client has disconnected.
+            && self.now_ms < state.deadline_ms // Rule 1: no attempt after the deadline.
+            && state.in_flight().is_none() // Rule 2: at most one attempt in flight.
+            && state.attempts.count() < self.settings.max_attempts // Rule 2: no more attempts than the settings allow.
             && self.engines[engine].endpoint.ready // Rule 3: no attempt on an engine that is draining or gone.
             && self.may_repeat(query, Some(engine)) // Rule 2: an effect takes place at most once.
             && self.slow_start_admits(engine, group) // Rule 4: slow start of an engine that is warming up.
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -42,7 +42,8 @@
 /// The admission controller of one dispatcher and its state: settings, queries in flight, engines and learned
 /// statistics.
 ///
-/// Memory grows with the queries in flight, the engines listed and the distinct keys, tenants and zones.
+/// Memory grows with the queries in flight, the listed engines, the ordering keys in use, and the distinct names of
+/// resource groups, tenants, zones and engine kinds.
 pub struct Control {
     /// Time of the current round (ms).
     now_ms: f64,
@@ -203,7 +204,8 @@
         }
     }
 
-    /// Handles a message from another dispatcher. Ignores a message of an unknown kind or sender.
+    /// Handles a message from another dispatcher. Ignores a message of an unknown kind, and a report from an unknown
+    /// sender.
     pub fn on_peer_message(&mut self, message: &PeerMessage) {
         self.peer_load
             .record_message(message, &mut self.engines, self.now_ms);
@@ -221,7 +223,8 @@
         self.pool().pressured_fraction(zone)
     }
 
-    /// Returns the threads of low work on all ready engines as a fraction of their concurrency limits at full service.
+    /// Returns the threads of low work on all ready engines as a fraction of the concurrency limits that apply to this
+    /// dispatcher at full service; at most 1.
     pub fn concurrency_used_fraction(&self) -> f64 {
         self.pool().concurrency_used_fraction()
     }
@@ -231,7 +234,7 @@
         self.pool().threads_in_flight()
     }
 
-    /// Returns the fraction of the known engines that are ready.
+    /// Returns the fraction of the engines in the endpoint list that are ready.
     pub fn ready_fraction(&self) -> f64 {
         self.pool().ready_fraction()
     }
--- a/src/events.rs
+++ b/src/events.rs
@@ -23,7 +23,8 @@
     fn check_health(&mut self, engine_id: u64);
     /// Sends a message to another dispatcher, or to all others.
     fn send_to_peer(&mut self, peer: Option<u32>, content: &[u8]);
-    /// Requests another round of decisions after `delay_ms`.
+    /// Requests another round of decisions after `delay_ms`. `handle` is the timer's number in the caller's protocol;
+    /// `Control` always passes 0.
     fn set_timer(&mut self, delay_ms: f64, handle: u64);
     /// Subscribes to updates of the endpoint list.
     fn watch_endpoints(&mut self);
@@ -233,7 +234,8 @@
     Delta,
     /// All endpoints. A known endpoint that is not listed is gone.
     Snapshot,
-    /// All endpoints, as last stored by this dispatcher. A current list must be requested.
+    /// All endpoints, as last stored by this dispatcher. A current list is requested if the platform sends it only on
+    /// request.
     Cached,
     /// The list could not be obtained.
     Failed,
--- a/src/model/engine.rs
+++ b/src/model/engine.rs
@@ -1,5 +1,5 @@
-//! An engine: its entry in the endpoint list, this dispatcher's attempts in flight on it, and what the
-//! dispatcher learned about it.
+//! An engine: its entry in the endpoint list, this dispatcher's attempts in flight on it, and the health, limit and
+//! slowdowns that the dispatcher learned.
 
 use crate::events::{EndpointState, EndpointUpdate};
 use crate::interner::Interner;
@@ -84,15 +84,15 @@
         }
     }
 
-    /// Resets what was learned about the engine's previous process.
+    /// Discards the error rate, ejection, concurrency limit and slowdowns learned from the engine's previous process.
     fn reset_process(&mut self) {
         self.health.reset_process();
         self.limit.reset_process(self.cores);
         self.slowdown = LaneSlowdowns::default();
     }
 
-    /// Number of low-lane threads that this dispatcher may still add up to a limit of `max_threads`; negative above the
-    /// limit.
+    /// Number of low-lane threads that this dispatcher may still add without exceeding a limit of `max_threads`;
+    /// negative above the limit.
     pub(crate) fn headroom(&self, max_threads: f64) -> f64 {
         max_threads - self.load.low_threads() - self.load.peer_threads()
     }
--- a/src/model/engine_health.rs
+++ b/src/model/engine_health.rs
@@ -26,7 +26,7 @@
     last_signal_ms: f64,
     /// Exponential moving average of failures, from 0 to 1.
     error_rate: f64,
-    /// When the last attempt failed for lack of a connection (ms), if no other outcome followed.
+    /// When the last attempt failed for lack of a connection (ms), if no other outcome has counted since.
     unreachable_ms: Option<f64>,
     /// When a health check was last sent (ms).
     last_check_ms: f64,
@@ -100,8 +100,8 @@
             && now_ms >= ejection.next_trial_ms
     }
 
-    /// Records that an attempt is being sent, and returns whether it is a half-open trial. If so, postpones the next
-    /// trial.
+    /// Records that an attempt is being sent, and returns whether it is a half-open trial. Any attempt on an ejected
+    /// engine counts as a trial and postpones the next one.
     pub(crate) fn begin_attempt(&mut self, now_ms: f64) -> bool {
         let Some(ejection) = &mut self.ejection else {
             return false;
--- a/src/model/resource_group.rs
+++ b/src/model/resource_group.rs
@@ -25,9 +25,9 @@
 /// The learned cost of a group's queries.
 #[derive(Debug, Clone, Copy)]
 struct CostModel {
-    /// Mean estimate (thread time, ms).
+    /// Mean of the queries' estimates or, for queries without an estimate, of the thread times that they took (ms).
     mean_ms: f64,
-    /// Number of samples in the mean.
+    /// Number of costs in the mean.
     samples: u32,
     /// Thread time used, as a multiple of its estimate.
     work_factor: f64,
@@ -163,7 +163,7 @@
     }
 
     /// Learns from the run time that an attempt's progress notes predict, and returns how far it exceeds the group's
-    /// best (log ratio).
+    /// best (log ratio). The result is `None` without a prediction or an estimate, and before the group's first answer.
     pub(crate) fn learn_progress(&mut self, cost: QueryCost, run_time_ms: f64) -> Option<f64> {
         if run_time_ms <= 0.0 || cost.estimate_ms <= 0.0 || !self.slowdown.has_samples() {
             return None;
@@ -236,7 +236,8 @@
         is_within(&self.zones, engine.zone) && is_within(&self.kinds, engine.kind)
     }
 
-    /// Whether engine `other` recognizes an idempotency key that engine `first` has seen.
+    /// Whether engine `other` or, if it is `None`, every engine recognizes an idempotency key that engine `first` has
+    /// seen.
     pub(crate) fn shares_dedup(&self, first: &Engine, other: Option<&Engine>) -> bool {
         match self.settings.dedup_scope {
             DedupScope::All => true,
--- a/src/model/slowdown.rs
+++ b/src/model/slowdown.rs
@@ -22,8 +22,7 @@
     pub(super) gap_step: f64,
 }
 
-/// The parameters of all slowdowns. The maximum level is only a little above the pressure threshold, so that pressure
-/// ends soon.
+/// The parameters of all slowdowns. The maximum level is so low that pressure ends soon after the last slow answer.
 pub(super) const SLOWDOWN_PARAMS: SlowdownParams = SlowdownParams {
     max_level: 0.8,
     engine_decay_ms: 5000.0,
--- a/src/pcg.rs
+++ b/src/pcg.rs
@@ -1,4 +1,4 @@
-//! A permuted congruential generator (PCG-XSH-RR 64/32). The protocol supplies the seed.
+//! A permuted congruential generator (PCG-XSH-RR 64/32). The caller supplies the seed.
 
 /// A pseudorandom number generator. It is not cryptographically secure.
 #[derive(Debug, Clone, Default)]
--- a/src/peer_codec.rs
+++ b/src/peer_codec.rs
@@ -1,8 +1,8 @@
 //! The encoding of messages between dispatchers.
 //!
 //! A message has one byte for its kind, and three bytes per engine: a tag of two bytes, computed from the engine id,
-//! and the engine's low-lane threads in one byte. It is rare that engines share one of the 65,536 tags; an entry then
-//! applies to the first of them.
+//! and the engine's low-lane threads in one byte. Engines rarely share one of the 65,536 tags; if they do, an entry
+//! applies to the first of them in the engine table.
 
 /// Kind of a message with the sender's own low-lane threads.
 pub const OWN_LOAD: u8 = 0;
--- a/src/zone_plan.rs
+++ b/src/zone_plan.rs
@@ -15,9 +15,10 @@
 pub struct ZonePlan {
     /// Limits by zone. A zone that is not listed keeps the limits of the previous plan.
     pub zones: Vec<ZoneLimits>,
-    /// Limits on this dispatcher's threads per engine, each with the engine's number.
+    /// Limits on this dispatcher's threads per engine, each with the engine's number. An engine that is not listed
+    /// keeps the limit of the previous plan.
     pub engines: Vec<(u64, f64)>,
-    /// Ratio of retries in another zone than the previous attempt to retries in the same zone.
+    /// Number of cross-zone retries that each retry in the zone of the previous attempt allows.
     pub cross_zone_retry_ratio: f64,
     /// Whether this dispatcher is itself cut off from the engines. Low work is then rejected instead of being sent to
     /// engines that cannot answer.
