--- a/crates/coordination/src/config.rs
+++ b/crates/coordination/src/config.rs
@@ -4,13 +4,13 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct QuorumConfig {
     /// Leader lease (ms). A leader that a majority has not answered for this time steps down. A voter that has
-    /// received no message from a leader for this time may become a candidate.
+    /// received no message from a leader for this time, extended by the clock skew, may become a candidate.
     pub leader_lease_ms: f64,
     /// Maximum term of a restart lease or any other record that expires (ms).
     pub max_grant_ms: f64,
     /// Maximum difference in rate between two clocks, as a fraction.
     pub max_clock_skew: f64,
-    /// Retransmission interval of an unanswered message (ms).
+    /// Retransmission interval of an unanswered message, and interval between two heartbeats of a leader (ms).
     pub retransmit_ms: f64,
     /// Maximum time that a datagram is in flight (ms).
     pub max_datagram_delay_ms: f64,
--- a/crates/coordination/src/disruption_budget.rs
+++ b/crates/coordination/src/disruption_budget.rs
@@ -17,7 +17,8 @@
 pub struct Limit {
     /// Limit on the number of units.
     pub max_count: Option<u32>,
-    /// Limit as a fraction of all known units, rounded down to a whole number, at least one.
+    /// Limit as a fraction of the units in its scope (fleet, zone or version), rounded down to a whole number, at least
+    /// one.
     pub max_fraction: Option<f64>,
 }
 
@@ -127,9 +128,9 @@
     BudgetExhausted {
         /// The scope of the exhausted limit.
         scope: Scope,
-        /// Units that are unavailable.
+        /// Number of unavailable units in that scope.
         unavailable: usize,
-        /// Units that may be unavailable.
+        /// Maximum number of unavailable units in that scope.
         max_unavailable: usize,
     },
     /// The minimum interval since the last disruption has not passed; retry later.
@@ -206,7 +207,7 @@
     pub disruptions: &'a [Disruption],
     /// Time of the last granted disruption (ms).
     pub last_granted_ms: f64,
-    /// The observed load of all units, measured as [`Unit::capacity`] is.
+    /// The observed load of all units, on the scale of [`Unit::capacity`].
     pub load: f64,
 }
 
@@ -306,7 +307,7 @@
 
 /// The first limit that one more unavailable unit would exceed.
 fn exhausted_limit(unit: &Unit, budget: &DisruptionBudget, view: &FleetView) -> Option<Decision> {
-    // An unavailable unit is already part of the count.
+    // A unit that is already unavailable is part of `count.unavailable`.
     let additional = usize::from(unit.available);
     let scopes = [
         (Scope::Fleet, budget.fleet, view.count_all()),
--- a/crates/coordination/src/leadership.rs
+++ b/crates/coordination/src/leadership.rs
@@ -56,7 +56,7 @@
     next_heartbeat_ms: f64,
     /// The records that a majority accepted, by key.
     chosen: BTreeMap<u64, StoredRecord>,
-    /// Number of the last accept request that carries records active_records by the election.
+    /// Number of the last accept request that carries records recovered by the election.
     last_recovery_number: u32,
     /// Start of the leadership (ms).
     since_ms: f64,
@@ -115,7 +115,7 @@
         self.last_recovery_number = self.last_number;
     }
 
-    /// Whether a majority accepted all records that the election active_records.
+    /// Whether a majority accepted all records that the election recovered.
     pub(crate) fn is_recovered(&self) -> bool {
         !self
             .pending
@@ -184,7 +184,8 @@
         })
     }
 
-    /// Returns the accept requests due for transmission, with a message for each voter that has not accepted them.
+    /// Returns the accept requests that are due for transmission: one message for each voter that has not accepted the
+    /// request.
     pub(crate) fn due_accepts(
         &mut self,
         voters: &[Id],
--- a/crates/coordination/src/lib.rs
+++ b/crates/coordination/src/lib.rs
@@ -26,7 +26,7 @@
 //!   process stops.
 //! - A lease ends at its holder before the leader treats it as free.
 //! - A voter that lost its memory does not vote until every promise that it may have given has expired.
-//! - Every message fits [`codec::MAX_DATAGRAM_BYTES`], every table [`MAX_RECORDS`].
+//! - Every message fits in [`codec::MAX_DATAGRAM_BYTES`], and a table has at most [`MAX_RECORDS`] records.
 //!
 //! Entry points: [`QuorumNode::handle`] and [`QuorumNode::poll`].
 
--- a/crates/coordination/src/quorum_node.rs
+++ b/crates/coordination/src/quorum_node.rs
@@ -104,7 +104,8 @@
         }
     }
 
-    /// The leader, if it was in contact with this voter within the leader lease.
+    /// The leader, or the candidate to which this voter gave its last promise, if it was in contact with this voter
+    /// within the leader lease.
     pub fn leader(&self) -> Option<Id> {
         if matches!(self.state, State::Leader(_)) {
             return self.is_leader(self.now_ms).then_some(self.id);
@@ -151,8 +152,8 @@
         self.records.get(key).is_some()
     }
 
-    /// The record of a key, if it is or may still be in force. A record that the leader has ended is returned until a
-    /// majority has accepted the tombstone.
+    /// The record of a key, if it is or may still be in force. An expired record is returned until the leader ends it
+    /// by a tombstone, and a record that the leader has ended until a majority has accepted the tombstone.
     pub fn active(&self, key: u64) -> Option<LeasedRecord> {
         let stored = self.records.get(key);
         let chosen = self.chosen(key);
--- a/crates/coordination/src/quorum_node/replication.rs
+++ b/crates/coordination/src/quorum_node/replication.rs
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Expiry time of a proposal (ms). A tombstone expires no earlier than the record that it ends expires at any
+    /// Expiry time of a proposal (ms). A tombstone does not expire before the record that it ends has expired at every
     /// voter. A tombstone that is written again keeps its first expiry time.
     fn expiry_ms(&self, proposal: &Proposal) -> f64 {
         let skew_factor = 1.0 + self.config.max_clock_skew;
--- a/crates/coordination/src/record.rs
+++ b/crates/coordination/src/record.rs
@@ -57,7 +57,8 @@
         Ejected = 2,
         /// The unit disappeared without a lease, or did not return before its lease ended.
         Lost = 3,
-        /// The name service lists the unit as unavailable. Such a disruption cannot be rejected.
+        /// The name service lists the unit as unavailable. The leader writes no record with this reason: such a unit
+        /// counts as unavailable by [`crate::disruption_budget::Unit::available`].
         Announced = 4,
     }
 }
@@ -150,7 +151,7 @@
 }
 
 impl Record {
-    /// Key of the disruption of a dispatcher or an engine.
+    /// Key of the disruption of a dispatcher or an engine. It is never [`HALT_KEY`] or [`RELEASE_KEY`].
     pub fn unit_key(kind: UnitKind, id: Id) -> u64 {
         let salt = match kind {
             UnitKind::Dispatcher => DISPATCHER_KEY_SALT,
--- a/crates/coordination/src/voter.rs
+++ b/crates/coordination/src/voter.rs
@@ -34,9 +34,10 @@
 pub struct VoterStart {
     /// Whether the memory of past votes may be lost.
     pub memory: VoterMemory,
-    /// A round above all rounds that the voter may have forgotten, as far as it can be known (the wall clock in
-    /// seconds). Leases do not depend on it. Records that do not expire depend on it if a majority lost its memory
-    /// while the voters that kept theirs were unreachable.
+    /// The voter's first candidacy has a higher round than this. It should exceed every round that the voter may have
+    /// forgotten; callers pass the wall clock in seconds. The safety of leases does not depend on it. Records without
+    /// expiry depend on it in one case: if a majority lost its memory while the other voters were unreachable, a lower
+    /// round would let the older records of those voters replace newer records.
     pub round: u32,
     /// Seed of the random backoffs and nonces. Each start draws a new seed.
     pub seed: u64,
--- a/crates/coordination/tests/model_check.rs
+++ b/crates/coordination/tests/model_check.rs
@@ -42,7 +42,7 @@
     now_ms: f64,
     memory_losses: u8,
     stops: u8,
-    /// Maximum number of leases held at the same time.
+    /// Maximum number of leases held at the same time so far.
     max_holders: usize,
     grants: u8,
 }
