--- a/crates/rollout/src/record_copies.rs
+++ b/crates/rollout/src/record_copies.rs
@@ -23,8 +23,8 @@
 }
 
 impl RecordCopies {
-    /// Stores records. Of two records with one key, an unexpired record replaces an expired one; otherwise the later
-    /// record replaces the earlier one.
+    /// Stores records. Of two records with the same key, an unexpired record replaces an expired one; otherwise the
+    /// record with the higher stamp replaces the other.
     pub(crate) fn merge(&mut self, records: impl Iterator<Item = LeasedRecord>, now_ms: f64) {
         for leased in records {
             self.merge_record(leased, now_ms);
@@ -48,9 +48,9 @@
         };
         let existing_is_valid = now_ms < existing.expires_at_ms;
         let incoming_is_valid = now_ms < incoming.expires_at_ms;
-        let is_later = existing.record.stamp < incoming.record.stamp;
+        let has_higher_stamp = existing.record.stamp < incoming.record.stamp;
         if incoming_is_valid && !existing_is_valid
-            || incoming_is_valid == existing_is_valid && is_later
+            || incoming_is_valid == existing_is_valid && has_higher_stamp
         {
             *existing = incoming;
         }
--- a/crates/rollout/src/rollout_controller.rs
+++ b/crates/rollout/src/rollout_controller.rs
@@ -93,14 +93,14 @@
         now_ms: f64,
     ) -> bool {
         if !differs {
-            self.record_requests.record_equal(from);
+            self.record_requests.on_equal_records(from);
             return false;
         }
         let is_new_leader = node
             .leader_since_ms()
             .is_some_and(|since_ms| now_ms - since_ms < self.config.settle_ms);
         self.record_requests
-            .record_differing(from, is_new_leader, now_ms)
+            .on_differing_records(from, is_new_leader, now_ms)
     }
 
     /// Records a member's report.
@@ -170,7 +170,7 @@
             .evaluate(node, &self.fleet, &self.config, now_ms);
     }
 
-    /// Drops the state of another leadership, whose ticks do not count in this one.
+    /// Drops the state that belongs to the previous leadership. Members, reports and engines are kept.
     fn reset(&mut self, now_ms: f64) {
         self.progress = ReleaseProgress::default();
         // The previous leader may have granted a disruption immediately before the change.
--- a/crates/rollout/src/rollout_controller/disruption_upkeep.rs
+++ b/crates/rollout/src/rollout_controller/disruption_upkeep.rs
@@ -164,8 +164,8 @@
                 if is_present && present_at_ms > self.holder_end_ms(accepted_ms) {
                     return Some(Proposal::tombstone(key));
                 }
-                // The dispatcher may have stopped just before the lease ended, so it is not marked lost before this
-                // time.
+                // A dispatcher that stopped just before the lease ended may still be restarting, so it is not marked
+                // lost as soon as the lease ends.
                 let lost_after_ms = LOST_AFTER_TERMS * self.config.lease_term_ms;
                 let is_lost = !is_present && self.now_ms - accepted_ms >= lost_after_ms;
                 is_lost.then(|| disruption.marked_lost())
--- a/crates/rollout/src/rollout_controller/fleet_state.rs
+++ b/crates/rollout/src/rollout_controller/fleet_state.rs
@@ -29,7 +29,7 @@
 /// The outcome of [`FleetState::record_report`].
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum ReportUpdate {
-    /// The table is full, or a later report arrived before.
+    /// The table is full, or a more recent report arrived first.
     Ignored,
     /// The report is now the member's last one.
     Recorded {
@@ -62,7 +62,7 @@
         self.engines.sort_by_key(|unit| unit.id);
     }
 
-    /// Stores a member's report, unless a later one arrived before.
+    /// Stores a member's report, unless a more recent one arrived first.
     pub(super) fn record_report(&mut self, from: Id, received: ReceivedReport) -> ReportUpdate {
         if self.reports.len() >= MAX_MEMBERS && !self.reports.contains_key(&from) {
             return ReportUpdate::Ignored;
--- a/crates/rollout/src/rollout_controller/grants.rs
+++ b/crates/rollout/src/rollout_controller/grants.rs
@@ -11,7 +11,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct GrantRequest {
     pub(super) disruption: DisruptionRequest,
-    /// The session of the dispatcher that the disruption ends; 0 for engines.
+    /// The dispatcher's session that the disruption ends; 0 for engines.
     pub(super) session: u32,
     /// Time until the record expires (ms); `None`: it does not expire.
     pub(super) term_ms: Option<f64>,
@@ -25,7 +25,7 @@
 }
 
 impl DisruptionGrants {
-    /// The state after a grant for each kind of unit at `now_ms`.
+    /// The state as if a disruption of each kind of unit had been granted at `now_ms`.
     pub(super) fn granted_at(now_ms: f64) -> Self {
         DisruptionGrants {
             last_dispatcher_ms: now_ms,
--- a/crates/rollout/src/rollout_controller/record_requests.rs
+++ b/crates/rollout/src/rollout_controller/record_requests.rs
@@ -29,14 +29,19 @@
 }
 
 impl RecordRequests {
-    /// Records that a member's records equal the leader's.
-    pub(super) fn record_equal(&mut self, from: Id) {
+    /// Handles a report of a member whose records equal the leader's.
+    pub(super) fn on_equal_records(&mut self, from: Id) {
         self.differing_reports.remove(&from);
     }
 
-    /// Records that a member's records differ from the leader's, and returns whether to request them now. A new leader
-    /// requests them after the first such report.
-    pub(super) fn record_differing(&mut self, from: Id, is_new_leader: bool, now_ms: f64) -> bool {
+    /// Handles a report of a member whose records differ from the leader's, and returns whether to request them now. A
+    /// new leader requests them after the first such report.
+    pub(super) fn on_differing_records(
+        &mut self,
+        from: Id,
+        is_new_leader: bool,
+        now_ms: f64,
+    ) -> bool {
         let count = self.differing_reports.entry(from).or_insert(0);
         *count += 1;
         let is_due = *count >= REPORTS_UNTIL_REQUEST || is_new_leader;
--- a/crates/rollout/src/rollout_controller/release_progress.rs
+++ b/crates/rollout/src/rollout_controller/release_progress.rs
@@ -244,7 +244,7 @@
             .is_some_and(|since_ms| now_ms - since_ms >= plan.canary_observation_ms)
     }
 
-    /// Starts the pause when a zone is completed.
+    /// Updates the zone of the current wave, and starts the pause when a zone is completed.
     fn update_wave(&mut self, plan: &RolloutPlan, evaluation: &Evaluation, now_ms: f64) {
         let release = &evaluation.release;
         let zone = plan.current_zone(release, evaluation.participants);
@@ -294,7 +294,7 @@
     write_halt(node, reason, number, now_ms);
 }
 
-/// Returns a number for a halt, derived from the time and the release.
+/// Returns a number for a halt, derived from the time and the release, and never 0.
 fn halt_number(now_ms: f64, release_number: u32) -> u32 {
     /// 2^64 divided by the golden ratio, as in Fibonacci hashing.
     const MULTIPLIER: u64 = 0x9E37_79B9_7F4A_7C15;
--- a/crates/rollout/src/zone_coordinator/commands.rs
+++ b/crates/rollout/src/zone_coordinator/commands.rs
@@ -11,8 +11,8 @@
     EvacuationController, EvacuationError, Initiator, Reason, Stage, ZoneId, ZoneStatus,
 };
 
-/// Unit of the time from which the decision number of an operator's evacuation is derived (ms). Numbers derived from
-/// the time increase across restarts.
+/// Time per decision number (ms). The decision number of an operator's evacuation follows the clock, so that numbers
+/// increase across restarts.
 const DECISION_NUMBER_UNIT_MS: f64 = 100.0;
 
 impl ZoneCoordinator {
@@ -46,10 +46,10 @@
         now_ms: f64,
     ) -> Answer {
         let current = statuses.get(&zone);
-        let is_evacuated = current.is_some_and(|status| {
+        let evacuated_by_operator = current.is_some_and(|status| {
             status.stage == Stage::Evacuated && status.reason == Reason::Operator
         });
-        if is_evacuated {
+        if evacuated_by_operator {
             return when_chosen(node, zone);
         }
         let checked = self
--- a/crates/rollout/tests/rollout_controller.rs
+++ b/crates/rollout/tests/rollout_controller.rs
@@ -372,7 +372,7 @@
     };
     let mut node = voter(quorum_config, VoterMemory::MayBeLost);
     let mut controller = RolloutController::new(config(1, 1));
-    let query_status = |now_ms: f64, node: &mut QuorumNode, controller: &mut RolloutController| {
+    let get_status = |now_ms: f64, node: &mut QuorumNode, controller: &mut RolloutController| {
         while node.poll(now_ms).is_some() {}
         controller.evaluate(node, now_ms);
         controller.on_command(node, Command::Status, now_ms)
@@ -380,7 +380,7 @@
     let mut now_ms = START_MS;
     let settled_after_ms = loop {
         now_ms += 500.0;
-        if query_status(now_ms, &mut node, &mut controller) != Answer::NoLeader {
+        if get_status(now_ms, &mut node, &mut controller) != Answer::NoLeader {
             break now_ms - START_MS;
         }
     };
