--- a/crates/rollout/src/engine_outcomes.rs
+++ b/crates/rollout/src/engine_outcomes.rs
@@ -1,10 +1,10 @@
-//! Detection of a failing engine by the outcomes of one dispatcher's attempts. The dispatcher reports the engine; the
+//! Detects a failing engine from the outcomes of one dispatcher's attempts. The dispatcher reports the engine; the
 //! leader ejects it when enough dispatchers agree and the disruption budget allows it.
 
 use std::collections::BTreeMap;
 use tansymux_coordination::Id;
 
-/// Length of a counting interval (ms). Attempts of the current and the previous interval count.
+/// Length of a counting interval (ms). Attempts of the current and the previous interval are evaluated together.
 const INTERVAL_MS: f64 = 5000.0;
 /// Maximum number of engines whose outcomes are counted.
 const MAX_ENGINES: usize = 1024;
--- a/crates/rollout/src/fleet_node/messages.rs
+++ b/crates/rollout/src/fleet_node/messages.rs
@@ -200,7 +200,8 @@
     }
 }
 
-/// Whether a record stays in force until a tombstone ends it.
+/// Whether a record is restored without expiry. The record of a lost member that left has a term when it is first
+/// written; its value does not show that, so it is restored without expiry too.
 fn does_not_expire(value: &RecordValue) -> bool {
     match value {
         RecordValue::Halt { .. } | RecordValue::Release { .. } | RecordValue::Zone { .. } => true,
--- a/crates/rollout/src/lib.rs
+++ b/crates/rollout/src/lib.rs
@@ -15,8 +15,8 @@
 //!
 //! # Sources and differences
 //! - Rolling updates and disruption budgets as in Kubernetes (Deployment, PodDisruptionBudget). Differences: each
-//!   dispatcher is restarted by its own supervisor, under a lease; waves proceed zone by zone; an operator resumes a
-//!   halt by its number.
+//!   dispatcher is restarted by its own supervisor, under a lease; waves proceed zone by zone; an operator's command to
+//!   end a halt names the halt's number.
 //! - Leases and sessions after M. Burrows, "The Chubby lock service" (2006); see crates/coordination.
 //! - Canary analysis with Student's paired t test ("The probable error of a mean", 1908). The significance level is
 //!   divided among repeated evaluations, as in the alpha spending of Lan and DeMets (1983): the n-th evaluation uses
@@ -25,8 +25,8 @@
 //! # Invariants, checked in `tests/`
 //! - A lease is granted only once a majority has accepted it, and ends for its holder before it ends for the leader.
 //! - A lost member counts as unavailable until it rejoins or the operators forget it.
-//! - A halt stays in force until it is resumed by its number or the release is rolled back; no release continues
-//!   before.
+//! - A halt stays in force until an operator ends it by its number or rolls the release back. Until then no release
+//!   continues.
 //! - All tables, calls and queues are bounded.
 //!
 //! Start reading at [`FleetNode::poll`], then [`RolloutController::on_command`].
--- a/crates/rollout/src/member_agent.rs
+++ b/crates/rollout/src/member_agent.rs
@@ -13,7 +13,7 @@
 const REPORT_INTERVAL_MS: f64 = 1000.0;
 /// Width of the jitter range of the report interval, as a fraction of the mean interval.
 const REPORT_JITTER: f64 = 0.2;
-/// Time after which a known leader expires, unless gossip names it again (ms).
+/// Time after which a known leader expires, unless it sends gossip itself (ms).
 const LEADER_TIMEOUT_MS: f64 = 4000.0;
 
 /// The status of a dispatcher that its reports contain.
@@ -23,9 +23,9 @@
     pub zone: u32,
     /// The dispatcher's version.
     pub version: u32,
-    /// Fraction of the capacity that is in use.
+    /// Fraction of the dispatcher's capacity that is in use.
     pub utilization: f64,
-    /// Number of threads that the queries use.
+    /// Number of engine threads that the dispatcher's queries use.
     pub threads: f64,
     /// Number of requests that succeeded since the start.
     pub succeeded: u32,
@@ -60,6 +60,7 @@
 #[derive(Debug, Clone, Copy)]
 struct KnownLeader {
     id: Id,
+    /// When the leader itself last sent gossip, or another voter first named it (ms).
     named_at_ms: f64,
 }
 
@@ -135,7 +136,7 @@
         self.status = status;
     }
 
-    /// The leader, unless it has expired because gossip no longer names it.
+    /// The leader, unless it has expired because it no longer sends gossip.
     pub fn leader(&self, now_ms: f64) -> Option<Id> {
         self.leader
             .filter(|known| now_ms - known.named_at_ms < LEADER_TIMEOUT_MS)
@@ -160,8 +161,8 @@
         self.copies.halt()
     }
 
-    /// Merges records into the copies. Of two records with one key, an unexpired record replaces an expired one;
-    /// otherwise the later record replaces the earlier one.
+    /// Merges records into the copies. Of two records with the same key, an unexpired record replaces an expired one;
+    /// otherwise the record with the higher stamp replaces the other.
     pub fn merge(&mut self, records: impl Iterator<Item = LeasedRecord>, now_ms: f64) {
         self.copies.merge(records, now_ms);
     }
--- a/crates/rollout/src/message.rs
+++ b/crates/rollout/src/message.rs
@@ -19,9 +19,9 @@
     pub version: u32,
     /// The member's session, drawn at random at each start.
     pub session: u32,
-    /// Fraction of the capacity that is in use.
+    /// Fraction of the member's capacity that is in use.
     pub utilization: f32,
-    /// Number of threads that the queries use.
+    /// Number of engine threads that the member's queries use.
     pub threads: f32,
     /// Number of requests that succeeded since the start.
     pub succeeded: u32,
@@ -29,7 +29,7 @@
     pub total: u32,
     /// An engine that the member finds failing; 0: none.
     pub failing_engine: u64,
-    /// The last tick that arrived from the receiver of the report.
+    /// The last tick that arrived from the receiver of the report; 0: none.
     pub echoed_tick: u32,
     /// The restart lease under which the member was started; 0: none.
     pub grant_id: u64,
@@ -101,7 +101,7 @@
     EvacuateZone {
         /// The zone.
         zone: u32,
-        /// Whether to check only that the other zones can carry the load, without an evacuation.
+        /// Whether only to check that the other zones can carry the load, without evacuating the zone.
         dry_run: bool,
     },
     /// Returns to a zone, step by step.
@@ -150,13 +150,13 @@
         /// Time until a retry may succeed (ms).
         wait_ms: u32,
     },
-    /// The unit is unavailable by another disruption, or by one that is being ended.
+    /// Another disruption of the unit is on record, or the requested disruption is being ended.
     AlreadyOut {
         /// The reason on record.
         reason: DisruptionReason,
     },
-    /// The other units could not carry the load. Loads and capacities count threads for engines and zones, and whole
-    /// dispatchers for dispatchers.
+    /// The other units could not carry the load. For engines the load is in threads and the capacity in cores, for
+    /// zones both are in threads, and for dispatchers both are in multiples of one dispatcher's capacity.
     InsufficientCapacity {
         /// The observed load.
         load: f32,
@@ -169,7 +169,7 @@
     OthersFirst,
     /// The release pauses after a zone.
     PausedAfterZone,
-    /// No release has that target version.
+    /// No release has that target version or number, or the dispatcher has not reported its version.
     NoSuchRelease,
     /// The requested state is in force already.
     Already,
--- a/crates/rollout/src/quorum_records.rs
+++ b/crates/rollout/src/quorum_records.rs
@@ -1,4 +1,4 @@
-//! The quorum records that rollouts use: reading the halt and the release, and writing records as the leader.
+//! Reads the halt and the release from the quorum records, and writes records as the leader.
 
 use crate::message::Answer;
 use crate::rollout_plan::Release;
@@ -82,7 +82,7 @@
     }
 }
 
-/// Ends the record of `key` by a tombstone, which is not proposed again while it is pending.
+/// Ends the record of `key` by a tombstone. While the tombstone is pending, it is not proposed again.
 pub(crate) fn end_record(node: &mut QuorumNode, key: u64, now_ms: f64) -> Answer {
     if node.active(key).is_none() {
         return Answer::Done;
--- a/crates/rollout/src/restart_lease.rs
+++ b/crates/rollout/src/restart_lease.rs
@@ -13,7 +13,7 @@
 /// A request for a restart lease.
 #[derive(Debug, Clone)]
 pub struct LeaseRequest {
-    /// Keys of the fleet.
+    /// Keys that authenticate the datagrams.
     pub keys: Keys,
     /// The dispatcher; 0: the member that is called.
     pub dispatcher: Id,
--- a/crates/rollout/src/rollout_config.rs
+++ b/crates/rollout/src/rollout_config.rs
@@ -10,7 +10,7 @@
     pub dispatchers: DisruptionBudget,
     /// Disruption budget for engines.
     pub engines: DisruptionBudget,
-    /// Order of releases.
+    /// Canaries, waves and analysis of a release.
     pub plan: RolloutPlan,
     /// Term of a restart lease (ms): the time for a dispatcher to stop, start again and rejoin.
     pub lease_term_ms: f64,
--- a/crates/rollout/src/rollout_plan.rs
+++ b/crates/rollout/src/rollout_plan.rs
@@ -1,9 +1,9 @@
-//! The order of a rolling release: canaries, then one wave per zone.
+//! The order of the restarts in a rolling release: canaries, then one wave per zone.
 
 use crate::canary_analysis::AnalysisConfig;
 use tansymux_coordination::{Id, ReleaseStage};
 
-/// Configuration of the order of releases.
+/// Configuration of the canaries, waves and analysis of a release.
 #[derive(Debug, Clone, PartialEq, Default)]
 pub struct RolloutPlan {
     /// Number of canaries.
@@ -14,7 +14,7 @@
     pub continue_if_inconclusive: bool,
     /// Zones in the order of their waves. Zones that are not listed follow in ascending order of their numbers.
     pub zone_order: Vec<u32>,
-    /// Pause after a zone (ms).
+    /// Pause after the wave of a zone (ms).
     pub zone_pause_ms: f64,
     /// Maximum number of members lost since the start of a release; the release halts if more are lost.
     pub max_lost_members: usize,
@@ -76,10 +76,10 @@
     }
 }
 
-/// Reason for which a dispatcher may not restart for a release now.
+/// The reason why a dispatcher may not restart for a release now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum RestartRejected {
-    /// No release has that target version.
+    /// No release has that target version, or the dispatcher has not reported its version.
     #[error("no release has that target version")]
     NoSuchRelease,
     /// The dispatcher already has that version.
@@ -102,8 +102,8 @@
     pub to: u32,
 }
 
-/// Rank of a dispatcher in the selection of canaries: pseudo-random by the number of the release, and equal at every
-/// leader.
+/// Rank of a dispatcher in the selection of canaries: a pseudo-random value derived from the dispatcher's id and the
+/// number of the release, and hence the same at every leader.
 fn canary_rank(id: Id, release_number: u32) -> u64 {
     (id ^ u64::from(release_number))
         .wrapping_mul(0x9E37_79B9_7F4A_7C15)
