--- a/crates/dispatcher/src/config.rs
+++ b/crates/dispatcher/src/config.rs
@@ -70,7 +70,7 @@
     pub connection_settings: ConnectionSettings,
     /// Time (ms) for which an engine is warming up after its start; 0 by default.
     pub engine_warm_up_ms: f64,
-    /// Time (ms) from SIGTERM until every query is answered.
+    /// Time (ms) after SIGTERM by which every query is answered.
     pub shutdown_grace_ms: f64,
     /// Addresses for messages between dispatchers; `None` if dispatchers exchange no messages.
     pub peers: Option<PeerAddresses>,
--- a/crates/dispatcher/src/config/endpoints.rs
+++ b/crates/dispatcher/src/config/endpoints.rs
@@ -14,7 +14,7 @@
 pub struct PeerAddresses {
     /// The address on which this dispatcher receives messages.
     pub listen: SocketAddr,
-    /// The address of each other dispatcher.
+    /// Addresses of all dispatchers, including this dispatcher's, by dispatcher number.
     pub peers: Vec<SocketAddr>,
     /// Broadcast address of all other dispatchers.
     pub broadcast: Option<SocketAddr>,
--- a/crates/dispatcher/src/config/keys.rs
+++ b/crates/dispatcher/src/config/keys.rs
@@ -14,7 +14,7 @@
 pub const RESOLVER: &str = "resolver";
 /// Address on which this dispatcher receives messages from other dispatchers.
 pub const PEER_LISTEN: &str = "peer_listen";
-/// List of the other dispatchers' addresses.
+/// List of the addresses of all dispatchers, including this dispatcher's, by dispatcher number.
 pub const PEERS: &str = "peers";
 /// Broadcast address of all other dispatchers.
 pub const ALL_PEERS: &str = "peers_all";
--- a/crates/dispatcher/src/config/limits.rs
+++ b/crates/dispatcher/src/config/limits.rs
@@ -20,19 +20,20 @@
 const US_PER_MS: f64 = 1e3;
 /// Bytes in a megabyte.
 const BYTES_PER_MB: u32 = 1 << 20;
-/// Default connect timeout (ms): the protocol's example.
+/// Default connect timeout (ms): the value in the protocol's example.
 const DEFAULT_CONNECT_TIMEOUT_MS: f64 = 250.0;
-/// Default idle time (ms) after which an engine closes a connection: the protocol's example.
+/// Default idle time (ms) after which an engine closes a connection: the value in the protocol's example.
 const DEFAULT_IDLE_MS: f64 = 30_000.0;
-/// Default limit of attempts in flight on a connection: the protocol's example.
+/// Default limit of attempts in flight on a connection: the value in the protocol's example.
 const DEFAULT_STREAMS: f64 = 32.0;
-/// Fraction of the descriptor limit that connections from clients may use. The protocol lets them hold a third.
+/// Fraction of the descriptor limit that connections from clients may use. The protocol lets clients hold a third of
+/// the limit.
 const CLIENT_SOCKET_FRACTION: f64 = 0.5;
 /// Fraction of the descriptor limit that connections to engines may use.
 const ENGINE_SOCKET_FRACTION: f64 = 0.35;
-/// Descriptors that neither client nor engine connections may use: three standard streams, three for signal pipes,
-/// three of the event loop, the listener, two name service sockets (the current and the next), the sockets for peers
-/// and fleet, a file during a reload, and a reserve.
+/// Descriptors that neither client nor engine connections may use: three standard streams, five of the signal pipe (one
+/// read end, and a write end for each of four signals), three of the event loop, the listener, two name service sockets
+/// (the current and the next), the sockets for peers and fleet, a file during a reload, and a reserve.
 const RESERVED_SOCKETS: f64 = 20.0;
 /// Fraction of the memory limit that statements in flight may use.
 const STATEMENT_MEMORY_FRACTION: f64 = 0.2;
--- a/crates/dispatcher/src/lifecycle.rs
+++ b/crates/dispatcher/src/lifecycle.rs
@@ -8,9 +8,9 @@
 pub const ACCEPT_AFTER_SIGTERM_MS: f64 = 700.0;
 /// Time (ms) for which connections may still be open after the time by which all queries are answered.
 const FINAL_LINGER_MS: f64 = 250.0;
-/// Maximum grace period (ms) after SIGTERM. Before the platform kills the program, it waits for the longest deadline
-/// in the settings, but no longer than this.
-const MAX_GRACE_MS: f64 = 3000.0;
+/// Maximum (ms) by which the longest deadline prolongs the grace period after SIGTERM. Before the platform kills the
+/// program, it waits for the longest deadline in the settings, but no longer than this.
+const MAX_DEADLINE_GRACE_MS: f64 = 3000.0;
 /// Time (ms) before the platform's kill by which all queries are answered, so that the last answers are written in
 /// time.
 const LAST_WRITES_MS: f64 = 500.0;
@@ -18,7 +18,10 @@
 /// Returns the time (ms) after SIGTERM by which all queries are answered. `max_deadline_ms` is the longest deadline
 /// in the settings.
 pub fn shutdown_grace_ms(max_deadline_ms: Option<f64>) -> f64 {
-    max_deadline_ms.unwrap_or(MAX_GRACE_MS).min(MAX_GRACE_MS) + ACCEPT_AFTER_SIGTERM_MS
+    max_deadline_ms
+        .unwrap_or(MAX_DEADLINE_GRACE_MS)
+        .min(MAX_DEADLINE_GRACE_MS)
+        + ACCEPT_AFTER_SIGTERM_MS
         - LAST_WRITES_MS
 }
 
--- a/crates/dispatcher/src/signals.rs
+++ b/crates/dispatcher/src/signals.rs
@@ -34,9 +34,9 @@
 pub enum Signal {
     /// SIGTERM or SIGINT: drain and exit.
     Terminate,
-    /// SIGHUP: reload the configuration.
+    /// SIGHUP: reload the configuration and the operators' file.
     Reload,
-    /// SIGUSR1: write the most recent events to the log.
+    /// SIGUSR1: write the most recent trace events to the log.
     DumpTrace,
 }
 
