--- a/crates/dispatcher/examples/clock_shim.rs
+++ b/crates/dispatcher/examples/clock_shim.rs
@@ -21,7 +21,8 @@
 
 static ADJUSTMENTS: AtomicPtr<Adjustments> = AtomicPtr::new(std::ptr::null_mut());
 
-/// The file's numbers, which the first call maps; `None` if there is no file.
+/// Returns the numbers of the file, which the first call maps into memory. Returns `None` if the variable names no file
+/// or the file cannot be mapped.
 fn adjustments() -> Option<&'static Adjustments> {
     let cached = ADJUSTMENTS.load(Ordering::Acquire);
     // SAFETY: a pointer that is not null refers to a mapping of this length, which is never unmapped and only read
@@ -60,7 +61,7 @@
     (mapped != libc::MAP_FAILED).then_some(mapped.cast())
 }
 
-/// Replaces the C library's function.
+/// Replaces the C library's `clock_gettime`: reads the clock by the system call, and adjusts the reading.
 ///
 /// # Safety
 /// As for the C library's function, `to` must be valid for writing, or null.
@@ -81,13 +82,13 @@
 
 fn adjust(reading: &mut libc::timespec, adjustments: &Adjustments, clock: usize) {
     let stopped_at = adjustments.stopped_at[clock].load(Ordering::Relaxed);
-    let actual_ns = if stopped_at > 0 {
+    let base_ns = if stopped_at > 0 {
         stopped_at
     } else {
         reading.tv_sec * NANOS_PER_SECOND + reading.tv_nsec
     };
     let offset = adjustments.offsets[clock].load(Ordering::Relaxed);
-    let adjusted_ns = (actual_ns + offset).max(0);
+    let adjusted_ns = (base_ns + offset).max(0);
     reading.tv_sec = adjusted_ns / NANOS_PER_SECOND;
     reading.tv_nsec = adjusted_ns % NANOS_PER_SECOND;
 }
--- a/crates/dispatcher/src/clock.rs
+++ b/crates/dispatcher/src/clock.rs
@@ -1,7 +1,7 @@
 //! The program's clock, and the translation of wall clock times to it.
 //!
 //! All times in the program are times of [`Clock`]: milliseconds that advance with the monotonic clock and do not
-//! follow steps of the wall clock. [`WallClock`] translates each Unix time from outside once.
+//! follow steps of the wall clock. [`WallClock`] translates Unix times that other machines report.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
@@ -9,8 +9,8 @@
 const MAX_INSTANT_S: f64 = 1e9;
 /// Minimum change (ms) of the wall clock's offset that counts as a step; a smaller change is drift.
 const MIN_STEP_MS: f64 = 20.0;
-/// Maximum number of recorded offsets; each step adds one.
-const MAX_STEPS: usize = 16;
+/// Maximum number of recorded offsets. Each step adds an offset; the oldest offset is dropped.
+const MAX_OFFSETS: usize = 16;
 /// Maximum time (ms) by which another machine's clock may be ahead of this one's.
 const MAX_AHEAD_MS: f64 = 1000.0;
 
@@ -106,7 +106,7 @@
             *last_ms = offset_ms;
             return None;
         }
-        if self.offsets_ms.len() == MAX_STEPS {
+        if self.offsets_ms.len() == MAX_OFFSETS {
             self.offsets_ms.remove(0);
         }
         self.offsets_ms.push(offset_ms);
@@ -116,9 +116,9 @@
     /// Translates the Unix time of a past event.
     ///
     /// It is unknown whether a timestamp was taken before or after a step, so each offset gives a possible time. The
-    /// result is the latest possible time that is not in the future: a start time that is too late is safer than a
-    /// start time that is too early. A timestamp that is in the future by all offsets is from a clock that was stepped
-    /// before this program started, and counts as now.
+    /// result is the latest possible time that is not in the future: the program translates start times of engines, and
+    /// one that is too late is safer than one that is too early. A timestamp that is in the future by all offsets is
+    /// from a clock that was stepped before this program started, and counts as now.
     fn translate_past(&self, unix_ms: f64, now_ms: f64) -> f64 {
         let times = self.offsets_ms.iter().map(|offset_ms| unix_ms - offset_ms);
         let past = times.filter(|at_ms| *at_ms <= now_ms + MAX_AHEAD_MS);
--- a/crates/dispatcher/src/clock/tests.rs
+++ b/crates/dispatcher/src/clock/tests.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn drift_is_not_a_step_and_the_number_of_steps_is_bounded() {
+fn drift_is_not_a_step_and_the_number_of_recorded_offsets_is_bounded() {
     let mut offsets = stepped_by(&[]);
     for millis in 1..200 {
         assert_eq!(offsets.record(f64::from(millis)), None);
@@ -49,5 +49,5 @@
         let offset_ms = f64::from(step) * HOUR_MS;
         assert!(offsets.record(offset_ms).is_some());
     }
-    assert_eq!(offsets.offsets_ms.len(), MAX_STEPS);
+    assert_eq!(offsets.offsets_ms.len(), MAX_OFFSETS);
 }
