--- a/crates/dispatcher/src/dispatcher/reload.rs
+++ b/crates/dispatcher/src/dispatcher/reload.rs
@@ -2,7 +2,8 @@
 //! the other.
 //!
 //! Of the configuration, only `resolver` takes effect; the log names the other keys that changed. Of the operators'
-//! file, everything takes effect except most of `fleet`.
+//! file, everything takes effect except most keys of `fleet`:
+//! [`FleetService::reconfigure`](crate::subsystems::fleet::FleetService::reconfigure) lists those that do.
 
 use super::Dispatcher;
 use crate::config::{self, StartupConfig};
@@ -60,7 +61,7 @@
         match &self.subsystems.fleet {
             Some(fleet) => fleet.reconfigure(operator.fleet.as_ref()),
             None if operator.fleet.is_some() => {
-                tracing::warn!("operators' file defines a fleet, which needs a restart");
+                tracing::warn!("operators' file defines a fleet: a restart is needed to join it");
             }
             None => {}
         }
--- a/crates/dispatcher/src/fleet_client.rs
+++ b/crates/dispatcher/src/fleet_client.rs
@@ -31,8 +31,8 @@
     /// No operators' file was given, or the file has no `fleet`.
     #[error("the operators' file defines no fleet: --operator FILE must name a file that does")]
     NoFleet,
-    /// A required key of `fleet` is missing.
-    #[error("fleet: a required key is missing")]
+    /// A required key of `fleet` is missing or malformed.
+    #[error("fleet: a required key is missing or malformed")]
     Incomplete,
     /// `fleet.listen`, the member's address if `--member` is absent, is not an address with a port.
     #[error("fleet.listen is {value:?}, allowed is an address with a port")]
--- a/crates/dispatcher/src/statement_shape.rs
+++ b/crates/dispatcher/src/statement_shape.rs
@@ -12,7 +12,7 @@
     pub shape_id: u128,
     /// Class by the shape's features.
     pub class: Class,
-    /// Cost (ms of thread time) by the shape's features alone, without learned costs.
+    /// Cost (ms on one core) by the shape's features alone, without learned costs.
     pub cost_ms: f64,
 }
 
--- a/crates/dispatcher/src/subsystems/fleet.rs
+++ b/crates/dispatcher/src/subsystems/fleet.rs
@@ -2,7 +2,8 @@
 //! status, and drains the engines that the fleet takes out of service. The fleet's decisions are made in
 //! `tansymux-rollout` and `tansymux-coordination`.
 //!
-//! [`FleetService::run`] is the task that serves the socket. The dispatcher's event loop calls the other methods.
+//! [`FleetService::run`] is the task that serves the socket. The driver ([`crate::dispatcher`]) calls the other
+//! methods.
 //!
 //! | file | concern |
 //! | --- | --- |
@@ -47,8 +48,8 @@
 /// Error that prevents the start of the fleet service.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetStartError {
-    /// A required key of `fleet` is missing.
-    #[error("fleet: a required key is missing")]
+    /// A required key of `fleet` is missing or malformed.
+    #[error("fleet: a required key is missing or malformed")]
     Incomplete,
     /// `fleet.listen` is not an address with a port.
     #[error("fleet.listen is {value:?}, allowed is an address with a port")]
@@ -97,7 +98,7 @@
     /// `fleet.listen`.
     ///
     /// # Errors
-    /// A required key is missing, `fleet.listen` is invalid, or its address cannot be bound.
+    /// A required key is missing or malformed, `fleet.listen` is invalid, or its address cannot be bound.
     pub fn start(
         definition: Option<&schema::Fleet>,
         settings: &Rc<Settings>,
@@ -139,14 +140,16 @@
         reports.push(Box::new(move |text| self.write_counters(text)));
     }
 
-    /// Applies the keys of `fleet` that can change at run time. Changes of other keys take effect at the next start.
+    /// Applies the keys of `fleet` that can change at run time: those of the version, ejection, disruption budgets and
+    /// releases, the keys that sign datagrams, and zone evacuation if it was defined at the start. Changes of other
+    /// keys take effect at the next start.
     pub fn reconfigure(&self, definition: Option<&schema::Fleet>) {
         let Some(definition) = definition else {
             tracing::warn!("operators' file defines no fleet, keeping the previous definition");
             return;
         };
         let Some(config) = tansymux_operator_config::fleet_config(definition, 0) else {
-            tracing::warn!("fleet not reconfigured: a required key is missing");
+            tracing::warn!("fleet not reconfigured: a required key is missing or malformed");
             return;
         };
         self.failure_threshold.set(failure_threshold(definition));
@@ -256,7 +259,7 @@
     }
 
     /// Updates this dispatcher's status report every [`REPORT_INTERVAL_MS`]. Returns the endpoint entries of engines
-    /// that the fleet has drained or released since the last report.
+    /// that the fleet has drained, or whose drain it has ended, since the last report.
     pub fn tick(&self, now_ms: f64, load: LoadReport) -> Vec<EndpointEntry> {
         if now_ms - self.last_report_ms.get() < REPORT_INTERVAL_MS {
             return Vec::new();
--- a/crates/dispatcher/src/subsystems/fleet/definition.rs
+++ b/crates/dispatcher/src/subsystems/fleet/definition.rs
@@ -12,7 +12,7 @@
 /// Returns the configuration of this member. `zone_hash`: name hash of the local zone, or 0 without a local zone.
 ///
 /// # Errors
-/// A required key is missing.
+/// A required key is missing or malformed.
 pub(super) fn member_config(
     definition: &schema::Fleet,
     zone_hash: u32,
--- a/crates/dispatcher/src/subsystems/fleet/engine_watch.rs
+++ b/crates/dispatcher/src/subsystems/fleet/engine_watch.rs
@@ -63,7 +63,9 @@
         }
     }
 
-    /// Returns the endpoint entries of engines that the fleet has drained or released since the last call.
+    /// Returns the endpoint entries of engines that the fleet has drained, or whose drain it has ended, since the last
+    /// call. An entry of a drained engine still has the state of the endpoint list: [`EngineWatch::merge`] sets
+    /// `Draining` when the entry is applied as an endpoint list update.
     pub fn take_changes(&mut self, now_ms: f64, member: &FleetNode) -> Vec<EndpointEntry> {
         let mut drained = Vec::new();
         let mut changes = Vec::new();
@@ -79,8 +81,8 @@
                 changes.push(endpoint.clone());
             }
             if was_drained && !is_drained {
-                tracing::info!(engine_id = %EngineId(engine_id), "engine released by the fleet");
-                // With a new start time, every dispatcher applies the same warm-up rule to the engine.
+                tracing::info!(engine_id = %EngineId(engine_id), "engine no longer drained by the fleet");
+                // The engine counts as started now, so that every dispatcher applies the same warm-up rule to it.
                 changes.push(EndpointEntry {
                     started_ms: Some(now_ms),
                     ..endpoint.clone()
--- a/crates/dispatcher/src/subsystems/service_levels/resident_memory.rs
+++ b/crates/dispatcher/src/subsystems/service_levels/resident_memory.rs
@@ -4,7 +4,7 @@
 
 /// Interval (ms) between reads of `/proc/self/statm`.
 const READ_INTERVAL_MS: f64 = 2000.0;
-/// Size (bytes) of a page, in which the kernel counts resident memory.
+/// Size (bytes) of a memory page, the unit of resident memory in `/proc/self/statm`.
 const PAGE_BYTES: f64 = 4096.0;
 
 /// Last reading of resident memory.
--- a/crates/dispatcher/src/subsystems/statement_classifier.rs
+++ b/crates/dispatcher/src/subsystems/statement_classifier.rs
@@ -139,7 +139,8 @@
             .is_some_and(|active| active.path.as_deref() == Some(path))
     }
 
-    /// Classifies the statement of a query that names no class. Returns `None` while this classification is off.
+    /// Classifies the statement of a query that names no class. Returns `None` while the classifier is off, or if the
+    /// operators' file assigns no resource groups to classes.
     pub fn classify(&self, statement: &[u8], now_ms: f64) -> Option<ClassifiedStatement> {
         let mut active = self.active.borrow_mut();
         let active = active.as_mut()?;
--- a/crates/dispatcher/src/subsystems/statement_classifier/warm_up.rs
+++ b/crates/dispatcher/src/subsystems/statement_classifier/warm_up.rs
@@ -1,4 +1,4 @@
-//! Start times of engines, by which executions on an engine that is warming up are recognized.
+//! Start times of engines, to recognize executions on an engine that is warming up.
 
 use crate::query_registry::EndpointEntry;
 use rustc_hash::FxHashMap;
