--- a/crates/dispatcher/src/counters.rs
+++ b/crates/dispatcher/src/counters.rs
@@ -113,9 +113,9 @@
     local_connect_faults: "connects_failed_here",
     /// Connections to engines that waited for a descriptor at the limit of open connections.
     waits_for_descriptor: "connections_waited",
-    /// Attempts begun. Equals the sum of the ended attempts over all outcomes, and of the attempts in flight.
+    /// Attempts begun. Equals the number of ended attempts, summed over all outcomes, plus the attempts in flight.
     attempts: "submissions",
-    /// Reports that an attempt ended that was not in flight. The engine side should never send one.
+    /// Outcomes that the engine side reported for attempts that were not in flight. It should never report one.
     ends_ignored: "ends_ignored",
     /// Health checks that the admission controller requested.
     health_checks: "probes",
--- a/crates/dispatcher/src/dispatcher.rs
+++ b/crates/dispatcher/src/dispatcher.rs
@@ -67,7 +67,7 @@
     max_descriptors: f64,
     /// The tasks that run concurrently with the driver. Dropping a task cancels it.
     tasks: Vec<Task<()>>,
-    /// Time (ms) from SIGTERM until every query is answered.
+    /// Time (ms) after SIGTERM by which every query is answered.
     shutdown_grace_ms: f64,
     /// The configuration file as read at startup. A reload compares the new content with it.
     startup_source: Value,
@@ -76,7 +76,7 @@
     resolver: Rc<Cell<Option<SocketAddr>>>,
     /// Flags, which override the operators' file.
     common: GlobalArgs,
-    /// Time (ms) at which the admission controller requested its next round; infinite if it requested none.
+    /// Time (ms) of the next round that the admission controller requested; infinite if it requested none.
     timer_ms: f64,
 }
 
--- a/crates/dispatcher/src/dispatcher/decision_sink.rs
+++ b/crates/dispatcher/src/dispatcher/decision_sink.rs
@@ -69,8 +69,8 @@
     fn watch_endpoints(&mut self) {}
 }
 
-/// Reports an answer to the service levels, if the query is not answered yet. Must be called before the query is
-/// answered.
+/// Reports an answer to the service levels, unless the query is already answered or its client has disconnected. Must
+/// be called before the query is answered.
 pub(super) fn record_answer(
     registry: &QueryRegistry,
     levels: &ServiceLevels,
--- a/crates/dispatcher/src/dispatcher/event_feed.rs
+++ b/crates/dispatcher/src/dispatcher/event_feed.rs
@@ -151,7 +151,7 @@
                 query_id,
                 attempt = attempt.number,
                 %cause,
-                "end of an attempt that is not in flight ignored"
+                "outcome ignored: the attempt is not in flight"
             );
             return;
         }
--- a/crates/dispatcher/src/dispatcher/start_retry.rs
+++ b/crates/dispatcher/src/dispatcher/start_retry.rs
@@ -26,8 +26,8 @@
         }
     }
 
-    /// Runs `operation` until it succeeds, fails permanently, or the next retry would exceed the time limit. The log
-    /// calls the operation `step`.
+    /// Runs `operation` until it succeeds, fails permanently, or the next retry would exceed the time limit. `step`
+    /// names the operation in the log.
     ///
     /// # Errors
     /// The error of the last try.
@@ -40,7 +40,7 @@
                         step,
                         %error,
                         retry_after_ms = backoff.as_millis(),
-                        "address not bound or resource short, trying again"
+                        "address not bound or resource exhausted, retrying"
                     );
                     thread::sleep(backoff);
                     backoff = (2 * backoff).min(MAX_BACKOFF);
--- a/crates/dispatcher/src/dispatcher/startup.rs
+++ b/crates/dispatcher/src/dispatcher/startup.rs
@@ -31,8 +31,8 @@
 use tansymux::settings::{Settings, SettingsError};
 use tansymux_operator_config::Operator;
 
-/// Salt of the seed for the hash key of shapes, which makes the key independent of other random numbers from that
-/// seed.
+/// Salt that is mixed into the seed for the hash key of shapes, so that the key is independent of other random numbers
+/// from that seed.
 const SHAPE_KEY_SALT: u64 = 0x5DEE_CE66_D1CE_B00C;
 
 /// An error that ends the startup.
@@ -122,7 +122,7 @@
 }
 
 impl Launcher {
-    /// Starts the program's clock, without spawning a task.
+    /// Starts the program's clock and creates the query registry. Spawns no task.
     fn new(
         config: &StartupConfig,
         settings: &Settings,
--- a/crates/dispatcher/src/notify.rs
+++ b/crates/dispatcher/src/notify.rs
@@ -7,8 +7,8 @@
 use std::task::{Context, Poll, Waker};
 
 /// A notification for one task. It is stored until the task waits for it; several pending notifications become one.
-/// Only one task may wait for a `Notify`, as holds for this program: of two waiting tasks, only the last would be
-/// woken.
+/// At most one task may wait for a `Notify`: of two waiting tasks, only the last would be woken. In this program, each
+/// `Notify` has one waiting task.
 #[derive(Default)]
 pub struct Notify {
     is_notified: Cell<bool>,
--- a/crates/dispatcher/src/operator_config/settings_check.rs
+++ b/crates/dispatcher/src/operator_config/settings_check.rs
@@ -29,7 +29,7 @@
     },
     /// Statements that may write would run in a group whose queries may be retried.
     #[error(
-        "{key} is {name:?} with the effect {effect:?}, allowed is a group of mutating queries"
+        "{key} is {name:?} with the effect {effect:?}, allowed is a group of non-idempotent queries"
     )]
     NotMutating {
         /// Path of the key.
@@ -83,7 +83,7 @@
         let mut names = Vec::new();
         if let Some(enter) = &level.enter {
             for term in enter.all.iter().chain(&enter.any) {
-                // `of` names a zone for this signal, and a group for all others.
+                // `of` names a zone for this signal, and a group for all other signals that have it.
                 if term.signal() != Pressed {
                     names.extend(term.of.as_deref());
                 }
