--- a/crates/dispatcher/src/client/answer_writer.rs
+++ b/crates/dispatcher/src/client/answer_writer.rs
@@ -53,7 +53,8 @@
         }
     }
 
-    /// Writes a result as one JSON list with the rows of all pages. The pages are not copied into one buffer.
+    /// Writes a result as a JSON object whose `data` is one list with the rows of all pages. The pages are not copied
+    /// into one buffer.
     async fn result(
         &self,
         permit: AnswerPermit,
--- a/crates/dispatcher/src/client/connection_table.rs
+++ b/crates/dispatcher/src/client/connection_table.rs
@@ -13,8 +13,8 @@
 const SLOW_FIRST_REQUEST_MS: f64 = 500.0;
 /// A new connection is not evicted within this time (ms) after it was accepted.
 const NEW_CONNECTION_GRACE_MS: f64 = 100.0;
-/// A half-closed connection is not evicted within this time (ms), so that its client can receive the last answer. By
-/// the protocol, a request may still be in transit for this time when the connection closes.
+/// A half-closed connection is not evicted within this time (ms) after the half-close, so that its client can receive
+/// the last answer. By the protocol, a request may still be in transit for this time when the connection closes.
 const CLOSE_GRACE_MS: f64 = 50.0;
 
 /// The state of a client connection.
@@ -24,9 +24,9 @@
     New,
     /// A request is being answered.
     Active,
-    /// The last request was answered; no byte of the next one has arrived.
+    /// The last request was answered; the next one has not arrived completely.
     Idle,
-    /// Half-closed after the last answer; further bytes are discarded.
+    /// Half-closed by this side; bytes that the client still sends are discarded.
     Closing,
 }
 
@@ -128,7 +128,7 @@
         self.released.notify();
     }
 
-    /// Requests that each connection closes as soon as no answer is owed on it.
+    /// Requests each connection to close as soon as no answer is owed on it.
     pub fn close_idle(&self) {
         for (_, entry) in self.entries.borrow().iter() {
             entry.close.notify();
--- a/crates/dispatcher/src/client/http.rs
+++ b/crates/dispatcher/src/client/http.rs
@@ -83,7 +83,7 @@
 /// Parses the head at the start of `bytes`. Returns `None` while the head is incomplete.
 ///
 /// # Errors
-/// The head is malformed, too long, or uses an unsupported feature.
+/// The head is malformed or too long, announces a body that is too long, or uses an unsupported feature.
 pub fn parse(bytes: &[u8]) -> Result<Option<Head<'_>>, RequestError> {
     let skipped = bytes
         .iter()
@@ -189,7 +189,7 @@
     Ok(())
 }
 
-/// Parses the value of a `Content-Length`: digits only, where `parse` alone would accept a sign.
+/// Parses the value of a `Content-Length`. Only digits are allowed; `str::parse` alone would accept a plus sign.
 fn parse_length(value: &str) -> Result<usize, RequestError> {
     let malformed = RequestError::MalformedContentLength;
     if value.is_empty() || !value.bytes().all(|byte| byte.is_ascii_digit()) {
--- a/crates/dispatcher/src/client/inbound.rs
+++ b/crates/dispatcher/src/client/inbound.rs
@@ -17,8 +17,9 @@
 /// An idle connection is closed after this time (ms). Clients usually close idle connections after 4 s, so by then the
 /// client has failed or sends no more requests.
 const IDLE_TIMEOUT_MS: f64 = 20_000.0;
-/// Maximum time (ms) from a request's first byte to its last; for a connection's first request, from the accept. This
-/// bounds slow clients. Deadlines of queries are not affected, since they count from the last byte.
+/// Maximum time (ms) from a request's first byte to its last. For a connection's first request, the time counts from
+/// the accept; for a request that began to arrive before the previous answer, from that answer. This bounds slow
+/// clients. Deadlines of queries are not affected, since they count from the last byte.
 const REQUEST_TIMEOUT_MS: f64 = 2400.0;
 /// During shutdown, how long (ms) after its accept a connection stays open for the first byte of its first request.
 const FIRST_REQUEST_TIMEOUT_MS: f64 = 500.0;
@@ -36,7 +37,7 @@
 enum WaitOutcome {
     Received,
     TimedOut,
-    /// The client closed or reset its side.
+    /// The client closed its side. A reset is returned as an error instead.
     Disconnected,
     /// The connection should close: its table entry is needed, or the program is shutting down.
     CloseRequested,
@@ -46,7 +47,7 @@
 pub enum ReadOutcome {
     /// Parse again: more bytes have arrived, or the time limits have changed.
     Continue,
-    /// The client closed or reset its side.
+    /// The client closed its side. A reset is returned as an error instead.
     Disconnected,
     /// No byte of a request has arrived, and the connection should close.
     Close(ClientCloseReason),
@@ -168,8 +169,8 @@
         }
     }
 
-    /// Waits for bytes, for a request to close the connection, or until `until_ms`. Bytes are polled first, so they
-    /// take precedence over the other two.
+    /// Waits until bytes arrive, the entry's `close` is notified, or `until_ms` has passed. Bytes are polled first, so
+    /// they take precedence over the other two.
     async fn wait_for_bytes(&mut self, until_ms: f64) -> io::Result<WaitOutcome> {
         let deadline = self.frontend.clock.instant(until_ms);
         let entry = self.entry;
@@ -195,9 +196,9 @@
 
     // ---- While a query is in flight ----
 
-    /// Waits until the client has disconnected. Bytes that arrive meanwhile are buffered for the next requests, up to a
-    /// limit. Beyond the limit nothing is read, and a disconnect is detected only once the kernel has received all
-    /// bytes before it.
+    /// Waits until the client has closed or reset the connection. Bytes that arrive meanwhile are buffered for the next
+    /// requests, up to a limit. Beyond the limit nothing is read, and a disconnect is detected only once the kernel has
+    /// received all bytes before it.
     pub async fn wait_for_disconnect(&mut self) {
         loop {
             if self.buffer.len() >= MAX_READ_AHEAD_BYTES || self.buffer.is_over_quota() {
--- a/crates/dispatcher/src/client/mod.rs
+++ b/crates/dispatcher/src/client/mod.rs
@@ -105,7 +105,8 @@
         self.table.count()
     }
 
-    /// Number of threads that spilled into each zone, for the zones page.
+    /// Zone names, and the number of low-lane threads that spilled into each, for the zones page. The caller keeps them
+    /// up to date.
     pub fn spilled_threads(&self) -> &RefCell<Vec<(String, f64)>> {
         &self.pages.spilled_threads
     }
--- a/crates/dispatcher/src/client/protocol.rs
+++ b/crates/dispatcher/src/client/protocol.rs
@@ -93,13 +93,13 @@
     MethodNotAllowed = 405,
     /// The request was not complete in time.
     RequestTimeout = 408,
-    /// The query's id is in flight or was used before.
+    /// A query with the same id is in flight, or was submitted to an engine before.
     Conflict = 409,
     /// The statement is too long.
     ContentTooLarge = 413,
     /// The query was rejected, and may be retried.
     TooManyRequests = 429,
-    /// The head is too long.
+    /// The head is too long, or has too many fields.
     HeaderFieldsTooLarge = 431,
     /// The query failed.
     InternalServerError = 500,
--- a/crates/dispatcher/src/client/reader.rs
+++ b/crates/dispatcher/src/client/reader.rs
@@ -146,7 +146,7 @@
     }
 
     /// Whether the total size of all buffers exceeds its limit, and this buffer is larger than an even share of that
-    /// limit. Small requests are always below an even share.
+    /// limit. Connections that buffer less than an even share are not affected.
     pub fn is_over_quota(&self) -> bool {
         let reader = self.reader;
         let even_share = reader.max_buffered_bytes / reader.max_connections.max(1);
--- a/crates/dispatcher/src/client/request.rs
+++ b/crates/dispatcher/src/client/request.rs
@@ -48,7 +48,8 @@
     /// so that they do not affect what the admission controller learns.
     ///
     /// # Errors
-    /// A field is missing, malformed or outside the limits; the first such field is reported.
+    /// A field is missing, malformed or outside the limits, the resource group or the tenant is unknown, or the
+    /// statement is not text. The first error found is returned.
     pub fn parse(
         limits: &'a AdmissionLimits,
         head: &Head<'a>,
@@ -56,12 +57,12 @@
         received_ms: f64,
     ) -> Result<Self, RequestError> {
         let id = parse_id(head.id)?;
-        let wait_ms = parse_estimate(head.wait_ms, limits.max_wait_ms)
+        let wait_ms = parse_number(head.wait_ms, limits.max_wait_ms)
             .filter(|ms| *ms >= MIN_WAIT_MS)
             .ok_or(RequestError::InvalidField(RequestField::WaitMs))?;
-        let cost_ms = parse_estimate(head.cost_ms, limits.max_cost_ms)
+        let cost_ms = parse_number(head.cost_ms, limits.max_cost_ms)
             .ok_or(RequestError::InvalidField(RequestField::CostMs))?;
-        let memory_mb = parse_estimate(head.memory_mb, limits.max_memory_mb)
+        let memory_mb = parse_number(head.memory_mb, limits.max_memory_mb)
             .ok_or(RequestError::InvalidField(RequestField::MemoryMb))?;
         let keys = parse_keys(head)?;
         let named_group = parse_group(limits, head.path)?;
@@ -81,7 +82,8 @@
         })
     }
 
-    /// Analyses the statement, if the operators' file enables the analysis.
+    /// Analyses the statement, if the operators' file enables the analysis. If the path names a resource group, the
+    /// analysis checks the statement against it, instead of choosing a group and estimating the cost.
     pub fn classify(&self, classifier: &StatementClassifier) -> Option<ClassifiedStatement> {
         match self.named_group {
             Some(group) => classifier.check(group, self.id, self.statement),
@@ -149,7 +151,7 @@
 }
 
 /// Parses a number from 0 to `max`; 0 if the field is missing, `None` if it is invalid.
-fn parse_estimate(value: Option<&str>, max: f64) -> Option<f64> {
+fn parse_number(value: Option<&str>, max: f64) -> Option<f64> {
     let Some(value) = value else {
         return Some(0.0);
     };
--- a/crates/dispatcher/src/client/session.rs
+++ b/crates/dispatcher/src/client/session.rs
@@ -2,8 +2,8 @@
 //! next is parsed.
 //!
 //! The state of the connection is in its [`Entry`] of the connection table: `New` until a request is complete, `Active`
-//! while it is answered, `Idle` until the next one begins, `Closing` once it is half-closed. Start reading at
-//! [`Session::run`].
+//! while it is answered, `Idle` until the next one is complete, `Closing` once the connection is half-closed. Start
+//! reading at [`Session::run`].
 
 use super::answer_writer::AnswerWriter;
 use super::connection_table::{ConnectionState, Entry};
@@ -91,7 +91,8 @@
     }
 
     async fn serve(&mut self) -> io::Result<ConnectionEnd> {
-        // Without TCP_NODELAY only latency increases; a broken connection is detected at the next read.
+        // The error is ignored: without TCP_NODELAY only latency increases, and a broken connection is detected at the
+        // next read.
         let _ = self.stream.get_ref().set_nodelay(true);
         loop {
             let buffer = self.inbound.buffer();
--- a/crates/dispatcher/src/client/status_pages.rs
+++ b/crates/dispatcher/src/client/status_pages.rs
@@ -27,7 +27,8 @@
     pub levels: Rc<ServiceLevels>,
     /// The zones.
     pub zones: Rc<ZoneRouting>,
-    /// Zone names, and the number of threads that spilled into each, as last counted by the admission controller.
+    /// Zone names, and the number of low-lane threads that spilled into each, as last counted by the admission
+    /// controller.
     pub spilled_threads: RefCell<Vec<(String, f64)>>,
 }
 
@@ -37,7 +38,7 @@
         subsystems::counters(&self.registry, &self.classifier, &self.levels, &self.zones)
     }
 
-    /// The service levels as JSON. If the client names the version `after`, waits for a change since then.
+    /// The service levels as JSON. If `after` is a version, waits first until the version differs from it.
     pub async fn levels(&self, after: Option<&str>, phase: &Cell<FrontendPhase>) -> String {
         if let Some(after) = after.and_then(|after| after.parse().ok()) {
             self.wait_for_level_change(after, phase).await;
@@ -45,8 +46,9 @@
         self.levels.to_json(self.clock.now()).to_string()
     }
 
-    /// Waits until the service levels have another version than `after`, for at most [`service_levels::MAX_WATCH_MS`]
-    /// and only while queries are served. Returns immediately if [`service_levels::MAX_WATCHERS`] requests wait.
+    /// Waits until the version of the service levels differs from `after`, for at most
+    /// [`service_levels::MAX_WATCH_MS`] and only while queries are served. Returns immediately if
+    /// [`service_levels::MAX_WATCHERS`] requests are waiting already.
     async fn wait_for_level_change(&self, after: u64, phase: &Cell<FrontendPhase>) {
         let until_ms = self.clock.now() + service_levels::MAX_WATCH_MS;
         let watchers = &self.levels.watchers;
@@ -63,7 +65,7 @@
         watchers.set(watchers.get() - 1);
     }
 
-    /// The zones as JSON, with the threads that spilled into each.
+    /// The zones as JSON, with the number of low-lane threads that spilled into each.
     pub fn zones(&self) -> String {
         let spilled_threads = self.spilled_threads.borrow();
         let spilled_into = |name: &str| {
