--- a/crates/dispatcher/src/discovery/directory.rs
+++ b/crates/dispatcher/src/discovery/directory.rs
@@ -48,7 +48,7 @@
 }
 
 impl EndpointDirectory {
-    /// Returns the number of an engine, derived from its id alone: see [`EngineIds::assign`].
+    /// Returns the number of an engine, derived from its id: see [`EngineIds::assign`].
     pub fn engine_id(&mut self, id: &str) -> u64 {
         self.engine_ids.assign(id)
     }
@@ -149,7 +149,8 @@
         }))
     }
 
-    /// Returns the endpoint list entries of an answer, without duplicates and superseded engines.
+    /// Returns the endpoint list entries of an answer, without duplicates and superseded engines. SRV records whose
+    /// target has no zone label are skipped.
     fn entries_of(&mut self, answer: &Answer) -> Vec<EndpointEntry> {
         let mut entries = Vec::new();
         for srv in &answer.srv {
@@ -171,8 +172,8 @@
     }
 
     /// Applies known drains and departures to the entries of an answer that may be stale: an engine that was reported
-    /// as draining or gone stays so unless it has restarted. If no engine would be ready then, the entries stay
-    /// unchanged.
+    /// as draining or gone stays so unless it has restarted. If none of the answer's ready engines would stay ready,
+    /// the entries are left unchanged.
     fn keep_drains_and_departures(&self, entries: &mut Vec<EndpointEntry>) {
         let is_ready = |entry: &EndpointEntry| entry.state == EndpointState::Ready;
         let is_draining_or_departed =
--- a/crates/dispatcher/src/discovery/engine_ids.rs
+++ b/crates/dispatcher/src/discovery/engine_ids.rs
@@ -1,5 +1,5 @@
-//! Assigns numbers to engines. A number is derived from the engine's id alone, so that all dispatchers assign the
-//! same one.
+//! Assigns numbers to engines. A number is a hash of the engine's id, so that all dispatchers assign the same one. Only
+//! if two hashes collide does a number also depend on the order of assignment.
 
 use rustc_hash::{FxHashMap, FxHashSet};
 
@@ -35,7 +35,7 @@
         self.assigned.retain(|engine_id| is_kept(*engine_id));
     }
 
-    /// Returns the number of ids and of engine numbers in use.
+    /// Returns how many ids and how many engine numbers are in use.
     #[cfg(test)]
     pub fn counts(&self) -> (usize, usize) {
         (self.engine_ids.len(), self.assigned.len())
--- a/crates/dispatcher/src/discovery/list_version.rs
+++ b/crates/dispatcher/src/discovery/list_version.rs
@@ -78,8 +78,8 @@
         answer.query <= self.query
     }
 
-    /// Returns whether a contradicting answer confirms the previous one. Otherwise the answer is kept, to be
-    /// confirmed by a later one.
+    /// Returns whether a contradicting answer confirms the unconfirmed one. If not, the one to the later query is kept,
+    /// to be confirmed by the answer to an even later query.
     pub fn confirm(&mut self, answer: AnswerVersion) -> bool {
         match self.unconfirmed {
             Some(first) if first.is_confirmed_by(&answer) => true,
--- a/crates/dispatcher/src/discovery/mod.rs
+++ b/crates/dispatcher/src/discovery/mod.rs
@@ -34,7 +34,7 @@
 const MAX_ANSWER_BYTES: usize = 64 * 1024;
 /// Number of most recent queries whose answers are accepted.
 const MAX_OPEN_QUERIES: u64 = 20;
-/// Number of consecutive queries without a usable answer after which another socket is opened: a middlebox may have
+/// Number of consecutive queries without a usable answer after which a new socket is opened: a middlebox may have
 /// dropped the mapping of the old socket.
 const MAX_UNANSWERED_QUERIES: u32 = 8;
 
--- a/crates/dispatcher/src/discovery/records.rs
+++ b/crates/dispatcher/src/discovery/records.rs
@@ -27,7 +27,7 @@
 }
 
 /// Returns the endpoint list entry of an SRV record. `started_ms` is Unix time, as announced. An address or kind that
-/// is missing from the answer is copied from `known`, the engine's current entry.
+/// is missing from the answer is copied from `known`, the engine's current entry; a missing cell becomes 0.
 pub fn entry_of(
     answer: &Answer,
     srv: &Srv,
--- a/crates/dispatcher/src/discovery/tests.rs
+++ b/crates/dispatcher/src/discovery/tests.rs
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn a_silent_name_service_is_queried_from_another_socket() {
+fn a_silent_name_service_is_queried_from_a_new_socket() {
     // After two answers, no answer reaches the first socket any more.
     let first_socket = Cell::new(None);
     let respond = move |id: u16, index: usize, from: SocketAddr| {
