--- a/crates/dispatcher/src/query_registry/guarding.rs
+++ b/crates/dispatcher/src/query_registry/guarding.rs
@@ -1,4 +1,4 @@
-//! The registry's interface to the guard: passes the state of a query whose attempt is about to begin to the guard, and
+//! The registry's interface to the guard: before an attempt begins, passes the state of its query to the guard, and
 //! records refusals and violations.
 
 use super::{Query, QueryRegistry};
@@ -28,7 +28,7 @@
     pub connection: ConnectionId,
     /// Time at which the attempt is abandoned.
     pub deadline_ms: f64,
-    /// Latest time at which the attempt may begin.
+    /// Time before which the attempt must begin.
     pub start_by_ms: f64,
 }
 
--- a/crates/dispatcher/src/query_registry/messages.rs
+++ b/crates/dispatcher/src/query_registry/messages.rs
@@ -11,7 +11,7 @@
 /// An entry of the endpoint list.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EndpointEntry {
-    /// Id of the engine, a hash of its name.
+    /// Number of the engine, derived from its id in the endpoint list.
     pub engine_id: u64,
     /// Address of the engine, if the list contains it.
     pub address: Option<SocketAddr>,
@@ -21,7 +21,7 @@
     pub zone: String,
     /// Number of its cell.
     pub cell: u32,
-    /// Whether the engine accepts queries.
+    /// Whether the engine is ready, draining or gone.
     pub state: EndpointState,
     /// Time (ms) at which its process started, if the list contains it.
     pub started_ms: Option<f64>,
--- a/crates/dispatcher/src/query_registry/mod.rs
+++ b/crates/dispatcher/src/query_registry/mod.rs
@@ -41,7 +41,7 @@
     events: RefCell<VecDeque<Event>>,
     commands: RefCell<VecDeque<EngineCommand>>,
     guard: Guard,
-    /// The last events of queries.
+    /// The most recent trace events of queries and attempts.
     pub trace: EventTrace,
 }
 
@@ -64,7 +64,8 @@
     /// Admits a query.
     ///
     /// # Errors
-    /// The query's id is in flight or was used before, or the registry is full. The registry is then unchanged.
+    /// A query with the same id is in flight or was submitted to an engine before, or the registry is full. The
+    /// registry is then unchanged.
     pub fn admit(&self, request: &QueryRequest) -> Result<AdmittedQuery, AdmissionError> {
         let admitted = self.queries.insert(request)?;
         let query_id = admitted.query_id;
--- a/crates/dispatcher/src/query_registry/query_table.rs
+++ b/crates/dispatcher/src/query_registry/query_table.rs
@@ -6,7 +6,7 @@
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-/// Maximum number of queries in flight: a bound on memory. Queries beyond it are rejected at admission.
+/// Maximum number of queries in flight: a bound on memory. Beyond it, queries are not admitted.
 const MAX_QUERIES: usize = 4096;
 
 /// Why a query was not admitted.
@@ -54,7 +54,8 @@
     /// Adds a query.
     ///
     /// # Errors
-    /// The query's id is in flight or was used before, or the table is full. The table is then unchanged.
+    /// A query with the same id is in flight or was submitted to an engine before, or the table is full. The table is
+    /// then unchanged.
     pub fn insert(&self, request: &QueryRequest) -> Result<AdmittedQuery, AdmissionError> {
         if self.query_by_client_id.borrow().contains_key(request.id) {
             return Err(AdmissionError::InFlight);
