--- a/crates/dispatcher/src/attempt_end.rs
+++ b/crates/dispatcher/src/attempt_end.rs
@@ -1,8 +1,8 @@
-//! Causes for which attempts end, and when each proves that the engine no longer runs the attempt.
+//! Why an attempt ended, and from when on that proves that the engine no longer runs it.
 
 use thiserror::Error;
 
-/// The cause for which an attempt ended, from the point of view of this dispatcher.
+/// Why an attempt ended, as observed by this dispatcher.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum EndCause {
     /// The engine sent its final reply.
@@ -23,7 +23,7 @@
     /// The connection was reset.
     #[error("reset")]
     Reset,
-    /// The engine ended the stream, which may be a half-close.
+    /// The engine closed its sending side (FIN). This may be a half-close: the attempt may still run.
     #[error("end_of_stream")]
     EndOfStream,
     /// The connection could not be read or written, for a reason other than a reset.
@@ -42,11 +42,11 @@
 pub enum EndProof {
     /// Immediately: the engine has ended the attempt, or never received its whole request.
     Immediate,
-    /// When the settling delay of the engine side's reports has passed since the last command about the attempt was
-    /// written.
+    /// `END_REPORT_DELAY_MS` (engine/reports.rs) after the last command about the attempt was written: its abort, or
+    /// the release of its result.
     AfterLastCommand,
-    /// When the settling delay of the engine side's reports has passed since this dispatcher closed the connection,
-    /// which aborts all attempts on it.
+    /// `END_REPORT_DELAY_MS` (engine/reports.rs) after this dispatcher closed the connection, which aborts all attempts
+    /// on it.
     AfterClose,
 }
 
--- a/crates/dispatcher/src/close_reason.rs
+++ b/crates/dispatcher/src/close_reason.rs
@@ -1,8 +1,8 @@
-//! Reasons for which connections end, with their names in logs and counters.
+//! Why connections were closed, with the names of the reasons in logs and counters.
 
 use thiserror::Error;
 
-/// Reason for which a client's connection ended.
+/// Why a client's connection was closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum ClientCloseReason {
     /// The client closed or reset the connection.
@@ -37,7 +37,7 @@
     ];
 }
 
-/// Reason for which a connection to an engine ended.
+/// Why a connection to an engine was closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum EngineCloseReason {
     /// The engine closed the connection.
@@ -55,13 +55,13 @@
     /// The engine sent too many replies that were ignored.
     #[error("flood")]
     Flood,
-    /// The engine did not read the last command about an attempt in time.
+    /// The engine did not read an attempt's last command (its abort or the release of its result) in time.
     #[error("end_not_read")]
     EndNotRead,
-    /// The connection was silent, and the engine accepts no other connection.
+    /// The connection was silent, and new connections to the engine did not come up.
     #[error("unreachable")]
     Unreachable,
-    /// The connection was silent after it had idled, and the engine accepts other connections.
+    /// The connection was silent since its reuse after idling, and a new connection to the engine came up.
     #[error("forgotten")]
     Forgotten,
     /// The connection did not come up in time.
--- a/crates/dispatcher/src/engine/abandon.rs
+++ b/crates/dispatcher/src/engine/abandon.rs
@@ -1,4 +1,4 @@
-//! Abandons attempts: removes them from their connections and reports their ends.
+//! Abandons attempts: removes them from their connections and reports their outcomes.
 
 use super::channel::Channel;
 use super::connection::Abandoned;
@@ -29,7 +29,7 @@
 }
 
 impl Abandoner {
-    /// Creates an abandoner. It reports the ends of attempts to `reporter`, and connections that may be lost to
+    /// Creates an abandoner. It reports the outcomes of attempts to `reporter`, and connections that may be lost to
     /// `silence_detector`.
     pub fn new(
         clock: Clock,
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Abandons an attempt and reports its end: with `outcome` if the attempt may have run, otherwise with
+    /// Abandons an attempt and reports its outcome: `outcome` if the attempt may have run, otherwise
     /// [`unsent_outcome`].
     pub fn abandon(&self, channel: &Channel, id: &str, outcome: Outcome) {
         let now_ms = self.clock.now();
@@ -55,8 +55,7 @@
         };
         let was_sent = abandoned.was_sent();
         let Abandoned { attempt, cause } = abandoned;
-        // No frame for longer than the progress interval: the connection may be lost, and later attempts use
-        // another one.
+        // After a silence of more than `max_silence_ms` the connection may be lost, so later attempts use another one.
         let is_up = connection.is_up();
         let silent_ms = connection.silence_ms(now_ms, attempt.sent_ms);
         let may_be_lost = was_sent && silent_ms > self.max_silence_ms;
--- a/crates/dispatcher/src/engine/channel/error.rs
+++ b/crates/dispatcher/src/engine/channel/error.rs
@@ -1,4 +1,4 @@
-//! Errors that end a connection to an engine.
+//! Errors that close a connection to an engine.
 
 use super::LocalFault;
 use crate::close_reason::EngineCloseReason;
@@ -7,7 +7,7 @@
 use std::io;
 use thiserror::Error;
 
-/// Reason for which a connection ended, unless it was retired or the engine closed it.
+/// Why a connection was closed, unless it was retired or the engine closed it.
 #[derive(Debug, Error)]
 pub enum ChannelError {
     /// The dispatcher closed the connection.
@@ -41,7 +41,7 @@
         matches!(self, ChannelError::Local(_))
     }
 
-    /// Whether the dispatcher closed the connection, so that its attempts count as abandoned.
+    /// Whether the dispatcher closed the connection, rather than the engine or the network.
     pub fn is_closed_locally(&self) -> bool {
         match self {
             ChannelError::Closed(_) => true,
--- a/crates/dispatcher/src/engine/channel/handler.rs
+++ b/crates/dispatcher/src/engine/channel/handler.rs
@@ -47,6 +47,6 @@
     /// The frame violates the protocol. The connection is then closed.
     fn on_frame(&self, channel: &Channel, frame: &Frame) -> Result<(), ProtocolError>;
 
-    /// Called when a connection has ended. `error` is `None` if it was retired or the engine closed it.
+    /// Called when a connection has closed. `error` is `None` if it was retired or the engine closed it.
     fn on_closed(&self, channel: &Rc<Channel>, error: Option<&ChannelError>);
 }
--- a/crates/dispatcher/src/engine/close.rs
+++ b/crates/dispatcher/src/engine/close.rs
@@ -89,7 +89,7 @@
 }
 
 impl CloseHandler {
-    /// Creates a handler. It reports lost attempts and health checks to `reporter`, and connections lost on their reuse
+    /// Creates a handler. It reports lost attempts and health checks to `reporter`, and connections lost upon reuse
     /// after idling to `reuse_tracker`.
     pub fn new(
         registry: Rc<QueryRegistry>,
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Returns whether the connection was lost on its reuse after idling, and records this loss.
+    /// Returns whether the connection was lost upon its reuse after idling, and records this loss.
     fn is_lost_reuse(&self, connection: &Connection, now_ms: f64) -> bool {
         let reuse = connection.idle_reuse();
         reuse.is_some_and(|reuse| self.reuse_tracker.record_if_lost(now_ms, reuse))
--- a/crates/dispatcher/src/engine/connection/receive.rs
+++ b/crates/dispatcher/src/engine/connection/receive.rs
@@ -14,7 +14,7 @@
 /// Effect of a received frame.
 #[derive(Debug, PartialEq)]
 pub enum FrameEvent {
-    /// An attempt has its final answer.
+    /// The frame ended an attempt.
     AttemptEnded {
         /// The query's number in the registry.
         query_id: u64,
@@ -22,7 +22,7 @@
         attempt: usize,
         /// Outcome of the attempt.
         outcome: Outcome,
-        /// Cause of the end.
+        /// Why the attempt ended.
         cause: EndCause,
         /// Time at which the attempt was queued on the connection (ms).
         sent_ms: f64,
@@ -48,7 +48,7 @@
     Ignored(IgnoredReply),
 }
 
-/// Outcome of an attempt and cause of its end.
+/// Outcome of an attempt, and why it ended.
 #[derive(Debug, Clone, Copy)]
 struct AttemptEnd {
     outcome: Outcome,
@@ -56,8 +56,8 @@
 }
 
 impl AttemptEnd {
-    /// Returns the end of an attempt by a reply with this outcome. An attempt with a page or reported progress
-    /// has run: its outcome is an error, even if the reply states that the engine did not run it.
+    /// Returns how a reply with this outcome ends the attempt. An attempt with a page or reported progress has run:
+    /// its outcome is an error, even if the reply states that the engine did not run it.
     fn of(attempt: &Attempt, outcome: Outcome) -> Self {
         if attempt.page_count() > 0 {
             return AttemptEnd {
--- a/crates/dispatcher/src/engine/connection/state.rs
+++ b/crates/dispatcher/src/engine/connection/state.rs
@@ -1,4 +1,4 @@
-//! Types of a connection's state.
+//! Types that describe the state of a connection.
 
 use super::Attempt;
 use crate::attempt_end::EndCause;
@@ -33,7 +33,7 @@
     Stale,
 }
 
-/// Reason for which this side closes a connection, even with attempts in flight.
+/// Why the dispatcher closes a connection, even with attempts in flight.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum CloseReason {
     /// The engine violated the protocol.
@@ -47,13 +47,13 @@
     /// Earlier connections that were reused after idling were lost in the same way.
     #[error("connection silent since its reuse after idling, like earlier connections")]
     SilentAfterReuse,
-    /// The engine sent too many replies without effect.
+    /// The engine sent too many replies that were ignored.
     #[error("too many replies for nothing in flight")]
     Flood,
     /// The engine did not read the last command about an attempt in time.
     #[error("engine did not read the last command about an attempt in time")]
     LastCommandNotRead,
-    /// The connection has been silent, and no other connection to the engine came up.
+    /// The connection has been silent, and new connections to the engine did not come up.
     #[error("connection silent and no other connection to the engine came up")]
     EngineUnreachable,
 }
@@ -86,12 +86,12 @@
     pub sent_ms: f64,
 }
 
-/// An attempt that this side abandoned.
+/// An attempt that the dispatcher abandoned.
 #[derive(Debug)]
 pub struct Abandoned {
     /// The attempt.
     pub attempt: Attempt,
-    /// Cause of its end: [`EndCause::Aborted`] if its request was written completely.
+    /// Why it ended: [`EndCause::Aborted`] if its request was written completely.
     pub cause: EndCause,
 }
 
--- a/crates/dispatcher/src/engine/reports.rs
+++ b/crates/dispatcher/src/engine/reports.rs
@@ -1,5 +1,5 @@
-//! Reports the ends of attempts and health checks to the dispatcher's admission controller. [`Reporter::report`] alone
-//! decides when the end of an attempt is reported.
+//! Reports the outcomes of attempts and health checks to the dispatcher's admission controller. [`Reporter::report`]
+//! alone decides when the outcome of an attempt is reported.
 
 use super::channel::Channel;
 use super::connection::Attempt;
@@ -14,12 +14,11 @@
 use tansymux::events::Outcome;
 
 /// Delay (ms) between the last command about an attempt, or the close of its connection, and the report of its
-/// end. The report allows a retry of the query on another connection, and a busy engine reads its connections
-/// in any order: without the delay the retry could overtake the command or the close. The protocol allows for
-/// 50 ms.
+/// outcome. The report allows a retry of the query on another connection, and a busy engine reads its connections in
+/// any order: without the delay the retry could overtake the command or the close. The protocol allows for 50 ms.
 const END_REPORT_DELAY_MS: f64 = 40.0;
 
-/// Report of the end of an attempt.
+/// Report of how an attempt ended.
 pub(super) struct AttemptReport {
     pub query_id: u64,
     pub attempt: usize,
@@ -79,7 +78,7 @@
     }
 }
 
-/// Time of the report of an attempt's end.
+/// When the outcome of an attempt is reported.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum PublishTime {
     /// [`END_REPORT_DELAY_MS`] after the last command about the attempt is written.
@@ -88,12 +87,12 @@
     At(f64),
 }
 
-/// The end of an attempt that is not reported yet, because the engine may still run the attempt.
+/// The outcome of an attempt, not reported yet because the engine may still run the attempt.
 struct DelayedReport {
     attempt: AttemptId,
     publish_time: PublishTime,
-    /// Deadline of the attempt (ms). The query is not retried after it, so that the report need not be delayed
-    /// further.
+    /// Deadline of the attempt (ms). The report is due by then at the latest, because the query is not retried after
+    /// it.
     deadline_ms: f64,
     event: Event,
 }
@@ -113,7 +112,7 @@
     registry: Rc<QueryRegistry>,
     clock: Clock,
     engines: Rc<EngineTable>,
-    /// Ends of attempts that are not reported yet.
+    /// Outcomes that are not reported yet.
     delayed: RefCell<Vec<DelayedReport>>,
 }
 
@@ -128,7 +127,7 @@
         }
     }
 
-    /// Reports the end of an attempt that ended on a connection without a result.
+    /// Reports an attempt that ended on a connection without a result.
     pub fn report_lost(
         &self,
         channel: &Channel,
@@ -146,8 +145,8 @@
         self.report(report);
     }
 
-    /// Reports the end of an attempt as soon as its cause proves that the engine no longer runs it. All ends of
-    /// attempts are reported through this function.
+    /// Counts, traces and logs how an attempt ended, and reports its outcome as soon as the cause proves that the
+    /// engine no longer runs the attempt. All outcomes of attempts are reported through this function.
     pub fn report(&self, report: AttemptReport) {
         self.record_end(&report);
         let publish_time = match report.cause.proof() {
@@ -215,7 +214,7 @@
         }
     }
 
-    /// Counts, traces and logs the end of an attempt.
+    /// Counts, traces and logs how an attempt ended.
     fn record_end(&self, report: &AttemptReport) {
         self.registry.counters.count_outcome(report.outcome);
         self.registry.counters.count_end_cause(report.cause);
@@ -258,7 +257,8 @@
     }
 }
 
-/// Returns an outcome that does not count against the engine and states equally whether the attempt may have run.
+/// Returns the outcome that does not count against the engine, and that agrees with `outcome` on whether the attempt
+/// may have run.
 fn neutral_outcome(outcome: Outcome) -> Outcome {
     match outcome {
         Outcome::Reset | Outcome::Timeout => Outcome::Cancelled,
--- a/crates/dispatcher/src/engine/reports/tests.rs
+++ b/crates/dispatcher/src/engine/reports/tests.rs
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn end_of_an_aborted_attempt_is_reported_after_its_abort_is_written() {
+fn outcome_of_an_aborted_attempt_is_reported_after_its_abort_is_written() {
     let (registry, reporter) = reporter();
     reporter.report(report(Outcome::Cancelled, EndCause::Aborted));
     let much_later_ms = 1e9;
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn end_of_an_attempt_is_reported_at_its_deadline_at_the_latest() {
+fn outcome_of_an_attempt_is_reported_at_its_deadline_at_the_latest() {
     let (registry, reporter) = reporter();
     reporter.report(report(Outcome::Cancelled, EndCause::Aborted));
     let deadline_ms = reporter.clock.now() + 1000.0;
@@ -90,7 +90,7 @@
     assert_eq!(next_outcome(&registry), None);
     reporter.publish_delayed(deadline_ms);
     assert_eq!(next_outcome(&registry), Some(Outcome::Cancelled));
-    // The end of an attempt that is aborted after its deadline is reported immediately.
+    // The outcome of an attempt that is aborted after its deadline is reported immediately.
     reporter.report(AttemptReport {
         deadline_ms: 0.0,
         ..report(Outcome::Timeout, EndCause::Aborted)
--- a/crates/dispatcher/src/ignored_reply.rs
+++ b/crates/dispatcher/src/ignored_reply.rs
@@ -1,8 +1,8 @@
-//! Reasons for which an engine's reply is ignored, with their names in logs and counters.
+//! Why an engine's reply is ignored, with the names of the reasons in logs and counters.
 
 use thiserror::Error;
 
-/// Reason for which an engine's reply is ignored.
+/// Why an engine's reply is ignored.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum IgnoredReply {
     /// Nothing with the reply's id is in flight on its connection: the reply is late, a duplicate, or has an unknown
