--- a/crates/dispatcher/src/guard/ledger.rs
+++ b/crates/dispatcher/src/guard/ledger.rs
@@ -16,7 +16,7 @@
     _made_by_ledger: (),
 }
 
-/// The state of one connection.
+/// Whether an answer is owed on one client's connection.
 #[derive(Debug, Default)]
 pub struct ConnectionLedger {
     /// Whether a complete request was read and is not answered yet.
--- a/crates/dispatcher/src/guard/mod.rs
+++ b/crates/dispatcher/src/guard/mod.rs
@@ -1,5 +1,5 @@
 //! The guard: decides whether an attempt's first byte may be written, whether an answer may be written, whether a
-//! client's connection may close, and whether the process may end. No I/O, no clock.
+//! client's connection may close, and whether the process may end. Performs no I/O and reads no clock.
 //!
 //! The admission controller ([`tansymux::control`]) follows the rules when it places a query. The guard checks them
 //! again when the bytes are written, against the state at that time. Each of the first three steps consumes a permit,
@@ -25,7 +25,7 @@
 use std::cell::RefCell;
 use tansymux::events::EndpointState;
 
-/// Factor by which the protocol allows retries to exceed the budget. One retry more is allowed on top.
+/// Factor by which the protocol allows retries to exceed the budget. One more retry is allowed on top.
 const BUDGET_TOLERANCE: f64 = 1.15;
 
 /// The state of an attempt whose first byte is about to be written. Times are milliseconds of the program's clock.
--- a/crates/dispatcher/src/guard/rate_window.rs
+++ b/crates/dispatcher/src/guard/rate_window.rs
@@ -19,7 +19,7 @@
 }
 
 impl RateWindow {
-    /// Creates a window of `span_ms`. A length of 0 disables expiry: all events count.
+    /// Creates a window of `span_ms`. A span of 0 disables expiry: all events count.
     pub fn new(span_ms: f64) -> Self {
         RateWindow {
             bucket_ms: span_ms / (BUCKETS - 1) as f64,
--- a/crates/dispatcher/src/guard/refusal.rs
+++ b/crates/dispatcher/src/guard/refusal.rs
@@ -1,8 +1,8 @@
-//! The reasons for which the guard refuses an attempt.
+//! Why the guard refuses to let an attempt begin.
 
 use super::violation::Rule;
 
-/// The reason of a refusal. Its text is the name in counters and logs.
+/// Why the guard refused to let an attempt begin. The text is the name in counters and logs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum BeginRefusal {
     /// The query was answered or its client left while the attempt was queued.
@@ -18,7 +18,8 @@
     /// The attempt's deadline has passed.
     #[error("deadline_passed")]
     DeadlinePassed,
-    /// The latest time at which the rules allow the attempt has passed, for example the end of its dedup window.
+    /// The attempt's start limit has passed: the latest time at which the rules let it begin, for example the end of
+    /// its dedup window.
     #[error("too_late_to_begin")]
     TooLateToBegin,
     /// The engine is draining or gone.
--- a/crates/dispatcher/src/guard/rules.rs
+++ b/crates/dispatcher/src/guard/rules.rs
@@ -16,7 +16,7 @@
 pub struct GuardRules {
     /// The retry budget (rule 7), if the settings define one.
     pub retry_budget: Option<RetryBudgetRule>,
-    /// By name of the resource group.
+    /// Placements, by name of the resource group.
     placements: FxHashMap<String, Placement>,
 }
 
--- a/crates/dispatcher/src/guard/tests.rs
+++ b/crates/dispatcher/src/guard/tests.rs
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn an_attempt_is_refused_for_each_reason() {
+fn an_attempt_is_refused_if_its_query_connection_time_or_engine_forbids_it() {
     let over = QueryFacts {
         is_over: true,
         ..query()
