--- a/crates/dispatcher/src/engine/connection/tests.rs
+++ b/crates/dispatcher/src/engine/connection/tests.rs
@@ -304,7 +304,7 @@
 }
 
 #[test]
-fn abandoned_attempt_ends_when_the_last_byte_of_its_abort_is_written() {
+fn abort_counts_as_written_only_with_its_last_byte() {
     let mut connection = connection_with_abort();
     let abort_len = unwritten(&connection).len();
     connection.advance(abort_len - 1);
@@ -316,7 +316,7 @@
     };
     assert_eq!(connection.take_written_last_commands(), [attempt]);
     assert!(connection.take_written_last_commands().is_empty());
-    // If the connection closes before that, the attempt ends with the close.
+    // If the connection closes first, the close returns the attempt.
     assert_eq!(
         connection_with_abort().on_closed().unwritten_last_commands,
         [attempt]
@@ -379,7 +379,7 @@
     let mut connection = connection();
     submit(&mut connection, "i1", 4);
     connection.advance(unwritten(&connection).len());
-    // Written after this end, the change would apply to a retry with the same query id.
+    // If it were written after the attempt has ended, it would apply to a retry with the same query id.
     connection.set_priority("i1", 1);
     receive(&mut connection, &[b"i1", b"BROKE", b"-", b""]).unwrap();
     assert!(!connection.has_unwritten());
--- a/crates/dispatcher/src/engine/engine_entry.rs
+++ b/crates/dispatcher/src/engine/engine_entry.rs
@@ -98,7 +98,7 @@
         &self.zone
     }
 
-    /// Whether the endpoint list has the engine as ready for queries.
+    /// Whether the endpoint list states that the engine is ready for queries.
     pub fn is_ready(&self) -> bool {
         self.state == EndpointState::Ready
     }
@@ -149,7 +149,8 @@
         channels.any(|channel| channel.connection.borrow().state() == ConnectionState::Connecting)
     }
 
-    /// Whether any connection was reused after idling and has received no frame since.
+    /// Whether any connection has been silent since its reuse after idling and has an attempt or health check in
+    /// flight.
     pub fn has_silent_reuse(&self) -> bool {
         let mut channels = self.channels.iter();
         channels.any(|channel| channel.connection.borrow().is_silent_since_reuse())
--- a/crates/dispatcher/src/engine/engine_entry/tests.rs
+++ b/crates/dispatcher/src/engine/engine_entry/tests.rs
@@ -53,8 +53,8 @@
         .abandon("used", idle_since_ms);
 }
 
-/// Number of the best connection for an attempt whose query has used `used_connections` before.
-fn best_unused_by_query(engine: &Engine, used_connections: &[ConnectionId]) -> Option<u64> {
+/// Number of the best connection for an attempt whose query has already used `used_connections`.
+fn best_channel_number_except(engine: &Engine, used_connections: &[ConnectionId]) -> Option<u64> {
     let request = ChannelRequest {
         engine_id: 7,
         id: "new",
@@ -66,7 +66,7 @@
 }
 
 fn best_channel_number(engine: &Engine) -> Option<u64> {
-    best_unused_by_query(engine, &[])
+    best_channel_number_except(engine, &[])
 }
 
 #[test]
@@ -77,13 +77,13 @@
     }
     let used = [1, 2, 3].map(ConnectionId);
     assert!(
-        best_unused_by_query(&engine, &used[..2]) == Some(3)
-            && best_unused_by_query(&engine, &used).is_none()
+        best_channel_number_except(&engine, &used[..2]) == Some(3)
+            && best_channel_number_except(&engine, &used).is_none()
     );
 }
 
 #[test]
-fn connections_are_preferred_in_the_order_proven_fresh_shared_stale() {
+fn connections_are_preferred_in_the_order_recently_used_unused_shared_stale() {
     let mut engine = engine();
     assert_eq!(best_channel_number(&engine), None);
     let stale = add_channel(&mut engine, 1);
@@ -94,8 +94,8 @@
     assert_eq!(best_channel_number(&engine), Some(2));
     add_channel(&mut engine, 3);
     assert_eq!(best_channel_number(&engine), Some(3));
-    let proven = add_channel(&mut engine, 4);
-    make_idle_since(&proven, NOW_MS - 1.0);
+    let recently_used = add_channel(&mut engine, 4);
+    make_idle_since(&recently_used, NOW_MS - 1.0);
     assert_eq!(best_channel_number(&engine), Some(4));
 }
 
--- a/crates/dispatcher/src/engine/engine_table.rs
+++ b/crates/dispatcher/src/engine/engine_table.rs
@@ -78,7 +78,7 @@
         read(engine.map(|engine| engine.facts(channel)))
     }
 
-    /// Whether the endpoint list has another process for the engine than the one that a connection was opened to.
+    /// Whether, according to the endpoint list, the engine's process was replaced after a connection was opened to it.
     pub fn is_replaced(&self, channel: &Channel) -> bool {
         self.with_facts(channel, |facts| {
             facts.is_some_and(|facts| !facts.is_same_process)
--- a/crates/dispatcher/src/engine/keep_alive/tests.rs
+++ b/crates/dispatcher/src/engine/keep_alive/tests.rs
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn every_idle_connection_is_reused_without_losses() {
+fn every_idle_connection_is_reused_if_none_is_lost() {
     assert_eq!(simulate(1, f64::INFINITY, 0.0, 60.0).opened, 0.0);
     // A single loss, as when one process exits, does not change the limit for idle times with enough successes.
     let mut keep_alive = KeepAlive::default();
--- a/crates/dispatcher/src/engine/settings.rs
+++ b/crates/dispatcher/src/engine/settings.rs
@@ -2,10 +2,11 @@
 
 use std::time::Duration;
 
-/// Maximum number of connections to one engine, unless [`MAX_ATTEMPTS_PER_ENGINE`] requires more.
+/// Maximum number of connections to one engine, unless [`MIN_ATTEMPT_CAPACITY_PER_ENGINE`] requires more.
 const MAX_CONNECTIONS_PER_ENGINE: usize = 12;
-/// Minimum number of attempts that the connections to one engine can carry together.
-const MAX_ATTEMPTS_PER_ENGINE: usize = 384;
+/// Minimum number of attempts that the connections to one engine can carry together, rounded down to a multiple of
+/// [`ConnectionSettings::max_streams`].
+const MIN_ATTEMPT_CAPACITY_PER_ENGINE: usize = 384;
 /// Fraction of the engines' idle timeout after which this side closes an idle connection, so that the engine does not
 /// close it first.
 const IDLE_FRACTION: f64 = 0.8;
@@ -43,7 +44,7 @@
 
     /// Maximum number of connections to one engine.
     pub fn max_connections_per_engine(&self) -> usize {
-        MAX_CONNECTIONS_PER_ENGINE.max(MAX_ATTEMPTS_PER_ENGINE / self.max_streams.max(1))
+        MAX_CONNECTIONS_PER_ENGINE.max(MIN_ATTEMPT_CAPACITY_PER_ENGINE / self.max_streams.max(1))
     }
 
     /// Idle time (ms) after which a connection is closed, even if the keep-alive estimate trusts longer idle times.
--- a/crates/dispatcher/src/engine/tests.rs
+++ b/crates/dispatcher/src/engine/tests.rs
@@ -71,7 +71,7 @@
     (registry, pool, query, slot)
 }
 
-/// Whether an attempt's end was reported as [`Outcome::Withdrawn`]: not sent, without a failure of the engine.
+/// Whether an attempt was reported as [`Outcome::Withdrawn`]: not sent, and no evidence against the engine.
 fn was_withdrawn(registry: &QueryRegistry) -> bool {
     let is_withdrawal = |event: Event| {
         matches!(
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn queued_attempt_is_withdrawn_when_its_engine_drains_leaves_or_restarts() {
+fn queued_attempt_is_withdrawn_when_its_engine_drains_leaves_restarts_or_moves() {
     for (update, expected) in [
         (engine(EndpointState::Ready, None, 9), false),
         (engine(EndpointState::Draining, None, 9), true),
