--- a/crates/dispatcher/src/engine/allocation.rs
+++ b/crates/dispatcher/src/engine/allocation.rs
@@ -33,10 +33,10 @@
     }
 }
 
-/// How a new connection is granted its file descriptor.
+/// When a new connection is granted its file descriptor.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum DescriptorGrant {
-    /// When it is opened.
+    /// As soon as it is opened.
     Immediate,
     /// When [`ChannelAllocator::release`] passes on the descriptor of a closed connection.
     Queued,
--- a/crates/dispatcher/src/engine/allocation/descriptor_limit.rs
+++ b/crates/dispatcher/src/engine/allocation/descriptor_limit.rs
@@ -50,8 +50,8 @@
         self.waiting.borrow_mut().push_back(channel);
     }
 
-    /// Releases the descriptor of a closed connection, and grants it to the connection that has waited longest.
-    /// Removes a connection without a descriptor from the queue.
+    /// Releases the descriptor of a closed connection, and grants it to the connection that has waited longest. If the
+    /// closed connection was itself waiting for a descriptor, only removes it from the queue.
     pub fn release(&self, channel: &Rc<Channel>) {
         if !channel.has_descriptor() {
             let mut waiting = self.waiting.borrow_mut();
--- a/crates/dispatcher/src/engine/begin.rs
+++ b/crates/dispatcher/src/engine/begin.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 use tansymux::events::Outcome;
 
-/// Requests permits from the guard to begin writing requests.
+/// Obtains the guard's permit for each request before it is written.
 pub(super) struct RequestGate {
     registry: Rc<QueryRegistry>,
     clock: Clock,
@@ -32,9 +32,9 @@
         }
     }
 
-    /// Releases the connection's next request that the guard permits, and withdraws the requests that it
-    /// refuses. Only one request is released per write, because the next request needs its own permit after the
-    /// socket has accepted the bytes before it. Returns the attempt whose request was released.
+    /// Releases the connection's next request that the guard permits, and withdraws the requests that it refuses. Only
+    /// one request is released per write, because the next request needs its own permit after the socket has accepted
+    /// the bytes before it. Returns the attempt whose request was released, if any.
     pub fn begin_next(&self, channel: &Channel) -> Option<AttemptKey> {
         loop {
             let now_ms = self.clock.now();
--- a/crates/dispatcher/src/engine/channel.rs
+++ b/crates/dispatcher/src/engine/channel.rs
@@ -29,7 +29,7 @@
     /// The connection limit is reached, so that no descriptor is granted.
     #[error("no file descriptor granted within the connection limit")]
     DescriptorLimit,
-    /// The system lacks a resource.
+    /// This machine lacks a socket, a port or memory.
     #[error("no socket, port or memory available on this machine")]
     ResourceShort,
     /// The engine's network is unreachable.
--- a/crates/dispatcher/src/engine/channel/task.rs
+++ b/crates/dispatcher/src/engine/channel/task.rs
@@ -85,6 +85,7 @@
     }
 
     fn poll_write(&self, context: &mut Context) -> Poll<Result<WriteStep, ChannelError>> {
+        // Consumes a stored notification, and registers this task for the next one.
         while self.channel.notify.poll_notified(context).is_ready() {}
         let begun_attempt = self.handler.on_writable(self.channel);
         let connection = self.channel.connection.borrow();
--- a/crates/dispatcher/src/engine/channel_request.rs
+++ b/crates/dispatcher/src/engine/channel_request.rs
@@ -10,8 +10,9 @@
     /// Connections that have carried an earlier attempt of the query. They are not selected again, because a late
     /// reply to the earlier attempt would be taken for a reply to this one.
     pub used_connections: &'a [ConnectionId],
-    /// Whether the request has no side effect, so that it can be sent again after a loss. Any other request is not
-    /// sent on a connection that has idled for [`MIN_TRUSTED_IDLE_MS`](super::keep_alive::MIN_TRUSTED_IDLE_MS) or
-    /// longer: the connection may be lost, and it would be unknown whether the request ran.
+    /// Whether the request has no side effect, so that it can be sent again after a loss. For any other request, a new
+    /// connection is preferred to one that has idled for
+    /// [`MIN_TRUSTED_IDLE_MS`](super::keep_alive::MIN_TRUSTED_IDLE_MS) or longer: that connection may be lost, and it
+    /// would be unknown whether the request ran.
     pub side_effect_free: bool,
 }
--- a/crates/dispatcher/src/engine/connection.rs
+++ b/crates/dispatcher/src/engine/connection.rs
@@ -39,7 +39,8 @@
     state: ConnectionState,
     /// Arrival time of the last frame; minus infinity if no frame has arrived.
     last_frame_ms: f64,
-    /// Time of the last activity: the connect, an attempt's submission or end, or a health check's submission.
+    /// Time of the last activity: the connect, the submission, completion or abandonment of an attempt, or the
+    /// submission of a health check.
     last_used_ms: f64,
     /// Whether the connection has not carried any attempt or health check.
     unused: bool,
@@ -55,8 +56,8 @@
     /// Whether the connection accepts no new attempts and closes once nothing is in flight.
     retired: bool,
     /// Attempts in flight, by query id. A connection carries at most one attempt of a query
-    /// ([`ChannelRequest::used_connections`](super::channel_request::ChannelRequest)), so that a reply with a
-    /// query's id belongs to this attempt or arrives after its end.
+    /// ([`ChannelRequest::used_connections`](super::channel_request::ChannelRequest)), so that every reply with a
+    /// query's id, even a late one, belongs to that attempt.
     attempts: FxHashMap<Rc<str>, Attempt>,
     /// Health checks in flight.
     health_checks: Vec<HealthCheck>,
@@ -118,7 +119,8 @@
         self.unused
     }
 
-    /// Time of the last activity (ms): the connect, an attempt's submission or end, or a health check's submission.
+    /// Time of the last activity (ms): the connect, the submission, completion or abandonment of an attempt, or the
+    /// submission of a health check.
     pub fn last_used_ms(&self) -> f64 {
         self.last_used_ms
     }
--- a/crates/dispatcher/src/engine/connection/deadlines.rs
+++ b/crates/dispatcher/src/engine/connection/deadlines.rs
@@ -12,7 +12,7 @@
 const RETIRED_FLUSH_TIMEOUT_MS: f64 = 500.0;
 
 /// Time (ms) that an engine has to read the last command about an attempt. After this time the connection accepts no
-/// attempts and closes as soon as none is in flight; the close makes the engine end the attempt. Equal to the connect
+/// attempts and closes once nothing is in flight; the close makes the engine abort the attempt. Equal to the connect
 /// timeout that operators configure.
 const LAST_COMMAND_TIMEOUT_MS: f64 = 250.0;
 
@@ -76,8 +76,8 @@
         self.partial_frame_since_ms.take_if(timed_out).is_some()
     }
 
-    /// Handles an engine that has not read the last command about an attempt in time: retires the connection,
-    /// and closes it once nothing is in flight.
+    /// Retires the connection if its engine has not read the last command about an attempt in time, and closes it once
+    /// nothing is in flight.
     pub fn enforce_last_command_timeout(&mut self, now_ms: f64) {
         if self.last_command_due_ms() > now_ms {
             return;
@@ -113,10 +113,10 @@
     /// this call or an earlier one.
     pub fn retire_if_idle(&mut self, now_ms: f64, max_idle_ms: f64) -> bool {
         let is_idle = self.is_up() && self.in_flight() == 0;
-        let unused_ms = now_ms - self.last_used_ms;
-        self.retired |= is_idle && unused_ms > max_idle_ms;
-        // Until this timeout the last attempt's abort is still written if the engine reads it.
-        if self.retired && self.in_flight() == 0 && unused_ms >= RETIRED_FLUSH_TIMEOUT_MS {
+        let since_last_use_ms = now_ms - self.last_used_ms;
+        self.retired |= is_idle && since_last_use_ms > max_idle_ms;
+        // Until this timeout, a queued abort of the last attempt can still be written.
+        if self.retired && self.in_flight() == 0 && since_last_use_ms >= RETIRED_FLUSH_TIMEOUT_MS {
             self.outbox.clear();
         }
         self.retired
@@ -127,7 +127,8 @@
         self.partial_frame_since_ms = is_partial.then_some(now_ms);
     }
 
-    /// Time of the next expiry on this connection (ms); infinity if there is none.
+    /// Time of the next expiry on this connection (ms), not counting the timeouts of an idle or retired connection;
+    /// infinity if there is none.
     pub fn next_deadline_ms(&self, now_ms: f64) -> f64 {
         let attempts = self
             .attempts
--- a/crates/dispatcher/src/engine/connection/outbox.rs
+++ b/crates/dispatcher/src/engine/connection/outbox.rs
@@ -17,7 +17,8 @@
     id: Rc<str>,
     fields: RequestFields,
     statement: Rc<[u8]>,
-    /// Encoded with the remaining time once the request has a permit; empty until then.
+    /// The bytes before the statement. They contain the attempt's time limit, so they are empty until the request has a
+    /// permit.
     head: Vec<u8>,
 }
 
@@ -79,7 +80,7 @@
         self.request().is_some_and(|request| !request.has_permit())
     }
 
-    /// Size (bytes) that the message counts in the bound on memory.
+    /// Size (bytes) of the message in [`Outbox::bytes`]. For a request, an estimate that does not depend on its permit.
     fn held_bytes(&self) -> usize {
         match self {
             Message::HealthCheck(bytes)
@@ -146,8 +147,8 @@
         self.messages.push_back(message);
     }
 
-    /// Returns the query id of the next request to write; `None` while a request is partly written. Revokes an earlier
-    /// permit of the returned request, because its time limit is out of date.
+    /// Returns the query id of the next request to write; `None` if there is none, or while a request is partly
+    /// written. Revokes an earlier permit of the returned request, because its time limit is out of date.
     pub fn next_to_begin(&mut self) -> Option<Rc<str>> {
         let is_front_started = self.front_written_bytes > 0;
         let mut messages = self.messages.iter_mut().enumerate();
--- a/crates/dispatcher/src/engine/connection/transitions.rs
+++ b/crates/dispatcher/src/engine/connection/transitions.rs
@@ -4,7 +4,7 @@
 use crate::ids::AttemptId;
 use std::rc::Rc;
 
-/// Contents of a connection when it closes.
+/// What was in flight on a connection when it closed.
 pub struct ClosedConnection {
     /// Whether the connection was up.
     pub was_up: bool,
--- a/crates/dispatcher/src/engine/idle_reuse.rs
+++ b/crates/dispatcher/src/engine/idle_reuse.rs
@@ -53,8 +53,8 @@
         self.record(now_ms, reuse, ReuseOutcome::Answered);
     }
 
-    /// Handles a reused connection that ended before any answer. If it ended within [`MIN_TRUSTED_IDLE_MS`] of the
-    /// reuse, it is recorded as lost: the engine or a middlebox had closed it before, which is no evidence about the
+    /// Handles a reused connection that closed before any answer. If it closed within [`MIN_TRUSTED_IDLE_MS`] of the
+    /// reuse, it is recorded as lost: the engine or a middlebox had already closed it, which is no evidence about the
     /// engine's health. Returns whether it was recorded.
     pub fn record_if_lost(&self, now_ms: f64, reuse: IdleReuse) -> bool {
         if now_ms - reuse.sent_ms >= MIN_TRUSTED_IDLE_MS {
--- a/crates/dispatcher/src/engine/keep_alive.rs
+++ b/crates/dispatcher/src/engine/keep_alive.rs
@@ -1,4 +1,5 @@
-//! Estimates how long a connection to an engine may idle and still be reused. No I/O, no clock.
+//! Estimates how long a connection to an engine may idle and still be reused.
+//! Performs no I/O and reads no clock.
 //!
 //! The engine or a middlebox may drop idle connections without a reset. A request written to such a connection is
 //! lost, and the dispatcher cannot know whether it ran. Opening a connection for every attempt would avoid that, but
@@ -25,8 +26,8 @@
 const SILENT_LOSS_WEIGHT: f64 = 3.0;
 /// Silent losses less than this time (ms) apart count as one incident: their requests were in flight together.
 const SILENT_LOSS_MERGE_MS: f64 = 2_000.0;
-/// Maximum number of doublings of the time constant by which lost reuses decay: one for each silent loss after the
-/// first, until a reuse succeeds.
+/// Maximum number of doublings of the time constant by which lost reuses decay: one for each incident of silent losses
+/// after the first, until a reuse succeeds.
 const MAX_BACKOFF_DOUBLINGS: u32 = 5;
 /// Minimum (decayed) count of successful reuses for which an idle time counts as proven.
 const MIN_PROVEN_REUSES: f64 = 0.5;
@@ -53,11 +54,11 @@
     lost: [f64; BUCKETS],
     /// When the counts were last decayed (ms).
     last_decay_ms: f64,
-    /// Number of incidents of silent losses since the last successful reuse after an equally long idle time.
+    /// Number of incidents of silent losses since a reuse last succeeded in `lowest_silent_loss_bucket` or above.
     silent_losses: u32,
     /// When the last silent loss was recorded (ms).
     last_silent_loss_ms: f64,
-    /// The lowest bucket of the silent losses that `silent_losses` counts.
+    /// The lowest bucket of the silent losses of the last incident.
     lowest_silent_loss_bucket: usize,
     /// Start (ms) of the current trial of an idle time above the proven one; `None` if there is no trial.
     trial_since_ms: Option<f64>,
@@ -114,7 +115,8 @@
         self.lost[bucket] += SILENT_LOSS_WEIGHT;
     }
 
-    /// Whether connections were lost silently and no reuse after an equally long idle time has succeeded since.
+    /// Whether connections were lost silently, and no reuse after an idle time as long as in the last incident has
+    /// succeeded since.
     pub fn has_silent_losses(&self) -> bool {
         self.silent_losses > 0
     }
--- a/crates/dispatcher/src/engine/pool.rs
+++ b/crates/dispatcher/src/engine/pool.rs
@@ -193,7 +193,8 @@
     }
 
     /// Expires attempts, health checks and incomplete frames that are due, and closes idle connections. Returns the
-    /// time (ms) at which to call this method again; infinity if nothing is due later.
+    /// time (ms) at which to call this method again; infinity if nothing is due later. That time does not include the
+    /// timeouts of idle and retired connections: the dispatcher calls this method at least every `MAX_SLEEP_MS`.
     pub fn expire(self: &Rc<Self>) -> f64 {
         let expired = self.timeouts.expire();
         self.allocator.retire_idle_for_waiting();
--- a/crates/dispatcher/src/engine/pool/channel_events.rs
+++ b/crates/dispatcher/src/engine/pool/channel_events.rs
@@ -59,7 +59,7 @@
     }
 
     fn on_writable(&self, channel: &Channel) -> Option<AttemptKey> {
-        // No request is begun after its `start_by_ms`: this is the last check before its first byte.
+        // Enforces the start limits right before each write. The guard checks the next request once more.
         self.abandoner.abandon_too_late(channel);
         self.gate.begin_next(channel)
     }
@@ -137,7 +137,8 @@
         }
     }
 
-    /// Counts an ignored reply, and logs the first [`MAX_LOGGED_IGNORED_REPLIES`] of each connection.
+    /// Counts an ignored reply. Logs it if it is among the first [`MAX_LOGGED_IGNORED_REPLIES`] of its connection and
+    /// is not an unused progress note.
     fn on_ignored_reply(&self, channel: &Channel, frame: &Frame, reason: IgnoredReply) {
         self.registry.counters.count_ignored_reply(reason);
         let count = channel.ignored_replies.get() + 1;
--- a/crates/dispatcher/src/engine/pool/commands.rs
+++ b/crates/dispatcher/src/engine/pool/commands.rs
@@ -88,8 +88,8 @@
             side_effect_free: limits.side_effect_free,
         };
         let Some(channel) = self.allocator.select(self, &channel_request) else {
-            // If the query may not reuse some connections, the failure may be due to that restriction of this
-            // dispatcher. It is then no evidence about the engine.
+            // If the query may not use some connections again, the failure may be due to that restriction. It is then
+            // no evidence about the engine.
             let outcome = if request.used_connections.is_empty() {
                 Outcome::NoConnection
             } else {
@@ -105,8 +105,8 @@
         );
         let mut connection = channel.connection.borrow_mut();
         connection.submit(&request.id, request.fields, request.statement, attempt);
-        let is_reused_by_this = |reuse: &IdleReuse| reuse.sent_ms == now_ms;
-        if let Some(reuse) = connection.idle_reuse().filter(is_reused_by_this) {
+        let is_reuse_by_this_attempt = |reuse: &IdleReuse| reuse.sent_ms == now_ms;
+        if let Some(reuse) = connection.idle_reuse().filter(is_reuse_by_this_attempt) {
             self.reuse_tracker.begin(now_ms, reuse);
             connection.schedule_reachability_check(
                 now_ms + self.reachability_check_delay_ms(request.cost_ms),
@@ -147,7 +147,7 @@
     }
 
     /// Delay (ms) after which the engine is checked if no frame has arrived, for an attempt with this estimated run
-    /// time. If the run time is unknown (0), the limit of the settings applies.
+    /// time. If the run time is unknown (0), the maximum silence of the settings applies.
     fn reachability_check_delay_ms(&self, cost_ms: f64) -> f64 {
         let run_time_bound_ms = if cost_ms > 0.0 {
             REACHABILITY_CHECK_RUN_TIMES * cost_ms
@@ -191,7 +191,8 @@
         }
     }
 
-    /// Withdraws the attempt of a completed query, unless the attempt's request has been written completely.
+    /// Withdraws the attempt of a query that was answered or whose client left, unless the attempt's request has been
+    /// written completely.
     fn withdraw(&self, query_id: u64) {
         let Some(AttemptLocation { channel, id }) = self.locate(query_id) else {
             return;
--- a/crates/dispatcher/src/engine/silence.rs
+++ b/crates/dispatcher/src/engine/silence.rs
@@ -9,8 +9,8 @@
 use crate::clock::Clock;
 use std::rc::Rc;
 
-/// Time (ms) after the abandonment of a reuse within which a frame on another connection to the engine shows that the
-/// reused connection was lost.
+/// Time (ms) after the attempt on a reused connection was abandoned, within which a frame on another connection to the
+/// engine shows that the reused connection was lost.
 const SUSPICION_WINDOW_MS: f64 = 2000.0;
 
 /// The idle connections that are retired along with a silent one.
--- a/crates/dispatcher/src/engine/timeouts.rs
+++ b/crates/dispatcher/src/engine/timeouts.rs
@@ -45,7 +45,8 @@
 
 /// The result of [`Timeouts::expire`].
 pub(super) struct Expired {
-    /// When to call [`Timeouts::expire`] again (ms); infinity if nothing is due later.
+    /// When to call [`Timeouts::expire`] again (ms), not counting the timeouts of idle and retired connections;
+    /// infinity if nothing is due later.
     pub next_ms: f64,
     /// Engines whose reachability is to be checked now.
     pub engines_to_check: Vec<u64>,
