--- a/crates/engine-state/src/cache.rs
+++ b/crates/engine-state/src/cache.rs
@@ -23,7 +23,7 @@
 pub struct WeightedValue {
     /// The weighted mean of the observations.
     pub value: f64,
-    /// The highest weight of a single observation, from 0 to 1.
+    /// The highest product of trust and age decay among the observations, from 0 to 1.
     pub weight: f64,
 }
 
@@ -32,8 +32,8 @@
 pub struct EngineView {
     /// Whether the engine is draining or gone: no query may be sent to it.
     pub is_draining_or_gone: bool,
-    /// Evidence of recent unresponsiveness or errors, from 0 to 1. A suspected engine can be ejected until it has
-    /// answered this dispatcher.
+    /// Evidence of recent unresponsiveness or errors, from 0 to 1. The caller can eject a suspected engine until the
+    /// engine has answered this dispatcher.
     pub suspicion: f64,
     /// Logarithm of the ratio of observed to best run time.
     pub slowdown: Option<WeightedValue>,
@@ -159,7 +159,8 @@
     }
 
     /// Merges an observation of any origin. An observation of a later incarnation of the engine replaces those of
-    /// earlier incarnations. Values that are not finite and ages that are negative or not finite are ignored.
+    /// earlier incarnations. Observations with a value that is not finite, or an age that is negative or not finite,
+    /// are ignored.
     pub fn merge(&mut self, observation: &Observation, now_ms: f64) {
         let has_valid_age = observation.age_ms >= 0.0 && observation.age_ms.is_finite();
         if !observation.value.is_finite() || !has_valid_age {
@@ -280,7 +281,7 @@
     }
 
     /// Returns all observations with their ages at `now_ms`, to be sent to peers. They are sorted by kind, the most
-    /// important first, and then by age.
+    /// important first, and then by age, the youngest first.
     pub fn export(&self, now_ms: f64) -> Vec<Observation> {
         let mut observations = Vec::new();
         for (engine_id, engine) in &self.engines {
--- a/crates/engine-state/src/codec.rs
+++ b/crates/engine-state/src/codec.rs
@@ -88,7 +88,7 @@
         .f32(observation.value as f32);
 }
 
-/// Decodes a message. Entries of an unknown kind, entries that are too short and values that are not finite are
+/// Decodes a message. Entries that have an unknown kind, are too short, or contain a value that is not finite are
 /// skipped; decoding ends at a truncated entry.
 ///
 /// # Errors
--- a/crates/engine-state/tests/merge.rs
+++ b/crates/engine-state/tests/merge.rs
@@ -28,14 +28,14 @@
 }
 
 #[test]
-fn draining_engine_stays_closed_until_its_next_incarnation() {
+fn engine_counts_as_draining_until_its_next_incarnation() {
     let mut cache = EngineStateCache::new(OWN);
     cache.merge(
         &observation(ObservationKind::Draining, 1.0, PEER, 1, 500.0),
         0.0,
     );
-    // Neither age, nor refutations of the origin, nor this dispatcher's own observation of an answer reopens the
-    // engine.
+    // Neither age, nor refutations of the origin, nor this dispatcher's own observation of an answer ends the draining
+    // state.
     (0..50).for_each(|_| cache.record_verification(PEER, Verification::Refuted));
     cache.record(9, 1, ObservationKind::Unresponsive, 0.0, 1000.0);
     assert!(cache.view(9, 1000.0).is_draining_or_gone && cache.view(9, 1e9).is_draining_or_gone);
