--- a/crates/membership/src/config.rs
+++ b/crates/membership/src/config.rs
@@ -5,7 +5,7 @@
 /// Settings of the failure detector. Times are in milliseconds. Ranges are checked when the operators' file is read.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Config {
-    /// Length of a protocol period. One member is probed in each period.
+    /// Length of a protocol period. At most one member is probed in each period.
     pub period_ms: f64,
     /// Timeout of a direct probe, after which indirect probes are requested.
     pub probe_timeout_ms: f64,
--- a/crates/membership/src/detector.rs
+++ b/crates/membership/src/detector.rs
@@ -28,7 +28,7 @@
 use std::net::SocketAddr;
 use transport::Transport;
 
-/// Maximum number of members in the table, including dead members that are still retained.
+/// Maximum number of members in the table, including retained members that are dead or have left.
 pub const MAX_MEMBERS: usize = 1024;
 /// Maximum number of state changes in the history.
 const MAX_HISTORY: usize = 128;
@@ -324,7 +324,8 @@
         self.members.get(&id).map(|member| member.address)
     }
 
-    /// Returns the binary logarithm of the group size. SWIM's dissemination and suspicion times are proportional to it.
+    /// Returns the binary logarithm of the group size plus one. The group includes this member and the members that are
+    /// retained after they died or left. SWIM's dissemination and suspicion times are proportional to this logarithm.
     fn group_doublings(&self) -> f64 {
         (self.members.len() as f64 + 2.0).log2()
     }
--- a/crates/membership/src/detector/probing.rs
+++ b/crates/membership/src/detector/probing.rs
@@ -48,8 +48,9 @@
 }
 
 impl SwimDetector {
-    /// Begins a protocol period. Repeats an unanswered probe of the last period if it may be repeated; otherwise
-    /// suspects its target and probes the next member.
+    /// Begins a protocol period. An unanswered probe of the last period is repeated if that is allowed; otherwise its
+    /// target is suspected, and the next member of the round is probed. At the end of a round, this period starts no
+    /// probe, and the order of the next round is drawn.
     pub(super) fn begin_period(&mut self) {
         self.purge_departed_members();
         self.join_answers_sent = 0;
--- a/crates/membership/src/detector/table_sync.rs
+++ b/crates/membership/src/detector/table_sync.rs
@@ -107,7 +107,7 @@
         digests
     }
 
-    /// Sends the members of the buckets whose digests differ, including dead members.
+    /// Sends the members of the buckets whose digests differ, including members that are dead or have left.
     pub(super) fn answer_table_sync(
         &mut self,
         to: SocketAddr,
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -16,7 +16,7 @@
 //!
 //! Invariants, checked in `tests/`:
 //! - a datagram is never longer than [`codec::MAX_DATAGRAM_LEN`] bytes;
-//! - memory use is bounded by [`MAX_MEMBERS`], and the gossip sent at a time by the capacity of one datagram;
+//! - memory use is bounded by [`MAX_MEMBERS`], and the gossip in a message by the capacity of one datagram;
 //! - a member that answers probes is considered dead at most until its refutation has spread;
 //! - of two claims about a member, the claim with the higher incarnation wins; at equal incarnations, the claim with
 //!   the later state in the order of [`MemberState`] wins.
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -14,7 +14,8 @@
     pub state: MemberState,
     /// The last known incarnation.
     pub incarnation: u32,
-    /// Time of the last change of `state` (ms).
+    /// Time of the last change of `state` (ms). For a suspect, it is moved forward after a pause of this process, which
+    /// extends the suspicion.
     pub state_since_ms: f64,
 }
 
--- a/crates/membership/tests/network/simulated_network.rs
+++ b/crates/membership/tests/network/simulated_network.rs
@@ -96,7 +96,7 @@
         ));
     }
 
-    /// Advances virtual time by `duration_ms`. Datagrams are delivered only if `reaches(sender, receiver)`.
+    /// Advances virtual time by `duration_ms`. A datagram is dropped at the sender unless `reaches(sender, receiver)`.
     pub fn run(&mut self, duration_ms: f64, reaches: impl Fn(usize, usize) -> bool) {
         let end_ms = self.now_ms + duration_ms;
         while self.now_ms < end_ms {
