--- a/crates/zone-evacuation/src/config.rs
+++ b/crates/zone-evacuation/src/config.rs
@@ -4,7 +4,7 @@
 /// is read.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Config {
-    /// Minimum fraction of the witnesses outside a zone that do not reach it before the zone counts as lost.
+    /// Minimum fraction of the witnesses outside a zone that must fail to reach it for the zone to count as lost.
     pub lost_fraction: f64,
     /// Time for which the evidence must be unchanged before a decision.
     pub confirm_ms: f64,
--- a/crates/zone-evacuation/src/controller.rs
+++ b/crates/zone-evacuation/src/controller.rs
@@ -1,11 +1,11 @@
 //! The leader's decisions on the evacuation and recovery of zones, based on the reports of all members.
 //!
-//! The submodule `witnesses` stores and assesses members' reports, `zone_watch` holds the state of each zone and
+//! The submodule `witnesses` stores and assesses members' reports, `zone_state` holds the state of each zone and
 //! decides on its recovery, and `limits` decides whether a zone may be evacuated.
 
 mod limits;
 mod witnesses;
-mod zone_watch;
+mod zone_state;
 
 use crate::{
     Config, Decision, MemberId, MemberReport, QuotaRequest, Reason, Stage, ZoneHealth, ZoneId,
@@ -15,7 +15,7 @@
 use std::collections::BTreeMap;
 pub use witnesses::MemberPresence;
 use witnesses::Witnesses;
-use zone_watch::{Transition, ZoneState};
+use zone_state::{Transition, ZoneState};
 
 /// Time per decision number (ms). Decision numbers follow the clock, so that a new leader's numbers exceed those of
 /// its predecessor.
@@ -202,7 +202,7 @@
         state.request_quota(&request, now_ms)
     }
 
-    /// The sum of the unexpired quotas of a zone.
+    /// The sum of the quotas of a zone that had not expired at the last request for a quota of the zone.
     pub fn granted_total(&self, zone: ZoneId) -> f64 {
         match self.zones.get(&zone) {
             Some(state) => state.granted_total(),
--- a/crates/zone-evacuation/src/controller/limits.rs
+++ b/crates/zone-evacuation/src/controller/limits.rs
@@ -48,8 +48,8 @@
         now_ms: f64,
     ) -> Result<(), EvacuationError> {
         match initiator {
-            Initiator::Controller => self.check_evacuated_cores(zone, agreed),
             // The controller does not check the capacity: excess load is shed with or without the evacuation.
+            Initiator::Controller => self.check_evacuated_cores(zone, agreed),
             Initiator::Operator => self.check_remaining_capacity(zone, agreed, now_ms),
         }
     }
--- a/crates/zone-evacuation/src/controller/zone_state.rs
+++ b/crates/zone-evacuation/src/controller/zone_state.rs
@@ -194,7 +194,7 @@
         self.quotas.request(request, now_ms)
     }
 
-    /// The sum of the unexpired quotas.
+    /// The sum of the quotas, see [`RampQuotas::granted_total`].
     pub(super) fn granted_total(&self) -> f64 {
         self.quotas.granted_total()
     }
--- a/crates/zone-evacuation/src/ramp_quotas.rs
+++ b/crates/zone-evacuation/src/ramp_quotas.rs
@@ -49,7 +49,8 @@
 }
 
 impl RampQuotas {
-    /// The sum of the largest unexpired quotas of all members.
+    /// The sum over all members of their largest quota. Quotas that expired are removed at the next
+    /// [`RampQuotas::request`] and count until then.
     pub fn granted_total(&self) -> f64 {
         self.grants
             .values()
--- a/crates/zone-evacuation/tests/evacuation/follower.rs
+++ b/crates/zone-evacuation/tests/evacuation/follower.rs
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn follower_uses_its_last_decisions_then_closes_then_decides_locally() {
+fn member_without_leader_contact_closes_a_zone_when_its_quota_expires_and_later_decides_locally() {
     let mut follower = EvacuationFollower::new(WEST, 30_000.0, 0.0);
     // Just after the start, other zones are closed and the member decides locally on its own zone.
     assert_eq!(
--- a/crates/zone-evacuation/tests/evacuation/leader.rs
+++ b/crates/zone-evacuation/tests/evacuation/leader.rs
@@ -34,9 +34,9 @@
         }
     }
 
-    /// For `duration_ms`, nine members, three in each zone, send reports. `observe` returns what a member with this
-    /// id and zone reports: its reachability of `zone`, and whether it is isolated. `None`: the member sends no
-    /// report. Members report all other zones as reachable.
+    /// Runs for `duration_ms`. Nine members, three in each zone, report every 250 ms. `observe(id, home_zone)` returns
+    /// the reachability of `zone` that a member reports and whether the member is isolated, or `None` if the member
+    /// sends no report. Members report all other zones as reachable.
     pub fn receive_reports(
         &mut self,
         duration_ms: f64,
--- a/crates/zone-evacuation/tests/evacuation/main.rs
+++ b/crates/zone-evacuation/tests/evacuation/main.rs
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn slow_zone_that_answers_is_not_evacuated() {
+fn reachable_zone_is_not_evacuated() {
     let mut leader = Leader::new(short_step_config());
     leader.receive_reports(10_000.0, EAST, |_, _| {
         Some((Reachability::Reachable, false))
--- a/crates/zone-evacuation/tests/evacuation/quota_simulation.rs
+++ b/crates/zone-evacuation/tests/evacuation/quota_simulation.rs
@@ -114,6 +114,7 @@
             self.maybe_change_step();
             let fraction = self.config.ramp_fraction(self.step);
             self.recent_fractions.push((self.now_ms, fraction));
+            // Covers the term of a quota at the leader, which is extended by the clock skew, with a margin.
             let window_ms = self.config.quota_term_ms * 1.06 + STEP_MS;
             let now_ms = self.now_ms;
             self.recent_fractions
--- a/crates/zone-evacuation/tests/evacuation/quotas.rs
+++ b/crates/zone-evacuation/tests/evacuation/quotas.rs
@@ -21,7 +21,7 @@
         );
         max_used_fraction = max_used_fraction.max(result.used_fraction);
     }
-    // The check has a meaning only if members use most of a ramp step.
+    // The check is meaningful only if members use most of a ramp step.
     assert!(max_used_fraction > 0.8, "{max_used_fraction}");
 }
 
