--- a/crates/zone-routing/src/detector.rs
+++ b/crates/zone-routing/src/detector.rs
@@ -22,7 +22,7 @@
 /// An endpoint list that drops at least this fraction of a zone's ready engines while they are answering is recorded as
 /// suspicious.
 const SUSPICIOUS_DROP_FRACTION: f64 = 0.5;
-/// Time for which an engine counts as answering after its last answer (ms), for engines dropped from the endpoint list.
+/// An engine that the endpoint list drops counts as answering if its last answer is less than this old (ms).
 const ANSWERED_RECENTLY_MS: f64 = 2000.0;
 /// Interval between health checks of an unreachable zone (ms). Each check goes to the next engine in round-robin order.
 const HEALTH_CHECK_INTERVAL_MS: f64 = 500.0;
@@ -248,7 +248,8 @@
         self.zones.len() - 1
     }
 
-    /// Sets a zone's state and records the change. The next message to peers becomes due immediately.
+    /// Sets a zone's state and adds an entry to the history. Resets `state_since_ms` even if the state stays the same.
+    /// The next message to peers becomes due immediately.
     fn set_state(&mut self, zone: usize, state: ZoneState, reason: Reason) {
         let record = &mut self.zones[zone];
         record.state = state;
--- a/crates/zone-routing/src/detector/evaluation.rs
+++ b/crates/zone-routing/src/detector/evaluation.rs
@@ -89,11 +89,11 @@
         if tried == 0 || 2 * tried < ready {
             return None;
         }
-        let detection = &self.config.unreachability_thresholds;
+        let thresholds = &self.config.unreachability_thresholds;
         let is_silent = self.zones[zone]
             .failing_since_ms
-            .is_some_and(|since_ms| self.now_ms - since_ms >= detection.silent_ms);
-        Some(is_silent && failing as f64 >= detection.failing_fraction * tried as f64)
+            .is_some_and(|since_ms| self.now_ms - since_ms >= thresholds.silent_ms);
+        Some(is_silent && failing as f64 >= thresholds.failing_fraction * tried as f64)
     }
 
     fn mark_unreachable(&mut self, zone: usize) {
@@ -141,7 +141,8 @@
         self.set_state(zone, ZoneState::Recovering(initial), reason);
     }
 
-    /// Advances the recovery ramp while few answers are missing. Halves its progress while too many are missing.
+    /// Advances the recovery ramp while few answers are missing. Halves its progress while too many are missing, at
+    /// most once per [`MIN_SETBACK_INTERVAL_MS`].
     fn advance_recovery(&mut self, zone: usize, elapsed_ms: f64) {
         let now_ms = self.now_ms;
         let ramp = self.config.recovery_ramp;
--- a/crates/zone-routing/src/detector/records.rs
+++ b/crates/zone-routing/src/detector/records.rs
@@ -55,6 +55,7 @@
 pub(super) struct ZoneRecord {
     pub(super) name: String,
     pub(super) state: ZoneState,
+    /// Time of the last history entry of the zone (ms), or of its first listing.
     pub(super) state_since_ms: f64,
     /// Number of successes, with exponential decay.
     pub(super) recent_successes: f64,
--- a/crates/zone-routing/src/lib.rs
+++ b/crates/zone-routing/src/lib.rs
@@ -8,7 +8,8 @@
 //! This crate owns the reachability of zones by this dispatcher's evidence ([`ZoneHealthDetector`]); the zone
 //! preferences of each class, the spill limits and the limits of recovering zones ([`RoutingPlan`]); and the validation
 //! of the configuration ([`Config::validate`]). It does no I/O, reads no clock and draws no random numbers. It places
-//! no queries: the admission controller (package `tansymux`) does, within the plan and rules 1 to 7.
+//! no queries: the admission controller (package `tansymux`) does, within the plan and its rules 1 to 7 for attempts
+//! (src/control/dispatch.rs).
 //!
 //! Invariants, checked in `tests/`:
 //! - a zone becomes unreachable only because of failures that this dispatcher observed, never because of peers'
--- a/crates/zone-routing/src/model.rs
+++ b/crates/zone-routing/src/model.rs
@@ -50,7 +50,7 @@
     }
 }
 
-/// The reason for a zone's change of state, or for a history entry without one.
+/// The reason for a history entry: a change of a zone's state, or an event that does not change it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Reason {
     /// Most of the zone's engines fail, and none has answered for [`crate::UnreachabilityThresholds::silent_ms`].
@@ -59,7 +59,7 @@
     LostFromHere,
     /// An engine of the unreachable zone answered.
     Answered,
-    /// No engine of the unreachable zone was observed for `UNTRIED_MS`, so a recovery begins to obtain evidence.
+    /// No engine of the unreachable zone was observed for 12 s (`UNTRIED_MS`), so a recovery begins to obtain evidence.
     Untried,
     /// The recovery ramp was completed.
     Recovered,
--- a/crates/zone-routing/src/routing_plan.rs
+++ b/crates/zone-routing/src/routing_plan.rs
@@ -9,11 +9,12 @@
     pub name: String,
     /// How far the zone may be used.
     pub state: ZoneState,
-    /// The zone's rank for each class; 0 is the most preferred.
+    /// The zone's rank for each class, in the order of the classes passed to
+    /// [`crate::ZoneHealthDetector::routing_plan`]; 0 is the most preferred.
     pub ranks: Vec<u8>,
-    /// Maximum number of threads that this dispatcher may use in the zone while spilling from another zone.
+    /// Maximum number of threads that this dispatcher may use in the zone for work that spills into it.
     pub spill_threads: f64,
-    /// The corresponding limit of each class.
+    /// The same limit for each class, in the same order as `ranks`.
     pub spill_threads_by_class: Vec<f64>,
 }
 
--- a/crates/zone-routing/tests/zone_failures/main.rs
+++ b/crates/zone-routing/tests/zone_failures/main.rs
@@ -1,9 +1,9 @@
 //! Zones that fail, fail partly, flap, or return with new engine identifiers, in virtual time. One test per case.
 
-mod world;
+mod simulation;
 
+use simulation::{reasons, Simulation, EVALUATION_INTERVAL_MS, TWO_ZONES};
 use tansymux_zone_routing::{Engine, Event, Observation, ObservationKind, Reason, ZoneState};
-use world::{reasons, Simulation, EVALUATION_INTERVAL_MS, TWO_ZONES};
 
 #[test]
 fn failing_zone_becomes_unreachable_within_1500_ms_and_gets_no_threads() {
@@ -279,8 +279,8 @@
         reasons(&simulation.detector.take_changes()),
         [("east".to_owned(), Reason::ListDropsEngines)]
     );
-    // Dropped engines receive no attempts (rule 3). The zone stays healthy, and its spill limit shrinks to the cores
-    // left.
+    // Attempts are sent only to listed engines (rule 3). The zone stays healthy, and its spill limit covers only the
+    // cores of the engine that is left.
     assert_eq!(simulation.detector.state("east"), Some(ZoneState::Healthy));
     assert!((simulation.plan().zones[0].spill_threads - 0.4 * 8.0).abs() < 1e-9);
 }
