--- a/crates/operator-config/src/error_collector.rs
+++ b/crates/operator-config/src/error_collector.rs
@@ -18,7 +18,7 @@
         }
     }
 
-    /// Adds an error: the value of `key` is `found`, and `allowed` is allowed.
+    /// Adds the error that the value of `key` is `found`; `allowed` describes the allowed values.
     pub fn add(&mut self, key: &str, found: impl Into<String>, allowed: impl Into<String>) {
         self.errors.push(ConfigError {
             location: self.source_map.nearest_location(key),
--- a/crates/operator-config/src/fleet.rs
+++ b/crates/operator-config/src/fleet.rs
@@ -16,8 +16,8 @@
 const MAX_RAMP_STEPS: u32 = 255;
 /// Length of a key that signs datagrams (bytes).
 const KEY_BYTES: usize = 16;
-/// Placeholder for the local zone, which no name hashes to: the file does not contain the member's zone, the program
-/// sets it.
+/// Placeholder for the local zone: the file does not contain it, and the program sets it later. [`name_hash`] never
+/// returns this value.
 const UNKNOWN_ZONE: u32 = 0;
 
 /// The id of a zone, version or engine in messages: the 32-bit FNV-1a hash of its name, or 1 if the hash is 0.
--- a/crates/operator-config/src/source_location.rs
+++ b/crates/operator-config/src/source_location.rs
@@ -102,7 +102,7 @@
             .map_or_else(String::new, |key| key.path.clone())
     }
 
-    /// The location of a key in the form used by checks, with numbers only after repeated fields.
+    /// The location of a key as checks write it, with numbers only after repeated fields.
     pub fn location(&self, key: &str) -> Option<SourceLocation> {
         let numbered = self.by_path.get(&number_all_names(key));
         numbered.or_else(|| self.by_path.get(key)).copied()
@@ -120,7 +120,7 @@
         None
     }
 
-    /// The key at `offset`, or the last key before it.
+    /// The key at `offset`, or the last key before it. Occurrence numbers of 0 are left out.
     pub fn key_at(&self, offset: usize) -> Option<String> {
         let after = self.in_order.partition_point(|key| key.offset <= offset);
         let key = self.in_order.get(after.checked_sub(1)?)?;
--- a/crates/operator-config/src/validate/fleet.rs
+++ b/crates/operator-config/src/validate/fleet.rs
@@ -9,7 +9,7 @@
 
 /// Maximum number of voters. More voters would tolerate more failures than is useful, and slow down each round.
 const MAX_VOTERS: usize = 9;
-/// Maximum length of a name (bytes), the limit of a field in a datagram.
+/// Maximum length of a member's name (bytes).
 const MAX_NAME_BYTES: usize = 64;
 /// Description of the allowed names in error texts.
 const ALLOWED_NAME: &str = "a name of 1 to 64 bytes without blanks";
--- a/crates/operator-config/src/validate/levels.rs
+++ b/crates/operator-config/src/validate/levels.rs
@@ -73,8 +73,8 @@
 }
 
 fn validate_act(key: &str, act: &Act, errors: &mut ErrorCollector) {
-    // With a demotion factor below 0.5 ordinary queries would leave the fast lane.
     errors.check_range(&format!("{key}.bounds"), act.bounds, 0.05, 1.0);
+    // With a demotion factor below 0.5 ordinary queries would leave the fast lane.
     errors.check_range(&format!("{key}.demotion"), act.demotion, 0.5, 1.0);
     errors.check_range(&format!("{key}.grants"), act.grants, 0.05, 1.0);
     errors.check_range(&format!("{key}.retry_after"), act.retry_after, 1.0, 100.0);
