--- a/crates/service-levels/src/config/validation.rs
+++ b/crates/service-levels/src/config/validation.rs
@@ -52,7 +52,7 @@
                 errors.push(ConfigError {
                     level: 0,
                     key: "act".into(),
-                    found: format!("nothing in {:?}", first.name),
+                    found: format!("without effect in {:?}", first.name),
                     allowed: "stricter than full service",
                 });
             }
@@ -105,18 +105,22 @@
     };
     if !enter.is_finite() || !leave.is_finite() || gap < MIN_THRESHOLD_GAP {
         let found = format!("{enter} to enter and {leave} to leave");
-        errors.add(key, found, "thresholds 0.02 apart or more: it would flap");
+        errors.add(
+            key,
+            found,
+            "thresholds 0.02 apart or more: closer ones would flap",
+        );
     } else if !(0.0..=1.0).contains(&enter) {
         errors.add(
             key,
             format!("{enter} to enter"),
-            "0 to 1: it could never be entered",
+            "0 to 1: otherwise the level could never be entered",
         );
     } else if !can_be_left {
         errors.add(
             key,
             format!("{leave} to leave"),
-            "a value inside 0 to 1: it could not be left",
+            "a value inside 0 to 1: otherwise the level could not be left",
         );
     }
 }
@@ -156,7 +160,7 @@
         errors.add(
             "act",
             format!("the same as in {:?}", before.name),
-            "stricter: a level must do something",
+            "stricter than the level before",
         );
     }
 }
--- a/crates/service-levels/src/lib.rs
+++ b/crates/service-levels/src/lib.rs
@@ -12,10 +12,10 @@
 //! queries: the level in force gives a [`Degradation`] to the admission controller.
 //!
 //! Invariants, by construction and checked in `tests/`:
-//! - after the initial depth and except for a new configuration, the depth changes by one step at a time; level n is in
+//! - the depth changes by one step at a time, except for the initial depth and for a new configuration; level n is in
 //!   force while the depth is n or more;
-//! - each level changes at most once in any [`MIN_CHANGE_INTERVAL_MS`], regardless of signals, peers, operators and
-//!   clocks;
+//! - each level changes at most once in any [`MIN_CHANGE_INTERVAL_MS`], regardless of signals, peers, pins and clocks;
+//!   only a new configuration may change it sooner;
 //! - a level can be left once its triggers have been clear for their hold times; a trigger whose signal is not reported
 //!   clears after a timeout;
 //! - the loss of peers alone does not change the level.
--- a/crates/service-levels/src/outcome_windows.rs
+++ b/crates/service-levels/src/outcome_windows.rs
@@ -59,6 +59,7 @@
         bucket.rejected += u32::from(outcome == QueryOutcome::Rejected);
     }
 
+    /// Returns the sum of the buckets in the window that ends with the bucket `number`.
     fn sum(&self, number: u64) -> Bucket {
         let mut sum = Bucket::default();
         for bucket in &self.0 {
--- a/crates/service-levels/src/signal.rs
+++ b/crates/service-levels/src/signal.rs
@@ -5,8 +5,8 @@
 pub enum Signal {
     /// Fraction of ready engines that are under pressure, in the pool (`None`) or in a zone.
     PressuredEngines(Option<String>),
-    /// Fraction of the low lane's concurrency limits in use. The limits count as at full service, without the factor of
-    /// the level in force.
+    /// Fraction of the low lane's concurrency limits in use. The limits are those of full service, without the factor
+    /// of the level in force.
     ConcurrencyUsed,
     /// Fraction of completed queries that exceeded their latency objective, of all classes (`None`) or of one.
     LateQueries(Option<String>),
--- a/crates/service-levels/src/state_machine.rs
+++ b/crates/service-levels/src/state_machine.rs
@@ -132,7 +132,8 @@
         self.depth.depth()
     }
 
-    /// Returns a version that increases with each change, so that a client can wait for a higher one.
+    /// Returns a version that increases with each change of the depth or the configuration, so that a client can wait
+    /// for a higher one.
     pub fn version(&self) -> u64 {
         self.depth.version()
     }
@@ -142,12 +143,12 @@
         self.depth.history()
     }
 
-    /// Returns the total time at each depth (ms), from depth 0.
+    /// Returns the total time at each depth (ms), from depth 0, since the last change of the configuration.
     pub fn time_at_depth_ms(&self) -> &[f64] {
         self.depth.time_at_depth_ms()
     }
 
-    /// Returns the number of changes of each level.
+    /// Returns the number of changes of each level since the last change of the configuration.
     pub fn change_counts(&self) -> &[u64] {
         self.depth.change_counts()
     }
--- a/crates/service-levels/src/state_machine/depth.rs
+++ b/crates/service-levels/src/state_machine/depth.rs
@@ -43,17 +43,17 @@
         self.since_ms
     }
 
-    /// Returns the total time at each depth (ms), from depth 0.
+    /// Returns the total time at each depth (ms), from depth 0, since the last change of the configuration.
     pub fn time_at_depth_ms(&self) -> &[f64] {
         &self.time_at_depth_ms
     }
 
-    /// Returns the number of changes of each level.
+    /// Returns the number of changes of each level since the last change of the configuration.
     pub fn change_counts(&self) -> &[u64] {
         &self.change_counts
     }
 
-    /// Returns a version that increases with each change.
+    /// Returns a version that increases with each change of the depth or the configuration.
     pub fn version(&self) -> u64 {
         self.version
     }
@@ -97,8 +97,8 @@
     }
 
     /// Replaces the levels, and returns whether the depth changes. Levels are matched by name: those in force stay in
-    /// force, together with all levels that precede them in the new order. New levels, and levels that enter or leave
-    /// force, count as changed now, so that [`MIN_CHANGE_INTERVAL_MS`] applies to them too.
+    /// force, together with all levels that precede them in the new order. New levels, and levels that come into
+    /// force or go out of force, count as changed now, so that [`MIN_CHANGE_INTERVAL_MS`] applies to them too.
     pub fn reconfigure(&mut self, old_levels: &[Level], new_levels: &[Level], now_ms: f64) -> bool {
         let depth_before = self.depth;
         let depth = retained_depth(&old_levels[..depth_before], new_levels);
--- a/crates/service-levels/src/state_machine/peers.rs
+++ b/crates/service-levels/src/state_machine/peers.rs
@@ -14,7 +14,7 @@
 const MAX_PEERS: usize = 1024;
 /// Half of the range of sequence numbers, which wrap around: a number ahead by less than this is newer.
 const SEQUENCE_HALF_RANGE: u16 = 0x8000;
-/// Highest sequence number that counts as newer than any other: it may be that of a restarted peer.
+/// Sequence numbers up to this one count as newer than any other, since a restarted peer counts from 1 again.
 const MAX_RESTARTED_SEQUENCE: u16 = 2;
 
 /// The last report of a peer.
--- a/crates/service-levels/src/state_machine/status.rs
+++ b/crates/service-levels/src/state_machine/status.rs
@@ -83,8 +83,9 @@
         }
     }
 
-    /// Returns a key for model checking: two machines with equal keys behave identically. The key holds all state that
-    /// later steps depend on. Times are ages, capped at the age beyond which they make no difference.
+    /// Returns a key for model checking: two machines with equal keys behave identically. The key leaves out pins and
+    /// sequence numbers, which the model does not use. Times are ages, capped just above [`MIN_CHANGE_INTERVAL_MS`]; a
+    /// model must not use longer stays or hold times.
     pub fn state_key(&self) -> Vec<i64> {
         let age = |at_ms: f64| (self.now_ms - at_ms).min(MIN_CHANGE_INTERVAL_MS + 1.0) as i64;
         let startup_age = |at_ms: f64| age(at_ms).min(STARTUP_LISTEN_MS as i64 + 1);
--- a/crates/service-levels/tests/model.rs
+++ b/crates/service-levels/tests/model.rs
@@ -43,7 +43,7 @@
 #[derive(Debug, Clone)]
 struct State {
     machines: [LevelStateMachine; 2],
-    now: f64,
+    now_ms: f64,
     /// Steps since the last change of each level, by machine; at most four.
     steps_since_change: [[u8; 3]; 2],
     is_violated: bool,
@@ -101,7 +101,7 @@
         };
         vec![State {
             machines: [settled_machine(), settled_machine()],
-            now: 3000.0,
+            now_ms: 3000.0,
             steps_since_change: [[4; 3]; 2],
             is_violated: false,
             clear_steps: 0,
@@ -129,23 +129,23 @@
             .flatten()
             .for_each(|steps| *steps = (*steps + 1).min(4));
         for evaluation in 1..=EVALUATIONS {
-            let now = last.now + STEP_MS * f64::from(evaluation) / f64::from(EVALUATIONS);
+            let now_ms = last.now_ms + STEP_MS * f64::from(evaluation) / f64::from(EVALUATIONS);
             for n in 0..2 {
                 let machine = &mut state.machines[n];
-                if let Some(change) = machine.evaluate(&[action.readings[n]], now) {
+                if let Some(change) = machine.evaluate(&[action.readings[n]], now_ms) {
                     let (from, to) = (change.from, change.to);
                     state.is_violated |= from.abs_diff(to) != 1;
                     // Fewer than three steps of 20 s between two changes: less than a minute.
                     state.is_violated |= state.steps_since_change[n][from.min(to)] < 3;
                     state.steps_since_change[n][from.min(to)] = 0;
                 }
-                let due_message = state.machines[n].poll_message(now);
+                let due_message = state.machines[n].poll_message(now_ms);
                 if let Some(message) = due_message.filter(|_| action.is_connected) {
-                    state.machines[1 - n].handle_peer_message(n as u32, &message, now);
+                    state.machines[1 - n].handle_peer_message(n as u32, &message, now_ms);
                 }
             }
         }
-        state.now = last.now + STEP_MS;
+        state.now_ms = last.now_ms + STEP_MS;
         let all_clear = action.readings == [0.1, 0.1];
         state.clear_steps = if all_clear {
             (state.clear_steps + 1).min(RECOVERY_STEPS)
--- a/crates/service-levels/tests/state_machine/fleet.rs
+++ b/crates/service-levels/tests/state_machine/fleet.rs
@@ -9,7 +9,7 @@
 pub struct Fleet {
     pub machines: Vec<LevelStateMachine>,
     pub invariants: Vec<Invariants>,
-    pub now: f64,
+    pub now_ms: f64,
     pub rng: Pcg32,
 }
 
@@ -20,7 +20,7 @@
                 .map(|_| LevelStateMachine::new(three_levels()))
                 .collect(),
             invariants: (0..machine_count).map(|_| Invariants::new()).collect(),
-            now: 0.0,
+            now_ms: 0.0,
             rng: Pcg32::seed_from_u64(7),
         }
     }
@@ -34,23 +34,23 @@
         is_connected: impl Fn(usize, usize) -> bool,
         loss: f64,
     ) {
-        let end = self.now + duration_ms;
-        while self.now < end {
+        let end = self.now_ms + duration_ms;
+        while self.now_ms < end {
             for n in 0..self.machines.len() {
                 let change = self.machines[n]
-                    .evaluate(&[load(n, self.now)], self.now)
+                    .evaluate(&[load(n, self.now_ms)], self.now_ms)
                     .cloned();
                 self.invariants[n].check(change.as_ref());
-                let Some(message) = self.machines[n].poll_message(self.now) else {
+                let Some(message) = self.machines[n].poll_message(self.now_ms) else {
                     continue;
                 };
                 for to in (0..self.machines.len()).filter(|to| *to != n) {
                     if is_connected(n, to) && !self.rng.random_bool(loss) {
-                        self.machines[to].handle_peer_message(n as u32, &message, self.now);
+                        self.machines[to].handle_peer_message(n as u32, &message, self.now_ms);
                     }
                 }
             }
-            self.now += EVALUATION_MS;
+            self.now_ms += EVALUATION_MS;
         }
     }
 
--- a/crates/service-levels/tests/state_machine/main.rs
+++ b/crates/service-levels/tests/state_machine/main.rs
@@ -270,18 +270,18 @@
         0.0,
     );
     assert_eq!(fleet.depths(), [1, 1, 1]);
-    let lost_at_ms = fleet.now;
+    let lost_at_ms = fleet.now_ms;
     // The messages of the two stop. The third reads a low load: it returns to full service, but only after the hold
     // time has passed again since the loss of its peers.
     let mut left_after_ms = None;
-    while left_after_ms.is_none() && fleet.now - lost_at_ms < 200_000.0 {
+    while left_after_ms.is_none() && fleet.now_ms - lost_at_ms < 200_000.0 {
         fleet.run(
             EVALUATION_MS,
             |n, _| if n < 2 { 0.45 } else { 0.1 },
             |from, _| from == 2,
             0.0,
         );
-        left_after_ms = (fleet.machines[2].depth() == 0).then_some(fleet.now - lost_at_ms);
+        left_after_ms = (fleet.machines[2].depth() == 0).then_some(fleet.now_ms - lost_at_ms);
     }
     let left_after_ms =
         left_after_ms.expect("the third dispatcher leaves the level after the loss of its peers");
@@ -298,7 +298,8 @@
     for n in 0..400 {
         machine.evaluate(&[0.1], f64::from(n) * EVALUATION_MS);
         other.evaluate(&[0.95], f64::from(n) * EVALUATION_MS);
-        // One message fifty times, which expires; messages with another fingerprint; empty messages.
+        // The machine receives one message fifty times, whose report then expires, and in every step a message with
+        // another fingerprint and an empty message.
         if n == 60 {
             let repeated = other.poll_message(6000.0).unwrap();
             (0..50).for_each(|_| machine.handle_peer_message(1, &repeated, 6000.0));
@@ -486,7 +487,7 @@
         ("1.act: the same", |d| {
             d.levels[1].degradation.concurrency_factor = 0.8
         }),
-        ("0.act: nothing", |d| {
+        ("0.act: without effect", |d| {
             d.levels[0].degradation.concurrency_factor = 1.0
         }),
         ("held by rejections alone", |d| {
