--- a/crates/store/src/config.rs
+++ b/crates/store/src/config.rs
@@ -29,7 +29,7 @@
 const DEFAULT_SYNC_INTERVAL_MS: f64 = 1000.0;
 /// Default total size of the logs beyond which a checkpoint is due (bytes).
 const DEFAULT_MAX_LOG_BYTES: u64 = 4 << 20;
-/// Default time after a disk error until appends are retried (ms).
+/// Default time after a disk error for which appends fail without a write (ms).
 const DEFAULT_RETRY_AFTER_MS: f64 = 30_000.0;
 /// Total size of the logs beyond which appends are rejected, as a multiple of `max_log_bytes`.
 const HARD_LIMIT_FACTOR: u64 = 2;
@@ -50,7 +50,7 @@
 
 impl Config {
     /// Creates settings for a store that needs a checkpoint beyond `max_log_bytes` of logs, rejects appends beyond
-    /// twice that size, and retries appends `retry_after_ms` after a disk error.
+    /// twice that size, and fails appends without a write for `retry_after_ms` after a disk error.
     ///
     /// # Errors
     /// [`StoreError::InvalidConfig`] for a sync interval that is not finite and positive, for `max_log_bytes` of 0, or
@@ -100,7 +100,7 @@
         self.max_log_bytes
     }
 
-    /// Returns the time after a disk error until appends are retried (ms).
+    /// Returns the time after a disk error for which appends fail without a write (ms).
     pub fn retry_after_ms(&self) -> f64 {
         self.retry_after_ms
     }
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -13,7 +13,8 @@
         /// The allowed values.
         expected: &'static str,
     },
-    /// The disk is full or read-only, or a write failed otherwise. Appends are retried after `retry_after_ms`.
+    /// The disk is full or read-only, or a write failed otherwise. Appends fail without a write until `retry_after_ms`
+    /// has passed.
     #[error("disk error: {0}")]
     Disk(String),
     /// The logs exceed twice `max_log_bytes`: a checkpoint is needed before the next append.
--- a/crates/store/src/format.rs
+++ b/crates/store/src/format.rs
@@ -18,10 +18,9 @@
 //! | 4 | 4 | checksum of the length field and the record |
 //! | 8 | length | the record; in a trailer 8 bytes, the number of records before it |
 //!
-//! A snapshot ends with a trailer, without which it would not be noticed if the snapshot were truncated between two
-//! frames. A log has no trailer.
+//! A snapshot ends with a trailer, so that a truncation between two frames is detected. A log has no trailer.
 
-/// Format version of new files. Files of older versions are read; files of newer versions are neither read nor changed.
+/// The first and current format version. Files of newer versions are neither read nor changed.
 pub const VERSION: u16 = 1;
 /// The first bytes of each file.
 const MAGIC: &[u8; 4] = b"TXST";
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -14,7 +14,8 @@
 //! - records are recovered in order and without gaps: no record after a corrupt one is replayed;
 //! - corruption never causes a panic, and is always reported: see [`RecoveryReport`];
 //! - files of a newer format version are neither read nor changed;
-//! - a full or read-only disk makes writes fail, but not recovery; writes are retried later;
+//! - a full or read-only disk makes writes fail, but not recovery; appends write to the disk again after
+//!   `retry_after_ms`;
 //! - the size of the logs is bounded: beyond `max_log_bytes` the store needs a checkpoint, and beyond twice that size
 //!   it rejects appends.
 //!
--- a/crates/store/src/recovery.rs
+++ b/crates/store/src/recovery.rs
@@ -116,7 +116,7 @@
     snapshot: Option<Snapshot>,
     /// Logs with a valid header, in the order of their numbers.
     logs: Vec<Log>,
-    /// The error to report: that of the last invalid snapshot, otherwise that of the first invalid log.
+    /// The error to report: that of the last invalid snapshot, otherwise that of the first log with an invalid header.
     error: Option<FileError>,
 }
 
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -51,7 +51,7 @@
 
 impl<D: Disk> Store<D> {
     /// Recovers the records on `disk`, without writing to it. Corruption is not an error, but part of the report: the
-    /// store can be used in any case.
+    /// store accepts appends in any case, unless a file has a newer format version.
     pub fn open(disk: D, config: Config) -> Opened<D> {
         let recovered = recover(&disk, config.max_file_bytes());
         let store = Store {
--- a/crates/store/tests/crash_recovery.rs
+++ b/crates/store/tests/crash_recovery.rs
@@ -133,7 +133,7 @@
     }
 }
 
-/// Settings that sync each record, need a checkpoint beyond 4 KiB, and retry 100 ms after a disk error.
+/// Settings that sync each record, need a checkpoint beyond 4 KiB, and fail appends for 100 ms after a disk error.
 fn sync_every_record() -> Config {
     config(SyncPolicy::EveryRecord)
 }
