--- a/crates/sql-analysis/src/analyzer/dialect.rs
+++ b/crates/sql-analysis/src/analyzer/dialect.rs
@@ -34,8 +34,8 @@
     }
 }
 
-/// Converts the shape's tokens for the parser; `None` if the parser has no such token. A token's column is its index
-/// plus 1.
+/// Converts the shape's tokens to the parser's; `None` if the parser has no equivalent of one of them. A token's column
+/// is its index plus 1.
 pub(super) fn parser_tokens(shape: &Shape) -> Option<Vec<TokenWithSpan>> {
     let mut tokens = Vec::with_capacity(shape.tokens.len() + 1);
     for (index, token) in shape.tokens.iter().enumerate() {
--- a/crates/sql-analysis/src/analyzer/findings.rs
+++ b/crates/sql-analysis/src/analyzer/findings.rs
@@ -41,8 +41,9 @@
         }
     }
 
-    /// Combines the findings of two dialects: the more severe effect, the tables of both, the common aliases, and the
-    /// features of `self`.
+    /// Combines the findings of two dialects: the more severe effect, the tables of both, the aliases that both have,
+    /// and the features of `self`. If the dialects disagree on the number of statements, the effect is at least
+    /// [`Effect::Unknown`].
     pub fn combine(mut self, other: Findings) -> Findings {
         let statement_counts_differ = other.statement_count != self.statement_count;
         if other.effect > self.effect || statement_counts_differ && self.effect == Effect::ReadOnly
--- a/crates/sql-analysis/src/analyzer/lexical_check.rs
+++ b/crates/sql-analysis/src/analyzer/lexical_check.rs
@@ -17,7 +17,7 @@
     config: &Config,
 ) -> Option<Reason> {
     if shape.has_effect_keyword {
-        return Some(Reason::EffectWord);
+        return Some(Reason::EffectKeyword);
     }
     let mut starts_statement = true;
     for (index, token) in shape.tokens.iter().enumerate() {
--- a/crates/sql-analysis/src/analyzer/mod.rs
+++ b/crates/sql-analysis/src/analyzer/mod.rs
@@ -103,7 +103,8 @@
 /// The effect of a statement, as far as it is proven.
 struct ProvenEffect {
     effect: Effect,
-    /// The reason why the statement could not be parsed or proven read-only, if there is one.
+    /// The reason why the statement could not be parsed or proven read-only. For [`Effect::NonIdempotent`], only a
+    /// lexical reason is given.
     reason: Option<Reason>,
 }
 
--- a/crates/sql-analysis/src/analyzer/statement_effect.rs
+++ b/crates/sql-analysis/src/analyzer/statement_effect.rs
@@ -1,4 +1,4 @@
-//! The effect of a statement by its kind, without its subqueries and calls.
+//! The effect of a statement by its kind. `visitor` checks its subqueries and calls.
 
 use super::reason::Reason;
 use super::visitor::SyntaxSearch;
@@ -44,8 +44,8 @@
             .raise(Effect::NonIdempotent, Reason::ChangesData(statement));
     }
 
-    /// Checks an EXPLAIN. The explained statement is executed only with ANALYZE; it is visited like any other
-    /// statement.
+    /// Checks an EXPLAIN. The engine executes the explained statement only with ANALYZE, but the visitor visits it, and
+    /// so records its effect, in either case.
     fn check_explain(&mut self, explain: &Statement) {
         let Statement::Explain {
             analyze,
--- a/crates/sql-analysis/src/analyzer/visitor.rs
+++ b/crates/sql-analysis/src/analyzer/visitor.rs
@@ -31,7 +31,7 @@
     search.finish()
 }
 
-/// The dotted name as in the shape, where unquoted parts are already in lower case.
+/// The dotted name without quotes. The shape already has unquoted parts in lower case.
 pub(super) fn name_of(name: &ObjectName) -> String {
     let mut parts = Vec::with_capacity(name.0.len());
     for part in &name.0 {
@@ -220,7 +220,7 @@
             }
             TableFactor::NestedJoin { .. } => {}
             TableFactor::Function { name, .. } => self.check_call(name_of(name)),
-            _ => self.raise_unknown(Reason::NotATable),
+            _ => self.raise_unknown(Reason::UnknownSource),
         }
         ControlFlow::Continue(())
     }
@@ -238,7 +238,7 @@
             Expr::In {
                 target: InTarget::Table { .. },
                 ..
-            } => self.raise_unknown(Reason::NotATable),
+            } => self.raise_unknown(Reason::UnknownSource),
             _ => {}
         }
         ControlFlow::Continue(())
--- a/crates/sql-analysis/src/config.rs
+++ b/crates/sql-analysis/src/config.rs
@@ -3,8 +3,8 @@
 use crate::rules::Rule;
 use crate::{Class, Features};
 
-/// An SQL dialect of engines. A statement is proven read-only only if it is read-only in all configured dialects that
-/// accept it.
+/// An SQL dialect that the engines may accept. A statement is proven read-only only if it is read-only in all
+/// configured dialects that accept it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Dialect {
     /// A permissive mixture of dialects, tried only if no other configured dialect accepts a statement.
@@ -26,7 +26,8 @@
     pub memory_mb: f64,
 }
 
-/// Work and memory of each class, in the order of [`Class::ALL`], and the factors by which features raise the work.
+/// Work and memory of each class, in the order of [`Class::ALL`], and the factors by which features raise the work. The
+/// cost model learns deviations from the work; it does not learn memory.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BaseCosts {
     /// Work (ms on one core) of each class.
@@ -119,7 +120,7 @@
     pub pure_functions: Vec<String>,
     /// Functions with effects, in the same form.
     pub effect_functions: Vec<String>,
-    /// Costs of shapes without learned costs.
+    /// Costs by class and features alone.
     pub base_costs: BaseCosts,
     /// Maximum number of shapes in the shape cache.
     pub max_shapes: usize,
--- a/crates/sql-analysis/src/features.rs
+++ b/crates/sql-analysis/src/features.rs
@@ -15,7 +15,7 @@
     pub grouped: bool,
     /// Whether the statement has DISTINCT.
     pub distinct: bool,
-    /// Whether the statement calls an aggregate function.
+    /// Whether the statement calls an aggregate function other than as a window function.
     pub aggregated: bool,
     /// Whether the statement has UNION, EXCEPT or INTERSECT.
     pub set_operation: bool,
@@ -25,8 +25,9 @@
     pub limited: bool,
     /// Whether the statement has WITH RECURSIVE.
     pub recursive: bool,
-    /// Whether WHERE requires a column to equal a literal, or one of a list of literals, for every row.
+    /// Whether WHERE of the outermost query requires a column to equal a literal, or one of a list of literals, for
+    /// every row.
     pub point_lookup: bool,
-    /// Whether the statement has WHERE.
+    /// Whether any SELECT has WHERE or a semi join.
     pub filtered: bool,
 }
--- a/crates/sql-analysis/src/functions.rs
+++ b/crates/sql-analysis/src/functions.rs
@@ -186,7 +186,7 @@
     "year",
 ];
 
-/// Functions with effects on sequences, locks, sessions, other servers or files. Sorted for binary search.
+/// Functions that change, or depend on, sequences, locks, sessions, other servers or files. Sorted for binary search.
 pub(crate) const EFFECT_FUNCTIONS: &[&str] = &[
     "currval",
     "dblink",
@@ -264,7 +264,8 @@
 
 /// The effect of a function by the name in the call; [`Effect::Unknown`] if no list has the function.
 pub(crate) fn effect_of_function(name: &str, config: &Config) -> Effect {
-    // A call qualified with a schema has the effects of the unqualified function.
+    // A call qualified with a schema has the effects of the unqualified function. It is pure only if the qualified name
+    // is listed, since a schema may define its own function under a built-in name.
     let unqualified = name.rsplit('.').next().unwrap_or(name);
     let is_listed = |list: &[String], name: &str| list.iter().any(|listed| listed == name);
     if is_listed(&config.effect_functions, name) || is_listed(&config.effect_functions, unqualified)
--- a/crates/sql-analysis/src/keywords.rs
+++ b/crates/sql-analysis/src/keywords.rs
@@ -9,7 +9,8 @@
     /// A keyword that, unquoted and not after a dot, occurs in no read-only statement. It reveals a change of data even
     /// in a construct that the parser accepts as harmless or skips.
     Effect,
-    /// A chaining operator: each occurrence may nest its left operand one level deeper in the syntax tree.
+    /// A keyword that repeats in chains, as in `a and b and c`. Each occurrence may make the syntax tree one level
+    /// deeper.
     Chaining,
     /// Any other word.
     Other,
@@ -37,7 +38,7 @@
     }
 }
 
-/// Whether a read-only statement may begin with a word.
+/// Whether a read-only statement may begin with this word or parenthesis.
 pub(crate) fn starts_read_only_statement(word: &str) -> bool {
     matches!(
         word,
--- a/crates/sql-analysis/src/lib.rs
+++ b/crates/sql-analysis/src/lib.rs
@@ -3,7 +3,7 @@
 //! Owns: the shape of a statement's text (`lexer`), its analysis (`analyzer`), its class by rules (`rules`), its
 //! estimated cost (`cost_model`), and a bounded cache of analyses (`shape_cache`). It does no I/O, reads no clock and
 //! draws no random numbers: its inputs are bytes and times, its outputs analyses and estimates. It never decides where
-//! a query runs: class, effect and estimate are inputs of the admission controller, which owns all rules.
+//! a query runs: class, effect and estimate are inputs of the admission controller, which decides that.
 //!
 //! Invariants, tested in `tests/hard_cases/`:
 //! - a statement is read-only only if that is proven: any ambiguity, any unknown function and any word that could begin
@@ -71,7 +71,7 @@
 /// severe of several effects applies.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Effect {
-    /// Proven to change nothing, in each configured dialect, by the words as well as by the grammar.
+    /// Proven to change nothing, by the words and by the grammar of each configured dialect that accepts the statement.
     ReadOnly,
     /// Not proven. The rules for non-idempotent statements apply.
     Unknown,
@@ -97,13 +97,14 @@
     pub class: Class,
     /// The effect.
     pub effect: Effect,
-    /// Names of the tables read, in lower case except for quoted parts.
+    /// Names of the tables read and not written, in lower case except for quoted parts.
     pub tables_read: Vec<String>,
     /// Names of the tables written, in the same form.
     pub tables_written: Vec<String>,
     /// The syntactic features.
     pub features: Features,
-    /// The reason why the statement could not be parsed or proven read-only.
+    /// The reason why the statement could not be parsed or proven read-only. For [`Effect::NonIdempotent`], only a
+    /// lexical reason is given.
     pub reason: Option<String>,
     /// Work (ms on one core) by class and features alone.
     pub cost_ms: f64,
--- a/crates/sql-analysis/src/rules.rs
+++ b/crates/sql-analysis/src/rules.rs
@@ -30,9 +30,9 @@
     pub limited: Option<bool>,
     /// With or without WITH RECURSIVE.
     pub recursive: Option<bool>,
-    /// With or without a condition that a column equals a literal for every row.
+    /// With or without a condition that a column equals a literal, or one of a list of literals, for every row.
     pub point_lookup: Option<bool>,
-    /// With or without WHERE.
+    /// With or without WHERE or a semi join.
     pub filtered: Option<bool>,
     /// With or without a table.
     pub reads_tables: Option<bool>,
