--- a/crates/sql-analysis/src/cost_model/class_level.rs
+++ b/crates/sql-analysis/src/cost_model/class_level.rs
@@ -8,7 +8,7 @@
 const MIN_CLASS_STEP: f64 = 0.02;
 /// Maximum absolute value of a class's level (log ratio).
 const MAX_CLASS_LEVEL: f64 = 5.0;
-/// Maximum of a class's sample count.
+/// Value at which a class's sample count saturates.
 const MAX_CLASS_SAMPLES: f64 = 1e6;
 
 /// The mean log ratio of a class's samples to their base costs.
--- a/crates/sql-analysis/src/cost_model/engine_slowdown.rs
+++ b/crates/sql-analysis/src/cost_model/engine_slowdown.rs
@@ -7,12 +7,12 @@
 const MAX_SAMPLE_DISTANCE: f64 = 0.7;
 /// Maximum absolute value of a slowdown (log ratio).
 const MAX_SLOWDOWN: f64 = 3.0;
-/// Time (ms) in which a slowdown without samples decays to 1/e.
+/// Time (ms) in which a slowdown without samples decays to 1/e. Also the maximum age of a recent sample.
 const DECAY_MS: f64 = 15_000.0;
 /// Maximum number of engines. Above it, the engine with the oldest last sample is removed.
 pub(super) const MAX_ENGINES: usize = 1024;
 
-/// The log ratio of an engine's run times to the shapes' costs.
+/// The smoothed log ratio of an engine's run times to the shapes' costs.
 #[derive(Debug, Clone, Copy)]
 struct Slowdown {
     engine_id: u64,
@@ -48,7 +48,8 @@
     }
 
     /// The slowdown (log ratio) of an engine, relative to the lower median of the engines with recent samples: if all
-    /// engines became slower together, or if there is only one, no engine counts as slow. 0 if the engine is unknown.
+    /// engines became slower together, or if there is only one, no engine counts as slow. 0 if the engine is unknown or
+    /// no engine has a recent sample.
     pub fn relative_slowdown(&mut self, engine_id: u64, now_ms: f64) -> f64 {
         let Ok(index) = self.find(engine_id) else {
             return 0.0;
--- a/crates/sql-analysis/src/cost_model/mod.rs
+++ b/crates/sql-analysis/src/cost_model/mod.rs
@@ -31,7 +31,7 @@
 /// Costs below this (ms) are not distinguished.
 const MIN_COST_MS: f64 = 0.05;
 
-/// How an attempt ended, as far as the cost model distinguishes it.
+/// The outcome of an attempt, reduced to the cases that the cost model treats differently.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ExecutionEnd {
     /// The attempt completed.
@@ -49,9 +49,9 @@
     pub engine_id: u64,
     /// Latency (ms).
     pub latency_ms: f64,
-    /// Number of threads.
+    /// Number of threads that the engine uses for the query.
     pub threads: f64,
-    /// How the attempt ended.
+    /// Whether the attempt completed or was interrupted.
     pub end: ExecutionEnd,
     /// Whether an unknown part of the latency was spent waiting for memory, for a load, or in a queue.
     pub waited: bool,
@@ -60,7 +60,7 @@
 }
 
 impl Execution {
-    /// Whether the latency is the cost, and not only a bound on it.
+    /// Whether the latency is a measurement of the cost, and not only a bound on it.
     fn is_exact(&self) -> bool {
         self.end == ExecutionEnd::Completed && !self.waited && !self.warming_up
     }
@@ -77,7 +77,7 @@
     pub confidence: f64,
 }
 
-/// The estimate for a shape without samples.
+/// The base cost of a shape, before the class's level and the shape's samples are applied.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct PriorCost {
     pub class: Class,
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Replaces the configuration. Samples are kept, up to the new number of shapes.
+    /// Replaces the configuration. Learned costs are kept, up to the new number of shapes.
     pub fn reconfigure(&mut self, config: CostModelConfig, max_shapes: usize) {
         self.config = config;
         if max_shapes == self.max_shapes {
@@ -131,7 +131,7 @@
         self.shapes.entry_count() as usize
     }
 
-    /// The estimated cost of a shape at `now_ms`.
+    /// The estimated cost of a shape at `now_ms`. `memory_mb` is returned unchanged, since memory is not learned.
     pub fn estimate(
         &mut self,
         shape_id: u128,
@@ -160,7 +160,7 @@
         }
     }
 
-    /// Adds a sample. `prior` is the estimate without samples at the start of the attempt. A sample with a negative or
+    /// Adds a sample. `prior` is the shape's base cost at the start of the attempt. A sample with a negative or
     /// non-finite value is ignored.
     pub fn record(&mut self, shape_id: u128, prior: PriorCost, execution: &Execution) {
         let now_ms = execution.ended_at_ms;
--- a/crates/sql-analysis/src/cost_model/shape_cost.rs
+++ b/crates/sql-analysis/src/cost_model/shape_cost.rs
@@ -8,15 +8,15 @@
 
 /// Maximum total weight of the samples, so that steps never become too small to follow a change.
 const MAX_WEIGHT: f64 = 30.0;
-/// Minimum total weight of the samples. Below it they are too old for a comparison.
+/// Minimum total weight of the samples. Below it they are too old for a comparison, and the next sample replaces them.
 const MIN_WEIGHT: f64 = 0.05;
-/// Distance of an outlier from the level, as a multiple of the scatter.
+/// Distance from the level above which a sample is an outlier, as a multiple of the scatter.
 const OUTLIER_SCATTERS: f64 = 3.0;
-/// Minimum distance of an outlier from the level (log ratio).
+/// Minimum of this distance (log ratio), however small the scatter is.
 const MIN_OUTLIER_DISTANCE: f64 = 0.7;
 /// Maximum fraction of its distance by which an outlier moves the level.
 const MAX_OUTLIER_STEP: f64 = 0.25;
-/// Scatter before there are samples to compare (log ratio).
+/// Scatter after the first sample, and after a shift to outliers (log ratio).
 const INITIAL_SCATTER: f64 = 0.5;
 
 /// A sample of a shape's cost.
@@ -26,7 +26,7 @@
     pub log_cost: f64,
     /// Weight, from 0 to 1.
     pub weight: f64,
-    /// Whether the sample is the cost, and not only a bound on it.
+    /// Whether the sample is a measurement of the cost, and not only a bound on it.
     pub is_exact: bool,
     /// Time of the sample (ms).
     pub at_ms: f64,
@@ -36,7 +36,7 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct ShapeCost {
     level: f64,
-    /// Mean distance of samples from the level (log ratio).
+    /// Mean absolute distance of the samples from the level (log ratio).
     scatter: f64,
     /// Total weight of the samples at `updated_at_ms`.
     weight: f64,
@@ -113,14 +113,15 @@
                 self.shift_to_outliers();
                 return;
             }
-            // The outlier may be a single one or the first of a run, so the step is small and the scatter unchanged.
+            // Fewer than `shift_after` outliers are not taken as a change of cost: the step is small and the scatter
+            // unchanged.
             self.level += step.min(MAX_OUTLIER_STEP) * distance.clamp(-max_step, max_step);
             return;
         }
         if sample.is_exact {
             self.outliers = OutlierRun::default();
         } else if self.has_outliers() {
-            // A bound on the cost does not end a run of outliers.
+            // During a run of outliers, a bound on the cost neither ends the run nor moves the level.
             return;
         }
         self.level += step * distance.clamp(-max_step, max_step);
--- a/crates/sql-analysis/src/shape_cache.rs
+++ b/crates/sql-analysis/src/shape_cache.rs
@@ -47,7 +47,7 @@
     pub hits: u64,
     /// Number of statements whose shape was not cached.
     pub misses: u64,
-    /// Number of misses because another shape had the same hash.
+    /// Number of misses because a different shape with the same hash was cached.
     pub collisions: u64,
     /// Number of shapes in the cache.
     pub shapes: usize,
--- a/crates/sql-analysis/src/table_group.rs
+++ b/crates/sql-analysis/src/table_group.rs
@@ -128,8 +128,8 @@
     schema
 }
 
-/// The table group of a statement: that of the first qualified name where a table is expected, else of the first
-/// qualified name anywhere.
+/// The table group of a statement: that of the first schema with a group where a table is expected, else of the first
+/// schema with a group anywhere.
 pub fn table_group(statement: &[u8]) -> Option<u32> {
     let mut tokens = Tokens { unread: statement }.peekable();
     let mut expects_table = false;
