--- a/crates/sql-analysis/src/lexer/mod.rs
+++ b/crates/sql-analysis/src/lexer/mod.rs
@@ -32,7 +32,8 @@
 /// The shape of a statement.
 #[derive(Debug)]
 pub struct Shape<'a> {
-    /// The text of the shape; empty for a statement that is not text or has no tokens.
+    /// The text of the shape; empty for a statement without tokens, or with invalid UTF-8 outside strings and
+    /// comments.
     pub text: &'a str,
     /// The reason why the statement cannot be proven read-only, if there is a lexical one.
     pub unproven: Option<Unproven>,
@@ -77,7 +78,7 @@
             scanner.set_unproven(Unproven::NotText);
         }
         let unproven = scanner.scan();
-        // All statements that are not text have the same, empty shape.
+        // If the shape's text is not valid UTF-8, the shape is empty.
         let text = std::str::from_utf8(&self.builder.text).unwrap_or_default();
         let tokens = if text.is_empty() {
             &[][..]
--- a/crates/sql-analysis/src/lexer/scanner.rs
+++ b/crates/sql-analysis/src/lexer/scanner.rs
@@ -5,8 +5,8 @@
 use super::unproven::Unproven;
 use super::{MAX_BYTES, MAX_OPERATORS, MAX_PARENTHESIS_DEPTH, MAX_TOKENS};
 
-/// Maximum length of a shape with too many tokens. Such a shape is never parsed, but must still be distinct from
-/// others.
+/// Maximum length (bytes) of the text of a shape with too many tokens. Such a shape is never parsed, but must still be
+/// distinct from others, so a hash of the unread input follows this text.
 const MAX_UNPARSED_SHAPE_BYTES: usize = MAX_BYTES / 4;
 /// The form feed character, which counts as white space.
 const FORM_FEED: u8 = 12;
@@ -35,7 +35,7 @@
         self.unproven.get_or_insert(reason);
     }
 
-    /// The byte at `ahead` bytes after the current one; 0 after the end.
+    /// The byte `ahead` bytes after the current one; 0 after the end.
     fn peek(&self, ahead: usize) -> u8 {
         self.bytes.get(self.offset + ahead).copied().unwrap_or(0)
     }
@@ -318,7 +318,7 @@
         let operator = self.take_operator_bytes();
         self.shape.operator_count += 1;
         if self.is_number_sign(operator) && !self.shape.last_ends_value() {
-            // The sign predicate to the literal, as in `(-1` or `= -1`.
+            // The sign is part of the literal, as in `(-1` or `= -1`.
             return;
         }
         if !OPERATORS.contains(&operator) {
--- a/crates/sql-analysis/src/lexer/shape_builder.rs
+++ b/crates/sql-analysis/src/lexer/shape_builder.rs
@@ -175,19 +175,21 @@
         }
     }
 
-    /// Ends a list of literals. Called for every token that is neither a literal nor a comma.
+    /// Stops folding the current list and rows. Called for every token that is not a literal, comma or parenthesis.
     fn end_list(&mut self) {
         self.row_state = RowState::None;
         self.list = None;
     }
 
-    /// Appends the missing closing quote of a quoted name, so that its shape differs from that of a terminated one.
+    /// Appends the missing closing quote of a quoted name to the text, but not to the token. Only
+    /// `Unproven::Unterminated` distinguishes the shape from that of the terminated name.
     pub fn terminate_quoted_name(&mut self, quote: u8) {
         self.text.push(quote);
     }
 
-    /// Truncates the text to `max_bytes` and appends a hash of the unread input, so that statements that differ only
-    /// there have different shapes.
+    /// Truncates the text to `max_bytes` and appends a hash of the unread input, so that statements that differ only in
+    /// the unread input have different shapes. The shape counts as one with an effect keyword, since the unread input
+    /// may contain one.
     pub fn finish_with_hash(&mut self, max_bytes: usize, unread: &[u8]) {
         self.text.truncate(max_bytes);
         let last_ascii = self.text.iter().rposition(u8::is_ascii);
@@ -233,7 +235,7 @@
         }
     }
 
-    /// Whether the last token ends a value, so that a following sign is an operator and not part of a number.
+    /// Whether the last token may end a value, so that a following sign is an operator and not part of a number.
     pub fn last_ends_value(&self) -> bool {
         match self.last() {
             None => true,
--- a/crates/sql-analysis/src/lexer/unproven.rs
+++ b/crates/sql-analysis/src/lexer/unproven.rs
@@ -1,7 +1,7 @@
 //! Lexical reasons why a statement cannot be proven read-only.
 
 /// The reason why the text of a statement does not allow a proof: engines interpret it in different ways, or the
-/// analysis does not support it. Only the first reason in a statement is recorded.
+/// analysis does not support it. Only the first reason that the lexer finds is recorded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, thiserror::Error)]
 pub enum Unproven {
     /// Not UTF-8, or with a NUL byte.
@@ -20,7 +20,7 @@
     #[error("a comment may be executed")]
     ExecutableComment,
     /// Engines disagree on where a nested comment ends.
-    #[error("a comment contains the start of another")]
+    #[error("a comment contains the start of a nested comment")]
     NestedComment,
     /// Some engines end a line comment at a lone carriage return.
     #[error("a line comment contains a lone carriage return")]
