--- a/crates/sql-analysis/tests/hard_cases/costs_and_rules.rs
+++ b/crates/sql-analysis/tests/hard_cases/costs_and_rules.rs
@@ -14,7 +14,7 @@
 };
 
 #[test]
-fn learned_costs_outlive_the_cached_analysis_within_their_own_bound() {
+fn learned_costs_outlive_cached_analyses_and_reconfiguration() {
     let config = Config {
         max_shapes: 16,
         max_shape_bytes: 65_536,
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn hundredfold_change_of_cost_is_followed() {
+fn estimate_follows_a_hundredfold_change_of_cost() {
     let mut analyzer = analyzer();
     let analyzed = analyzer.analyze(b"select a from t where b = 1");
     let mut cost_after_samples = |samples: usize, latency: f64| {
--- a/crates/sql-analysis/tests/hard_cases/shapes.rs
+++ b/crates/sql-analysis/tests/hard_cases/shapes.rs
@@ -36,7 +36,7 @@
     ] {
         assert_ne!(shape(other), shape_id, "{other}");
     }
-    // Another process has another hash key, so nobody can construct shapes with equal hashes.
+    // The hash depends on the secret key of the process, so nobody can construct shapes with equal hashes.
     let other_key_shape_id = StatementAnalyzer::new(Config::default(), [8; 16])
         .analyze(b"select a from t where b = 1 and c = 'x'")
         .shape_id;
