--- a/crates/testbed/src/fleet/mod.rs
+++ b/crates/testbed/src/fleet/mod.rs
@@ -23,7 +23,7 @@
 /// The key shared by all members of a fleet on processes.
 pub(crate) const FLEET_KEY: &str = "00112233445566778899aabbccddeeff";
 
-/// Maximum time in a table (ms), which also stands for a release that did not complete.
+/// Maximum time in a table (ms), also shown as the completion time of a release that did not complete.
 const MAX_SHOWN_MS: f64 = 1e8;
 
 /// The observations of one run of a scenario.
@@ -235,8 +235,9 @@
         times_ms.value_at_quantile(quantile) as f64 / 1e3
     };
     format!(
-        "{} runs: over the limit {}, drains over it {}, not ended in time {}; most out {max_out}; turn after {:.1} s (p50), \
-         {:.1} s (p99); all released after {:.0} s (p50), {:.0} s (p99); {bytes_per_s:.0} bytes/s each\n",
+        "{} runs: out over the limit {}, drained over their limit {}, not released in time {}; max out {max_out}; \
+         lease after {:.1} s (p50), {:.1} s (p99); all released after {:.0} s (p50), {:.0} s (p99); \
+         {bytes_per_s:.0} bytes/s each\n",
         reports.len(),
         count("dispatchers out at a time"),
         count("drained at a time"),
--- a/crates/testbed/src/fleet/processes/mod.rs
+++ b/crates/testbed/src/fleet/processes/mod.rs
@@ -43,7 +43,7 @@
 const MIN_CALM_MS: f64 = 500.0;
 /// Interval between requests for a release until the fleet accepts it.
 const RELEASE_RETRY_INTERVAL: Duration = Duration::from_millis(300);
-/// Maximum number of set-ups of a run while another program takes one of its addresses.
+/// Maximum number of times that a run is set up. It is set up again if another program took one of its addresses.
 const MAX_SETUPS: usize = 3;
 /// Number of clients.
 const CLIENTS: u64 = 3;
@@ -63,11 +63,11 @@
     for _ in 0..MAX_SETUPS {
         match run_once(exe, scenario, options) {
             Some(report) => return report,
-            None => eprintln!("an address was taken by another program: run repeated"),
+            None => eprintln!("another program took an address of the fleet; run discarded"),
         }
     }
     FleetReport {
-        violations: vec!["no free addresses".into()],
+        violations: vec!["another program took an address in every set-up of the run".into()],
         ..FleetReport::default()
     }
 }
@@ -328,14 +328,15 @@
             }
             if start.elapsed() > START_TIMEOUT {
                 let text = answer.text;
-                return self.record_violation(format!("the release did not begin: {text}"));
+                return self
+                    .record_violation(format!("the fleet did not accept the release: {text}"));
             }
             thread::sleep(RELEASE_RETRY_INTERVAL);
         }
     }
 
-    /// Acts for the operators: resumes a release that the fleet halted by itself, and requests the release again if
-    /// all members that knew of it have lost their state.
+    /// Acts for the operators: resumes the release if it is halted, and requests it again if all members that knew of
+    /// it have lost their state.
     fn check_release(&self) {
         let healthy = (0..self.processes.len()).find(|member| self.processes.is_healthy(*member));
         let Some(at) = healthy else {
--- a/crates/testbed/src/fleet/relay.rs
+++ b/crates/testbed/src/fleet/relay.rs
@@ -1,6 +1,6 @@
 //! Relays on the links between members and from members to engines, which apply the scenario's faults. The processes
-//! use only the relays' addresses: each member has one address of the relay by which the others know it, and each
-//! member knows each engine by a separate address.
+//! use only the relays' addresses: the other members reach a member through its public address at the relay, and each
+//! member reaches each engine through a separate link with its own address.
 
 use super::links::LinkConditions;
 use crate::engine::{fill_accept_backlog, Engine};
@@ -166,7 +166,7 @@
         self.state().conditions = conditions;
     }
 
-    /// Cuts `side` off from the other members; with `one_way`, only what `side` sends is lost.
+    /// Cuts `side` off from the other members; with `one_way`, only the datagrams that `side` sends are lost.
     pub fn cut(&self, side: &[usize], one_way: bool) {
         let mut state = self.state();
         let members = state.reachable.len();
@@ -228,7 +228,7 @@
         };
         listener
             .set_nonblocking(true)
-            .expect("a listener need not block");
+            .expect("a listener can be non-blocking");
         let accepting_link = link.clone();
         thread::spawn(move || accepting_link.accept_connections(&listener, engine));
         link
@@ -241,8 +241,8 @@
     fn accept_connections(&self, listener: &TcpListener, engine: SocketAddr) {
         while !self.stopped.load(Ordering::Relaxed) {
             if self.cut.load(Ordering::Relaxed) {
-                // No connection is established, as in a network partition.
-                // A relay that still accepted connections would behave differently.
+                // Fills the accept backlog, so that a connect gets no answer, as in a network partition. With free
+                // places in the backlog, the kernel would complete the connect during the cut.
                 let pending_connections = fill_accept_backlog(listener);
                 while self.is_cut() {
                     thread::sleep(POLL_INTERVAL);
--- a/crates/testbed/src/fleet/scenario.rs
+++ b/crates/testbed/src/fleet/scenario.rs
@@ -131,7 +131,7 @@
     pub late: f64,
     /// Faults, ordered by time.
     pub events: Vec<Event>,
-    /// Time after the last fault within which the release must complete (ms); 0 for no limit.
+    /// Time after the last fault within which the release must complete (ms). In virtual time, 0 stands for no limit.
     pub done_within: f64,
     /// Maximum duration of a run (ms).
     pub lasts: f64,
@@ -277,8 +277,8 @@
         Some(scenario)
     }
 
-    /// The same scenario with times for processes: leases and faults are half as long, and the program exits within
-    /// 4 s.
+    /// The same scenario with times for processes: leases and faults are half as long, faults start after half the
+    /// time, and restarts and the delays of late datagrams take less than a second.
     pub fn on_processes(mut self) -> Self {
         self.turn = 6000.0;
         self.down = 300.0;
--- a/crates/testbed/src/fleet/virtual_fleet/diagnostics.rs
+++ b/crates/testbed/src/fleet/virtual_fleet/diagnostics.rs
@@ -14,7 +14,7 @@
 /// first members.
 pub(super) fn describe(members: &Members, now_ms: f64) -> String {
     let Some(leader) = members.leader() else {
-        return "nobody leads".into();
+        return "no leader".into();
     };
     let shown = members.len().min(SHOWN_MEMBERS);
     let mut text = leader_records(members, leader);
--- a/crates/testbed/src/fleet/virtual_fleet/member.rs
+++ b/crates/testbed/src/fleet/virtual_fleet/member.rs
@@ -39,9 +39,11 @@
     /// process does not change it.
     host_offset_ms: f64,
     version: u32,
+    /// End of the current or last stall (true ms).
     stalled_until_ms: f64,
     /// Time of the process's next start (true ms); `None` while it runs.
     restart_at_ms: Option<f64>,
+    /// Time of the next poll (true ms).
     next_poll_ms: f64,
     /// Datagrams that a stalled process has not read yet.
     queued_datagrams: Vec<(SocketAddr, Vec<u8>)>,
--- a/crates/testbed/src/fleet/virtual_fleet/members.rs
+++ b/crates/testbed/src/fleet/virtual_fleet/members.rs
@@ -9,7 +9,7 @@
 use tansymux_coordination::QuorumNode;
 use tansymux_rollout::{FleetNode, RolloutConfig};
 
-/// Id of the first engine, chosen so that engine ids differ from every other number.
+/// Id of the first engine, greater than any member index or release number, so that an engine id is not taken for one.
 pub(super) const FIRST_ENGINE_ID: u64 = 1000;
 /// Number of cores of each engine, as members know it.
 const ENGINE_CAPACITY: f64 = 8.0;
--- a/crates/testbed/src/fleet/virtual_fleet/network.rs
+++ b/crates/testbed/src/fleet/virtual_fleet/network.rs
@@ -26,7 +26,7 @@
 struct Partition {
     /// For each member, whether it is on the first side.
     first_side: Vec<bool>,
-    /// Only what the first side sends is lost.
+    /// Only datagrams from the first side are lost.
     one_way: bool,
 }
 
@@ -57,7 +57,7 @@
         self.conditions = conditions;
     }
 
-    /// Cuts `side` off from the other members; with `one_way`, only what `side` sends is lost.
+    /// Cuts `side` off from the other members; with `one_way`, only the datagrams that `side` sends are lost.
     pub fn cut(&mut self, members: usize, side: &[usize], one_way: bool) {
         self.partition = Some(Partition {
             first_side: (0..members).map(|member| side.contains(&member)).collect(),
--- a/crates/testbed/src/fleet/virtual_fleet/run.rs
+++ b/crates/testbed/src/fleet/virtual_fleet/run.rs
@@ -117,8 +117,8 @@
             && (self.environment.now_ms as u64) % OPERATOR_CHECK_MS < STEP_MS as u64
     }
 
-    /// Acts for the operators once the faults are over: resumes a release that the fleet halted by itself, and requests
-    /// the release again if all members that knew of it have lost their state.
+    /// Acts for the operators once the faults are over: resumes the release if it is halted, and requests it again if
+    /// all members that knew of it have lost their state.
     fn check_release(&mut self) {
         let last_fault_ms = self.environment.report.last_fault_ms;
         let faults_over = self.since_release_ms() > last_fault_ms + OPERATORS_RETURN_MS;
@@ -173,7 +173,7 @@
         self.environment.record_violation(description);
     }
 
-    /// Runs for `duration_ms` without further faults.
+    /// Runs for `duration_ms` without further faults. Operators still resume a halted release, if they do in this run.
     pub fn run_for(&mut self, duration_ms: f64) {
         let end_ms = self.environment.now_ms + duration_ms;
         while self.environment.now_ms < end_ms {
--- a/crates/testbed/src/fleet/virtual_fleet/settings.rs
+++ b/crates/testbed/src/fleet/virtual_fleet/settings.rs
@@ -82,7 +82,7 @@
 
 /// The rollout configuration that the operators' file would define for a scenario.
 pub fn fleet_definition(scenario: &Scenario) -> RolloutConfig {
-    let bounds = |max: usize| DisruptionBudget {
+    let budget_of = |max: usize| DisruptionBudget {
         fleet: limit_of(max),
         max_utilization: 10.0,
         ..DisruptionBudget::default()
@@ -96,8 +96,8 @@
         ..RolloutPlan::default()
     };
     RolloutConfig {
-        dispatchers: bounds(scenario.max_out),
-        engines: bounds(scenario.max_engines),
+        dispatchers: budget_of(scenario.max_out),
+        engines: budget_of(scenario.max_engines),
         plan,
         lease_term_ms: scenario.turn,
         left_retention_ms: 30_000.0,
--- a/crates/testbed/src/fleet/zones/mod.rs
+++ b/crates/testbed/src/fleet/zones/mod.rs
@@ -159,8 +159,8 @@
             at_ms.map_or("-".into(), |at_ms| format!("{:.1} s", at_ms / 1000.0))
         };
         format!(
-            "{variant:?} seed {seed}: in target before {:.3}, cut {:.3}, return {:.3}, after {:.3}; peak on a cold engine \
-             {:.0} threads; left after {}, whole after {}; shares at most {:.2}; without an answer {}",
+            "{variant:?} seed {seed}: in time: before {:.3}, cut {:.3}, return {:.3}, after {:.3}; peak on a cold engine \
+             {:.0} threads; evacuated after {}, restored after {}; shares at most {:.2}; unanswered {}",
             in_time(0),
             in_time(1),
             in_time(2),
@@ -238,7 +238,7 @@
             }
             if cut && !healed && now_ms >= plan.heal_at_ms() {
                 healed = true;
-                // The engines return cold and without the queries that ran on them.
+                // The engines return cold. Queries that still run on them continue.
                 self.site.engines_inside().for_each(Engine::restart_cold);
                 self.site.set_cut(false);
             }
@@ -306,7 +306,7 @@
     run.report.into_inner().unwrap_or_default()
 }
 
-/// The sum of the shares of returning zones, as the leader reports it.
+/// The sum of the shares of returning zones, as the leader reports it; 0 if the command fails.
 fn share_sum(exe: &Path, operator_text: &str) -> f64 {
     let file = TempFile::new("ask.textproto", operator_text);
     let path = file.0.display().to_string();
