--- a/crates/testbed/src/cli.rs
+++ b/crates/testbed/src/cli.rs
@@ -16,15 +16,16 @@
 /// The subcommands. Their doc comments are the help texts.
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Runs the load of a quarter start, with one engine failing and one draining; exit 1 if a rule was broken
+    /// Runs a load like that at the start of a business quarter, with one engine failing and one draining; exit 1 if a
+    /// rule was broken
     Demo {
         #[arg(long, default_value_t = 30.0)]
         seconds: f64,
         #[arg(long, default_value_t = 1)]
         seed: u64,
     },
-    /// Service levels: swings the load around all thresholds; exit 1 if a level changed twice within a minute or a rule
-    /// was broken
+    /// Service levels: a load that oscillates across all thresholds; exit 1 if a level changed twice within a minute, a
+    /// change skipped a level, or a rule was broken
     Levels {
         #[arg(long, default_value_t = 600.0)]
         seconds: f64,
@@ -49,7 +50,8 @@
         #[arg(long, default_value_t = 3)]
         seeds: u64,
     },
-    /// Service levels: a quarter-start load beyond capacity, with levels and without, on the same seeds
+    /// Service levels: a load that peaks at and above capacity, as at the start of a business quarter, with levels and
+    /// without, on the same seeds
     Quarters {
         #[arg(long, default_value_t = 24.0)]
         seconds: f64,
@@ -101,6 +103,7 @@
     Replay {
         #[arg(long, default_value_t = 15.0)]
         seconds: f64,
+        /// Queries per second
         #[arg(long, default_value_t = 120.0)]
         rate: f64,
         #[arg(long, default_value_t = 2)]
@@ -115,6 +118,7 @@
     pub members: usize,
     #[arg(long, default_value_t = 1)]
     pub seeds: u64,
+    /// First seed
     #[arg(long, default_value_t = 1)]
     pub first: u64,
     /// Injects no faults
@@ -181,6 +185,7 @@
     pub members: usize,
     #[arg(long, default_value_t = 200)]
     pub seeds: u64,
+    /// First seed
     #[arg(long, default_value_t = 0)]
     pub first: u64,
     /// Fraction of packets lost on all links during the whole run, in addition to the faults
@@ -204,10 +209,13 @@
     pub dispatchers: usize,
     #[arg(long, default_value_t = 1)]
     pub seeds: u64,
+    /// First seed
     #[arg(long, default_value_t = 1)]
     pub first: u64,
+    /// Fraction of the datagrams between dispatchers that are lost
     #[arg(long, default_value_t = 0.0)]
     pub loss: f64,
+    /// Duration of the cut (s)
     #[arg(long, default_value_t = 7.0)]
     pub cut_s: f64,
 }
--- a/crates/testbed/src/commands.rs
+++ b/crates/testbed/src/commands.rs
@@ -140,7 +140,7 @@
         println!("{}", report.line());
         if !report.violations.is_empty() {
             println!(
-                "  again: tansymux-testbed fleet --members {} --first {seed} --seeds 1",
+                "  to repeat: tansymux-testbed fleet --members {} --first {seed} --seeds 1",
                 arguments.members
             );
         }
--- a/crates/testbed/src/corpus/tests.rs
+++ b/crates/testbed/src/corpus/tests.rs
@@ -5,7 +5,7 @@
 use std::collections::HashMap;
 
 #[test]
-fn corpus_is_large_and_its_splits_share_no_shape() {
+fn corpus_is_large_and_reproducible_and_its_splits_share_no_shape() {
     let first_corpus = corpus(8, 8, 1);
     assert!(first_corpus.len() >= 3000, "{}", first_corpus.len());
     let split_of: HashMap<usize, Split> = first_corpus
--- a/crates/testbed/src/demo.rs
+++ b/crates/testbed/src/demo.rs
@@ -1,5 +1,5 @@
 //! Demo run: the real program under a load that rises to a peak and falls again, as at the start of a business quarter.
-//! Of its stand-in engines one fails and one drains.
+//! One of its stand-in engines fails and one drains.
 //!
 //! Start reading at [`run`].
 
--- a/crates/testbed/src/levels/loads.rs
+++ b/crates/testbed/src/levels/loads.rs
@@ -2,7 +2,7 @@
 
 use std::f64::consts::{PI, TAU};
 
-/// Begin of the peak of [`step`], as a fraction of the run.
+/// Start of the peak of [`step`], as a fraction of the run.
 pub(super) const STEP_BEGIN: f64 = 0.08;
 /// End of the peak of [`step`], as a fraction of the run.
 pub(super) const STEP_END: f64 = 0.4;
--- a/crates/testbed/src/levels/mod.rs
+++ b/crates/testbed/src/levels/mod.rs
@@ -1,8 +1,8 @@
-//! Runs of service levels on loopback: loads that oscillate across the levels' thresholds, a step of load, and the load
-//! peak of a quarter start with and without levels on the same seeds.
+//! Runs of service levels on loopback: loads that oscillate across the levels' thresholds, a step of load, and a load
+//! peak as at the start of a business quarter, with and without levels on the same seeds.
 //!
-//! Start reading at [`run`]; [`run_oscillating_load`], [`run_load_step`] and [`run_quarter_starts`] run it and report the
-//! results.
+//! Start reading at [`run`]; [`run_oscillating_load`], [`run_load_step`] and [`run_quarter_starts`] run it and report
+//! the results.
 
 mod clients;
 mod loads;
@@ -133,7 +133,7 @@
     pub in_time: u64,
     /// Answers that were not in time.
     pub late: u64,
-    /// Rejections.
+    /// Rejections, including those of repeated requests.
     pub rejected: u64,
     /// Queries that ended with an error or without a response.
     pub failed: u64,
--- a/crates/testbed/src/levels/reports.rs
+++ b/crates/testbed/src/levels/reports.rs
@@ -127,7 +127,7 @@
     let too_frequent = count_too_frequent(&outcome.changes);
     let level_skips = count_level_skips(&outcome.changes);
     let mut table = format!(
-        "{seconds:.0} s, {} received, {} in time, {} late, {} rejected, {} failed, value {:.3} of the most\n",
+        "{seconds:.0} s, {} received, {} in time, {} late, {} rejected, {} failed, value {:.3} of the maximum\n",
         outcome.sent,
         outcome.in_time,
         outcome.late,
@@ -138,15 +138,15 @@
     table += &changes_by_level(&outcome.changes, seconds);
     let _ = writeln!(
         table,
-        "changes of a level less than a minute apart: {too_frequent}; steps of more than one: {level_skips}"
+        "changes of a level less than a minute apart: {too_frequent}; changes by more than one level: {level_skips}"
     );
     let _ = writeln!(table, "rules broken: {}", outcome.violations.len());
     for violation in outcome.violations.iter().take(MAX_SHOWN_VIOLATIONS) {
         let _ = writeln!(table, "  {violation}");
     }
     if let Some(svg) = svg {
-        if let Err(error) = plot_swing(svg, &outcome.samples) {
-            let _ = writeln!(table, "no plot: {error}");
+        if let Err(error) = plot_oscillation(svg, &outcome.samples) {
+            let _ = writeln!(table, "could not write the plot: {error}");
         }
     }
     (
@@ -155,7 +155,7 @@
     )
 }
 
-fn plot_swing(svg: &Path, samples: &[Sample]) -> Result<(), Box<dyn std::error::Error>> {
+fn plot_oscillation(svg: &Path, samples: &[Sample]) -> Result<(), Box<dyn std::error::Error>> {
     let column = |value: fn(&Sample) -> f64, scale: f64| {
         samples
             .iter()
@@ -168,7 +168,7 @@
         .fold(1.0, f64::max);
     let lines = [
         Line {
-            name: "load (part of capacity)",
+            name: "load (fraction of capacity)",
             points: column(|sample| sample.load, 1.0),
         },
         Line {
@@ -176,11 +176,11 @@
             points: column(|sample| sample.depth, 1.0),
         },
         Line {
-            name: "late (part)",
+            name: "late answers (fraction)",
             points: column(|sample| sample.late_fraction, 1.0),
         },
         Line {
-            name: "value a second (part of the highest)",
+            name: "value per second (fraction of the maximum)",
             points: column(|sample| sample.value_per_s, 1.0 / max_value),
         },
     ];
@@ -188,8 +188,8 @@
     plot(svg, title, "s", &lines)
 }
 
-/// Runs the load of a quarter start with and without levels on the same seeds, for several peaks, with and without a
-/// failing engine. Returns a table.
+/// Runs a load like that at the start of a business quarter, with and without levels on the same seeds, for several
+/// peaks, with and without a failing engine. Returns a table.
 pub fn run_quarter_starts(exe: &Path, seconds: f64, seeds: u64) -> String {
     let mut table = format!(
         "{:<7} {:<8} {:<7} {:>8} {:>8} {:>6} {:>9} {:>7} {:>9} {:>7} {:>9} {:>7} {:>7}\n",
--- a/crates/testbed/src/measure/learning.rs
+++ b/crates/testbed/src/measure/learning.rs
@@ -98,8 +98,8 @@
         }
     }
 
-    /// Returns a line with the median and 90th percentile of the error factor of the learned costs. The factor is at
-    /// least 1: the ratio of learned to true cost, or its inverse.
+    /// Returns a line with the median and 90th percentile of the error factor of the learned costs. The factor is the
+    /// ratio of learned to true cost, or its inverse if the ratio is less than 1.
     fn table_row(&mut self, name: &str, statements: &[CostedStatement]) -> String {
         let mut error_factors = Vec::with_capacity(statements.len());
         for statement in statements {
@@ -123,11 +123,11 @@
     let _ = writeln!(
         table,
         "{:<34} {:>8} {:>8}",
-        "ratio of learned to true cost", "median", "p90"
+        "error factor of learned costs", "median", "p90"
     );
     table += &workload.table_row("never seen", &statements);
     for (name, rounds) in [
-        ("after 1 query a shape", 1),
+        ("after 1 query per shape", 1),
         ("after 5", 4),
         ("after 30", 25),
     ] {
--- a/crates/testbed/src/measure/mod.rs
+++ b/crates/testbed/src/measure/mod.rs
@@ -36,7 +36,7 @@
     pub correct_class: usize,
     /// Statements that were assigned their true effect.
     pub correct_effect: usize,
-    /// Statements reported as read-only whose true effect is another.
+    /// Statements reported as read-only that are not.
     pub false_read_only: usize,
     /// One line per statement that was assigned a wrong class or effect.
     pub errors: Vec<String>,
@@ -65,7 +65,7 @@
 
 fn describe_error(labelled: &LabelledStatement, analysis: &Analysis) -> String {
     format!(
-        "{} {} taken for {} {}: {} ({})",
+        "expected {} {}, got {} {}: {} ({})",
         labelled.class,
         labelled.effect,
         analysis.class.name(),
--- a/crates/testbed/src/measure/speed.rs
+++ b/crates/testbed/src/measure/speed.rs
@@ -46,12 +46,12 @@
         one_off_statements: 0,
     },
     Traffic {
-        name: "2,000 and 1 flood",
+        name: "2,000 + 1 one-off",
         shapes: 2000,
         one_off_statements: 1,
     },
     Traffic {
-        name: "2,000 and 4 floods",
+        name: "2,000 + 4 one-off",
         shapes: 2000,
         one_off_statements: 4,
     },
--- a/crates/testbed/src/setup.rs
+++ b/crates/testbed/src/setup.rs
@@ -65,7 +65,7 @@
     }
 }
 
-/// Look-ups of the runs with a latency objective close to the run time.
+/// Look-ups of the runs of service levels and of zone routing.
 pub(crate) const LOOKUPS: TrafficClass = TrafficClass {
     name: "look",
     work_ms: 12.0,
--- a/crates/testbed/src/zone_routing.rs
+++ b/crates/testbed/src/zone_routing.rs
@@ -31,7 +31,7 @@
 const CORES: f64 = 8.0;
 /// Operators' file that defines the tiers.
 const OPERATOR_FILE: &str = include_str!("../../../deploy/zones.textproto");
-/// Begin of the cut, as a fraction of the run.
+/// Start of the cut, as a fraction of the run.
 const CUT_BEGIN: f64 = 0.25;
 /// End of the cut, as a fraction of the run.
 const CUT_END: f64 = 0.5;
@@ -216,7 +216,7 @@
 }
 
 impl RunMonitor {
-    /// Lets the engines of the cut zone stop answering at [`CUT_BEGIN`], and restarts them cold at [`CUT_END`].
+    /// Makes the engines of the cut zone stop answering at [`CUT_BEGIN`], and restarts them cold at [`CUT_END`].
     fn cut_zone(&mut self, fraction: f64, engines: &[Engine]) {
         if fraction >= CUT_BEGIN && !self.is_cut {
             self.is_cut = true;
@@ -357,7 +357,7 @@
             any_violation |= !outcome.violations.is_empty();
             if let Some(svg) = svg.filter(|_| seed == 1 && tiers) {
                 if let Err(error) = plot_run(svg, &outcome.samples) {
-                    let _ = writeln!(table, "no plot: {error}");
+                    let _ = writeln!(table, "could not write the plot: {error}");
                 }
             }
         }
@@ -381,7 +381,7 @@
     };
     let lines = [
         Line {
-            name: "value (part of the worth asked)",
+            name: "value (fraction of the maximum)",
             points: column(&|sample| sample.value.achieved / sample.value.max.max(1e-9)),
         },
         Line {
@@ -389,11 +389,11 @@
             points: column(&|sample| sample.rejected / 10.0),
         },
         Line {
-            name: "threads a core in east (cut)",
+            name: "threads per core in east (cut)",
             points: threads_per_core(0),
         },
         Line {
-            name: "threads a core in west",
+            name: "threads per core in west",
             points: threads_per_core(1),
         },
     ];
