--- a/crates/testbed/tests/fleet.rs
+++ b/crates/testbed/tests/fleet.rs
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn without_coordination_the_same_scenario_exceeds_the_limit() {
+fn uncoordinated_restarts_exceed_the_limit_in_every_run() {
     // Proves that the check in `assert_runs_pass` can fail.
     let uncoordinated = RunOptions {
         uncoordinated: true,
@@ -66,7 +66,7 @@
     let mut fleet = virtual_fleet(Scenario::calm(3, 5));
     fleet.request_second_release(4, 99);
     fleet.run_until(|_| false);
-    let running = fleet
+    let refused = fleet
         .answers()
         .iter()
         .filter(|answer| matches!(answer, Answer::ReleaseInProgress { .. }))
@@ -76,7 +76,7 @@
         .iter()
         .filter(|answer| matches!(answer, Answer::Done))
         .count();
-    assert!(running == 1 && done >= 1, "{:?}", fleet.answers());
+    assert!(refused == 1 && done >= 1, "{:?}", fleet.answers());
 }
 
 #[test]
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn a_limit_lowered_below_the_members_out_grants_no_lease_and_revokes_none() {
+fn no_lease_is_granted_above_a_limit_that_was_lowered_during_the_release() {
     assert_runs_pass(0..30, |seed| Scenario {
         max_out: 4,
         events: vec![Event {
@@ -183,9 +183,10 @@
 }
 
 #[test]
-fn a_version_that_is_bad_only_under_load_is_halted_in_its_waves() {
+fn a_version_that_degrades_during_the_waves_is_halted() {
     for seed in 0..5 {
-        // The version is good while the canaries are observed, and degraded once the load has come, during the waves.
+        // The version is good while the canaries are observed and degrades 35 s after the start, during the waves, like
+        // a version that fails only under load.
         let mut fleet = degraded_release(seed, 40.0, 0.7, 35_000.0, true);
         fleet.run_until(|fleet| fleet.halt_reason().is_some());
         assert_eq!(
@@ -262,7 +263,7 @@
 }
 
 #[test]
-fn a_fleet_reduced_to_one_voter_proceeds_once_the_others_are_forgotten() {
+fn a_release_with_three_of_four_members_lost_proceeds_once_they_are_forgotten() {
     let mut scenario = Scenario {
         voters: 1,
         ..Scenario::calm(4, 4)
