--- a/crates/testbed/src/client.rs
+++ b/crates/testbed/src/client.rs
@@ -8,7 +8,7 @@
 use std::thread;
 use std::time::Duration;
 
-/// Time for which a connection is read for an answer beyond its client's wait.
+/// Added to a client's maximum wait to give the read timeout of its connection.
 const ANSWER_GRACE: Duration = Duration::from_secs(2);
 
 /// A query of a stand-in client.
@@ -122,7 +122,7 @@
     })
 }
 
-/// Sends the first `first_len` bytes of a query and, after a pause, the others. Returns the connection, on which the
+/// Sends the first `first_len` bytes of a query and, after a pause, the rest. Returns the connection, on which the
 /// answer will arrive.
 pub fn send_query_in_two_writes(
     to: SocketAddr,
--- a/crates/testbed/src/engine/attempt.rs
+++ b/crates/testbed/src/engine/attempt.rs
@@ -55,6 +55,7 @@
     fault: Fault,
     /// Random number in [0, 1) that is compared with the fault's fraction; drawn once per attempt.
     draw: f64,
+    /// Whether the engine has too few free threads. If so, none are reserved for the attempt.
     is_full: bool,
 }
 
--- a/crates/testbed/src/engine/mod.rs
+++ b/crates/testbed/src/engine/mod.rs
@@ -1,5 +1,5 @@
-//! Stand-in engines. [`start_scripted_engine`] starts an engine that answers each frame with a closure. [`Engine`] has
-//! cores, runs queries concurrently, sends progress notes, records events, and simulates injected faults.
+//! Stand-in engines. [`start_scripted_engine`] starts an engine that passes each frame to a closure. [`Engine`] runs
+//! queries concurrently on simulated cores, sends progress notes, records events, and simulates injected faults.
 //!
 //! Start reading at [`Engine::start`], then at the `attempt` module.
 
@@ -40,13 +40,14 @@
     None,
     /// Queries run slower by this factor.
     Slow(f64),
-    /// This fraction of the queries fails after a short delay; those that change tables may have run.
+    /// This fraction of the queries fails after a short delay. They have no effect, but are recorded as possibly
+    /// executed.
     Errors(f64),
     /// This fraction of the queries is rejected as if the engine were full.
     Full(f64),
     /// The engine closes the connection on this fraction of the requests.
     Resets(f64),
-    /// The engine reads all requests and answers none.
+    /// New queries and health checks get no reply. Queries that are already running and requests for pages still do.
     Silent,
     /// This fraction of the answers is malformed.
     Spoils(f64),
@@ -63,7 +64,7 @@
     pub threads: f64,
     /// Whether the query changes tables.
     pub changes_tables: bool,
-    /// The group of tables that a load locks.
+    /// The group of tables that the query uses; engines do not read it.
     pub tables: u32,
     /// The form of the result.
     pub result: ResultShape,
@@ -163,6 +164,7 @@
     context: Arc<RunContext>,
     state: Arc<Mutex<State>>,
     stopped: Arc<AtomicBool>,
+    /// Open connections, by the address of the dispatcher's socket.
     streams: Arc<Mutex<HashMap<SocketAddr, TcpStream>>>,
 }
 
@@ -230,7 +232,7 @@
         });
     }
 
-    /// Stops the engine: open connections are reset, new ones are refused.
+    /// Stops the engine: open connections are closed, new ones are refused.
     pub fn stop(&self) {
         self.stopped.store(true, Ordering::Relaxed);
         for (_, stream) in self.streams().drain() {
--- a/crates/testbed/src/engine/reply_channel.rs
+++ b/crates/testbed/src/engine/reply_channel.rs
@@ -152,7 +152,7 @@
         self.send(id, Reply::Done, &fields, &first)
     }
 
-    /// Sends a page other than the first, or a failure if the page is unknown or lost by the injected fault.
+    /// Sends a page other than the first, or a failure if the page is unknown or the injected fault loses it.
     pub fn send_page(&self, id: &str, page: usize) -> bool {
         let rows = self
             .results()
--- a/crates/testbed/src/engine/reply_faults.rs
+++ b/crates/testbed/src/engine/reply_faults.rs
@@ -8,13 +8,15 @@
 
 /// Delay of a repeated reply, or of a reply that follows the final one (ms).
 const LATE_REPLY_MS: RangeInclusive<u64> = 1..=100;
-/// Delay of half of these replies (ms): they arrive while a retry of the query is running.
+/// Delay of about half of the repeated or following replies (ms): they arrive while a retry of the query is running.
 const REPLY_DURING_RETRY_MS: RangeInclusive<u64> = 1..=12;
-/// Fraction of the requests that fail under faults that repeat or add replies: only failed attempts are retried.
+/// Fraction of the requests that fail under [`ReplyFault::Repeats`] and [`ReplyFault::RepliesAfterFinal`]. Their late
+/// replies are meant to arrive during a retry, and only failed attempts are retried.
 const FAILING_FRACTION: f64 = 0.5;
 /// Delay of a page that is sent out of order, or of the failure sent for a lost page (ms).
 const PAGE_DELAY_MS: RangeInclusive<u64> = 0..=20;
-/// Delay of each read under [`ReplyFault::ReadsLate`] (ms): less than the protocol's tolerance.
+/// Delay of each read under [`ReplyFault::ReadsLate`] (ms): less than the 50 ms that the protocol allows an engine
+/// until it notices a cancellation or a closed connection.
 const READ_DELAY_MS: RangeInclusive<u64> = 1..=30;
 
 /// A fault of replies or connections. Fractions are probabilities per reply, page or request.
@@ -22,7 +24,8 @@
 pub enum ReplyFault {
     /// Pages other than the first are sent late and out of order, and some of them twice.
     PagesOutOfOrder,
-    /// This fraction of the pages other than the first is lost.
+    /// Requests for this fraction of the pages other than the first are answered by a failure, as if the engine had
+    /// lost the page.
     PagesLost(f64),
     /// Every reply is repeated after a delay. Some requests fail.
     Repeats,
--- a/crates/testbed/src/name_service.rs
+++ b/crates/testbed/src/name_service.rs
@@ -5,7 +5,7 @@
 use std::sync::{Arc, Mutex};
 use std::thread;
 
-/// A pointer to the name in the question, as a record's name.
+/// DNS compression pointer to the name in the question, which follows the header of 12 bytes.
 const QUESTION_NAME: [u8; 2] = [0xc0, 12];
 /// DNS record type A.
 const TYPE_A: u8 = 1;
--- a/crates/testbed/src/program.rs
+++ b/crates/testbed/src/program.rs
@@ -1,4 +1,4 @@
-//! The real program as a process: start, signals, counters and exit. Its configuration is in `config`.
+//! The program under test as a child process: start, signals, counters and exit. Its configuration is in `config`.
 //!
 //! Start reading at [`Program::start`].
 
@@ -77,7 +77,7 @@
     });
 }
 
-/// The real program, killed when dropped.
+/// A process of the program under test, killed when dropped.
 #[derive(Debug)]
 pub struct Program {
     /// The process.
@@ -109,7 +109,7 @@
         program
     }
 
-    /// Starts `exe` with its standard error sent to `log`, and does not wait.
+    /// Starts `exe` with its standard error sent to `log`, without waiting until it is healthy.
     pub fn launch(exe: &Path, config: &Config, arguments: &[&str], log: Stdio) -> Self {
         Program::launch_with(exe, config, arguments, log, |_| ())
     }
@@ -155,7 +155,7 @@
         while get(self.listen, "/_health").is_none_or(|response| response.status != 200) {
             assert!(
                 started.elapsed() < TIMEOUT,
-                "the program is not healthy in time"
+                "the program did not become healthy in time"
             );
             thread::sleep(Duration::from_millis(10));
         }
@@ -241,8 +241,8 @@
     }
 }
 
-/// Anonymous resident memory of a process (kB). Pages of the program's file are excluded, because the number of them in
-/// memory depends on other reads on the machine.
+/// Anonymous resident memory of a process (kB). File-backed pages are excluded, because how many of them are resident
+/// depends on the other processes of the machine.
 pub fn anonymous_memory_kb(pid: u32) -> Option<u64> {
     status_kb(pid, "RssAnon:")
 }
--- a/crates/testbed/src/program/config.rs
+++ b/crates/testbed/src/program/config.rs
@@ -22,11 +22,11 @@
 
 impl Config {
     /// Configures a fleet of one dispatcher, in zone `h`. `engines` are of kind `std` (8 cores, 4,096 MB) and listed as
-    /// ready.
+    /// ready. `threads` has the number of threads of a query for each resource group.
     pub fn new(
         listen: SocketAddr,
         engines: &[(String, SocketAddr)],
-        classes: &[Value],
+        groups: &[Value],
         threads: &[u32],
     ) -> Self {
         let entry = |(id, address): &(String, SocketAddr)| {
@@ -43,7 +43,7 @@
         .with_setting(keys::LOCAL_ZONE, "h")
         .with_setting(keys::ENGINE_KINDS, json!(["std"]))
         .with_setting(keys::TENANTS, json!([{keys::tenant::NAME: "acme"}]))
-        .with_setting(keys::GROUPS, classes)
+        .with_setting(keys::GROUPS, groups)
         .with_setting(keys::CORES_BY_KIND, json!([8]))
         .with_setting(keys::MEMORY_MB_BY_KIND, json!([4096]))
         .with_setting(keys::THREADS_BY_GROUP, threads)
@@ -57,11 +57,11 @@
     /// is read-only, `load` is not idempotent.
     pub fn with_two_groups(engines: &[SocketAddr]) -> Self {
         let engines = numbered_engines(engines);
-        let classes = [
+        let groups = [
             resource_group("look", 300.0, 9000.0, keys::effect::READ_ONLY),
             resource_group("load", 300.0, 9000.0, keys::effect::NON_IDEMPOTENT),
         ];
-        Config::new(free_address(), &engines, &classes, &[1, 1])
+        Config::new(free_address(), &engines, &groups, &[1, 1])
     }
 
     /// Sets the value at a path of keys, for example `settings.limits.probes`. A number is the index of an array.
--- a/crates/testbed/src/record.rs
+++ b/crates/testbed/src/record.rs
@@ -56,11 +56,11 @@
         #[serde(rename = "limit")]
         limit_ms: f64,
     },
-    /// A client's connection closed without an answer, and the query is not excluded.
+    /// A query got no answer, because its connection closed or its client's wait timed out, and is not excluded.
     Lost {
         /// The query.
         id: String,
-        /// Readable description of how it closed.
+        /// Readable description of the loss.
         how: String,
     },
     /// An answer's rows differ from the result of its query.
@@ -70,7 +70,8 @@
         /// The beginning of the answer, as readable text.
         rows: String,
     },
-    /// No answer is required: the query's dispatcher was killed, or the query was sent to another dispatcher instead.
+    /// No answer is required: the query's dispatcher was killed, or it closed the connection without reading the query,
+    /// which a client would then send elsewhere.
     #[serde(rename = "excused")]
     Excluded {
         /// The query.
@@ -84,7 +85,7 @@
         #[serde(rename = "from")]
         from_ms: f64,
     },
-    /// A dispatcher did not start, exit or become ready as required.
+    /// A dispatcher did not become ready or exit as required, or logged a violated invariant or a panic.
     DispatcherFailed {
         /// Name of the dispatcher.
         dispatcher: String,
@@ -140,7 +141,7 @@
     },
     /// A fault was injected or removed.
     Fault {
-        /// The engine.
+        /// The engine; empty for a fault that a soak's plan injects.
         engine: String,
         /// Readable description of the fault.
         fault: String,
@@ -197,7 +198,7 @@
         self.push_at(self.now_ms(), event);
     }
 
-    /// Adds an event at an earlier time.
+    /// Adds an event that was observed at an earlier time.
     pub fn push_at(&self, at_ms: f64, event: EventKind) {
         self.entries
             .lock()
