--- a/crates/testbed/src/invariants/arrivals.rs
+++ b/crates/testbed/src/invariants/arrivals.rs
@@ -3,15 +3,17 @@
 use super::history::{Arrival, Attempt};
 use super::{Checker, ClassRules, DedupScope, Effect};
 
-/// Factor on the retry budget, in addition to one retry: delays of sockets move retries from one span to the next.
+/// Factor by which retries may exceed the budget, in addition to one retry: socket delays can move retries from one
+/// span to the next.
 const RETRY_BUDGET_TOLERANCE: f64 = 1.15;
 
-/// The part of the description of two concurrent attempts that precedes the engine of the other attempt.
+/// Text in the description of a violation by two concurrent attempts. The engine of the earlier attempt follows it, as
+/// ` at ENGINE`.
 pub const CONCURRENT_ATTEMPT: &str = "while another attempt was in flight";
 
-/// Time after a client's disconnection within which an attempt may still begin (ms; operators' page).
+/// Time after a client's disconnection within which an attempt may still begin (ms; set by the operators).
 const DISCONNECT_GRACE_MS: f64 = 100.0;
-/// Upper bound of an engine's time limit beyond the client's remaining time (ms; operators' page).
+/// Time by which an engine's time limit may exceed the client's remaining time (ms; set by the operators).
 const DEADLINE_SLACK_MS: f64 = 150.0;
 
 impl Checker<'_> {
@@ -22,7 +24,7 @@
         self.check_closed(engine, id, at_ms);
         self.check_warm_up(engine, at_ms);
         let Some(query) = self.queries.get(id) else {
-            let description = format!("{engine} was sent {id}, which no client sent");
+            let description = format!("{engine} was sent {id} although no client sent it");
             return self.add_violation(1, at_ms, description);
         };
         let disconnected_ms = query.disconnected_ms;
@@ -99,8 +101,9 @@
             closed_ms.filter(|closed_ms| at_ms > closed_ms + rules.grace_ms + rules.slack_ms)
         {
             let since_ms = at_ms - closed_ms;
-            let description =
-                format!("{id} was sent to {engine}, which was closed {since_ms:.0} ms before");
+            let description = format!(
+                "{id} was sent to {engine}, which had been draining or gone for {since_ms:.0} ms"
+            );
             self.add_violation(3, at_ms, description);
         }
     }
@@ -134,7 +137,7 @@
             self.add_violation(
                 4,
                 at_ms,
-                format!("{engine} is warming up and was sent {sent_ms:.0} ms of work in a span in which it sustains {sustainable_ms:.0}"),
+                format!("{engine} is warming up and was sent {sent_ms:.0} ms of work in a span in which it sustains {sustainable_ms:.0} ms"),
             );
         }
     }
@@ -154,7 +157,7 @@
         {
             let class_name = self.queries.get(id).map_or("", |query| &query.class);
             let description = format!(
-                "{id} of {class_name} was sent to {engine} in {}, a {}",
+                "{id} of class {class_name} was sent to {engine} in zone {} of kind {}, where the class may not run",
                 engine_history.zone, engine_history.kind
             );
             self.add_violation(6, at_ms, description);
@@ -187,8 +190,8 @@
                 }
             }
         }
-        // Two concurrent attempts may apply two effects, whatever they report later. A read-only query has no effect, but
-        // the second attempt is an extra copy, which the rules forbid.
+        // Two concurrent attempts may apply two effects, whatever they report later. A read-only query has no effect,
+        // but the second attempt is an extra copy, which the rules forbid.
         if let Some(other) = query.attempt_in_flight() {
             descriptions.push(format!(
                 "{id} was sent to {engine} {CONCURRENT_ATTEMPT} at {}",
--- a/crates/testbed/src/invariants/history.rs
+++ b/crates/testbed/src/invariants/history.rs
@@ -55,7 +55,7 @@
     }
 }
 
-/// The end of an attempt.
+/// The completion, failure, rejection or cancellation of an attempt.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct AttemptEnd {
     pub at_ms: f64,
@@ -65,7 +65,7 @@
 }
 
 impl AttemptEnd {
-    /// A completion or failure that the engine reported.
+    /// A completion, failure or rejection that the engine reported.
     pub fn certain(at_ms: f64, may_have_run: bool) -> Self {
         AttemptEnd {
             at_ms,
@@ -90,7 +90,7 @@
     pub zone: String,
     pub kind: String,
     pub cell: u32,
-    /// The time since which it is listed as draining or gone.
+    /// The time at which it was listed as draining or gone; none while it is listed as ready.
     pub closed_ms: Option<f64>,
     pub start: Option<EngineStart>,
     pub arrivals: Vec<Arrival>,
--- a/crates/testbed/src/invariants/mod.rs
+++ b/crates/testbed/src/invariants/mod.rs
@@ -4,8 +4,9 @@
 //! 1. Each query gets one final answer, in time, and no attempt begins after it.
 //! 2. No effect is applied twice, and no query that may have run is answered by a rejection, which invites a retry.
 //! 3. No attempt is sent to an engine that is draining or gone, except within a grace period.
-//! 4. An engine that is warming up is not sent more than it sustains.
-//! 5. Queries of one ordering key run in their order, and a key cools down after an attempt whose end is unknown.
+//! 4. An engine that is warming up is not sent more work than it sustains.
+//! 5. Queries of one ordering key run in the order in which they were sent, and a key cools down after an attempt whose
+//!    outcome is unknown.
 //! 6. Each attempt runs in a zone and on a kind of engine that its class allows.
 //! 7. Retries stay within their budget.
 //!
@@ -211,7 +212,7 @@
             return self.add_violation(
                 1,
                 at_ms,
-                format!("an answer to {id}, which no client sent"),
+                format!("{id} was answered although no client sent it"),
             );
         };
         query.answered_ms.push(at_ms);
@@ -219,7 +220,7 @@
         let late_ms = at_ms - query.asked_ms - query.max_wait_ms;
         let may_have_run = query.first_possible_execution().is_some();
         if count > 1 {
-            self.add_violation(1, at_ms, format!("answer {count} to {id}"));
+            self.add_violation(1, at_ms, format!("{id} was answered {count} times"));
         }
         if late_ms > self.rules.slack_ms.max(self.rules.late_answer_ms) {
             let description = format!("the answer to {id} came {late_ms:.0} ms late");
@@ -271,7 +272,7 @@
             }
         }
         for (id, due_ms) in unanswered {
-            self.add_violation(1, due_ms, format!("no answer to {id}"));
+            self.add_violation(1, due_ms, format!("{id} was not answered"));
         }
     }
 }
--- a/crates/testbed/src/invariants/rules.rs
+++ b/crates/testbed/src/invariants/rules.rs
@@ -19,7 +19,7 @@
     pub grace_ms: f64,
     /// Rule 4; `None` if it is not checked.
     pub warm_up: Option<WarmUpRule>,
-    /// Rule 5: cooldown of an ordering key after an attempt whose end is unknown.
+    /// Rule 5: cooldown of an ordering key after an attempt whose outcome is unknown.
     pub cooldown_ms: f64,
     /// Rule 7; `None` if it is not checked.
     pub retry_budget: Option<RetryBudget>,
@@ -40,7 +40,7 @@
     pub warm_after_ms: f64,
 }
 
-/// Rule 7: within a span, at most `free` retries and a fraction of the queries sent in it.
+/// Rule 7: within a span, at most `free` retries plus a fraction of the queries sent in it.
 #[derive(Debug, Clone, Copy)]
 pub struct RetryBudget {
     /// Length of the sliding span over which retries and queries are counted (ms).
@@ -91,8 +91,8 @@
 }
 
 impl Rules {
-    /// The rules of a run on loopback with these classes. Slow start, the cooldown of ordering keys and the retry budget
-    /// are not checked.
+    /// The rules of a run on loopback with these classes. Slow start, the cooldown of ordering keys and the retry
+    /// budget are not checked.
     pub fn for_classes(classes: impl IntoIterator<Item = (String, ClassRules)>) -> Self {
         Rules {
             slack_ms: LOOPBACK_SLACK_MS,
--- a/crates/testbed/src/invariants/slow_start.rs
+++ b/crates/testbed/src/invariants/slow_start.rs
@@ -8,7 +8,8 @@
 /// Number of allowed requests below which the larger tolerance applies.
 const LARGE_TOLERANCE_BELOW: f64 = 30.0;
 
-/// The largest number of requests of mean work that does not violate the rule, where the settings allow `allowed`.
+/// The largest number of requests of mean work that does not violate the rule: `allowed`, the number that the settings
+/// allow, plus a tolerance.
 pub fn sustainable_requests(allowed: f64) -> f64 {
     if allowed < LARGE_TOLERANCE_BELOW {
         allowed + 3.0 * allowed.sqrt() + 3.0
