--- a/crates/testbed/src/soak/clients.rs
+++ b/crates/testbed/src/soak/clients.rs
@@ -1,5 +1,5 @@
-//! Clients of a soak. They send requests on open or new connections, in one or two writes, singly or pipelined, and some
-//! disconnect before the answer.
+//! Clients of a soak. They send requests on open or new connections, in one or two writes, singly or pipelined, and
+//! some disconnect before the answer.
 
 use super::dispatcher::{ClientEndpoint, DispatcherSlot};
 use crate::client::ClientQuery;
@@ -16,8 +16,8 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A client resends a request elsewhere if the idle connection closes within this time after the request was sent: the
-/// request may have crossed the close (protocol).
+/// If a used connection closes within this time after a request was sent on it, the request may have crossed the close.
+/// By the protocol, a client then resends it elsewhere. The soak's clients exclude it instead.
 const CLOSE_CROSSING_WINDOW: Duration = Duration::from_millis(50);
 /// Time after its deadline for which a client still waits for an answer.
 const ANSWER_MARGIN: Duration = Duration::from_millis(1500);
@@ -79,10 +79,11 @@
     },
 ];
 
-/// The manner in which a client sends its next request.
+/// The manner in which a client sends its next request. All modes but `NewConnection` use the open connection, if there
+/// is one.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum RequestMode {
-    /// Uses the open connection, if there is one.
+    /// Sends one request in one write.
     Reuse,
     /// Opens a new connection.
     NewConnection,
@@ -96,7 +97,7 @@
     Truncate,
 }
 
-/// One client, and the state that all clients share.
+/// One client, and the state that it shares with other clients.
 pub struct SoakClient {
     /// The index of the dispatcher to which the client sends its queries.
     pub dispatcher: usize,
@@ -118,7 +119,9 @@
 
 struct Connection {
     stream: TcpStream,
+    /// The epoch of the slot when the client connected.
     epoch: u64,
+    /// Whether an answer has been received on the connection.
     is_used: bool,
 }
 
@@ -234,7 +237,7 @@
         (query, class)
     }
 
-    /// Records requests that are sent in one write. They are answered in order, so that the time limit of each includes
+    /// Records requests that are sent together. They are answered in order, so that the time limit of each includes
     /// the time limits of the requests before it.
     fn record_asked(&self, queries: &[ClientQuery]) {
         let mut max_wait_ms = 0.0;
@@ -316,7 +319,7 @@
             match self.await_answer(&connection, query, wait_until, generation) {
                 WaitOutcome::Answered { keeps_alive: true } => connection.is_used = true,
                 WaitOutcome::Answered { keeps_alive: false } => {
-                    // Requests sent after the last one that the connection answers are resent elsewhere.
+                    // The dispatcher does not answer the later requests, which a real client resends elsewhere.
                     self.exclude(&queries[nth + 1..]);
                     return None;
                 }
@@ -340,7 +343,7 @@
             return WaitOutcome::Unanswered;
         }
         let _ = connection.stream.set_read_timeout(Some(ANSWER_MARGIN));
-        // A buffer of one byte reads nothing beyond the answer: the next byte belongs to the next query.
+        // A buffer of one byte reads nothing beyond the answer: the next byte belongs to the next answer.
         let mut reader = BufReader::with_capacity(1, &connection.stream);
         let Some(response) = read_response(&mut reader) else {
             return WaitOutcome::Unanswered;
@@ -372,8 +375,8 @@
         }
     }
 
-    /// Waits for the first byte of an answer and checks at intervals whether this client must disconnect. Returns false if
-    /// the connection closes, the wait times out or the client must disconnect.
+    /// Waits for the first byte of an answer and checks at intervals whether this client must disconnect. Returns false
+    /// if the connection closes, the wait times out or the client must disconnect.
     fn await_first_byte(&self, stream: &TcpStream, wait_until: Instant, generation: u64) -> bool {
         let _ = stream.set_read_timeout(Some(DISCONNECT_POLL));
         let mut first = [0];
@@ -415,7 +418,7 @@
             }
             return;
         }
-        // The slot registers a crash shortly after the process's connections are reset.
+        // Gives the slot time to register a crash.
         thread::sleep(Duration::from_millis(30));
         if self.slot.has_crashed(connection.epoch) {
             return self.exclude(queries);
--- a/crates/testbed/src/soak/site.rs
+++ b/crates/testbed/src/soak/deployment.rs
@@ -1,7 +1,7 @@
 //! The deployment of a soak: the parameters of its rules and the configuration of each dispatcher.
 
 use super::clients::{SoakClass, CLASSES};
-use super::names::NamesLink;
+use super::name_service_proxy::NameServiceProxy;
 use super::peers::PeerRelay;
 use super::plan::{SoakPlan, SoakSettings};
 use crate::invariants::{RetryBudget, WarmUpRule};
@@ -35,17 +35,17 @@
 /// The port on which a dispatcher receives datagrams of its peers.
 pub(super) const PEER_PORT: u16 = 7946;
 
-/// The address of a dispatcher. Each dispatcher has a separate address in 127.0.0.0/8, and its port is below the ephemeral
-/// ports, so that no other socket takes the address during a restart.
+/// The address of a dispatcher. Each dispatcher has a separate address in 127.0.0.0/8, and its port is below the
+/// ephemeral ports, so that no other socket takes the address during a restart.
 pub(super) fn dispatcher_address(seed: u64, nth: usize, port: u16) -> SocketAddr {
-    let run_octet = (std::process::id() % 200) as u8 + 16;
-    let address = Ipv4Addr::new(127, run_octet, (seed % 250) as u8, nth as u8 + 1);
+    let testbed_octet = (std::process::id() % 200) as u8 + 16;
+    let address = Ipv4Addr::new(127, testbed_octet, (seed % 250) as u8, nth as u8 + 1);
     SocketAddr::from((address, port))
 }
 
-/// The configuration of all classes, whose longest deadline is `max_deadline_ms`.
-fn services(max_deadline_ms: f64) -> Vec<Value> {
-    let service = |soak_class: &SoakClass| {
+/// The resource groups of all classes, whose longest deadline is `max_deadline_ms`.
+fn groups(max_deadline_ms: f64) -> Vec<Value> {
+    let to_group = |soak_class: &SoakClass| {
         let mut value = resource_group(
             soak_class.name,
             soak_class.objective_ms,
@@ -56,7 +56,7 @@
         value[keys::group::DEDUP_SCOPE] = json!(keys::dedup_scope::ALL);
         value
     };
-    CLASSES.iter().map(service).collect()
+    CLASSES.iter().map(to_group).collect()
 }
 
 /// The configuration of a dispatcher.
@@ -64,7 +64,7 @@
     plan: &SoakPlan,
     nth: usize,
     engines: &[(String, SocketAddr)],
-    names: &NamesLink,
+    name_service_proxy: &NameServiceProxy,
     peer_listen: SocketAddr,
     peer_relay: &PeerRelay,
 ) -> Config {
@@ -82,10 +82,10 @@
         .collect();
     let progress_interval_us = if has_notes { 100_000 } else { 0 };
     let listen = dispatcher_address(plan.seed, nth, CLIENT_PORT);
-    Config::new(listen, engines, &services(max_deadline_ms), &[1, 1, 1])
+    Config::new(listen, engines, &groups(max_deadline_ms), &[1, 1, 1])
         .with("name", format!("n{nth}"))
         .with("seed", format!("{:x}", plan.seed << 8 | nth as u64))
-        .with("resolver", names.address.to_string())
+        .with("resolver", name_service_proxy.address.to_string())
         .with("peer_listen", peer_listen.to_string())
         .with("peers", json!(unicast))
         .with("peers_all", peer_relay.broadcast.to_string())
--- a/crates/testbed/src/soak/dispatcher.rs
+++ b/crates/testbed/src/soak/dispatcher.rs
@@ -1,5 +1,5 @@
-//! The slot of a dispatcher in a soak: starts, signals, kills and replaces its process, and tells clients whether the process
-//! accepts connections and requests.
+//! The slot of a dispatcher in a soak: starts, signals, kills and replaces its process, and tells clients whether the
+//! process accepts connections and requests.
 
 use crate::fault_shim::FaultShim;
 use crate::program::{get, Config, Program};
@@ -14,7 +14,7 @@
 
 /// Time limit of the platform from a process's start until it is ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time from SIGTERM to SIGKILL in addition to the longest deadline: the shortest that the platform sets.
+/// Time from SIGTERM to SIGKILL beyond the longest deadline. The platform sets at least this much.
 const SIGKILL_MARGIN: Duration = Duration::from_millis(700);
 /// Interval between the signals of a series.
 pub(super) const SIGNAL_STEP: Duration = Duration::from_millis(70);
@@ -30,7 +30,7 @@
 /// A dispatcher's current process and whether it accepts connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClientEndpoint {
-    /// The number of processes started in this slot, which is part of query ids.
+    /// The number of processes started in this slot, including the current one. It is part of query ids.
     pub epoch: u64,
     /// Whether clients may open connections.
     pub takes_connections: bool,
@@ -45,7 +45,7 @@
     is_stopped: bool,
     /// The time at which SIGTERM was sent to the process.
     terminated: Option<Instant>,
-    /// The epochs that were ended by SIGKILL. No answers are expected from them.
+    /// The epochs whose process `crash` has killed. No answers are expected from them.
     crashed: Vec<u64>,
     /// The epoch that received SIGTERM and has not exited.
     exiting: Option<u64>,
@@ -169,13 +169,13 @@
         state.exiting == Some(epoch) || state.epoch == epoch && state.is_ready
     }
 
-    /// Whether the process of this epoch was ended by SIGKILL.
+    /// Whether [`DispatcherSlot::crash`] has killed the process of this epoch.
     pub fn has_crashed(&self, epoch: u64) -> bool {
         self.state().crashed.contains(&epoch)
     }
 
-    /// Terminates the process, sends it further signals, starts the next process while clients continue to send requests on
-    /// their connections to the old one, and checks the old one's exit.
+    /// Terminates the process and sends it further signals. Starts the next process while clients continue to send
+    /// requests on their connections to the old one, and checks the old one's exit.
     pub fn restart(&self, further_signals: &[&str]) {
         let Some(mut old) = self.terminate() else {
             return;
@@ -270,7 +270,7 @@
         }
     }
 
-    /// Ends the process by SIGKILL and starts the next one.
+    /// Kills the process by SIGKILL and starts the next one.
     pub fn crash(&self) {
         {
             let mut state = self.state();
@@ -289,7 +289,7 @@
         self.wait_until_ready(started);
     }
 
-    /// Stops the process for this time.
+    /// Suspends the process by SIGSTOP for this time, and then resumes it by SIGCONT.
     pub fn stall(&self, duration: Duration) {
         let send_signal = |signal| {
             let mut state = self.state();
--- a/crates/testbed/src/soak/environment.rs
+++ b/crates/testbed/src/soak/environment.rs
@@ -1,14 +1,14 @@
-//! One run: starts engines, links, the name service and dispatchers, injects the plan's faults while clients send queries,
-//! and stops everything.
+//! One run: starts engines, links, the name service and dispatchers, injects the plan's faults while clients send
+//! queries, and stops everything.
 
 use super::clients::SoakClient;
+use super::deployment::{config, dispatcher_address, CORES, PEER_PORT};
 use super::dispatcher::DispatcherSlot;
 use super::lag::LagMonitor;
 use super::link::Link;
-use super::names::NamesLink;
+use super::name_service_proxy::NameServiceProxy;
 use super::peers::PeerRelay;
 use super::plan::SoakPlan;
-use super::site::{config, dispatcher_address, CORES, PEER_PORT};
 use super::{SoakOptions, SoakOutcome};
 use crate::engine::{Engine, EngineSpec, RunContext};
 use crate::fault_shim::FaultShim;
@@ -38,8 +38,8 @@
 pub(super) struct Environment {
     pub plan: SoakPlan,
     pub context: Arc<RunContext>,
-    pub names: NameService,
-    pub names_link: NamesLink,
+    pub name_service: NameService,
+    pub name_service_proxy: NameServiceProxy,
     engines: Mutex<Vec<EngineSlot>>,
     pub slots: Vec<Arc<DispatcherSlot>>,
     pub disconnect_generations: Vec<Arc<AtomicU64>>,
@@ -106,8 +106,8 @@
         let endpoints = engines
             .iter()
             .map(|slot| endpoint(&slot.engine.id, slot.link.address, 0.0));
-        let names = NameService::start(endpoints.collect(), context.record.clone());
-        let names_link = NamesLink::start(names.address);
+        let name_service = NameService::start(endpoints.collect(), context.record.clone());
+        let name_service_proxy = NameServiceProxy::start(name_service.address);
         let peer_listen: Vec<SocketAddr> = (0..plan.dispatchers)
             .map(|nth| dispatcher_address(plan.seed, nth, PEER_PORT))
             .collect();
@@ -116,7 +116,14 @@
             engines.iter().map(EngineSlot::configured).collect();
         let mut slots = Vec::new();
         for (nth, listen) in peer_listen.iter().enumerate() {
-            let config = config(&plan, nth, &configured, &names_link, *listen, &peer_relay);
+            let config = config(
+                &plan,
+                nth,
+                &configured,
+                &name_service_proxy,
+                *listen,
+                &peer_relay,
+            );
             slots.push(Arc::new(DispatcherSlot::new(
                 format!("n{nth}"),
                 &options.exe,
@@ -131,8 +138,8 @@
             disconnect_generations: slots.iter().map(|_| Arc::default()).collect(),
             plan,
             context,
-            names,
-            names_link,
+            name_service,
+            name_service_proxy,
             engines: Mutex::new(engines),
             slots,
             is_finished: Arc::default(),
--- a/crates/testbed/src/soak/evaluation.rs
+++ b/crates/testbed/src/soak/evaluation.rs
@@ -1,9 +1,9 @@
 //! Evaluates a run by its record: checks each process against the rules and the fleet against the slow-start budget.
 
 use super::clients::{CLASSES, MEAN_WORK_MS};
+use super::deployment::{DEDUP_WINDOW_MS, DRAIN_GRACE_MS, RETRY_BUDGET, WARM_UP};
 use super::environment::Environment;
 use super::plan::{PlannedFault, SoakFault};
-use super::site::{DEDUP_WINDOW_MS, DRAIN_GRACE_MS, RETRY_BUDGET, WARM_UP};
 use super::{SoakCounts, SoakOutcome};
 use crate::invariants::{
     find_slow_start_violations, find_violations, ClassRules, Rules, Violation, CONCURRENT_ATTEMPT,
@@ -83,8 +83,8 @@
         violations
     }
 
-    /// Whether a violation is excluded because a link may have dropped a cancellation: the attempt then still runs at its
-    /// engine, although the dispatcher has cancelled it.
+    /// Whether a violation is excluded because a link may have dropped a cancellation: the attempt then still runs at
+    /// its engine, although the dispatcher has cancelled it.
     fn may_have_lost_cancellation(&self, violation: &Violation) -> bool {
         let loses_cancellation = |planned: &PlannedFault| match planned.fault {
             SoakFault::CutToEngine(engine)
@@ -136,8 +136,9 @@
     }
 }
 
-/// Whether a violation is excluded because the other attempt ended right after the new attempt began: the dispatcher
-/// detects the reset of a link shortly before the engine does, within the time that the protocol allows.
+/// Whether a violation is excluded because one of the two concurrent attempts was cancelled right after the new one
+/// began: the dispatcher detects the reset of a link shortly before the engine does, within the time that the protocol
+/// allows.
 fn other_attempt_ends_immediately(violation: &Violation, entries: &[Entry]) -> bool {
     if !violation.description.contains(CONCURRENT_ATTEMPT) {
         return false;
@@ -152,8 +153,8 @@
     })
 }
 
-/// The ids of queries that may have arrived at a dispatcher while it was stopped. The dispatcher cannot know when such a
-/// query arrived, so that violations of these queries are not counted.
+/// The ids of queries that may have arrived at a dispatcher while SIGSTOP suspended it. The dispatcher cannot know when
+/// such a query arrived, so violations by these queries are not counted.
 fn stalled_queries(entries: &[Entry]) -> Vec<String> {
     let mut stalls = Vec::new();
     for entry in entries {
--- a/crates/testbed/src/soak/faults.rs
+++ b/crates/testbed/src/soak/faults.rs
@@ -1,9 +1,9 @@
 //! Injection of a plan's faults.
 
+use super::deployment::CORES;
 use super::environment::{endpoint, start_engine, unix_ms, EngineSlot, Environment};
 use super::link::LinkFaults;
 use super::plan::{PlannedFault, SoakFault};
-use super::site::CORES;
 use crate::engine::Fault;
 use crate::record::{EventKind, Status};
 use std::sync::atomic::Ordering;
@@ -15,7 +15,7 @@
 const CALL_FAULT_RATE: u32 = 500;
 /// Signals that follow a SIGTERM, at intervals of [`SIGNAL_STEP`](super::dispatcher::SIGNAL_STEP).
 const SIGNAL_SERIES: [&str; 4] = ["-HUP", "-TERM", "-STOP", "-CONT"];
-/// Time after an engine's replacement for which dispatchers may still send as to the old engine (ms).
+/// Time after an engine's replacement for which dispatchers may still take the new engine for the old, warm one (ms).
 const REPLACEMENT_GRACE_MS: u64 = 700;
 
 impl Environment {
@@ -76,14 +76,14 @@
                 self.with_link_fault(engine, duration, |faults, on| faults.blocks_connects = on);
             }
             SoakFault::SilentNames => {
-                self.names_link.set_silent(true);
+                self.name_service_proxy.set_silent(true);
                 thread::sleep(duration);
-                self.names_link.set_silent(false);
+                self.name_service_proxy.set_silent(false);
             }
             SoakFault::SlowNames(delay_ms) => {
-                self.names_link.set_delay_ms(delay_ms);
+                self.name_service_proxy.set_delay_ms(delay_ms);
                 thread::sleep(duration);
-                self.names_link.set_delay_ms(0);
+                self.name_service_proxy.set_delay_ms(0);
             }
             _ => self.inject_dispatcher_fault(fault, duration),
         }
@@ -176,9 +176,9 @@
     /// Drains an engine, removes it and starts a cold replacement at its address.
     fn drain_engine(&self, engine: usize, duration: Duration) {
         let id = self.engines()[engine].engine.id.clone();
-        self.names.set_status(&id, Status::Draining);
+        self.name_service.set_status(&id, Status::Draining);
         thread::sleep(duration);
-        self.names.set_status(&id, Status::Gone);
+        self.name_service.set_status(&id, Status::Gone);
         thread::sleep(duration / 2);
         self.replace_engine(engine);
     }
@@ -197,11 +197,11 @@
             (old, engine, slot.link.address)
         };
         old.stop();
-        self.names.set_status(&old.id, Status::Gone);
-        self.names.add(endpoint(&new.id, address, unix_ms()));
+        self.name_service.set_status(&old.id, Status::Gone);
+        self.name_service.add(endpoint(&new.id, address, unix_ms()));
         thread::sleep(Duration::from_millis(REPLACEMENT_GRACE_MS));
-        // Dispatchers that have not received the update send as to the old, warm engine. The slow-start rule applies only
-        // if the name service is neither silent nor slow.
+        // Until a dispatcher receives the update, it takes the new engine for the old, warm one. The slow-start rule
+        // therefore applies only if the name service is neither silent nor slow.
         if !self.delays_endpoint_list() {
             self.context.record.push(EventKind::Started {
                 engine: new.id,
@@ -224,6 +224,6 @@
             engine: id.clone(),
             cores: CORES,
         });
-        self.names.add(endpoint(&id, address, unix_ms()));
+        self.name_service.add(endpoint(&id, address, unix_ms()));
     }
 }
--- a/crates/testbed/src/soak/link.rs
+++ b/crates/testbed/src/soak/link.rs
@@ -1,7 +1,7 @@
 //! The TCP proxy in front of each engine, which simulates faults of the network between the dispatchers and the engine.
 //!
-//! It delays bytes towards the engine by a few milliseconds at most, because the checker takes an attempt's arrival at the
-//! engine for its start. Bytes that are sent during a cut are lost.
+//! It delays bytes towards the engine by a few milliseconds at most, because the checker takes an attempt's arrival at
+//! the engine for its start. Bytes that are sent during a cut are lost.
 
 use crate::engine::fill_accept_backlog;
 use rand::{RngExt, SeedableRng};
@@ -35,7 +35,7 @@
     pub drops_idle: bool,
     /// No connection is established: the listener's backlog is full.
     pub blocks_connects: bool,
-    /// Connections are reset soon after they are established.
+    /// Each forwarded block of bytes resets its connection with a probability of 30 %.
     pub resets: bool,
 }
 
@@ -181,7 +181,9 @@
     to: TcpStream,
     to_engine: bool,
     generation: u64,
+    /// Time of the last bytes received in either direction.
     last_use: Arc<Mutex<Instant>>,
+    /// Whether the connection has lost bytes. It then discards all further ones, in both directions.
     is_dropped: Arc<AtomicBool>,
     rng: Pcg32,
 }
--- a/crates/testbed/src/soak/mod.rs
+++ b/crates/testbed/src/soak/mod.rs
@@ -1,22 +1,22 @@
-//! The randomized fault soak: a fleet of real processes on loopback, under concurrent link faults, signals, clock steps and
-//! failing system calls. The record of clients and engines is checked against the rules.
+//! The randomized fault soak: a fleet of real processes on loopback, under concurrent link faults, signals, clock steps
+//! and failing system calls. The record of clients and engines is checked against the rules.
 //!
-//! All faults and settings are drawn from a seed ([`plan`]). The timing of real processes is not reproducible: a seed that
-//! failed may pass when it is repeated, so its record and logs are kept.
+//! All faults and settings are drawn from a seed ([`plan`]). The timing of real processes is not reproducible: a seed
+//! that failed may pass when it is repeated, so its record and logs are kept.
 //!
 //! Start reading at [`run`], then at `environment`, `faults` and `evaluation`.
 
 mod clients;
+mod deployment;
 mod dispatcher;
 mod environment;
 mod evaluation;
 mod faults;
 mod lag;
 mod link;
-mod names;
+mod name_service_proxy;
 mod peers;
 pub mod plan;
-mod site;
 
 pub use plan::{FaultFamily, SoakPlan};
 
@@ -28,7 +28,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Mutex;
 
-/// Wake-up delay from which the timing of a run cannot be evaluated (ms). A run with violations is then repeated.
+/// Wake-up delay at and above which a run's timing cannot be evaluated (ms). A run with violations is then repeated.
 const BUSY_LAG_MS: f64 = 60.0;
 /// Maximum number of repetitions of a run on a busy machine.
 const MAX_REPETITIONS: usize = 3;
--- a/crates/testbed/src/soak/names.rs
+++ b/crates/testbed/src/soak/name_service_proxy.rs
@@ -6,7 +6,8 @@
 use std::thread;
 use std::time::Duration;
 
-/// Time limit for the name service's answer to a question.
+/// Time limit for the name service's answer to a question; also the interval at which the proxy checks whether it was
+/// dropped.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(300);
 /// Maximum size of a datagram (bytes).
 const MAX_BYTES: usize = 64 * 1024;
@@ -20,13 +21,13 @@
 
 /// A proxy in front of the name service. Dropping it stops the proxy.
 #[derive(Debug)]
-pub struct NamesLink {
+pub struct NameServiceProxy {
     /// The address to which dispatchers send questions.
     pub address: SocketAddr,
     shared: Arc<Shared>,
 }
 
-impl NamesLink {
+impl NameServiceProxy {
     /// Starts a proxy to `target`.
     ///
     /// # Panics
@@ -38,7 +39,7 @@
         let shared = Arc::new(Shared::default());
         let forward_shared = shared.clone();
         thread::spawn(move || forward(&socket, target, &forward_shared));
-        NamesLink { address, shared }
+        NameServiceProxy { address, shared }
     }
 
     /// Sets whether questions remain unanswered.
@@ -52,7 +53,7 @@
     }
 }
 
-impl Drop for NamesLink {
+impl Drop for NameServiceProxy {
     fn drop(&mut self) {
         self.shared.is_closed.store(true, Ordering::SeqCst);
     }
--- a/crates/testbed/src/soak/peers.rs
+++ b/crates/testbed/src/soak/peers.rs
@@ -1,5 +1,5 @@
-//! The UDP relay between dispatchers. For each dispatcher it has an address, which the others use as that dispatcher's
-//! address, and one broadcast address. It drops and duplicates some of the datagrams.
+//! The UDP relay between dispatchers. It has one address per dispatcher, at which the others reach that dispatcher, and
+//! one broadcast address. It drops some of the datagrams and duplicates others.
 
 use rand::{RngExt, SeedableRng};
 use rand_pcg::Pcg32;
--- a/crates/testbed/src/soak/plan.rs
+++ b/crates/testbed/src/soak/plan.rs
@@ -1,5 +1,5 @@
-//! The plan of a soak's run: the number of dispatchers and engines, the settings and the faults with their times. All are
-//! drawn from a seed.
+//! The plan of a soak's run: the number of dispatchers and engines, the settings and the faults with their times. All
+//! are drawn from a seed.
 
 use crate::engine::ReplyFault;
 use rand::{RngExt, SeedableRng};
@@ -10,12 +10,13 @@
 /// A family of faults; `--faults` selects some of them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, clap::ValueEnum)]
 pub enum FaultFamily {
-    /// Engines that slow down, fail, do not answer, reset connections, reject queries as full or send malformed answers.
+    /// Engines that slow down, fail, do not answer, close connections, reject queries as full or send malformed
+    /// answers.
     Engines,
     /// Engines that drain, are removed, join cold or are replaced at their address.
     Endpoints,
-    /// Links to engines that lose bytes, reset connections, split writes, drop idle connections or establish connections
-    /// late.
+    /// Links to engines that lose bytes, reset connections, split writes, drop idle connections or establish
+    /// connections late.
     Links,
     /// A name service that is silent or slow.
     Names,
@@ -27,7 +28,8 @@
     Calls,
     /// Clients that disconnect together.
     Clients,
-    /// Replies that are lost, late, repeated, out of order, truncated or followed by noise, and half-closed connections.
+    /// Replies that are lost, late, repeated, out of order, truncated or followed by noise, and half-closed
+    /// connections.
     Replies,
 }
 
@@ -38,9 +40,9 @@
     SlowEngine(usize, f64),
     /// A fraction of an engine's queries ends with an error.
     FailingEngine(usize, f64),
-    /// An engine answers nothing.
+    /// An engine answers no new queries and no health checks.
     SilentEngine(usize),
-    /// An engine resets the connection on a fraction of its requests.
+    /// An engine closes the connection on a fraction of its requests.
     ResettingEngine(usize, f64),
     /// A fraction of an engine's answers is malformed.
     SpoilingEngine(usize, f64),
@@ -58,7 +60,7 @@
     CutToEngine(usize),
     /// Bytes from an engine to dispatchers are lost.
     CutFromEngine(usize),
-    /// All connections to an engine are reset, and during the fault others soon after they are established.
+    /// All connections to an engine are reset. During the fault, new connections are reset at random.
     ResetLink(usize),
     /// Bytes from and to an engine are forwarded in small pieces.
     SplitLink(usize),
@@ -74,15 +76,15 @@
     Restart(usize),
     /// As `Restart`, with SIGHUP, a second SIGTERM, SIGSTOP and SIGCONT after the first SIGTERM.
     SignalSeries(usize),
-    /// A dispatcher is ended by SIGKILL and started again.
+    /// A dispatcher is killed by SIGKILL and started again.
     Crash(usize),
     /// A dispatcher is stopped by SIGSTOP for this time (ms).
     Stall(usize, u64),
     /// A dispatcher receives this number of SIGHUPs, some of them with an incomplete configuration.
     Reload(usize, u32),
-    /// A dispatcher's wall clock is stepped (s).
+    /// A dispatcher's wall clock is set to this offset from the real time (s), which lasts until the next step.
     StepClock(usize, i64),
-    /// One in twenty of a dispatcher's system calls is interrupted (EINTR).
+    /// One in twenty of a dispatcher's calls that send, receive or read is interrupted (EINTR).
     Interrupt(usize),
     /// One in twenty of a dispatcher's socket calls fails for lack of buffers (ENOBUFS).
     NoBuffers(usize),
@@ -100,10 +102,10 @@
     }
 }
 
-/// A fault with its begin and duration.
+/// A fault with its start and duration.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PlannedFault {
-    /// Its begin, as time since the start of the run (ms).
+    /// Its start, as time since the start of the run (ms).
     pub at_ms: f64,
     /// Its duration (ms). Faults without a duration ignore it.
     pub for_ms: f64,
@@ -124,7 +126,7 @@
     pub seconds: f64,
     /// The settings that differ between runs.
     pub settings: SoakSettings,
-    /// The faults, by their begin.
+    /// The faults, in the order in which they start.
     pub faults: Vec<PlannedFault>,
 }
 
@@ -137,7 +139,7 @@
     pub has_estimates: bool,
     /// Whether dispatchers may cancel attempts.
     pub allows_cancels: bool,
-    /// Whether engines answer health checks.
+    /// Whether dispatchers may send health checks.
     pub allows_probes: bool,
     /// The longest deadline of all classes (ms).
     pub max_deadline_ms: f64,
@@ -156,8 +158,8 @@
     }
 }
 
-/// Draws a run's longest deadline (ms). In half of the runs it is the longest for which the platform waits at a
-/// termination; in the others it is shorter.
+/// Draws a run's longest deadline (ms). In half of the runs it is the longest for which the platform waits when it
+/// terminates a process; in the others it is shorter.
 fn draw_max_deadline_ms(rng: &mut Pcg64) -> f64 {
     if rng.random_bool(0.5) {
         MAX_DEADLINE_MS
@@ -168,11 +170,11 @@
 
 /// Lower bound of a run's longest deadline (ms).
 const MIN_DEADLINE_MS: f64 = 300.0;
-/// The longest deadline for which the platform waits at a termination (ms).
+/// The longest deadline for which the platform waits when it terminates a process (ms).
 const MAX_DEADLINE_MS: f64 = 3000.0;
 /// Separates the deadlines' random numbers from those of the rest of the plan.
 const DEADLINE_SEED: u64 = 0x6465_6164;
-/// Steps that a dispatcher's wall clock may make (s).
+/// Offsets from the real time to which a dispatcher's wall clock may be set (s).
 const CLOCK_STEPS_S: [i64; 6] = [-3600, -40, -3, 3, 40, 3600];
 /// Fraction of the runs with faulty replies that start with only one or two engines.
 const FEW_ENGINES_FRACTION: f64 = 0.5;
@@ -240,8 +242,8 @@
     }
 }
 
-/// Draws a fault of a family. The engine, the dispatcher and the fraction are drawn for every family, so that a run's later
-/// draws do not depend on whether a family uses them.
+/// Draws a fault of a family. The engine, the dispatcher and the fraction are drawn for every family, so that a run's
+/// later draws do not depend on whether a family uses them.
 fn draw_fault(
     family: FaultFamily,
     dispatchers: usize,
