--- a/crates/dispatcher/tests/fault_injection/attempt_ends.rs
+++ b/crates/dispatcher/tests/fault_injection/attempt_completion.rs
@@ -16,9 +16,9 @@
 const REPLY_INTERVAL: Duration = Duration::from_millis(4);
 /// Run time of a retry.
 const RUN_TIME: Duration = Duration::from_millis(80);
-/// Timeout for a command from the program to an engine.
+/// Maximum time that a test waits for a command from the program to an engine.
 const COMMAND_TIMEOUT: Duration = Duration::from_secs(2);
-/// Wait time that clients send with a query (ms).
+/// Maximum time that a client waits for its answer (ms).
 const WAIT_MS: f64 = 6000.0;
 
 /// Arrival and end times of the attempts that an engine received.
@@ -166,7 +166,7 @@
     },
 ];
 
-/// Starts an engine that fails the first attempt and sends another reply to it 20 ms later. It completes all later
+/// Starts an engine that fails the first attempt and sends the reply `late` to it 20 ms later. It completes all later
 /// attempts.
 fn engine_with_late_reply(log: &AttemptLog, late: EngineReply) -> SocketAddr {
     let log = log.clone();
@@ -239,7 +239,7 @@
 }
 
 /// Waits for a command from the program to an engine, and returns the time of its arrival.
-fn command_received(received: &Receiver<ReceivedFrame>, command: &str) -> Option<Instant> {
+fn wait_for_command(received: &Receiver<ReceivedFrame>, command: &str) -> Option<Instant> {
     let started = Instant::now();
     while started.elapsed() < COMMAND_TIMEOUT {
         match received.recv_timeout(COMMAND_TIMEOUT) {
@@ -257,7 +257,7 @@
     let (engine, received) = engine_that_loses_pages(&log);
     let program = start(&two_group_config(&[engine]));
     assert_eq!(query_rows(program.listen, "look", 1), retry_answer());
-    let freed = command_received(&received, "done");
+    let freed = wait_for_command(&received, "done");
     assert!(freed.is_some());
     // The engine receives the command before the retry.
     assert!(freed.is_some_and(|freed| freed < log.arrived(1)));
--- a/crates/dispatcher/tests/fault_injection/forgotten_connections.rs
+++ b/crates/dispatcher/tests/fault_injection/dropped_connections.rs
@@ -12,7 +12,7 @@
 
 /// Idle time after which an engine silently drops a connection.
 const IDLE_LIMIT: Duration = Duration::from_millis(400);
-/// Wait time that clients send with a query (ms).
+/// Maximum time that a client waits for its answer (ms).
 const WAIT_MS: f64 = 2000.0;
 /// Number of look-ups per test.
 const LOOK_UPS: u64 = 30;
@@ -23,7 +23,7 @@
         static LAST_REQUEST: std::cell::Cell<Option<Instant>> = const { std::cell::Cell::new(None) };
         static IS_DROPPED: std::cell::Cell<bool> = const { std::cell::Cell::new(false) };
     }
-    // The scripted engine runs one thread per connection.
+    // The scripted engine runs one thread per connection, so each connection has its own thread-local state.
     let answers = |parts: &[String], to: &mut TcpStream| {
         let last = LAST_REQUEST.replace(Some(Instant::now()));
         if last.is_some_and(|last| last.elapsed() > IDLE_LIMIT) {
@@ -36,8 +36,9 @@
     start_scripted_engine(answers).0
 }
 
-/// Starts the program without progress notes, health checks and cost estimates.
-fn start_without_signals(engines: &[SocketAddr]) -> Program {
+/// Starts the program without progress notes and health checks, which could reveal a dropped connection, and without
+/// cost estimates.
+fn start_without_progress_and_health_checks(engines: &[SocketAddr]) -> Program {
     start(&two_group_config(engines))
 }
 
@@ -54,8 +55,8 @@
 }
 
 #[test]
-fn silently_dropped_connections_are_detected_and_lose_no_more_look_ups() {
-    let program = start_without_signals(&[
+fn silently_dropped_connections_are_detected_after_at_most_one_lost_look_up() {
+    let program = start_without_progress_and_health_checks(&[
         engine_dropping_idle_connections(),
         engine_dropping_idle_connections(),
     ]);
@@ -84,7 +85,7 @@
 }
 
 #[test]
-fn connections_dropped_during_a_pause_cost_a_burst_at_most_one_look_up() {
+fn burst_after_silently_dropped_connections_loses_at_most_one_look_up() {
     let engines: Vec<SocketAddr> = (0..6).map(|_| engine_dropping_idle_connections()).collect();
     let config = two_group_config(&engines).with_setting(keys::CANCELLATION, false);
     let program = Arc::new(start(&config));
@@ -111,9 +112,9 @@
 
 #[test]
 fn long_queries_on_reused_connections_are_not_taken_for_lost() {
-    // Each query runs for longer than an engine is usually silent; no connection is dropped.
+    // Each query takes 700 ms, during which its connection is silent; no connection is dropped.
     let (engine, requests) = start_delayed_engine(Duration::from_millis(700));
-    let program = start_without_signals(&[engine]);
+    let program = start_without_progress_and_health_checks(&[engine]);
     for id in 1..6 {
         assert_eq!(
             query_status(program.listen, &query("look", id, 6000.0)),
--- a/crates/dispatcher/tests/fault_injection/engine_deadline.rs
+++ b/crates/dispatcher/tests/fault_injection/engine_deadline.rs
@@ -11,9 +11,9 @@
 use tansymux_testbed::program::{Program, TIMEOUT};
 use tansymux_testbed::wire::{list_value, read_frame};
 
-/// Most by which a time limit may exceed the client's remaining time (ms; operators' page).
+/// Maximum time (ms) by which a time limit may exceed the client's remaining time, as documented for operators.
 const SLACK_MS: f64 = 150.0;
-/// Wait time that clients send with a query (ms).
+/// Maximum time that a client waits for its answer (ms).
 const WAIT_MS: f64 = 6000.0;
 
 /// The time limit of a query, as an engine received it.
@@ -54,7 +54,8 @@
 
 #[test]
 fn deadline_sent_to_an_engine_is_the_remaining_time_at_the_first_byte() {
-    // The accept backlog is full: the connection is established once the backlog has room, a second or more later.
+    // The accept backlog is full: the connection is established when the backlog has room and the kernel retransmits
+    // the SYN, a second or more later.
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let backlog = fill_accept_backlog(&listener);
--- a/crates/dispatcher/tests/fault_injection/local_faults.rs
+++ b/crates/dispatcher/tests/fault_injection/local_faults.rs
@@ -51,7 +51,7 @@
         statuses.iter().all(|status| *status == Some(200)),
         "{statuses:?}"
     );
-    // No connection to an engine was refused.
+    // No attempt failed for lack of a connection.
     assert_eq!(program.counter("submissions_no_connection"), Some(0));
 }
 
--- a/crates/dispatcher/tests/fault_injection/logging.rs
+++ b/crates/dispatcher/tests/fault_injection/logging.rs
@@ -45,6 +45,7 @@
     );
     program.wait_for_counter_line("ended_no_engine 1\n");
     assert!(program.counter("client_closed_by_client") > Some(0));
+    // Violations are counted by rule, and there were none.
     for rule in [1, 2, 3, 6, 7] {
         let name = format!("violations_rule_{rule}");
         assert_eq!(program.counter(&name), Some(0), "{name}");
--- a/crates/dispatcher/tests/fault_injection/start.rs
+++ b/crates/dispatcher/tests/fault_injection/startup.rs
@@ -5,7 +5,7 @@
 use tansymux_fault_table::Call;
 use tansymux_testbed::program::{free_udp_address, Config};
 
-/// Longest time from the start of the process until it is ready (operators' page).
+/// Maximum time from the start of the process until it is ready, as documented for operators.
 const MAX_STARTUP_TIME: Duration = Duration::from_secs(10);
 
 fn config_with_peers() -> Config {
@@ -50,7 +50,8 @@
 
 #[test]
 fn startup_fails_at_once_and_names_the_key_on_a_permanent_error() {
-    // Permanent errors: an address of another machine (documentation range), and a bind without permission.
+    // Permanent errors: an address that this machine does not have (192.0.2.0/24 is reserved for documentation), and a
+    // bind without permission.
     let remote_listen = config_with_peers().with("listen", "192.0.2.1:10080");
     let remote_peer_listen = config_with_peers().with("peer_listen", "192.0.2.1:7946");
     for (config, key) in [
--- a/crates/dispatcher/tests/fault_injection/wall_clock.rs
+++ b/crates/dispatcher/tests/fault_injection/wall_clock.rs
@@ -19,8 +19,9 @@
 const WARM_AFTER_MS: u64 = 4000;
 /// Span over which the slow-start limit applies (ms).
 const SPAN_MS: u64 = 1000;
-/// Most queries of a test that an engine in slow start may receive. The limit within a span is
-/// 0.8 * 3 * 0.05 * 0.85 * 1000 ms / 20 ms = 5.1.
+/// Maximum number of queries that an engine in slow start may receive while a test counts them, for at most 1.5 spans.
+/// The limit within a span is 0.8 (the fraction of the budget that a dispatcher uses) * 3 * 0.05 * 0.85 (the capacity
+/// per core) * 1000 ms / 20 ms = 5.1 queries.
 const MAX_IN_SLOW_START: usize = 12;
 
 /// Returns a configuration with slow start over 4 s: a new engine has one core, an initial capacity of 0.05, and a
@@ -63,6 +64,7 @@
 ) -> usize {
     let started = Instant::now();
     let mut id = first_id;
+    // Discards the requests that arrived before.
     requests.try_iter().count();
     while started.elapsed() < duration {
         let mut query = query("look", id, 2000.0);
