--- a/crates/dispatcher/tests/life_cycle/clients.rs
+++ b/crates/dispatcher/tests/life_cycle/clients.rs
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn query_beyond_the_memory_bound_gets_503_with_a_retry_time() {
+fn query_beyond_the_memory_bound_gets_503_with_a_retry_after_time() {
     let (address, requests) = start_scripted_engine(|_, _| {});
     // The bound on memory for queries, a fifth of 16 MB, holds 52 statements of 64 KB that wait for a stalled engine.
     let config =
--- a/crates/dispatcher/tests/life_cycle/engines.rs
+++ b/crates/dispatcher/tests/life_cycle/engines.rs
@@ -15,7 +15,7 @@
 /// Estimated cost of a query (ms).
 const ESTIMATE_MS: f64 = 50.0;
 
-/// Starts an engine that sends each accepted connection to the test, which answers requests in its place.
+/// Starts an engine that passes each accepted connection to the test, which reads the requests and writes the replies.
 fn engine_with_held_connections() -> (SocketAddr, Receiver<TcpStream>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
@@ -104,7 +104,8 @@
 
 #[test]
 fn connection_established_after_its_attempt_was_withdrawn_does_not_send_it() {
-    // The accept backlog is full: connections are established once the backlog has room, a second or more later.
+    // The accept backlog is full: connections are established when the backlog has room and the kernel retransmits the
+    // SYN, a second or more later.
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let backlog = fill_accept_backlog(&listener);
@@ -140,14 +141,15 @@
 
 #[test]
 fn connection_established_late_is_used_for_the_next_query() {
-    // The accept backlog is full: attempts that wait for a connection time out after 250 ms, by the settings.
+    // The accept backlog is full: attempts that wait for a connection fail after the default connect timeout, 250 ms.
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     let backlog = fill_accept_backlog(&listener);
     let program = start(&two_group_config(&[address]));
     assert_eq!(answer_status(&send_query(&program, "load", 1)), Some(429));
     let opened = program.counter("connections_to_engines").unwrap();
-    // The backlog has room, and the connection is established when the system retries, a second after its first try.
+    // The backlog has room: the connection is established when the kernel retransmits the SYN, a second after the
+    // first.
     drop(backlog);
     let (sender, received) = channel();
     thread::spawn(move || {
--- a/crates/dispatcher/tests/life_cycle/process.rs
+++ b/crates/dispatcher/tests/life_cycle/process.rs
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn requests_received_by_sigterm_are_answered_even_if_not_yet_read() {
+fn requests_that_arrive_before_sigterm_is_handled_are_answered() {
     let (address, requests) = start_delayed_engine(20);
     let mut program = start(&two_group_config(&[address]));
     let mut idle_client = send_query(&program, "look", 1);
@@ -113,7 +113,8 @@
     let config =
         two_group_config(&[address]).with("limits", json!({"sockets": 64, "memory_mb": 32}));
     let mut program = start(&config);
-    // Clients have half of the descriptors, and each client has a query in flight beyond the end of the accept grace.
+    // 64 descriptors allow 25 client connections, so the other clients wait in the backlog. The engine takes 900 ms,
+    // so the first queries are in flight beyond the end of the accept grace.
     let clients: Vec<TcpStream> = (0..40)
         .map(|id| send_query(&program, "look", id + 1))
         .collect();
@@ -150,11 +151,11 @@
 }
 
 #[test]
-fn partial_and_imminent_requests_at_sigterm_are_served() {
+fn requests_completed_or_sent_after_sigterm_on_open_connections_are_served() {
     let (address, _requests) = start_delayed_engine(20);
     let mut program = start(&two_group_config(&[address]));
     let request = query_bytes("look", 1);
-    let (mut partial_client, mut imminent_client) =
+    let (mut partial_client, mut idle_client) =
         (connect_client(&program), connect_client(&program));
     partial_client.write_all(&request[..50]).unwrap();
     wait_until("both connections are accepted", || {
@@ -165,8 +166,8 @@
     wait_until("health checks fail", || {
         get(program.listen, "/_health").is_some_and(|response| response.status == 503)
     });
-    imminent_client.write_all(&query_bytes("look", 2)).unwrap();
-    assert_eq!(answer_status(&imminent_client), Some(200));
+    idle_client.write_all(&query_bytes("look", 2)).unwrap();
+    assert_eq!(answer_status(&idle_client), Some(200));
     // The last bytes of the partial request arrive after the listener is closed.
     thread::sleep((ACCEPT_GRACE + Duration::from_millis(100)).saturating_sub(started.elapsed()));
     partial_client.write_all(&request[50..]).unwrap();
@@ -175,7 +176,7 @@
 }
 
 #[test]
-fn shutdown_with_short_deadlines_finishes_before_the_kill_timeout() {
+fn shutdown_with_short_deadlines_finishes_before_the_platform_kills_the_program() {
     let (address, requests) = start_scripted_engine(|_, _| {});
     let classes = [
         resource_group("look", 100.0, 1000.0, keys::effect::READ_ONLY),
@@ -188,7 +189,7 @@
         &[1, 1],
     );
     let mut program = start(&config);
-    // The client waits for longer than the settings allow, and the engine is stalled.
+    // The client would wait for longer than the deadline in the settings, and the engine never answers.
     let mut client = connect_client(&program);
     client
         .write_all(
@@ -208,7 +209,7 @@
     assert_eq!(answer_status(&client), Some(500));
     drop(client);
     program.wait_for_exit();
-    // The longest deadline plus the accept grace of 0.7 s.
+    // The platform kills the program after the longest deadline (1 s) plus the accept grace (0.7 s).
     assert!(
         started.elapsed() < Duration::from_millis(1700),
         "{:?}",
--- a/crates/dispatcher/tests/life_cycle/support.rs
+++ b/crates/dispatcher/tests/life_cycle/support.rs
@@ -97,13 +97,13 @@
     }
 }
 
-/// Waits until a condition holds.
-pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
+/// Waits until a condition holds. Fails with its description after [`TIMEOUT`].
+pub fn wait_until(description: &str, mut condition: impl FnMut() -> bool) {
     let started = Instant::now();
     while !condition() {
         assert!(
             started.elapsed() < TIMEOUT,
-            "timed out waiting until {what}"
+            "timed out waiting until {description}"
         );
         thread::sleep(Duration::from_millis(2));
     }
--- a/crates/dispatcher/tests/platform_limits/clocks.rs
+++ b/crates/dispatcher/tests/platform_limits/clocks.rs
@@ -91,7 +91,8 @@
     let shim = ClockShim::new();
     let (silent_engine, _requests) = start_scripted_engine(|_, _| ());
     let mut program = shim.start(&config(&[silent_engine]));
-    // The wall clock jumps an hour ahead and back: nothing depends on it after the start.
+    // The wall clock is set an hour ahead, an hour behind and right again. Without a name service, nothing depends on
+    // it after startup.
     for hours in [1, -1, 0] {
         shim.set(Adjustment::WallOffset, hours * 3600 * NANOS_PER_SECOND);
         thread::sleep(Duration::from_millis(50));
--- a/crates/dispatcher/tests/platform_limits/main.rs
+++ b/crates/dispatcher/tests/platform_limits/main.rs
@@ -1,5 +1,5 @@
-//! The operators' requirements on the program at full size: its system calls, its dynamic linking, its use of
-//! resources, and its behaviour with clocks that stop or jump. A test that cannot run on a machine fails and says so.
+//! The platform's requirements on the program: its system calls, its dynamic linking, its use of resources, and its
+//! behaviour with clocks that stop or jump. A test that cannot run on a machine fails and says so.
 
 #![allow(clippy::unwrap_used, reason = "a panic fails the test")]
 
--- a/crates/dispatcher/tests/platform_limits/support.rs
+++ b/crates/dispatcher/tests/platform_limits/support.rs
@@ -19,7 +19,7 @@
     Config::with_two_groups(engines)
 }
 
-/// Starts an engine that completes each query at once, and returns its address.
+/// Starts an engine that answers each request with a result at once, and returns its address.
 pub fn instant_engine() -> SocketAddr {
     let answers = |parts: &[String], to: &mut std::net::TcpStream| {
         write_result(to, &parts[1]);
--- a/crates/dispatcher/tests/sockets/clients.rs
+++ b/crates/dispatcher/tests/sockets/clients.rs
@@ -9,15 +9,15 @@
 use tansymux_testbed::program::{Config, TIMEOUT};
 use tansymux_testbed::wire::read_response;
 
-/// Sets the smallest limits that are accepted, which allow 32 client connections.
-fn with_smallest_limits(config: Config) -> Config {
+/// Sets the smallest accepted limit of descriptors, which allows 25 client connections.
+fn with_smallest_socket_limit(config: Config) -> Config {
     config.with("limits", json!({"sockets": 64, "memory_mb": 32}))
 }
 
 #[test]
 fn idle_and_silent_clients_are_evicted_for_clients_with_queries() {
     let (address, _requests) = instant_engine();
-    let program = start_with(&[address], with_smallest_limits);
+    let program = start_with(&[address], with_smallest_socket_limit);
     let silent_clients: Vec<TcpStream> = (0..40)
         .map(|_| TcpStream::connect(program.listen).unwrap())
         .collect();
@@ -64,7 +64,7 @@
 #[test]
 fn invalid_requests_are_rejected_and_bytes_after_them_are_never_parsed() {
     let (address, requests) = instant_engine();
-    let program = start_with(&[address], with_smallest_limits);
+    let program = start_with(&[address], with_smallest_socket_limit);
     let next_request =
         "POST /invoke/look HTTP/1.1\r\nReq-Id: 00000000000000ab\r\nReq-Wait-Ms: 9000\r\nReq-Owner: acme\r\n\
          Content-Length: 8\r\n\r\nSELECT 1";
@@ -98,7 +98,7 @@
 #[test]
 fn error_for_an_oversized_statement_reaches_its_client_while_it_still_sends() {
     let (address, requests) = instant_engine();
-    let program = start_with(&[address], with_smallest_limits);
+    let program = start_with(&[address], with_smallest_socket_limit);
     let head = "POST /invoke/look HTTP/1.1\r\nReq-Id: 00000000000000aa\r\n";
     let mut client = TcpStream::connect(program.listen).unwrap();
     client
@@ -117,7 +117,7 @@
 fn clients_that_fill_the_read_buffers_do_not_block_small_requests() {
     let (address, _requests) = instant_engine();
     let program = start_with(&[address], |config| {
-        with_smallest_limits(config).with("limits.memory_mb", 16)
+        with_smallest_socket_limit(config).with("limits.memory_mb", 16)
     });
     // Incomplete requests fill all but a few bytes of the bound on read buffers, a tenth of 16 MB.
     let head = "POST /invoke/look HTTP/1.1\r\nContent-Length: 65000\r\n\r\n";
--- a/crates/dispatcher/tests/sockets/endpoint_list.rs
+++ b/crates/dispatcher/tests/sockets/endpoint_list.rs
@@ -10,7 +10,8 @@
 use tansymux_testbed::program::{free_address, TIMEOUT};
 use tansymux_testbed::record::{Record, Status};
 
-/// Starts a name service that lists one engine, `s-9`, as event 2, and returns its address.
+/// Starts a name service that lists one engine, `s-9`, and returns its address. The serial number of its list is 2, so
+/// that the list supersedes that of the configuration.
 fn name_service_with_engine(engine: SocketAddr) -> SocketAddr {
     let listed = Endpoint {
         id: "s-9".into(),
--- a/crates/dispatcher/tests/sockets/engine_connections.rs
+++ b/crates/dispatcher/tests/sockets/engine_connections.rs
@@ -34,7 +34,7 @@
         (served.status, served.body.as_str()),
         (200, r#"{"data":[["a","b","c"]]}"#)
     );
-    // The first attempt was cancelled before its connection was closed, and well before the second was sent.
+    // The engine received the cancellation of the first attempt well before the second attempt.
     let commands: Vec<(String, Instant)> = requests
         .try_iter()
         .map(|(parts, at)| (parts[0].clone(), at))
@@ -238,7 +238,7 @@
 }
 
 #[test]
-fn cancelled_attempt_without_progress_notes_does_not_discredit_its_connection() {
+fn cancelled_attempt_without_progress_notes_is_not_taken_for_a_lost_connection() {
     // Query 1 is never answered. Its client disconnects after 400 ms, with a latency objective of 5 s.
     let (address, requests) = engine(|parts, to| {
         if parts[0] == "fetch" && !parts[1].ends_with('1') {
--- a/crates/dispatcher/tests/sockets/main.rs
+++ b/crates/dispatcher/tests/sockets/main.rs
@@ -1,5 +1,5 @@
-//! The program on real sockets, between stand-ins for clients and engines that speak the published protocol
-//! (crates/testbed).
+//! The program on real sockets. Its clients and engines are stand-ins (crates/testbed) that speak the published
+//! protocol.
 
 mod clients;
 mod endpoint_list;
