--- a/crates/dispatcher/tests/fleet.rs
+++ b/crates/dispatcher/tests/fleet.rs
@@ -25,7 +25,7 @@
 /// Number of scenarios that are running. Each has several processes; too many scenarios at once would load the
 /// machine so much that a fleet misses its deadlines.
 static RUNNING_SCENARIOS: Mutex<usize> = Mutex::new(0);
-/// Most scenarios that run at a time.
+/// Maximum number of scenarios that run at a time.
 const MAX_RUNNING_SCENARIOS: usize = 4;
 /// Id of the next query, shared by all tests.
 static NEXT_QUERY_ID: AtomicU64 = AtomicU64::new(1);
@@ -57,7 +57,7 @@
 }
 
 /// Runs a scenario and asserts that no more members or engines are out at a time than the limit allows, no query is
-/// lost, and the release completes in the stated time.
+/// lost, and the release completes in time.
 fn assert_scenario_passes(name: &str) {
     let _permit = ScenarioPermit::acquire();
     let scenario = Scenario::named(name, 1)
@@ -259,7 +259,7 @@
     fleet.run_until_exit_code(1, &["drain", "s-1"], 0);
     for member in 0..2 {
         fleet.wait_for_counter(member, "fleet_engines_out 1\n");
-        // Each dispatcher applies the drain at the next tick of its driver.
+        // The drain takes effect at the dispatcher's next fleet tick.
         std::thread::sleep(Duration::from_millis(400));
         let received = fleet.send_queries(member, 30);
         assert!(
@@ -294,7 +294,7 @@
                 .is_ok_and(|seconds| seconds > 1.0),
         "{granted}"
     );
-    // The command at the other dispatcher waits no longer than --wait-s.
+    // The command at the other dispatcher waits no longer than --wait-s. Exit code 4: the lease timed out.
     let started = Instant::now();
     let (code, text) = fleet.run_command(0, &["turn", "--wait-s", "1"]);
     assert!(
@@ -306,6 +306,7 @@
     // The holder did not restart: its restart lease expires.
     let (code, text) = fleet.run_command(0, &["turn", "--wait-s", "9"]);
     assert_eq!(code, Some(0), "{text}");
+    // Exit code 3: the lease is refused, because the fleet is halted.
     assert_eq!(fleet.run_command(1, &["halt"]).0, Some(0));
     assert_eq!(fleet.run_command(0, &["turn", "--wait-s", "5"]).0, Some(3));
     assert_eq!(fleet.run_command(0, &["resume"]).0, Some(0));
--- a/crates/dispatcher/tests/levels.rs
+++ b/crates/dispatcher/tests/levels.rs
@@ -71,7 +71,7 @@
     start_scripted_engine(answer).0
 }
 
-/// Sends a query on a new connection. Returns the status of its answer and the retry time (ms), if there is one.
+/// Sends a query on a new connection. Returns the status of its answer and the retry-after time (ms), if there is one.
 fn send_query(program: &Program, group: &str, id: u64) -> (u16, Option<f64>) {
     let mut query = ClientQuery::new(id, &format!("/invoke/{group}"), group, "select 1", 9000.0);
     query.cost = Some(10.0);
@@ -109,6 +109,7 @@
 #[expect(clippy::too_many_lines, reason = "one scenario from start to end")]
 fn level_is_entered_by_its_signal_reported_at_once_and_rejects_only_its_classes() {
     let (mut program, _operator) = start(&config(&[engine_full_for_reports()]), LEVELS);
+    // The program chooses its initial level 2.5 s after startup: until then it waits for reports of peers.
     thread::sleep(Duration::from_millis(3800));
     let before = get_json(&program, "/_levels");
     assert_eq!(
@@ -138,11 +139,12 @@
         "{change}"
     );
     assert!(received_at.saturating_duration_since(entered) < Duration::from_millis(300));
-    // Reports are rejected at once with different retry times; look-ups and loads complete.
+    // Reports are rejected at once with different retry-after times: 1.2 s plus a spread of up to 30 %. Look-ups and
+    // loads complete.
     let started = Instant::now();
-    let retry_times_ms: Vec<f64> = (1..20)
+    let retry_after_times_ms: Vec<f64> = (1..20)
         .map(|id| send_query(&program, "report", id))
-        .map(|(status, retry_time_ms)| retry_time_ms.filter(|_| status == 429).unwrap())
+        .map(|(status, retry_after_ms)| retry_after_ms.filter(|_| status == 429).unwrap())
         .collect();
     assert!(
         started.elapsed() < Duration::from_secs(1),
@@ -150,16 +152,16 @@
         started.elapsed()
     );
     assert!(
-        retry_times_ms
+        retry_after_times_ms
             .iter()
             .all(|ms| (1200.0..=1561.0).contains(ms)),
-        "{retry_times_ms:?}"
+        "{retry_after_times_ms:?}"
     );
     assert!(
-        retry_times_ms
+        retry_after_times_ms
             .iter()
-            .any(|ms| (ms - retry_times_ms[0]).abs() > 20.0),
-        "{retry_times_ms:?}"
+            .any(|ms| (ms - retry_after_times_ms[0]).abs() > 20.0),
+        "{retry_after_times_ms:?}"
     );
     assert_eq!(
         (
@@ -214,8 +216,8 @@
         (levels["depth"].as_u64(), levels["defined"].as_bool()),
         (Some(0), Some(false))
     );
-    let (status, retry_time_ms) = send_query(&program, "report", 3);
-    assert_eq!((status, retry_time_ms), (429, Some(1000.0)));
+    let (status, retry_after_ms) = send_query(&program, "report", 3);
+    assert_eq!((status, retry_after_ms), (429, Some(1000.0)));
 }
 
 #[test]
--- a/crates/dispatcher/tests/statements.rs
+++ b/crates/dispatcher/tests/statements.rs
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn statement_without_a_group_runs_in_the_group_of_its_class_and_is_rejected_without_the_path() {
+fn statement_without_a_group_runs_in_the_group_of_its_class_and_gets_404_if_no_path_is_set() {
     let (address, requests) = start_scripted_engine(|parts, to| {
         write_result_of(to, &parts[1], "");
     });
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn statement_that_may_write_is_not_retried_whatever_its_class_promises() {
+fn statement_that_may_write_is_not_retried_unless_the_check_only_logs() {
     // The engine closes each connection on which a request arrives: whether the query ran is unknown, and only a
     // read-only query may be retried.
     let (address, requests) =
--- a/crates/dispatcher/tests/zone_routing.rs
+++ b/crates/dispatcher/tests/zone_routing.rs
@@ -15,7 +15,7 @@
 use tansymux_testbed::program::{free_address, get, resource_group, Config, Program, TempFile};
 use tansymux_testbed::record::EventKind;
 
-/// The operators' file of these tests.
+/// Text of the operators' file: queries from the east zone may be sent to the west zone.
 const ZONES: &str = r#"halls {
   route { from: "east" tier { hall: "east" } tier { hall: "west" } }
   spill { most: 0.3 }
@@ -148,17 +148,17 @@
         started.elapsed()
     }
 
-    /// Returns the number of attempts in the east zone and in the west zone since an entry of the record.
+    /// Returns the number of attempts in the east zone and in the west zone, counted from entry `since` of the record.
     fn attempts_by_zone(&self, since: usize) -> (usize, usize) {
         let entries = self.context.record.entries();
-        let to = |east: bool| {
+        let count_attempts = |east: bool| {
             let is_attempt = |event: &EventKind| matches!(event, EventKind::Arrived { engine, .. } if (engine == "s-0" || engine == "s-1") == east);
             entries[since..]
                 .iter()
                 .filter(|entry| is_attempt(&entry.event))
                 .count()
         };
-        (to(true), to(false))
+        (count_attempts(true), count_attempts(false))
     }
 
     fn record_length(&self) -> usize {
@@ -204,7 +204,7 @@
         .flatten()
         .filter(|response| response.status == 429)
         .collect();
-    // 0.3 of 16 cores is 4.8 threads: one report of four threads at a time.
+    // 0.3 of the west zone's 16 cores is 4.8 threads: one report of four threads at a time.
     assert_eq!(
         (served, rejected.len()),
         (1, 7),
