--- a/crates/adapter/src/batch.rs
+++ b/crates/adapter/src/batch.rs
@@ -67,7 +67,7 @@
     }
 }
 
-/// Reads the first line of a batch: its time (ms).
+/// Reads the first line of a batch, and returns the time of the batch (ms).
 pub fn read_clock(first: Option<(usize, &str)>) -> Result<f64, InputError> {
     let text = first.map_or("", |(_, text)| text);
     match split_first(text) {
--- a/crates/adapter/src/decode.rs
+++ b/crates/adapter/src/decode.rs
@@ -70,6 +70,7 @@
 ) -> Result<(), LineError> {
     let kind = parse_list_kind(fields.required(field::LIST_KIND)?)?;
     fields.number::<u64>(field::REVISION)?;
+    // A failed update has no slot. Any other slot was resolved to `endpoint_list` when the batch was read.
     fields.required(field::SLOT).ok();
     fields.finish()?;
     control.begin_update(kind);
--- a/crates/adapter/src/host/tests.rs
+++ b/crates/adapter/src/host/tests.rs
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn census_slot_can_be_reused_within_a_batch() {
+fn endpoint_list_slot_can_be_reused_within_a_batch() {
     let mut host = Host::default();
     let batch = format!(
         "batch 1000\ncensus 0 1\nm std h ready - 0 71 1\nenlist 1 9 {SETTINGS}\nupdate 1 C 1 0\n\
--- a/crates/adapter/src/vocabulary.rs
+++ b/crates/adapter/src/vocabulary.rs
@@ -66,7 +66,7 @@
     pub const COST_US: &str = "plan-cost-us";
     /// Estimated memory of a query (MB).
     pub const MEMORY_MB: &str = "est-memory-mb";
-    /// Number of tables of a query.
+    /// Number that identifies the set of tables that a query uses.
     pub const TABLES: &str = "tables";
     /// Flags of a query.
     pub const FLAGS: &str = "flags";
