--- a/crates/fault-shim/src/lib.rs
+++ b/crates/fault-shim/src/lib.rs
@@ -1,6 +1,6 @@
-//! For tests only: a library that is loaded before the C library (LD_PRELOAD) and replaces some of its functions. As
-//! the test's [`FaultTable`] defines, the replacements fail, are interrupted or transfer fewer bytes, and the wall
-//! clock is offset.
+//! For tests only: a library that is loaded before the C library (LD_PRELOAD) and replaces some of its functions. The
+//! test's [`FaultTable`] defines which replacements return an error (EINTR, for example) or transfer fewer bytes than
+//! requested, and the offset of the wall clock.
 //!
 //! Only calls through the C library are affected: the sockets, files and clocks of the standard library. System calls
 //! that a program makes directly, such as async-io's connect and epoll, are not affected. The table counts every
@@ -17,7 +17,7 @@
 /// Multiplier of the random number generator (splitmix64).
 const RANDOM_MIX: u64 = 0xBF58_476D_1CE4_E5B9;
 
-/// The mapped table. Null before the first call, and if the environment names no table.
+/// The mapped table. Null until it is mapped, and if the environment names no table that can be mapped.
 static TABLE: AtomicPtr<FaultTable> = AtomicPtr::new(std::ptr::null_mut());
 /// Whether the environment names no table or a table that cannot be mapped.
 static TABLE_UNAVAILABLE: AtomicBool = AtomicBool::new(false);
@@ -91,7 +91,7 @@
     }
 }
 
-/// Whether a file is standard input, output or error. No faults are injected on these.
+/// Whether a file is standard input, output or error. No faults are injected into `write` and `writev` to these.
 fn is_standard_stream(file: c_int) -> bool {
     file <= libc::STDERR_FILENO
 }
--- a/crates/fault-table/src/lib.rs
+++ b/crates/fault-table/src/lib.rs
@@ -23,7 +23,7 @@
     Recv,
     /// `send`: writes of one buffer to TCP connections.
     Send,
-    /// `writev`: vectored writes to TCP connections.
+    /// `writev`: vectored writes to TCP connections and to files other than the standard streams.
     Writev,
     /// `recvfrom`: receives datagrams.
     RecvFrom,
@@ -39,7 +39,7 @@
     Listen,
     /// `read` from pipes and files.
     Read,
-    /// `write` to files other than the standard streams.
+    /// `write` to files other than the standard streams, and `pwrite64`.
     Write,
     /// `fsync` and `fdatasync`.
     Sync,
