--- a/crates/simulator/src/engine.rs
+++ b/crates/simulator/src/engine.rs
@@ -1,5 +1,6 @@
 //! An engine that shares its cores evenly: processor sharing, computed in virtual service time. All threads run at the
-//! same speed, so a job completes when the service attained per thread has grown by the service that the job needs.
+//! same speed, so a job completes when the service attained per thread has grown by the service that each of the job's
+//! threads needs.
 
 use std::cmp::Ordering;
 use std::collections::{BinaryHeap, HashMap};
@@ -14,7 +15,7 @@
 /// Lower bound for divisors, which avoids divisions by 0 threads and by speed 0.
 const MIN_DIVISOR: f64 = 1e-9;
 
-/// The completion of a job, in service attained per thread (ms).
+/// The completion of a job. It is due when the service attained per thread (ms) reaches `at_service_ms`.
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct Completion {
     at_service_ms: f64,
@@ -58,13 +59,15 @@
     pub cores: f64,
     /// Time at which the engine started (ms). It warms up from then on.
     pub started_ms: f64,
-    /// Number of changes so far. Identifies completions that were scheduled before the last change and are stale.
+    /// Number of changes of the jobs or the slowdown so far. Completions that were scheduled for an earlier generation
+    /// are stale.
     pub generation: u64,
     slowdown: f64,
     warm_up_ms: f64,
     /// Speed at the start as a fraction of the full speed.
     initial_speed: f64,
-    service_ms: f64,
+    /// Service that each running thread has attained since the beginning of the run (ms).
+    attained_service_ms: f64,
     advanced_to_ms: f64,
     threads: f64,
     completions: BinaryHeap<Completion>,
@@ -82,7 +85,7 @@
             slowdown: 1.0,
             warm_up_ms,
             initial_speed,
-            service_ms: 0.0,
+            attained_service_ms: 0.0,
             advanced_to_ms: 0.0,
             threads: 0.0,
             completions: BinaryHeap::new(),
@@ -110,7 +113,7 @@
     /// Updates the attained service to `now_ms`.
     pub fn advance(&mut self, now_ms: f64) {
         if self.threads > 0.0 && now_ms > self.advanced_to_ms {
-            self.service_ms += (now_ms - self.advanced_to_ms) * self.speed(now_ms);
+            self.attained_service_ms += (now_ms - self.advanced_to_ms) * self.speed(now_ms);
         }
         self.advanced_to_ms = self.advanced_to_ms.max(now_ms);
     }
@@ -132,11 +135,11 @@
                 job,
                 threads,
                 service_ms,
-                started_at_service_ms: self.service_ms,
+                started_at_service_ms: self.attained_service_ms,
             },
         );
         self.completions.push(Completion {
-            at_service_ms: self.service_ms + service_ms,
+            at_service_ms: self.attained_service_ms + service_ms,
             job,
         });
         self.threads += threads;
@@ -159,7 +162,7 @@
     /// The completed fraction of a job.
     pub fn done_fraction(&self, job: u64) -> Option<f64> {
         let job = self.jobs.get(&job)?;
-        let attained_ms = self.service_ms - job.started_at_service_ms;
+        let attained_ms = self.attained_service_ms - job.started_at_service_ms;
         Some((attained_ms / job.service_ms).clamp(0.0, 1.0))
     }
 
@@ -176,7 +179,7 @@
         }
         let completion = self.completions.peek()?;
         let speed = self.speed(now_ms).max(MIN_DIVISOR);
-        let wait_ms = ((completion.at_service_ms - self.service_ms) / speed).max(0.0);
+        let wait_ms = ((completion.at_service_ms - self.attained_service_ms) / speed).max(0.0);
         let is_warming_up = now_ms - self.started_ms < self.warm_up_ms;
         Some(
             now_ms
@@ -194,7 +197,7 @@
         let mut completed = Vec::new();
         while let Some(completion) = self.completions.peek().copied() {
             if self.jobs.contains_key(&completion.job) {
-                if completion.at_service_ms > self.service_ms + SERVICE_TOLERANCE_MS {
+                if completion.at_service_ms > self.attained_service_ms + SERVICE_TOLERANCE_MS {
                     break;
                 }
                 completed.push(completion.job);
--- a/crates/simulator/src/experiment.rs
+++ b/crates/simulator/src/experiment.rs
@@ -53,7 +53,7 @@
 /// Parses and validates an experiment.
 ///
 /// # Errors
-/// The first error in the text, with the key.
+/// The first error in the text. Its message names the key or gives the position.
 pub fn read(text: &str) -> Result<Experiment, ExperimentError> {
     let pool = DescriptorPool::decode(DESCRIPTORS)
         .map_err(|error| ExperimentError::Schema(error.to_string()))?;
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -148,7 +148,7 @@
     }
 }
 
-/// Executes a command. Returns whether all rules hold.
+/// Executes a command. Returns `false` if the checker found a rule violation in a run.
 fn execute(command: Command) -> Result<bool, CommandError> {
     match command {
         Command::Run {
@@ -189,7 +189,8 @@
     }
 }
 
-/// Runs an experiment, prints its table and writes its results to a folder. Returns whether all rules hold.
+/// Runs an experiment, prints its table, and writes its results to a directory if one is given. Returns `false` if the
+/// checker found a rule violation in a run.
 fn run_experiment(
     file: &ExperimentFile,
     threads: usize,
@@ -213,7 +214,8 @@
     }
 }
 
-/// Writes the table, the JSON lines, a plot of each variant's first seed, and a page with all of them.
+/// Writes the table, the JSON lines, a plot of each variant's first seed, and an HTML page with the experiment, the
+/// table and the plots.
 fn write_results(
     directory: &Path,
     file: &ExperimentFile,
--- a/crates/simulator/src/simulation/attempts.rs
+++ b/crates/simulator/src/simulation/attempts.rs
@@ -11,8 +11,8 @@
 const MAX_REPORTED_PROGRESS: f64 = 0.9999;
 
 impl Simulation<'_> {
-    /// Sends an attempt from a dispatcher to an engine. If the connections to the engine are dead and the dispatcher
-    /// does not know it, the attempt gets no answer before its deadline.
+    /// Sends an attempt from a dispatcher to an engine. If the engine is cut off and the dispatcher does not yet know
+    /// that its connections are dead, the attempt gets no answer before its deadline.
     pub(super) fn submit(
         &mut self,
         dispatcher: usize,
@@ -44,7 +44,7 @@
             .schedule(deadline_ms, Event::AttemptDeadline { attempt });
     }
 
-    /// Adds the next attempt of a query. Returns the attempt's id; `None` if the query is over.
+    /// Adds the next attempt of a query. Returns the attempt's id; `None` if the query is no longer in flight.
     fn add_attempt(&mut self, query_id: u64, engine: usize) -> Option<u64> {
         let query = self.queries.get_mut(&query_id)?;
         let number = query.attempts;
@@ -57,7 +57,7 @@
             engine,
             sent_ms: self.environment.now_ms,
             running: false,
-            cancelled: false,
+            abandoned: false,
         };
         self.attempts.insert(attempt_id, attempt);
         Some(attempt_id)
@@ -67,19 +67,19 @@
         let is_open = self
             .attempts
             .get(&attempt)
-            .is_some_and(|attempt| !attempt.cancelled);
+            .is_some_and(|attempt| !attempt.abandoned);
         if is_open {
-            self.end_attempt(attempt, Outcome::Timeout, 0.0);
+            self.abandon_attempt(attempt, Outcome::Timeout, 0.0);
         }
     }
 
-    /// Ends an attempt on the dispatcher's side. The dispatcher's admission controller gets the outcome after
-    /// `delay_ms`.
-    pub(super) fn end_attempt(&mut self, attempt_id: u64, outcome: Outcome, delay_ms: f64) {
+    /// Abandons an attempt, at its deadline or by cancellation. The dispatcher's admission controller gets the outcome
+    /// after `delay_ms`.
+    pub(super) fn abandon_attempt(&mut self, attempt_id: u64, outcome: Outcome, delay_ms: f64) {
         let Some(attempt) = self.attempts.get_mut(&attempt_id) else {
             return;
         };
-        attempt.cancelled = true;
+        attempt.abandoned = true;
         let engine = attempt.engine;
         let running = attempt.running;
         let query_id = attempt.query_id;
@@ -144,7 +144,7 @@
     /// Handles the arrival of an attempt at its engine, which may have failed or been cut off in the meantime.
     pub(super) fn on_attempt_arrival(&mut self, attempt_id: u64) {
         let attempt = self.attempts.get(&attempt_id);
-        let Some(attempt) = attempt.filter(|attempt| !attempt.cancelled) else {
+        let Some(attempt) = attempt.filter(|attempt| !attempt.abandoned) else {
             return;
         };
         let engine = attempt.engine;
@@ -189,7 +189,7 @@
     /// Sends a progress note of an attempt to its dispatcher, and schedules the next note.
     pub(super) fn on_progress_note(&mut self, attempt_id: u64) {
         let attempt = self.attempts.get(&attempt_id);
-        let Some(attempt) = attempt.filter(|attempt| attempt.running && !attempt.cancelled) else {
+        let Some(attempt) = attempt.filter(|attempt| attempt.running && !attempt.abandoned) else {
             return;
         };
         let engine = attempt.engine;
--- a/crates/simulator/src/simulation/dispatcher.rs
+++ b/crates/simulator/src/simulation/dispatcher.rs
@@ -18,9 +18,9 @@
     zone_health: Option<ZoneHealthDetector>,
     /// Index of its zone.
     zone: usize,
-    /// Time of the next round if no event arrives before (ms).
+    /// Time of the next round if no event arrives earlier (ms); infinite if no timer is set.
     timer_ms: f64,
-    /// For each engine, whether the dispatcher knows that its connections to it are dead.
+    /// For each engine, whether the dispatcher knows that the connections to the engine are dead.
     known_dead: Vec<bool>,
     inbox: Vec<Incoming>,
 }
@@ -116,7 +116,8 @@
         self.known_dead[engine] = is_dead;
     }
 
-    /// Passes the outcome of an attempt or a health check to the detector of zone health.
+    /// Passes the outcome of an attempt or a health check to the zone health detector. A progress note is passed as
+    /// `Completed`.
     pub fn observe_engine(&mut self, engine: usize, outcome: Outcome, clock_ms: f64) {
         let kind = match outcome {
             Outcome::Completed | Outcome::Error | Outcome::Full => ObservationKind::Answered,
@@ -147,7 +148,7 @@
         zone_health.poll_health_check(clock_ms)
     }
 
-    /// Receives the endpoint list, which contains `engines`.
+    /// Passes the engines of the endpoint list to the zone health detector, and queues the list for the next round.
     pub fn update_endpoints(&mut self, engines: &[tansymux_zone_routing::Engine], clock_ms: f64) {
         if let Some(zone_health) = &mut self.zone_health {
             zone_health.handle(ZoneEvent::EnginesListed(engines), clock_ms);
@@ -155,7 +156,7 @@
         self.inbox.push(Incoming::EndpointList);
     }
 
-    /// Number of low-lane threads that the dispatcher runs in a zone outside its nearest tier.
+    /// Number of threads of the dispatcher's low-lane queries in `zone` that spilled over from other zones.
     pub fn spilled_threads(&self, zone: &str) -> f64 {
         self.control.spilled_threads(zone)
     }
--- a/crates/simulator/src/simulation/engines.rs
+++ b/crates/simulator/src/simulation/engines.rs
@@ -35,7 +35,7 @@
     /// Index of its zone.
     zone: usize,
     down_until_ms: f64,
-    /// Arrivals within the span of the work limit, while the engine warms up.
+    /// While the engine warms up: arrivals within the last `Cold::span_ms`, to which the work limit applies.
     cold_arrivals: Vec<ColdArrival>,
 }
 
--- a/crates/simulator/src/simulation/environment.rs
+++ b/crates/simulator/src/simulation/environment.rs
@@ -96,8 +96,8 @@
         configured_ms * (MIN_LATENCY_FRACTION + range)
     }
 
-    /// The phase of the run: 0 before the first fault, 1 during faults, 2 for [`RECOVERY_PHASE_S`] after the last
-    /// fault, then 3.
+    /// The phase of the run: 0 before the first fault, 1 until the last fault ends, 2 for [`RECOVERY_PHASE_S`] after
+    /// that, then 3.
     pub fn phase(&self) -> usize {
         let now_s = self.now_ms / 1000.0;
         let faults = &self.experiment.fault;
--- a/crates/simulator/src/simulation/mod.rs
+++ b/crates/simulator/src/simulation/mod.rs
@@ -6,13 +6,13 @@
 mod attempts;
 mod clients;
 mod dispatcher;
-mod dispatchers;
 mod engines;
 mod environment;
 mod events;
 mod faults;
 mod inbox;
 mod results;
+mod rounds;
 mod settings;
 
 pub use results::{Outcomes, Sample};
@@ -56,8 +56,10 @@
     number: usize,
     engine: usize,
     sent_ms: f64,
+    /// Whether the attempt has arrived at its engine.
     running: bool,
-    cancelled: bool,
+    /// Whether the dispatcher has abandoned the attempt, at its deadline or by cancellation.
+    abandoned: bool,
 }
 
 /// A run of one variant with one seed.
--- a/crates/simulator/src/simulation/results.rs
+++ b/crates/simulator/src/simulation/results.rs
@@ -65,7 +65,7 @@
     #[serde(rename = "killed")]
     pub failed: u64,
     /// Value as a fraction of its maximum, by phase: before the first fault, during faults, the minute after the last
-    /// fault, later.
+    /// fault, later. NaN for a phase without queries.
     pub value: [f64; PHASES],
     /// The 99th percentile of the latencies of fast queries (ms).
     #[serde(rename = "p99_fast")]
@@ -177,7 +177,8 @@
         });
     }
 
-    /// Returns the outcomes with the figures over all queries. `elapsed_s` is the real time that the simulation took.
+    /// Computes the figures over all queries, checks the record if the run has one, and returns the outcomes.
+    /// `elapsed_s` is the real time that the simulation took.
     pub fn finish(
         mut self,
         experiment: &Experiment,
--- a/crates/simulator/src/simulation/dispatchers.rs
+++ b/crates/simulator/src/simulation/rounds.rs
@@ -7,8 +7,8 @@
 use super::Simulation;
 use tansymux::events::{EndpointState, HealthCheckEnded, Outcome};
 
-/// Delay between the cancellation of an attempt and its end at the admission controller, as in the real dispatcher
-/// (ms).
+/// Delay between the cancellation of an attempt and the report of its end to the admission controller, as in the real
+/// dispatcher (ms).
 const CANCEL_DELAY_MS: f64 = 40.0;
 /// Minimum delay of a timer (ms).
 const MIN_TIMER_MS: f64 = 1.0;
@@ -63,10 +63,10 @@
 
     fn cancel(&mut self, query_id: u64, number: usize) {
         let found = self.attempts.iter().find(|(_, attempt)| {
-            attempt.query_id == query_id && attempt.number == number && !attempt.cancelled
+            attempt.query_id == query_id && attempt.number == number && !attempt.abandoned
         });
         if let Some(attempt) = found.map(|(attempt, _)| *attempt) {
-            self.end_attempt(attempt, Outcome::Cancelled, CANCEL_DELAY_MS);
+            self.abandon_attempt(attempt, Outcome::Cancelled, CANCEL_DELAY_MS);
         }
     }
 
