--- a/crates/dispatcher/src/subsystems/statement_classifier.rs
+++ b/crates/dispatcher/src/subsystems/statement_classifier.rs
@@ -28,7 +28,7 @@
 use tansymux_operator_config::schema;
 use tansymux_operator_config::schema::statements::Check;
 use tansymux_sql_analysis::{
-    Analysis, AnalyzedStatement, Class, Effect, Execution, ExecutionEnd, StatementAnalyzer,
+    Analysis, AnalyzedStatement, Class, Effect, Execution, ExecutionOutcome, StatementAnalyzer,
 };
 use warm_up::WarmUpTracker;
 
@@ -217,9 +217,9 @@
 
     /// Updates the cost model with an ended attempt of a classified query.
     pub fn on_attempt_ended(&self, event: &AttemptEnded, attempt: &ClassifiedAttempt, now_ms: f64) {
-        let end = match event.outcome {
-            Outcome::Completed => ExecutionEnd::Completed,
-            Outcome::Timeout => ExecutionEnd::Interrupted,
+        let outcome = match event.outcome {
+            Outcome::Completed => ExecutionOutcome::Completed,
+            Outcome::Timeout => ExecutionOutcome::Interrupted,
             // The query never ran, or ended for a reason that may be unrelated to its cost.
             _ => return,
         };
@@ -233,7 +233,7 @@
             engine_id: event.engine_id,
             latency_ms: event.latency_ms,
             threads: group.map_or(1.0, |group| group.threads),
-            end,
+            outcome,
             waited: attempt.waited,
             warming_up: self.warm_up.is_warming_up(event.engine_id, now_ms),
         };
--- a/crates/sql-analysis/src/cost_model/mod.rs
+++ b/crates/sql-analysis/src/cost_model/mod.rs
@@ -33,7 +33,7 @@
 
 /// The outcome of an attempt, reduced to the cases that the cost model treats differently.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ExecutionEnd {
+pub enum ExecutionOutcome {
     /// The attempt completed.
     Completed,
     /// The attempt timed out or was cancelled while it ran.
@@ -52,7 +52,7 @@
     /// Number of threads that the engine uses for the query.
     pub threads: f64,
     /// Whether the attempt completed or was interrupted.
-    pub end: ExecutionEnd,
+    pub outcome: ExecutionOutcome,
     /// Whether an unknown part of the latency was spent waiting for memory, for a load, or in a queue.
     pub waited: bool,
     /// Whether the engine was warming up.
@@ -62,7 +62,7 @@
 impl Execution {
     /// Whether the latency is a measurement of the cost, and not only a bound on it.
     fn is_exact(&self) -> bool {
-        self.end == ExecutionEnd::Completed && !self.waited && !self.warming_up
+        self.outcome == ExecutionOutcome::Completed && !self.waited && !self.warming_up
     }
 }
 
@@ -213,12 +213,12 @@
 /// The weight of a sample, from 0 to 1; `None` for a lower bound that is not above the expected cost.
 fn sample_weight(execution: &Execution, is_higher_than_expected: bool) -> Option<f64> {
     let is_upper_bound = execution.waited || execution.warming_up;
-    match execution.end {
-        ExecutionEnd::Interrupted if !is_higher_than_expected => None,
-        ExecutionEnd::Interrupted => Some(LOWER_BOUND_WEIGHT),
-        ExecutionEnd::Completed if is_upper_bound && is_higher_than_expected => {
+    match execution.outcome {
+        ExecutionOutcome::Interrupted if !is_higher_than_expected => None,
+        ExecutionOutcome::Interrupted => Some(LOWER_BOUND_WEIGHT),
+        ExecutionOutcome::Completed if is_upper_bound && is_higher_than_expected => {
             Some(UPPER_BOUND_WEIGHT)
         }
-        ExecutionEnd::Completed => Some(1.0),
+        ExecutionOutcome::Completed => Some(1.0),
     }
 }
--- a/crates/sql-analysis/src/cost_model/tests.rs
+++ b/crates/sql-analysis/src/cost_model/tests.rs
@@ -13,7 +13,7 @@
     engine_id: 1,
     latency_ms: 10.0,
     threads: 1.0,
-    end: ExecutionEnd::Completed,
+    outcome: ExecutionOutcome::Completed,
     waited: false,
     warming_up: false,
 };
@@ -131,7 +131,7 @@
     let mut model = cost_model();
     estimate_after(&mut model, 1, 10, EXECUTION);
     let interrupted = Execution {
-        end: ExecutionEnd::Interrupted,
+        outcome: ExecutionOutcome::Interrupted,
         ..EXECUTION
     };
     assert!(
--- a/crates/sql-analysis/src/lib.rs
+++ b/crates/sql-analysis/src/lib.rs
@@ -26,7 +26,7 @@
 mod table_group;
 
 pub use config::{BaseCost, BaseCosts, Config, CostModelConfig, Dialect};
-pub use cost_model::{Estimate, Execution, ExecutionEnd};
+pub use cost_model::{Estimate, Execution, ExecutionOutcome};
 pub use features::Features;
 pub use lexer::{Lexer, Shape, Token, TokenKind, Unproven};
 pub use rules::Rule;
--- a/crates/sql-analysis/tests/hard_cases/costs_and_rules.rs
+++ b/crates/sql-analysis/tests/hard_cases/costs_and_rules.rs
@@ -1,14 +1,14 @@
 //! Learned costs, and classes by rules.
 
 use crate::{analyze, analyzer};
-use tansymux_sql_analysis::{Class, Config, Execution, ExecutionEnd, Rule, StatementAnalyzer};
+use tansymux_sql_analysis::{Class, Config, Execution, ExecutionOutcome, Rule, StatementAnalyzer};
 
 const EXECUTION: Execution = Execution {
     ended_at_ms: 0.0,
     engine_id: 1,
     latency_ms: 10.0,
     threads: 1.0,
-    end: ExecutionEnd::Completed,
+    outcome: ExecutionOutcome::Completed,
     waited: false,
     warming_up: false,
 };
--- a/crates/testbed/src/measure/learning.rs
+++ b/crates/testbed/src/measure/learning.rs
@@ -6,7 +6,7 @@
 use rand_distr::{Distribution, Normal};
 use rand_pcg::Pcg64;
 use std::fmt::Write as _;
-use tansymux_sql_analysis::{Execution, ExecutionEnd, StatementAnalyzer};
+use tansymux_sql_analysis::{Execution, ExecutionOutcome, StatementAnalyzer};
 
 /// Number of engines that run the statements.
 const ENGINES: u64 = 6;
@@ -82,9 +82,9 @@
         if waited {
             latency_ms += self.rng.random_range(50.0..800.0);
         }
-        let mut end = ExecutionEnd::Completed;
+        let mut outcome = ExecutionOutcome::Completed;
         if self.rng.random_bool(INTERRUPTION_PROBABILITY) {
-            end = ExecutionEnd::Interrupted;
+            outcome = ExecutionOutcome::Interrupted;
             latency_ms *= self.rng.random_range(0.2..0.9);
         }
         Execution {
@@ -92,7 +92,7 @@
             engine_id,
             latency_ms,
             threads: 1.0,
-            end,
+            outcome,
             waited,
             warming_up: false,
         }
