--- a/crates/dispatcher/src/subsystems/zone_routing/conversion.rs
+++ b/crates/dispatcher/src/subsystems/zone_routing/conversion.rs
@@ -46,7 +46,7 @@
         engines: engines
             .map(|engine| (engine.engine_id, engine.threads))
             .collect(),
-        cross_zone_retry_ratio: plan.cross_zone_retry_fraction,
+        cross_zone_retry_ratio: plan.cross_zone_retry_ratio,
         isolated: plan.is_isolated,
     }
 }
--- a/crates/operator-config/src/zone_routing.rs
+++ b/crates/operator-config/src/zone_routing.rs
@@ -22,7 +22,7 @@
             duration_ms: ramp.over_s() * MS_PER_S,
             full_threads_per_core: ramp.whole(),
         },
-        cross_zone_retry_fraction: halls.cross_retries(),
+        cross_zone_retry_ratio: halls.cross_retries(),
     }
 }
 
--- a/crates/simulator/src/simulation/dispatcher.rs
+++ b/crates/simulator/src/simulation/dispatcher.rs
@@ -183,7 +183,7 @@
             .iter()
             .map(|engine| (engine.engine_id, engine.threads))
             .collect(),
-        cross_zone_retry_ratio: plan.cross_zone_retry_fraction,
+        cross_zone_retry_ratio: plan.cross_zone_retry_ratio,
         isolated: plan.is_isolated,
     }
 }
--- a/crates/zone-routing/src/config.rs
+++ b/crates/zone-routing/src/config.rs
@@ -88,8 +88,8 @@
     pub unreachability_thresholds: UnreachabilityThresholds,
     /// The ramp of a recovering zone.
     pub recovery_ramp: RecoveryRamp,
-    /// Maximum fraction of retries that may be sent to a zone other than that of the previous attempt.
-    pub cross_zone_retry_fraction: f64,
+    /// Number of cross-zone retries that each retry within the zone of the previous attempt allows.
+    pub cross_zone_retry_ratio: f64,
 }
 
 impl Config {
--- a/crates/zone-routing/src/detector/planning.rs
+++ b/crates/zone-routing/src/detector/planning.rs
@@ -17,7 +17,7 @@
                 .map(|(engine_id, engine)| self.engine_plan(*engine_id, engine))
                 .collect(),
             is_isolated: self.is_isolated,
-            cross_zone_retry_fraction: self.config.cross_zone_retry_fraction,
+            cross_zone_retry_ratio: self.config.cross_zone_retry_ratio,
         }
     }
 
--- a/crates/zone-routing/src/routing_plan.rs
+++ b/crates/zone-routing/src/routing_plan.rs
@@ -37,6 +37,6 @@
     pub engines: Vec<EnginePlan>,
     /// Whether this dispatcher is isolated. Isolation does not move work to other zones.
     pub is_isolated: bool,
-    /// Maximum fraction of retries that may be sent to a zone other than that of the previous attempt.
-    pub cross_zone_retry_fraction: f64,
+    /// Number of cross-zone retries that each retry within the zone of the previous attempt allows.
+    pub cross_zone_retry_ratio: f64,
 }
--- a/crates/zone-routing/tests/zone_failures/simulation.rs
+++ b/crates/zone-routing/tests/zone_failures/simulation.rs
@@ -48,7 +48,7 @@
             duration_ms: 10_000.0,
             full_threads_per_core: 2.0,
         },
-        cross_zone_retry_fraction: 0.5,
+        cross_zone_retry_ratio: 0.5,
     }
 }
 
--- a/src/zone_plan.rs
+++ b/src/zone_plan.rs
@@ -18,7 +18,7 @@
     /// Limits on this dispatcher's threads per engine, each with the engine's number. An engine that is not listed
     /// keeps the limit of the previous plan.
     pub engines: Vec<(u64, f64)>,
-    /// Number of cross-zone retries that each retry in the zone of the previous attempt allows.
+    /// Number of cross-zone retries that each retry within the zone of the previous attempt allows.
     pub cross_zone_retry_ratio: f64,
     /// Whether this dispatcher is itself cut off from the engines. Low work is then rejected instead of being sent to
     /// engines that cannot answer.
