--- a/crates/testbed/src/levels/clients.rs
+++ b/crates/testbed/src/levels/clients.rs
@@ -15,7 +15,7 @@
 
 /// Maximum requests that a client sends for one query, including the first.
 const MAX_REQUESTS: usize = 4;
-/// Delay before a client retries after a rejection without a retry time (ms).
+/// Delay before a client retries after a rejection without a retry-after time (ms).
 const DEFAULT_RETRY_AFTER_MS: f64 = 500.0;
 /// Minimum load, as a fraction of capacity. It keeps the arrival rate positive.
 const MIN_LOAD: f64 = 0.02;
--- a/crates/testbed/src/soak/mod.rs
+++ b/crates/testbed/src/soak/mod.rs
@@ -222,7 +222,7 @@
         let (first, last) = (options.dispatchers.start(), options.dispatchers.end());
         let _ = write!(
             line,
-            "\n  again: tansymux-testbed soak --seeds {0}..{1} --processes {first}..{last} --seconds {2} (record in {3})",
+            "\n  to repeat: tansymux-testbed soak --seeds {0}..{1} --processes {first}..{last} --seconds {2} (record in {3})",
             plan.seed,
             plan.seed + 1,
             plan.seconds,
