--- a/crates/dispatcher/src/cli.rs
+++ b/crates/dispatcher/src/cli.rs
@@ -73,7 +73,9 @@
     Classify(Classify),
 }
 
-/// Further exit codes: 3 halted, 4 timed out or no leader.
+/// Further exit codes: 3 lease refused for a reason that waiting does not remove (a halt, no release to that version,
+/// already restarted, or a member unknown to the end of the wait), or another command refused by a halt; 4 timed out or
+/// no leader. Any other refusal exits with 1.
 #[derive(Debug, Args)]
 pub struct Fleet {
     /// The member to call; defaults to `fleet.listen` of the operators' file
--- a/crates/dispatcher/src/fleet_client.rs
+++ b/crates/dispatcher/src/fleet_client.rs
@@ -20,8 +20,9 @@
 
 /// Milliseconds in a second.
 const MS_PER_S: f64 = 1000.0;
-/// Exit code: the fleet is halted.
-const EXIT_HALTED: u8 = 3;
+/// Exit code: the restart lease is refused for a reason that waiting does not remove ([`LeaseOutcome::Refused`]), or
+/// another command is refused because the fleet is halted. Any other refusal of a command exits with 1.
+const EXIT_REFUSED: u8 = 3;
 /// Exit code: the answer or the restart lease timed out, or the fleet has no leader.
 const EXIT_TIMED_OUT: u8 = 4;
 
@@ -193,7 +194,7 @@
                 }
                 Some(LeaseOutcome::Refused(answer)) => {
                     eprintln!("tansymux: {}", answer_text(&answer));
-                    return Ok(ExitCode::from(EXIT_HALTED));
+                    return Ok(ExitCode::from(EXIT_REFUSED));
                 }
                 Some(LeaseOutcome::TimedOut(answer)) => {
                     eprintln!("tansymux: no turn in time: {}", answer_text(&answer));
@@ -214,7 +215,7 @@
     }
     eprintln!("tansymux: {}", answer_text(answer));
     match answer {
-        Answer::Halted { .. } => ExitCode::from(EXIT_HALTED),
+        Answer::Halted { .. } => ExitCode::from(EXIT_REFUSED),
         Answer::NoLeader | Answer::Pending => ExitCode::from(EXIT_TIMED_OUT),
         _ => ExitCode::FAILURE,
     }
