--- a/crates/service-levels/tests/state_machine/main.rs
+++ b/crates/service-levels/tests/state_machine/main.rs
@@ -260,7 +260,7 @@
 }
 
 #[test]
-fn loss_of_peers_alone_ends_no_level() {
+fn level_wanted_by_lost_peers_is_left_only_after_the_hold_time() {
     let mut fleet = Fleet::new(3);
     // Two dispatchers want a level, the third only follows them.
     fleet.run(
--- a/crates/testbed/tests/fleet.rs
+++ b/crates/testbed/tests/fleet.rs
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn a_good_version_is_not_halted() {
+fn a_good_version_is_halted_in_at_most_one_of_20_runs() {
     let halted_runs = (0..20).filter(|seed| {
         let mut fleet = degraded_release(*seed, 40.0, 0.98, 0.0, true);
         fleet.run_until(|_| false);
--- a/src/control/tests/service_levels.rs
+++ b/src/control/tests/service_levels.rs
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn closed_group_is_rejected_at_once_with_spread_retry_times() {
+fn group_without_headroom_is_rejected_at_once_with_spread_retry_after_times() {
     let mut control = pressured_dispatcher(most_restrictive_level());
     let delays_ms: Vec<f64> = (0..40)
         .map(|id| {
