--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -266,7 +266,7 @@
 fn print_samples(run: &Outcomes) {
     for sample in run.samples.iter().step_by(REPLAY_SAMPLE_STEP) {
         println!(
-            "{:>6.1} s  value {:.3}  deferred {:>4}  threads {:.0?}  spilled {:.0?}",
+            "{:>6.1} s  value {:.3}  rejected {:>4}  threads {:.0?}  spilled {:.0?}",
             sample.at_s,
             sample.value / sample.max_value.max(1e-9),
             sample.rejected,
--- a/crates/simulator/src/report.rs
+++ b/crates/simulator/src/report.rs
@@ -30,20 +30,22 @@
     ("value before", |run| run.value[0]),
     ("value during faults", |run| run.value[1]),
     ("value in the minute after", |run| run.value[2]),
-    ("deferred (part)", |run| {
+    ("rejected (fraction)", |run| {
         fraction_of_queries(run, run.rejected)
     }),
-    ("late (part)", |run| fraction_of_queries(run, run.late)),
+    ("late (fraction)", |run| fraction_of_queries(run, run.late)),
     ("p99 of the fast lane (ms)", |run| run.fast_p99_ms as f64),
-    ("most spilled (part of the limit)", |run| run.max_spill),
-    ("most sent to a cold engine (part of its fall)", |run| {
+    ("max spilled (fraction of the limit)", |run| run.max_spill),
+    ("max load of a warming engine (of its limit)", |run| {
         run.max_cold_load
     }),
-    ("engines that fell", |run| run.engine_failures as f64),
+    ("engine failures under load", |run| {
+        run.engine_failures as f64
+    }),
     ("full service after (ms)", |run| {
         run.full_service_after_ms.unwrap_or(f64::NAN)
     }),
-    ("rules broken", |run| run.violations as f64),
+    ("rule violations", |run| run.violations as f64),
 ];
 
 fn format_mean(mean: Mean) -> String {
@@ -81,7 +83,7 @@
     let speed = mean(runs.iter().flatten().map(|run| run.virtual_s_per_s));
     let _ = writeln!(
         text,
-        "virtual seconds simulated in a real one, each on one core: {}",
+        "simulated seconds per real second, one core per run: {}",
         format_mean(speed)
     );
     text += &violations(runs);
@@ -101,7 +103,7 @@
             shown += 1;
             let _ = writeln!(
                 text,
-                "broken: arm {} seed {}: {violation}",
+                "violation: arm {} seed {}: {violation}",
                 run.variant, run.seed
             );
         }
@@ -189,11 +191,11 @@
         .fold(1.0, f64::max);
     let mut named_points: Vec<(String, Points)> = vec![
         (
-            "value (part of the worth asked)".into(),
+            "value (fraction of the maximum)".into(),
             smoothed(samples, |sample| sample.value / sample.max_value.max(1e-9)),
         ),
         (
-            "deferred a second / 100".into(),
+            "rejected per second / 100".into(),
             smoothed(samples, |sample| {
                 sample.rejected as f64 * SAMPLES_PER_S / 100.0
             }),
--- a/crates/testbed/src/demo.rs
+++ b/crates/testbed/src/demo.rs
@@ -204,7 +204,7 @@
         table += "rules: all seven kept\n";
     }
     for violation in &violations {
-        let _ = writeln!(table, "broken: {violation}");
+        let _ = writeln!(table, "violation: {violation}");
     }
     Report { table, violations }
 }
--- a/crates/testbed/src/fleet/mod.rs
+++ b/crates/testbed/src/fleet/mod.rs
@@ -103,7 +103,7 @@
             let _ = write!(line, ", served {success:.4} of {}", self.requests);
         }
         for violation in &self.violations {
-            let _ = write!(line, "\n  BROKEN: {violation}");
+            let _ = write!(line, "\n  violation: {violation}");
         }
         line
     }
--- a/crates/testbed/src/fleet/zones/mod.rs
+++ b/crates/testbed/src/fleet/zones/mod.rs
@@ -159,8 +159,8 @@
             at_ms.map_or("-".into(), |at_ms| format!("{:.1} s", at_ms / 1000.0))
         };
         format!(
-            "{variant:?} seed {seed}: in time: before {:.3}, cut {:.3}, return {:.3}, after {:.3}; peak on a cold engine \
-             {:.0} threads; evacuated after {}, restored after {}; shares at most {:.2}; unanswered {}",
+            "{variant:?} seed {seed}: in time: before {:.3}, cut {:.3}, return {:.3}, after {:.3}; max threads on a cold \
+             engine {:.0}; evacuated after {}, restored after {}; shares at most {:.2}; unanswered {}",
             in_time(0),
             in_time(1),
             in_time(2),
--- a/crates/testbed/src/levels/reports.rs
+++ b/crates/testbed/src/levels/reports.rs
@@ -104,7 +104,7 @@
         let per_minute = count as f64 / (seconds / 60.0);
         let _ = writeln!(
             lines,
-            "level {}: {count} changes, {per_minute:.2} a minute",
+            "level {}: {count} changes, {per_minute:.2} per minute",
             level + 1
         );
     }
@@ -140,7 +140,7 @@
         table,
         "changes of a level less than a minute apart: {too_frequent}; changes by more than one level: {level_skips}"
     );
-    let _ = writeln!(table, "rules broken: {}", outcome.violations.len());
+    let _ = writeln!(table, "rule violations: {}", outcome.violations.len());
     for violation in outcome.violations.iter().take(MAX_SHOWN_VIOLATIONS) {
         let _ = writeln!(table, "  {violation}");
     }
@@ -192,7 +192,7 @@
 /// peaks, with and without a failing engine. Returns a table.
 pub fn run_quarter_starts(exe: &Path, seconds: f64, seeds: u64) -> String {
     let mut table = format!(
-        "{:<7} {:<8} {:<7} {:>8} {:>8} {:>6} {:>9} {:>7} {:>9} {:>7} {:>9} {:>7} {:>7}\n",
+        "{:<7} {:<8} {:<7} {:>8} {:>8} {:>6} {:>9} {:>7} {:>9} {:>7} {:>11} {:>7} {:>7}\n",
         "height",
         "failing",
         "levels",
@@ -203,7 +203,7 @@
         "failed",
         "retried",
         "value",
-        "look p99",
+        "look-up p99",
         "waste",
         "broken"
     );
@@ -257,7 +257,7 @@
     let sum = |metric: fn(&Outcome) -> f64| outcomes.iter().map(metric).sum::<f64>();
     let count = outcomes.len().max(1) as f64;
     format!(
-        "{:>8} {:>8} {:>6} {:>9} {:>7} {:>9} {:>7.3} {:>9.0} {:>7.3} {:>7}",
+        "{:>8} {:>8} {:>6} {:>9} {:>7} {:>9} {:>7.3} {:>11.0} {:>7.3} {:>7}",
         sum(|outcome| outcome.sent as f64),
         sum(|outcome| outcome.in_time as f64),
         sum(|outcome| outcome.late as f64),
--- a/crates/testbed/src/soak/mod.rs
+++ b/crates/testbed/src/soak/mod.rs
@@ -207,8 +207,8 @@
     } = outcome.counts;
     let plan = &outcome.plan;
     let mut line = format!(
-        "seed {:>5}  processes {:>2}  faults {:>3}  asked {asked:>5}  completed {completed:>5}  rejected {rejected:>4}  failed \
-         {failed:>3}  left {left:>4}  attempts {attempts:>5}  failed calls {failed_calls:>5}  lag {:>3.0} ms  violations {}",
+        "seed {:>5}  processes {:>2}  faults {:>3}  received {asked:>5}  completed {completed:>5}  rejected {rejected:>4}  failed \
+         {failed:>3}  disconnected {left:>4}  attempts {attempts:>5}  failed calls {failed_calls:>5}  lag {:>3.0} ms  violations {}",
         plan.seed,
         plan.dispatchers,
         plan.faults.len(),
@@ -239,7 +239,7 @@
         |count: fn(&SoakCounts) -> usize| runs.iter().map(|run| count(&run.counts)).sum::<usize>();
     let failed_calls: u64 = runs.iter().map(|run| run.counts.failed_calls).sum();
     let table = format!(
-        "{} seeds, {failed_seeds} with violations; asked {}, completed {}, rejected {}, failed {}, left {}, attempts {}, failed calls {failed_calls}\n",
+        "{} seeds, {failed_seeds} with violations; received {}, completed {}, rejected {}, failed {}, disconnected {}, attempts {}, failed calls {failed_calls}\n",
         runs.len(),
         sum(|counts| counts.asked),
         sum(|counts| counts.completed),
