--- a/crates/dispatcher/src/discovery/mod.rs
+++ b/crates/dispatcher/src/discovery/mod.rs
@@ -45,7 +45,7 @@
     Malformed(#[from] DnsError),
     #[error("the sender is not the name service")]
     UnknownSender,
-    #[error("no open query has its id")]
+    #[error("the id is not that of an open query")]
     UnknownQuery,
 }
 
@@ -74,7 +74,7 @@
         .await;
         tracing::warn!(
             unanswered = MAX_UNANSWERED_QUERIES,
-            "name service silent, opening another socket"
+            "no usable answer from the name service, opening a new socket"
         );
         socket = poller.bind(Some(socket)).await;
     }
--- a/crates/dispatcher/src/engine/allocation.rs
+++ b/crates/dispatcher/src/engine/allocation.rs
@@ -133,7 +133,7 @@
             }
             _ => {
                 let engine_id = EngineId(request.engine_id);
-                tracing::warn!(%engine_id, "connection limit reached");
+                tracing::warn!(%engine_id, "limit of connections to this engine reached");
                 return None;
             }
         };
--- a/crates/dispatcher/src/engine/channel.rs
+++ b/crates/dispatcher/src/engine/channel.rs
@@ -27,7 +27,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum LocalFault {
     /// The connection limit is reached, so that no descriptor is granted.
-    #[error("no file descriptor granted within the connection limit")]
+    #[error("no file descriptor granted: connection limit reached")]
     DescriptorLimit,
     /// This machine lacks a socket, a port or memory.
     #[error("no socket, port or memory available on this machine")]
--- a/crates/dispatcher/src/engine/connection/state.rs
+++ b/crates/dispatcher/src/engine/connection/state.rs
@@ -48,13 +48,13 @@
     #[error("connection silent since its reuse after idling, like earlier connections")]
     SilentAfterReuse,
     /// The engine sent too many replies that were ignored.
-    #[error("too many replies for nothing in flight")]
+    #[error("too many ignored replies")]
     Flood,
     /// The engine did not read the last command about an attempt in time.
     #[error("engine did not read the last command about an attempt in time")]
     LastCommandNotRead,
     /// The connection has been silent, and new connections to the engine did not come up.
-    #[error("connection silent and no other connection to the engine came up")]
+    #[error("connection silent and new connections to the engine did not come up")]
     EngineUnreachable,
 }
 
--- a/crates/dispatcher/src/engine/idle_reuse.rs
+++ b/crates/dispatcher/src/engine/idle_reuse.rs
@@ -68,7 +68,7 @@
     /// Records that a reused connection received no frame while its engine sent frames on another connection.
     pub fn record_silent_loss(&self, engine_id: u64, reuse: IdleReuse) {
         let engine_id = EngineId(engine_id);
-        tracing::warn!(%engine_id, idle_ms = reuse.idle_ms, "idle connection lost in silence");
+        tracing::warn!(%engine_id, idle_ms = reuse.idle_ms, "idle connection lost silently");
         self.registry.counters.idle_connections_lost.increment();
         self.record(self.clock.now(), reuse, ReuseOutcome::LostSilently);
     }
