--- a/crates/dispatcher/src/cli.rs
+++ b/crates/dispatcher/src/cli.rs
@@ -68,14 +68,16 @@
         files: Vec<PathBuf>,
     },
     /// Sends a command to a member of the fleet: restart leases, drains, releases, halt and rollback
+    ///
+    /// Further exit codes: 3 lease refused for a reason that waiting does not remove (a halt, no release to that
+    /// version, already restarted, or a member unknown to the end of the wait), or another command refused by a halt; 4
+    /// timed out or no leader. Any other refusal exits with 1.
     Fleet(Fleet),
     /// Reads statements and prints one JSON line for each: class, effect, shape, cost and tables
     Classify(Classify),
 }
 
-/// Further exit codes: 3 lease refused for a reason that waiting does not remove (a halt, no release to that version,
-/// already restarted, or a member unknown to the end of the wait), or another command refused by a halt; 4 timed out or
-/// no leader. Any other refusal exits with 1.
+/// The arguments of [`Command::Fleet`].
 #[derive(Debug, Args)]
 pub struct Fleet {
     /// The member to call; defaults to `fleet.listen` of the operators' file
